--- a/benchmarks/intake.py
+++ b/benchmarks/intake.py
@@ -16,9 +16,9 @@
 from collections import deque
 from collections.abc import Callable
 
+from willowhook.decisions.model import Ring
 from willowhook.reports.fading import Landmark
 from willowhook.reports.queue import Queue
-from willowhook.state import Ring
 
 HALF = 20_000
 FIGURES = 36  # of one report, which share its window
--- /dev/null
+++ b/willowhook/decisions/events.py
@@ -0,0 +1,170 @@
+"""What happens to a controller, as typed events.
+
+The platform server, the simulator's adapter and the file control plane make these from what they read; a
+`Controller` handles them. Proxies are named by their number, endpoints by their name, routes by their name in
+reports. Times are ticks.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import Enum
+
+
+class EndpointState(Enum):
+    """Where an endpoint stands in its life, as the endpoint list says."""
+
+    IN_SERVICE = "in service"
+    DRAINING = "draining"
+    REMOVED = "removed"
+
+
+class HealthCheckOutcome(Enum):
+    """How a health check ended."""
+
+    HEALTHY = "healthy"
+    FAILED = "failed"
+    OVERLOADED = "overloaded"
+    TIMED_OUT = "timed out"
+    UNREACHABLE = "unreachable"
+    ABORTED = "aborted"
+
+
+@dataclass(frozen=True, slots=True)
+class ProxyJoined:
+    """A proxy has opened a session with this controller.
+
+    Attributes:
+        proxy: its number.
+        zone: its zone.
+        usual_rate_per_second: the requests that usually reach it.
+        is_fresh: whether no controller has sent it a table since it started.
+    """
+
+    proxy: int
+    zone: str
+    usual_rate_per_second: float
+    is_fresh: bool
+
+
+@dataclass(frozen=True, slots=True)
+class ProxyLeft:
+    """A proxy's session with this controller has ended."""
+
+    proxy: int
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointEntry:
+    """One entry of the endpoint list.
+
+    Attributes:
+        name: of the endpoint.
+        state: in service, draining or removed.
+        started_at: when its process started, in ticks; 0: long ago.
+        listed_weight: its share; it tells of its capacity if `DeploymentSettings.lists_capacity`.
+        endpoint_class: the kind of machine; routes may allow some only.
+        zone: where it is.
+    """
+
+    name: str
+    state: EndpointState
+    started_at: int
+    listed_weight: float
+    endpoint_class: str
+    zone: str
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointListReceived:
+    """The endpoint list, or changes to it.
+
+    Attributes:
+        is_complete: whether endpoints that have no entry are not listed any more.
+        entries: in the order of the list.
+    """
+
+    is_complete: bool
+    entries: tuple[EndpointEntry, ...]
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointListLost:
+    """Discovery did not answer, or not with an endpoint list."""
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointReport:
+    """What proxies met at one endpoint since the last report.
+
+    Attributes:
+        endpoint: its name.
+        attempts: that have ended.
+        failures: among them.
+        mean_latency_ticks: of the attempts that succeeded.
+        cpu_utilization: share of its cores in use, as it reported last; None: it did not.
+    """
+
+    endpoint: str
+    attempts: int
+    failures: int
+    mean_latency_ticks: int
+    cpu_utilization: float | None
+
+
+@dataclass(frozen=True, slots=True)
+class RequestReport:
+    """The requests of one route that reached a proxy.
+
+    Attributes:
+        proxy: its number.
+        route: the route's name.
+        requests: that reached it.
+        window_ticks: the time that this covers.
+    """
+
+    proxy: int
+    route: str
+    requests: int
+    window_ticks: int
+
+
+@dataclass(frozen=True, slots=True)
+class HealthCheckCompleted:
+    """A health check that the controller asked for has ended.
+
+    Attributes:
+        endpoint: its name.
+        outcome: how it ended.
+        cpu_utilization: share of its cores in use, as it answered; None: it did not say.
+    """
+
+    endpoint: str
+    outcome: HealthCheckOutcome
+    cpu_utilization: float | None
+
+
+@dataclass(frozen=True, slots=True)
+class MessageAcknowledged:
+    """A proxy has applied the message that carried this sync marker, and all before it."""
+
+    proxy: int
+    marker: int
+
+
+@dataclass(frozen=True, slots=True)
+class EvaluationDue:
+    """The time of the periodic evaluation has come, as the controller asked for."""
+
+
+Event = (
+    ProxyJoined
+    | ProxyLeft
+    | EndpointListReceived
+    | EndpointListLost
+    | EndpointReport
+    | RequestReport
+    | HealthCheckCompleted
+    | MessageAcknowledged
+    | EvaluationDue
+)
--- a/willowhook/state.py
+++ b/willowhook/decisions/model.py
@@ -4,7 +4,8 @@
 
 from itertools import accumulate
 
-from .host import Route
+from .events import EndpointState
+from .settings import Route
 
 NEVER = 1 << 60  # a time, in tenths of a millisecond
 
@@ -52,7 +53,8 @@
     """A listed host, as this director knows it."""
 
     def __init__(self, width: int, buckets: int) -> None:
-        self.mode, self.started, self.size, self.kind, self.zone = "", 0, 1.0, "", ""
+        self.mode = EndpointState.REMOVED
+        self.started, self.size, self.kind, self.zone = 0, 1.0, "", ""
         self.heard = Ring(width, buckets, 3)  # tries, errors, time of the answered
         self.factor = 1.0  # what latency has made of its base weight
         self.sick, self.out_until, self.rest = False, 0, 0  # out until then; how long the last time
--- /dev/null
+++ b/willowhook/decisions/runtime.py
@@ -0,0 +1,72 @@
+"""The commands that a controller gives: the interface to whatever runs it."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from dataclasses import dataclass
+from typing import Protocol
+
+
+@dataclass(frozen=True, slots=True)
+class AdmissionLimit:
+    """What proxies admit of a route.
+
+    Attributes:
+        retries: after a failed attempt, where repeating is safe; 0: none.
+        limit: in the unit of `FleetSettings.admission_unit`.
+    """
+
+    retries: int
+    limit: float
+
+
+class ControllerRuntime(Protocol):
+    """Carries out commands. What is given between two flushes reaches each proxy as one message.
+
+    Tables go by number, proxies by number, endpoints by name, routes by their index in the settings.
+    """
+
+    def schedule_evaluation(self, delay_ticks: int) -> None:
+        """Hands the controller an `EvaluationDue` after this delay."""
+
+    def log(self, text: str) -> None:
+        """Writes one line to the log."""
+
+    def watch_endpoints(self) -> None:
+        """Asks for the endpoint list and, from then on, for its changes."""
+
+    def fetch_endpoint_list(self) -> None:
+        """Asks for the complete endpoint list once."""
+
+    def check_health(self, endpoint: str) -> None:
+        """Sends a health check; its end comes as a `HealthCheckCompleted`."""
+
+    def set_weight(self, table: int, endpoint: str, weight: float) -> None:
+        """Sets the weight of an endpoint in a table; 0 takes its entry out."""
+
+    def clear_table(self, table: int) -> None:
+        """Takes out all entries and limits of a table."""
+
+    def bind(self, proxy: int, table: int, routes: Sequence[int]) -> None:
+        """Makes a proxy use a table for these routes, in place of what it used."""
+
+    def set_admission(self, table: int, route: int, admission: AdmissionLimit) -> None:
+        """Sets what the proxies that use a table admit of a route."""
+
+    def exclude_endpoint(self, endpoint: str) -> None:
+        """Tells all proxies that may hold an entry for an endpoint not to use it, whatever the table says."""
+
+    def readmit_endpoint(self, endpoint: str) -> None:
+        """Takes `exclude_endpoint` back."""
+
+    def exclude_for_proxy(self, proxy: int, endpoints: Sequence[str]) -> None:
+        """Excludes endpoints at one proxy, which joined after they were excluded."""
+
+    def readmit_for_proxy(self, proxy: int, endpoints: Sequence[str]) -> None:
+        """Readmits endpoints at one proxy, where another controller may have excluded them."""
+
+    def forget_endpoint(self, endpoint: str) -> None:
+        """Says that an endpoint is gone for good and will not be named again."""
+
+    def send_sync_marker(self, marker: int) -> None:
+        """Adds a marker to each message of this flush; its arrival comes as a `MessageAcknowledged`."""
--- a/willowhook/director/book.py
+++ b/willowhook/director/book.py
@@ -7,11 +7,12 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Mapping
+from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass, field
 from itertools import count
 
-from ..host import ALL_TABLES, Facts
+from ..decisions.runtime import AdmissionLimit
+from ..decisions.settings import DeploymentSettings
 
 
 class TableState:
@@ -63,8 +64,8 @@
 class OrderBook:
     """The decision module's host for orders to proxies; `out` takes each message."""
 
-    def __init__(self, facts: Facts, out: Callable[[Message], None]) -> None:
-        self._routes, self._head = len(facts.routes), int(facts.channel.head_lines)
+    def __init__(self, settings: DeploymentSettings, out: Callable[[Message], None]) -> None:
+        self._head = int(settings.channel.message_overhead_entries)
         self._out = out
         self.members: dict[int, Member] = {}
         self.tables: dict[int, TableState] = {}
@@ -72,7 +73,7 @@
         self._levels: dict[int, tuple[int, float]] = {}
         self._frozen = False  # the two above are in messages and must be copied before a change
         self._touched: dict[int, None] = {}
-        self._mark, self._everyone = -1, False
+        self._mark = -1
         self.count = 0
         self._serials = count(1)
         self._serial = 0
@@ -88,53 +89,53 @@
 
     # Orders.
 
-    def line(self, table: int, host: str, weight: float) -> None:
+    def set_weight(self, table: int, host: str, weight: float) -> None:
         state = self._own(table)
         state.lines.pop(host, None)
         if weight > 0:
             state.lines[host] = weight
         self._charge(self.users(table), 1)
 
-    def clear(self, table: int) -> None:
+    def clear_table(self, table: int) -> None:
         state = self._own(table)
         state.lines.clear()
         state.levels.clear()
         self._charge(self.users(table), 1)
 
-    def withdraw(self, host: str, on: bool) -> None:
+    def exclude_endpoint(self, endpoint: str) -> None:
         self._thaw()
-        if on:
-            self._withdrawn[host] = None
-        else:
-            self._withdrawn.pop(host, None)
+        self._withdrawn[endpoint] = None
+        self._charge_holders(endpoint)
+
+    def readmit_endpoint(self, endpoint: str) -> None:
+        self._thaw()
+        self._withdrawn.pop(endpoint, None)
+        self._charge_holders(endpoint)
+
+    def _charge_holders(self, host: str) -> None:
         self._charge([proxy for proxy, member in self.members.items() if self.holds(member, host)], 1)
 
-    def forget(self, host: str) -> None:
+    def forget_endpoint(self, endpoint: str) -> None:
         """A proxy's own files may still name it: what was withdrawn stays so in every message."""
 
-    def bind(self, proxy: int, table: int, routes: int) -> None:
+    def bind(self, proxy: int, table: int, routes: Sequence[int]) -> None:
         member = self.members.get(proxy)
         if member is None:
             return
         state = self.tables.setdefault(table, TableState(table, {}, {}))
-        for route in self._bits(routes):
+        for route in routes:
             member.bound[route] = table
         out = sum(host in self._withdrawn for host in state.lines)
         self._charge([proxy], 1 + len(state.lines) + len(state.levels) + len(self._levels) + out)
 
-    def shut_out(self, proxy: int, hosts: list[str]) -> None:
+    def exclude_for_proxy(self, proxy: int, endpoints: Sequence[str]) -> None:
         """Never ordered, nor is the next: a message here holds the whole of what its proxy is to do."""
 
-    def let_back(self, proxy: int, hosts: list[str]) -> None: ...
+    def readmit_for_proxy(self, proxy: int, endpoints: Sequence[str]) -> None: ...
 
-    def allow(self, table: int, routes: int, tries: int, level: float) -> None:
-        if table == ALL_TABLES:
-            self._thaw()
-            self._levels.update((route, (tries, level)) for route in self._bits(routes))
-            self._charge(list(self.members), 1)
-            return
+    def set_admission(self, table: int, route: int, admission: AdmissionLimit) -> None:
         state = self._own(table)
-        state.levels.update((route, (tries, level)) for route in self._bits(routes))
+        state.levels[route] = (admission.retries, admission.limit)
         self._charge(self.users(table), 1)
 
     def send_away(self, proxy: int) -> None:
@@ -144,13 +145,11 @@
             member.leave = True
             self._charge([proxy], 1)
 
-    def mark(self, number: int, everyone: bool) -> None:
-        self._mark, self._everyone = number, everyone
+    def send_sync_marker(self, marker: int) -> None:
+        self._mark = marker
 
     def moment_over(self, now: int) -> None:
         """Hands out the messages of the moment, in the order in which proxies were first concerned."""
-        if self._everyone:
-            self._charge(list(self.members), 0)
         for proxy in self._touched:
             member = self.members[proxy]
             bound = {route: self.tables[table] for route, table in member.bound.items()}
@@ -163,7 +162,7 @@
             member.owed, self._frozen = 0, True
             self._out(Message(number, self._mark, proxy, lines, now, view))
         self._touched.clear()
-        self._mark, self._everyone = -1, False
+        self._mark = -1
 
     def next_number(self) -> int:
         """For a message that is sent once more under a number of its own."""
@@ -181,9 +180,6 @@
             return True
         return any(host in hosts for route, hosts in member.held.items() if route not in member.bound)
 
-    def _bits(self, routes: int) -> list[int]:
-        return [k for k in range(self._routes) if routes == 0 or routes >> k & 1]
-
     def _charge(self, proxies: list[int], lines: int) -> None:
         for proxy in proxies:
             self.members[proxy].owed += lines
--- a/willowhook/director/channel.py
+++ b/willowhook/director/channel.py
@@ -8,15 +8,15 @@
 
 from collections import deque
 
-from ..host import ChannelTerms
+from ..decisions.settings import ChannelSettings
 from .book import Message
 
 SECOND = 10_000
 
 
 class Channel:
-    def __init__(self, terms: ChannelTerms) -> None:
-        self._rate = terms.lines_per_s / SECOND
+    def __init__(self, terms: ChannelSettings) -> None:
+        self._rate = terms.entries_per_second / SECOND
         self._terms = terms
         self._queue: deque[Message] = deque()
         self._gone = 0  # messages to proxies that left, which still stand in the queue
@@ -48,7 +48,7 @@
         self._queue.append(message)
         self._lines += message.lines
         self.most = max(self.most, self.waiting)
-        return self.waiting <= self._terms.most_waiting
+        return self.waiting <= self._terms.queue_limit_entries
 
     def due(self) -> float | None:
         """When the first message has gone through; None if nothing waits."""
@@ -63,13 +63,13 @@
         self._lines -= message.lines
         self._free_at = due
         kept = True
-        if self._terms.messages_most:
+        if self._terms.message_cap:
             times = self._sent.setdefault(message.proxy, deque())
             times.append(now)
-            while times[0] <= now - self._terms.messages_over:
+            while times[0] <= now - self._terms.message_cap_window_ticks:
                 times.popleft()
             self.most_messages = max(self.most_messages, len(times))
-            kept = len(times) <= self._terms.messages_most
+            kept = len(times) <= self._terms.message_cap
         return message, kept
 
     def forget(self, proxy: int) -> int:
--- a/willowhook/director/publish.py
+++ b/willowhook/director/publish.py
@@ -15,7 +15,7 @@
 import trio
 
 from ..config.terms import Terms
-from ..host import Facts
+from ..decisions.settings import DeploymentSettings
 from ..records.writer import Records
 from ..versions.core import Core, Part, Resource
 from ..versions.rollout import GO, Content, Rollout, RolloutTerms, Unit
@@ -69,15 +69,15 @@
     """`joined`, `left`, `applied` and `refused` are called by the deciding task; `run` is a task."""
 
     def __init__(
-        self, terms: Terms, facts: Facts, ear: Ear, records: Records, log: Any, core: Core,
+        self, terms: Terms, settings: DeploymentSettings, ear: Ear, records: Records, log: Any, core: Core,
         renderer: Renderer, epoch: int, book: OrderBook,
     ) -> None:  # fmt: skip
-        self._terms, self._facts, self._ear, self.records, self._log = terms, facts, ear, records, log
+        self._terms, self._settings, self._ear, self.records, self._log = terms, settings, ear, records, log
         self.core, self.renderer, self._epoch, self._book = core, renderer, epoch, book
-        self.channel = Channel(facts.channel)
+        self.channel = Channel(settings.channel)
         guard = terms.guard
-        made = guard_terms(facts, guard.cold_part, guard.swing, guard.capacity_calls_per_s)
-        self.watchman = Watchman(facts, made, guard.mode == "shadow")
+        made = guard_terms(settings, guard.cold_part, guard.swing, guard.capacity_calls_per_s)
+        self.watchman = Watchman(settings, made, guard.mode == "shadow")
         self.guarded = guard.mode != "off"
         out = terms.rollout
         staged = RolloutTerms(
@@ -115,8 +115,9 @@
 
     def put(self, message: Message) -> None:
         kept = self.channel.put(message)
+        limit = self._settings.channel.queue_limit_entries
         self._ear.mode("queue", not kept, "queue over its limit" if not kept else "queue within its limit",
-                       waiting=self.channel.waiting, most=self._facts.channel.most_waiting)  # fmt: skip
+                       waiting=self.channel.waiting, most=limit)  # fmt: skip
         reader = self.readers.get(message.proxy)
         self.records.note(message.ordered, "order", message=message.number, mark=message.mark,
                           proxy=reader.name if reader else "", lines=message.lines)  # fmt: skip
@@ -256,14 +257,14 @@
     def _send_again(self, now: int) -> None:
         """As the queue has room: what a proxy is to hold, by its newest message, as it may go out now."""
         for proxy in list(self._again):
-            if self.channel.waiting > self._facts.channel.most_waiting / ROOM:
+            if self.channel.waiting > self._settings.channel.queue_limit_entries / ROOM:
                 return
             del self._again[proxy]
             reader = self.readers.get(proxy)
             if reader is None or reader.newest is None or self.channel.has(proxy):
                 continue
             bound = {state.number: len(state.lines) for state in reader.newest.view.bound.values()}
-            lines = int(self._facts.channel.head_lines) + sum(bound.values())
+            lines = int(self._settings.channel.message_overhead_entries) + sum(bound.values())
             number = self._book.next_number()
             self.put(replace(reader.newest, number=number, mark=-1, ordered=now, lines=lines))
 
--- a/willowhook/director/run.py
+++ b/willowhook/director/run.py
@@ -21,6 +21,22 @@
 
 from ..config.facts import facts, ticks
 from ..config.terms import Terms
+from ..decisions.controller import Controller
+from ..decisions.events import (
+    EndpointEntry,
+    EndpointListLost,
+    EndpointListReceived,
+    EndpointReport,
+    EndpointState,
+    EvaluationDue,
+    HealthCheckCompleted,
+    HealthCheckOutcome,
+    MessageAcknowledged,
+    ProxyJoined,
+    ProxyLeft,
+    RequestReport,
+)
+from ..decisions.model import Ring
 from ..files.layout import DRAIN, PACE, Folder
 from ..files.ops import DiskOps, FileOps, remove
 from ..files.swap import Shelf, swap_file
@@ -30,8 +46,6 @@
 from ..records.writer import Records
 from ..reports.sample import Whole
 from ..roster.forms import Host
-from ..rules import Director
-from ..state import Ring
 from ..store.store import StoreError
 from ..versions.core import Core, first_era
 from ..web.wire import Broken, Caller, dial
@@ -55,7 +69,7 @@
 SLOW_US = 50_000  # of one check of the guard: longer is told of
 RESEND = 2 * SECOND  # files that are not answered by then are put in place again
 START = 100_000 * SECOND  # of this clock: hosts may have started before the machine's own clock did
-OK, ERROR, FULL, TIMED_OUT, DOWN, BROKE = range(6)  # outcomes of a probe
+STATUS_OUTCOMES = {200: HealthCheckOutcome.HEALTHY, 503: HealthCheckOutcome.OVERLOADED}
 Event = Callable[[int], None]
 
 
@@ -64,26 +78,28 @@
 
     def __init__(self, service: Service) -> None:
         book = service.book
-        self.after, self.log, self.watch, self.fetch = (
-            service.wake,
-            service.say,
-            service.follow,
-            service.fetch,
-        )
-        self.shut_out, self.let_back, self.forget = book.shut_out, book.let_back, book.forget
-        self.probe, self.line, self.clear, self.bind = service.probe, book.line, book.clear, book.bind
-        self.allow, self.mark = book.allow, book.mark
+        self.schedule_evaluation, self.log = service.wake, service.say
+        self.watch_endpoints, self.fetch_endpoint_list = service.follow, service.fetch
+        self.check_health = service.probe
+        self.set_weight, self.clear_table, self.bind = book.set_weight, book.clear_table, book.bind
+        self.exclude_for_proxy, self.readmit_for_proxy = book.exclude_for_proxy, book.readmit_for_proxy
+        self.forget_endpoint = book.forget_endpoint
+        self.set_admission, self.send_sync_marker = book.set_admission, book.send_sync_marker
         self._service = service
 
-    def withdraw(self, host: str, on: bool) -> None:
-        self._service.book.withdraw(host, on)
+    def exclude_endpoint(self, endpoint: str) -> None:
+        self._service.book.exclude_endpoint(endpoint)
+        self._note(endpoint, True)
+
+    def readmit_endpoint(self, endpoint: str) -> None:
+        self._service.book.readmit_endpoint(endpoint)
+        self._note(endpoint, False)
+
+    def _note(self, host: str, on: bool) -> None:
         self._service.records.note(self._service.clock.now(), "withdraw" if on else "readmit", host=host)
         if self._service.memory is not None:
             self._service.memory.withdrawn(host, on)
 
-    def tell(self, peer: int | None, data: bytes) -> None:
-        raise NotImplementedError("directors do not talk to each other")
-
 
 class Clock:
     """The machine's monotonic clock in tenths of a millisecond; times of hosts' starts are brought to it."""
@@ -109,17 +125,16 @@
 
     def __init__(
         self, terms: Terms, ops: FileOps | None = None, log: Any = None,
-        decider: Callable[..., Any] = Director, shelf: type[Shelf] = Shelf,
+        decider: Callable[..., Any] = Controller, shelf: type[Shelf] = Shelf,
     ) -> None:  # fmt: skip
-        self.terms, self.facts = terms, facts(terms)
+        self.terms, self.settings = terms, facts(terms)
         self.ops, self.clock = ops or DiskOps(), Clock()
         self._decider, self._shelf = decider, shelf
         self.log = (log or structlog.get_logger()).bind(director=terms.name)
         self.folder = Folder(terms.files.folder, self.ops)
         self.records = Records(terms.records.file, terms.records.most_waiting)
         self._send, self._receive = trio.open_memory_channel[Event](10_000)
-        self._timers: list[tuple[int, int, int]] = []
-        self._timer_count = 0
+        self._timers: list[int] = []
         self._probes_out = 0
         self._decided_at = 0
         self._names: dict[int, str] = {}
@@ -166,10 +181,10 @@
                 self._mode("store", True, "no store", cause=str(fault))
         self._recalled = False
         routes = tuple(route.name for route in terms.routes)
-        self.book = OrderBook(self.facts, self._ordered)
+        self.book = OrderBook(self.settings, self._ordered)
         self.core = Core(first_era(epoch, int.from_bytes(os.urandom(3), "big")))
         self.publisher = Publisher(
-            terms, self.facts, self, self.records, self.log, self.core, self.renderer, epoch, self.book
+            terms, self.settings, self, self.records, self.log, self.core, self.renderer, epoch, self.book
         )
         self.channel, self.watchman = self.publisher.channel, self.publisher.watchman
         self.intake = Intake(
@@ -195,7 +210,7 @@
             )
         self.lists = ListFeed(terms, self.folder.path, self.ops, self._mode, self._hand_list, self._hand_loss)
         now = self.clock.now()
-        self.director = self._decider(Orders(self), self.facts, terms.seed * 1000 + epoch, now)
+        self.director = self._decider(Orders(self), self.settings, terms.seed * 1000 + epoch, now)
         self.log.info("started", epoch=epoch, folder=self.folder.path, process=os.getpid())
         self.records.note(now, "started", director=terms.name, epoch=epoch, wall=time.time())
         self._listed(self.clock.now(), self.lists.last())
@@ -262,7 +277,7 @@
             self._draining = wanted
             text = "draining: proxies are sent to others" if wanted else "no longer draining"
             self._mode("drain", wanted, text, proxies=len(self.book.members))
-        if not wanted or self.channel.waiting > self.facts.channel.most_waiting / 6:
+        if not wanted or self.channel.waiting > self.settings.channel.queue_limit_entries / 6:
             return
         here = self.book.members
         rows = sorted((member.rate, proxy) for proxy, member in here.items() if not member.leave)
@@ -282,10 +297,10 @@
     async def _decide(self) -> None:
         last_look, more = 0, False
         self._decided_at = self.clock.now()
-        self.director.moment_over(self._decided_at)  # the first moment: it may want the list
+        self.director.flush(self._decided_at)  # the first moment: it may want the list
         while True:
             now = self.clock.now()
-            due = self._timers[0][0] if self._timers else now + SECOND
+            due = self._timers[0] if self._timers else now + SECOND
             if len(self.reports.queue):  # what could not be looked at yet: as soon as there is room
                 due = now if more else min(due, now + SECOND // 100)
             events: list[Event] = []
@@ -305,9 +320,10 @@
                 self.tiers.look(now)
             if self._reshow:
                 self._show(now)
-            while self._timers and self._timers[0][0] <= now:
-                self.director.timer_due(now, heapq.heappop(self._timers)[2])
-            self.director.moment_over(now)
+            while self._timers and self._timers[0] <= now:
+                heapq.heappop(self._timers)
+                self.director.handle(now, EvaluationDue())
+            self.director.flush(now)
             self.book.moment_over(now)
             self.publisher.wake()
             if now - last_look >= SECOND // 10:
@@ -324,13 +340,13 @@
         believed, true = self.director.channel.load(), self.channel.waiting
         if now // SECOND != self._noted_at:
             self._noted_at = now // SECOND
-            if isinstance(self.director, Director):
+            if isinstance(self.director, Controller):
                 sizes = {name: up.size for name, up in self.director.hosts.items()}
                 self.publisher.tell_guard(self.watchman.learnt, sizes)
             self.records.note(
                 now, "queue", believed=round(believed, 1), waiting=true, messages=len(self.channel)
             )
-        apart = abs(believed - true) > max(self.facts.channel.most_waiting / 4, 100)
+        apart = abs(believed - true) > max(self.settings.channel.queue_limit_entries / 4, 100)
         self._mode("drift", apart, "queue and estimate apart" if apart else "queue and estimate agree",
                    believed=round(believed), waiting=true)  # fmt: skip
 
@@ -340,15 +356,14 @@
         self.log.info(text)
         self.records.note(self.clock.now(), "said", text=text)
 
-    def follow(self, on: bool) -> None:
-        self.lists.watch(on)
+    def follow(self) -> None:
+        self.lists.watch(True)
 
     def fetch(self) -> None:
         self.lists.fetch()
 
-    def wake(self, delay: int, key: int) -> None:
-        self._timer_count += 1
-        heapq.heappush(self._timers, (self.clock.now() + max(delay, 1), self._timer_count, key))
+    def wake(self, delay_ticks: int) -> None:
+        heapq.heappush(self._timers, self.clock.now() + max(delay_ticks, 1))
 
     def probe(self, host: str) -> None:
         entry = self._hosts.get(host)
@@ -373,7 +388,7 @@
         return entry is not None and not entry.draining
 
     def answered(self, now: int, proxy: int, mark: int, took: int) -> None:
-        self.director.mark_answered(now, proxy, mark, took)
+        self.director.handle(now, MessageAcknowledged(proxy, mark))
 
     def knows(self, proxy: str, part: str, version: str) -> None:
         if self.memory is not None:
@@ -392,7 +407,7 @@
         await self._send.send(lambda now: self._listed(now, hosts))
 
     async def _hand_loss(self) -> None:
-        await self._send.send(lambda now: self.director.list_lost(now))
+        await self._send.send(lambda now: self.director.handle(now, EndpointListLost()))
 
     def _listed(self, now: int, hosts: list[Host]) -> None:
         self._by_address.update({f"{host.address}:{host.port}": host.id for host in hosts})
@@ -413,7 +428,9 @@
     def _pools(self, kind: str) -> tuple[str, ...]:
         """The sets of hosts, one of routes that may use the same kinds each, in which this kind is."""
         return self._pools_of.setdefault(kind, tuple(dict.fromkeys(
-            " ".join(route.kinds) for route in self.facts.routes if not route.kinds or kind in route.kinds
+            " ".join(route.allowed_classes)
+            for route in self.settings.routes
+            if not route.allowed_classes or kind in route.allowed_classes
         )))  # fmt: skip
 
     def let_in(self, host: str, on: bool, cause: str) -> None:
@@ -427,12 +444,11 @@
         hosts = [replace(host, draining=True) if self.tiers.held(host.id) else host for host in self._list]
         self._hosts = {host.id: host for host in hosts}
         self.publisher.tell_guard(self.watchman.listed, now, hosts, self.clock.start_of)
-        self.director.list_began(now, True)
-        for host in hosts:
-            mode = "terminating" if host.draining else "in_service"
-            started = self.clock.start_of(host)
-            self.director.host_listed(now, host.id, mode, started, host.cell, host.size, host.kind, host.zone)
-        self.director.list_ended(now)
+        self.director.handle(now, EndpointListReceived(True, tuple(map(self._entry, hosts))))
+
+    def _entry(self, host: Host) -> EndpointEntry:
+        state = EndpointState.DRAINING if host.draining else EndpointState.IN_SERVICE
+        return EndpointEntry(host.id, state, self.clock.start_of(host), host.size, host.kind, host.zone)
 
     def _recall(self, now: int, hosts: list[Host]) -> None:
         """Once, with the first list: what this director met with these hosts in its life before."""
@@ -441,30 +457,29 @@
         self._recalled = True
         rows = self.memory.recall({host.id: host.started for host in hosts if not host.draining})
         for host, sums, _ in rows:
-            args = (sums.tries, sums.errors, sums.mean, sums.window, dict[str, float]())
-            self.director.hosts_heard(now, host, sums.zone, *args)
+            self.director.handle(now, EndpointReport(host, sums.tries, sums.errors, sums.mean, None))
         self.records.note(now, "recalled", hosts=len(rows), life=self.memory.last_life)
         if rows:
             self.log.info("recalls what it met", hosts=len(rows), oldest_ms=max(row[2] for row in rows) // 10)
 
     async def _probe(self, host: Host) -> None:
-        began, outcome, told = self.clock.now(), TIMED_OUT, dict[str, float]()
+        outcome, told = HealthCheckOutcome.TIMED_OUT, dict[str, float]()
         caller: Caller | None = None
         try:
             with trio.move_on_after(self.terms.fleet.dial_ms / 1000):
                 caller = await dial(host.address, host.port)
                 reply = await caller.call(b"GET", self.terms.fleet.probe_path.encode(), most=1 << 16)
-                outcome = OK if reply.status == 200 else FULL if reply.status == 503 else ERROR
+                outcome = STATUS_OUTCOMES.get(reply.status, HealthCheckOutcome.FAILED)
                 told = orca.load(orca.read(reply.header(orca.HEADER) or b""))
         except Broken as fault:
-            outcome = BROKE if fault.sent else DOWN
+            outcome = HealthCheckOutcome.ABORTED if fault.sent else HealthCheckOutcome.UNREACHABLE
         finally:
             self._probes_out -= 1
             if caller is not None:
                 with trio.CancelScope(shield=True):
                     await caller.close()
-        took = self.clock.now() - began
-        await self._send.send(lambda now: self.director.probe_done(now, host.id, outcome, took, told))
+        event = HealthCheckCompleted(host.id, outcome, told.get("busy"))
+        await self._send.send(lambda now: self.director.handle(now, event))
 
     # The intake's ear.
 
@@ -484,7 +499,7 @@
         self.log.info("proxy joined", proxy=name, zone=zone, fresh=fresh, term=term)
         self._use_hint(now, name, zone, term)
         self.publisher.tell_guard(self.watchman.joined, proxy, zone, rate, held)
-        self.director.proxy_joined(now, proxy, zone, rate, fresh)
+        self.director.handle(now, ProxyJoined(proxy, zone, rate, fresh))
 
     def left(self, proxy: int, name: str, why: str) -> None:
         now = self.clock.now()
@@ -498,7 +513,7 @@
                 self.web.left(proxy, name)
             self.records.note(now, "left", proxy=name, why=why)
             self.log.info("proxy left", proxy=name, why=why)
-            self.director.proxy_left(now, proxy)
+            self.director.handle(now, ProxyLeft(proxy))
             return
         self.proxies.forget(name)
         try:
@@ -507,7 +522,7 @@
             self._mode("disk", True, "a proxy's folder cannot be cleared", proxy=name, cause=str(fault))
         self.records.note(now, "left", proxy=name, why=why)
         self.log.info("proxy left", proxy=name, why=why)
-        self.director.proxy_left(now, proxy)
+        self.director.handle(now, ProxyLeft(proxy))
 
     def _outlet(self, proxy: int, name: str, term: int, held: Held, web: bool) -> Outlet:
         if web and self.web is not None:
@@ -566,7 +581,7 @@
         if hint is None:
             return
         for host, (tries, errors, mean) in hint.hosts.items():
-            self.director.hosts_heard(now, host, zone, tries, errors, mean, hint.window, {})
+            self.director.handle(now, EndpointReport(host, tries, errors, mean, None))
         self.records.note(now, "hint", proxy=name, term=hint.term, hosts=len(hint.hosts))
 
     def met(self, proxy: int, whole: Whole) -> None:
@@ -601,7 +616,7 @@
     def _hand_sums(
         self, host: str, zone: str, tries: int, errors: int, mean: int, window: int, load: dict[str, float]
     ) -> None:
-        self.director.hosts_heard(self.clock.now(), host, zone, tries, errors, mean, window, load)
+        self.director.handle(self.clock.now(), EndpointReport(host, tries, errors, mean, load.get("busy")))
 
     def wake_up(self) -> None:
         """The deciding task has something to do, if it has nothing else."""
@@ -621,7 +636,7 @@
             self._mode("pace", False, "the pace of reports can be told again")
 
     def came(self, proxy: int, route: str, calls: int, dropped: int, window: int) -> None:
-        self.director.calls_came(self.clock.now(), proxy, route, calls, dropped, window)
+        self.director.handle(self.clock.now(), RequestReport(proxy, route, calls, window))
         self.reports.weigh(self._names[proxy], calls * SECOND / window * self._worth[route])
         self.publisher.tell_guard(self.watchman.came, proxy, self._route_at[route], calls * SECOND / window)
 
--- a/willowhook/director/watchman.py
+++ b/willowhook/director/watchman.py
@@ -7,10 +7,10 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
+from ..decisions.settings import DeploymentSettings
 from ..guard.guard import Candidate, Guard
 from ..guard.verdict import HELD, PASSED, SPLIT, Verdict
 from ..guard.world import DRAINING, OPEN, GuardTerms, HostFacts, RouteFacts, Tables, World
-from ..host import Facts
 from ..roster.forms import Host
 from .book import Message, TableState, View
 from .render import Held
@@ -19,22 +19,28 @@
 WORTH = 2.5  # of a host beside the mean, at the most, where it is learnt
 
 
-def guard_terms(facts: Facts, part: float, swing: float, capacity: Mapping[str, float]) -> GuardTerms:
-    rules, channel = facts.rules, facts.channel
-    routes = tuple(RouteFacts(r.name, r.semantics, r.own_zone, r.zones, r.kinds) for r in facts.routes)
+def guard_terms(
+    settings: DeploymentSettings, part: float, swing: float, capacity: Mapping[str, float]
+) -> GuardTerms:
+    rules, channel = settings.rules, settings.channel
+    routes = tuple(
+        RouteFacts(r.name, r.semantics.value, r.same_zone_only, r.allowed_zones, r.allowed_classes)
+        for r in settings.routes
+    )
     return GuardTerms(
-        routes, rules.drain_grace, rules.cold, rules.start_capacity, rules.fall_multiple,
-        channel.lines_per_s / SECOND, channel.most_waiting, channel.messages_most, channel.messages_over,
-        facts.fleet.proxies, part, swing, capacity,
+        routes, rules.drain_grace_ticks, rules.slow_start_ticks, rules.slow_start_fraction,
+        rules.recovery_overload_factor, channel.entries_per_second / SECOND, channel.queue_limit_entries,
+        channel.message_cap, channel.message_cap_window_ticks, settings.fleet.proxy_count, part, swing,
+        capacity,
     )  # fmt: skip
 
 
 class Watchman:
-    def __init__(self, facts: Facts, terms: GuardTerms, shadow: bool) -> None:
-        self._facts = facts
+    def __init__(self, settings: DeploymentSettings, terms: GuardTerms, shadow: bool) -> None:
+        self._settings = settings
         self.world = World(terms)
         self.guard = Guard(self.world, shadow)
-        self._count = len(facts.routes)
+        self._count = len(settings.routes)
         self._made: dict[object, Tables] = {}  # by content
         self._held: dict[int, Held] = {}
         self._rates: dict[int, list[float]] = {}
@@ -42,7 +48,7 @@
         self.counts: dict[str, int] = {}
 
     def listed(self, now: int, hosts: list[Host], start_of: Callable[[Host], int]) -> None:
-        weights = self._facts.weights in ("nominal", "rough")
+        weights = self._settings.lists_capacity
         known = self.world.hosts
         self.world.list_hosts(now, [
             HostFacts(host.id, DRAINING if host.draining else OPEN, now, start_of(host),
@@ -53,15 +59,15 @@
 
     def learnt(self, sizes: Mapping[str, float]) -> None:
         """Worth by what answers told, within a bound each way: a wrong one must not open a budget wide."""
-        if self._facts.weights not in ("nominal", "rough"):
+        if not self._settings.lists_capacity:
             self.world.sized({name: min(max(size, 1 / WORTH), WORTH) for name, size in sizes.items()})
 
     def joined(self, proxy: int, zone: str, rate: float, held: Held) -> None:
         self._held[proxy], self._sent[proxy] = held, []
-        rates = [rate / len(self._facts.routes)] * len(self._facts.routes)
+        rates = [rate / len(self._settings.routes)] * len(self._settings.routes)
         self._rates[proxy] = rates
-        lines = tuple(held.weights(route.name) for route in self._facts.routes)
-        usual = (self._facts.fleet.usual_tries,) * len(lines)
+        lines = tuple(held.weights(route.name) for route in self._settings.routes)
+        usual = (self._settings.fleet.default_retries,) * len(lines)
         tables = Tables(lines, held.out(), usual, (float("inf"),) * len(lines))
         self.world.join(proxy, zone, tuple(rates), tables)
 
@@ -107,14 +113,16 @@
         held = self._held.get(proxy)
         lines: list[Mapping[str, float]] = []
         tries, levels = [], []
-        for k, route in enumerate(self._facts.routes):
+        for k, route in enumerate(self._settings.routes):
             state = view.bound.get(k)
             if state is None:
                 lines.append(held.weights(route.name) if held else {})
-                tries.append(self._facts.fleet.usual_tries)
+                tries.append(self._settings.fleet.default_retries)
                 levels.append(float("inf"))
                 continue
-            order = state.levels.get(k, view.levels.get(k, (self._facts.fleet.usual_tries, float("inf"))))
+            order = state.levels.get(
+                k, view.levels.get(k, (self._settings.fleet.default_retries, float("inf")))
+            )
             lines.append(state.lines)
             tries.append(order[0])
             levels.append(order[1])
--- a/willowhook/frames/fields.py
+++ b/willowhook/frames/fields.py
@@ -7,7 +7,8 @@
 
 from __future__ import annotations
 
-from ..host import Facts
+from ..decisions.events import EndpointReport, MessageAcknowledged, ProxyJoined, RequestReport
+from ..decisions.settings import DeploymentSettings
 from .codec import Fields, Spoilt
 
 # What a message can hold at most, to keep a spoilt figure from passing as one: a mark is two bytes, by the
@@ -51,10 +52,10 @@
 
 
 class Reader:
-    def __init__(self, facts: Facts) -> None:
-        self._zones, self._last = frozenset(facts.zones), facts.fleet.proxies - 1
-        self._routes = frozenset(route.name for route in facts.routes)
-        self._slowest = max(route.time_limit for route in facts.routes) / 10 * NOISE
+    def __init__(self, settings: DeploymentSettings) -> None:
+        self._zones, self._last = frozenset(settings.zones), settings.fleet.proxy_count - 1
+        self._routes = frozenset(route.name for route in settings.routes)
+        self._slowest = max(route.deadline_ticks for route in settings.routes) / 10 * NOISE
 
     def zone(self, message: Fields) -> str:
         zone = word(message, "zone")
@@ -62,34 +63,39 @@
             raise Spoilt("zone")
         return zone
 
-    def attach(self, message: Fields) -> tuple[int, str, float, bool]:
+    def attach(self, message: Fields) -> ProxyJoined:
         """Proxy, zone, usual calls a second, whether it holds no table that was ordered."""
         fresh = message.get("fresh")
         if type(fresh) is not bool:
             raise Spoilt("fresh")
         proxy, rate = whole(message, "proxy", self._last), figure(message, "weight", RATE)
-        return proxy, self.zone(message), rate, fresh
+        return ProxyJoined(proxy, self.zone(message), rate, fresh)
 
-    def done(self, message: Fields) -> tuple[int, int]:
+    def done(self, message: Fields, proxy: int) -> MessageAcknowledged:
         """Mark and the time that it took."""
-        return whole(message, "mark", MARKS - 1), ticks(figure(message, "took_ms", SPAN_MS))
+        mark = whole(message, "mark", MARKS - 1)
+        figure(message, "took_ms", SPAN_MS)
+        return MessageAcknowledged(proxy, mark)
 
-    def upstream(self, message: Fields) -> tuple[str, str, int, int, int, int, dict[str, float]]:
+    def upstream(self, message: Fields) -> EndpointReport:
         """Host, zone, tries, dropped among them, mean time of the others, span, load."""
-        name, zone = word(message, "server"), self.zone(message)
+        name = word(message, "server")
+        self.zone(message)
         tries = whole(message, "tries", CALLS)
         failed = whole(message, "failed", tries)
-        mean, span = figure(message, "mean_ms", self._slowest), self._span(message)
-        return name, zone, tries, failed, ticks(mean), span, self._load(message)
+        mean = figure(message, "mean_ms", self._slowest)
+        self._span(message)
+        return EndpointReport(name, tries, failed, ticks(mean), self._load(message).get("busy"))
 
-    def client(self, message: Fields) -> tuple[int, str, int, int, int]:
+    def client(self, message: Fields) -> RequestReport:
         """Proxy, route, calls that reached it, dropped after they were let in, span."""
         proxy, route = whole(message, "proxy", self._last), word(message, "class")
         if route not in self._routes:
             raise Spoilt("class")
         # a call that failed may have come in an earlier span
-        calls, failed = whole(message, "tries", CALLS), whole(message, "failed", CALLS)
-        return proxy, route, calls, failed, self._span(message)
+        calls = whole(message, "tries", CALLS)
+        whole(message, "failed", CALLS)
+        return RequestReport(proxy, route, calls, self._span(message))
 
     def _span(self, message: Fields) -> int:
         span = figure(message, "span_ms", SPAN_MS)
--- a/willowhook/frames/listing.py
+++ b/willowhook/frames/listing.py
@@ -4,12 +4,16 @@
 
 from typing import Any
 
+from ..decisions.events import EndpointEntry, EndpointListReceived, EndpointState
 from .codec import Fields, Spoilt
 from .fields import figure, whole, word
 
-MODES = {"active": "in_service", "leaving": "terminating", "left": "terminated"}
+STATES = {
+    "active": EndpointState.IN_SERVICE,
+    "leaving": EndpointState.DRAINING,
+    "left": EndpointState.REMOVED,
+}
 VERSIONS, BORN_MS, SHARE = 1 << 62, 1e15, 1e9
-Row = tuple[str, str, int, str, float, str, str]  # as `host_listed` takes it
 
 
 class Listing:
@@ -23,9 +27,9 @@
         self.seq = -1  # of the newest answer; -1: none yet
         self.spoilt = 0
         self._doubted = False  # the last answer was a whole list that is older, or lacks names
-        self._rows: dict[str, Row] = {}
+        self._rows: dict[str, EndpointEntry] = {}
 
-    def read(self, answer: Fields) -> tuple[bool, list[Row]]:
+    def read(self, answer: Fields) -> EndpointListReceived:
         """Whether the rows are the whole list, and the rows.  Raises Spoilt on an answer of no use."""
         seq, full, entries = whole(answer, "seq", VERSIONS), answer.get("whole"), answer.get("hosts")
         if type(full) is not bool:
@@ -33,8 +37,8 @@
         if type(entries) is not list:
             raise Spoilt("hosts")
         if seq < self.seq and not full and not entries:
-            return False, []  # nothing new, by a discovery that is behind
-        rows: dict[str, Row] = {}
+            return EndpointListReceived(False, ())  # nothing new, by a discovery that is behind
+        rows: dict[str, EndpointEntry] = {}
         nameless = 0
         for entry in entries:
             try:
@@ -47,7 +51,7 @@
                     nameless += 1
                     continue
                 row = kept
-            rows[row[0]] = row
+            rows[row.name] = row
         again, self._doubted = self._doubted, full and (seq < self.seq or nameless > 0)
         if seq < self.seq and not (full and again):
             raise Spoilt(f"seq: {seq} after {self.seq}")
@@ -57,26 +61,25 @@
         if full:
             self._rows = {}
         for name, row in rows.items():
-            if row[1] == "terminated":
+            if row.state is EndpointState.REMOVED:
                 self._rows.pop(name, None)
             else:
                 self._rows[name] = row
-        return full, list(rows.values())
+        return EndpointListReceived(full, tuple(rows.values()))
 
     @staticmethod
-    def _row(entry: Any) -> Row:
+    def _row(entry: Any) -> EndpointEntry:
         if type(entry) is not dict:
             raise Spoilt("entry")
-        mode = MODES.get(word(entry, "health"))
-        if mode is None:
+        state = STATES.get(word(entry, "health"))
+        if state is None:
             raise Spoilt("health")
         born = figure(entry, "born_ms", BORN_MS)
-        cell, size = str(entry.get("block", "")), figure(entry, "share", SHARE)
-        return (
+        size = figure(entry, "share", SHARE)
+        return EndpointEntry(
             word(entry, "host"),
-            mode,
+            state,
             round(born * 10),
-            cell,
             size,
             word(entry, "class"),
             word(entry, "site"),
--- a/willowhook/frames/orders.py
+++ b/willowhook/frames/orders.py
@@ -8,9 +8,10 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 
-from ..host import ALL_TABLES, Facts
+from ..decisions.runtime import AdmissionLimit
+from ..decisions.settings import DeploymentSettings
 from .codec import Fields, frame
 
 
@@ -19,7 +20,7 @@
 
     def __init__(self) -> None:
         self.lines: dict[str, float] = {}
-        self.levels: dict[int, tuple[int, float]] = {}
+        self.levels: dict[int, AdmissionLimit] = {}
         self.users: dict[int, tuple[int, ...]] = {}  # by proxy: the routes that it uses this table for
         self.moved: dict[str, float] = {}
         self.shifted: dict[int, None] = {}  # routes with another level
@@ -40,13 +41,12 @@
 class Orders:
     """The part of the module's host that concerns proxies; `out` takes proxy, frames and their rows."""
 
-    def __init__(self, facts: Facts, out: Callable[[int, list[bytes], int], None]) -> None:
-        self._names = [route.name for route in facts.routes]
+    def __init__(self, settings: DeploymentSettings, out: Callable[[int, list[bytes], int], None]) -> None:
+        self._names = [route.name for route in settings.routes]
         self._out = out
         self._sheets: dict[int, Sheet] = {}
         self._streams: dict[int, Stream] = {}
         self._withdrawn: dict[str, None] = {}
-        self._all: dict[int, tuple[int, float]] = {}  # levels for all tables
         self._touched: dict[int, None] = {}
         self._stamp = -1
 
@@ -61,7 +61,7 @@
         for table in dict.fromkeys(stream.bound.values()) if stream else ():
             self._sheets[table].users.pop(proxy, None)
 
-    def forget(self, host: str) -> None:
+    def forget_endpoint(self, host: str) -> None:
         """No list names it any more, and no table: nothing is kept of it."""
         self._withdrawn.pop(host, None)
         for stream in self._streams.values():
@@ -69,7 +69,7 @@
 
     # Orders.
 
-    def line(self, table: int, host: str, weight: float) -> None:
+    def set_weight(self, table: int, host: str, weight: float) -> None:
         sheet = self._sheet(table)
         sheet.lines.pop(host, None)
         if weight > 0:
@@ -77,7 +77,7 @@
         sheet.moved[host] = weight
         self._touch(sheet)
 
-    def clear(self, table: int) -> None:
+    def clear_table(self, table: int) -> None:
         sheet = self._sheet(table)
         sheet.lines.clear()
         sheet.levels.clear()
@@ -85,11 +85,15 @@
             self._streams[proxy].anew[table] = None
         self._touch(sheet)
 
-    def withdraw(self, host: str, on: bool) -> None:
-        if on:
-            self._withdrawn[host] = None
-        else:
-            self._withdrawn.pop(host, None)
+    def exclude_endpoint(self, endpoint: str) -> None:
+        self._withdrawn[endpoint] = None
+        self._withdraw(endpoint, True)
+
+    def readmit_endpoint(self, endpoint: str) -> None:
+        self._withdrawn.pop(endpoint, None)
+        self._withdraw(endpoint, False)
+
+    def _withdraw(self, host: str, on: bool) -> None:
         holding = [s for s in self._sheets.values() if host in s.lines or host in s.moved]
         for proxy, stream in self._streams.items():
             if on:
@@ -100,14 +104,13 @@
                 stream.shut[host] = on
                 self._touched[proxy] = None
 
-    def bind(self, proxy: int, table: int, routes: int) -> None:
+    def bind(self, proxy: int, table: int, routes: Sequence[int]) -> None:
         stream = self._streams.get(proxy)
         if stream is None:
             return
         self._sheet(table)
-        named = [k for k in range(len(self._names)) if routes == 0 or routes >> k & 1]
         old = dict.fromkeys(stream.bound.values())
-        stream.bound.update(dict.fromkeys(named, table))
+        stream.bound.update(dict.fromkeys(routes, table))
         for number in [*old, table]:
             used = tuple(k for k, at in sorted(stream.bound.items()) if at == number)
             if used:
@@ -118,11 +121,11 @@
         stream.anew[table] = None
         self._touched[proxy] = None
 
-    def shut_out(self, proxy: int, hosts: list[str]) -> None:
-        self._shut(proxy, dict.fromkeys(hosts, True))
+    def exclude_for_proxy(self, proxy: int, endpoints: Sequence[str]) -> None:
+        self._shut(proxy, dict.fromkeys(endpoints, True))
 
-    def let_back(self, proxy: int, hosts: list[str]) -> None:
-        self._shut(proxy, dict.fromkeys(hosts, False))
+    def readmit_for_proxy(self, proxy: int, endpoints: Sequence[str]) -> None:
+        self._shut(proxy, dict.fromkeys(endpoints, False))
 
     def _shut(self, proxy: int, hosts: dict[str, bool]) -> None:
         stream = self._streams.get(proxy)
@@ -130,22 +133,14 @@
             stream.shut.update(hosts)
             self._touched[proxy] = None
 
-    def allow(self, table: int, routes: int, tries: int, level: float) -> None:
-        named = [k for k in range(len(self._names)) if routes == 0 or routes >> k & 1]
-        if table == ALL_TABLES:  # no order of its own on a stream: each table in use is told
-            self._all.update(dict.fromkeys(named, (tries, level)))
-            sheets = list(self._sheets.values())
-        else:
-            sheets = [self._sheet(table)]
-            sheets[0].levels.update(dict.fromkeys(named, (tries, level)))
-        for sheet in sheets:
-            sheet.shifted.update(dict.fromkeys(named))
-            self._touch(sheet)
-
-    def mark(self, number: int, everyone: bool) -> None:
-        self._stamp = number
-        if everyone:
-            self._touched.update(dict.fromkeys(self._streams))
+    def set_admission(self, table: int, route: int, admission: AdmissionLimit) -> None:
+        sheet = self._sheet(table)
+        sheet.levels[route] = admission
+        sheet.shifted[route] = None
+        self._touch(sheet)
+
+    def send_sync_marker(self, marker: int) -> None:
+        self._stamp = marker
 
     def moment_over(self) -> None:
         """Hands out what was ordered since the last moment."""
@@ -191,20 +186,13 @@
             told: Fields = {"t": "assign", "for": names, "rows": list(lines.items()), "part": True}
             parts.append({**told, "replace": True} if anew else told)
         for k in used:
-            level = self._level(sheet, k)
+            level = sheet.levels.get(k)
             if k in shifted and level is not None:
                 told = {"t": "assign", "for": [self._names[k]], "part": True}
-                parts.append({**told, "gate": level[1], "again": level[0]})
+                parts.append({**told, "gate": level.limit, "again": level.retries})
                 rows += 1
         return [frame(part) for part in parts], rows
 
-    def _level(self, sheet: Sheet, route: int) -> tuple[int, float] | None:
-        """The table's own way of trying, and the lower level, where there is one for all tables too."""
-        own, everyone = sheet.levels.get(route), self._all.get(route)
-        if own is None or everyone is None:
-            return own or everyone
-        return own[0], min(own[1], everyone[1])
-
     def _last(self, shut: tuple[tuple[str, bool], ...]) -> tuple[list[bytes], int]:
         part: Fields = {"t": "assign"}
         for key, wish in (("drop", True), ("undrop", False)):
--- a/willowhook/membership/tiers.py
+++ b/willowhook/membership/tiers.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from ..state import Ring
+from ..decisions.model import Ring
 
 BUCKET, BUCKETS = 5_000, 6  # three seconds of tries that failed
 LEAST_TRIES = 8  # so many failed on end: it does not answer
--- a/willowhook/node/director.py
+++ b/willowhook/node/director.py
@@ -14,11 +14,12 @@
 
 import trio
 
+from ..decisions.controller import Controller
+from ..decisions.events import EndpointListLost, EndpointState, EvaluationDue, ProxyJoined, ProxyLeft
 from ..frames.codec import Fields, Spoilt, Unreadable
 from ..frames.fields import Reader
 from ..frames.listing import Listing
 from ..frames.orders import Orders
-from ..rules import Director
 from .clock import Clock
 from .links import OK, Link, Links
 from .start import Start, Unusable
@@ -37,22 +38,24 @@
 
     def __init__(self, start: Start, reread: Callable[[], Start], say: Callable[[str], None]) -> None:
         # no probes and nothing from director to director in the protocol, and withdrawals outlive a stream
-        facts = replace(start.facts, probes=False, peers=False, keeps_shut=True)
-        self._facts, self._reread, self._say = facts, reread, say
-        self._clock, self._reader, self._listing = Clock(), Reader(facts), Listing()
-        self._orders = Orders(facts, self._send)
+        settings = replace(start.settings, health_checks=False, exclusions_outlive_sessions=True)
+        self._settings, self._reread, self._say = settings, reread, say
+        self._clock, self._reader, self._listing = Clock(), Reader(settings), Listing()
+        self._orders = Orders(settings, self._send)
         self._streams: dict[int, Link] = {}  # by proxy
-        self._timers: list[tuple[int, int, int]] = []  # due, turn, key
-        self._turn = 0
+        self._timers: list[int] = []  # when evaluations are due
         self._stirred = trio.Event()
         self._links = Links(start.listen, start.sockets, self._heard, self._ended)
         self._spoilt = self._longest = 0
-        self._module = Director(self, facts, start.seed, self._clock.now())
+        self._module = Controller(self, settings, start.seed, self._clock.now())
         # orders on proxies go where streams are known
-        self.line, self.clear, self.withdraw = self._orders.line, self._orders.clear, self._orders.withdraw
-        self.bind, self.forget = self._orders.bind, self._orders.forget
-        self.shut_out, self.let_back = self._orders.shut_out, self._orders.let_back
-        self.allow, self.mark = self._orders.allow, self._orders.mark
+        self.set_weight, self.clear_table = self._orders.set_weight, self._orders.clear_table
+        self.exclude_endpoint = self._orders.exclude_endpoint
+        self.readmit_endpoint = self._orders.readmit_endpoint
+        self.exclude_for_proxy = self._orders.exclude_for_proxy
+        self.readmit_for_proxy = self._orders.readmit_for_proxy
+        self.bind, self.forget_endpoint = self._orders.bind, self._orders.forget_endpoint
+        self.set_admission, self.send_sync_marker = self._orders.set_admission, self._orders.send_sync_marker
         after = -1
         try:
             after = self._take_list(start.known)
@@ -63,24 +66,20 @@
 
     # The module's host, but for orders on proxies.
 
-    def after(self, delay: int, key: int) -> None:
-        self._turn += 1
-        heapq.heappush(self._timers, (self._clock.now() + max(delay, 0), self._turn, key))
+    def schedule_evaluation(self, delay_ticks: int) -> None:
+        heapq.heappush(self._timers, self._clock.now() + max(delay_ticks, 0))
 
     def log(self, text: str) -> None:
         self._say(text)
 
-    def watch(self, on: bool) -> None:
-        self._watch.watch(on)
+    def watch_endpoints(self) -> None:
+        self._watch.watch(True)
 
-    def fetch(self) -> None:
+    def fetch_endpoint_list(self) -> None:
         self._watch.fetch()
 
-    def probe(self, host: str) -> None:
-        """Never ordered: the facts say that there are none."""
-
-    def tell(self, peer: int | None, data: bytes) -> None:
-        """Never ordered: the facts say that there are no peers."""
+    def check_health(self, endpoint: str) -> None:
+        """Never ordered: the settings say that there are none."""
 
     # What comes in.
 
@@ -93,12 +92,11 @@
             if not link.known:
                 self._met(link, kind, message)
             elif kind == "upstream_stats":
-                self._module.hosts_heard(self._clock.now(), *self._reader.upstream(message))
+                self._module.handle(self._clock.now(), self._reader.upstream(message))
             elif kind == "client_stats":
-                self._module.calls_came(self._clock.now(), *self._reader.client(message))
+                self._module.handle(self._clock.now(), self._reader.client(message))
             elif kind == "done" and link.proxy >= 0:
-                number, took = self._reader.done(message)
-                self._module.mark_answered(self._clock.now(), link.proxy, number, took)
+                self._module.handle(self._clock.now(), self._reader.done(message, link.proxy))
             else:
                 raise Spoilt("t")
         except Spoilt as fault:
@@ -114,14 +112,15 @@
             if kind == "telemetry":
                 link.zone = self._reader.zone(message)
             elif kind == "attach":
-                self._joined(link, *self._reader.attach(message))
+                self._joined(link, self._reader.attach(message))
             else:
                 raise Spoilt("t")
         except Spoilt as fault:
             raise Unreadable(f"no joining: {fault}") from fault
         self._links.meet(link)
 
-    def _joined(self, link: Link, proxy: int, zone: str, rate: float, fresh: bool) -> None:
+    def _joined(self, link: Link, joined: ProxyJoined) -> None:
+        proxy = joined.proxy
         old = self._streams.get(proxy)
         if old is not None and old.turn > link.turn:  # read in one go, in any order: this is the one it left
             raise Spoilt("proxy")
@@ -129,14 +128,14 @@
             self._links.end(old)
         link.proxy = proxy
         self._streams[proxy] = link
-        self._orders.join(proxy, fresh)
-        self._module.proxy_joined(self._clock.now(), proxy, zone, rate, fresh)
+        self._orders.join(proxy, joined.is_fresh)
+        self._module.handle(self._clock.now(), joined)
 
     def _ended(self, link: Link) -> None:
         if link.proxy >= 0 and self._streams.get(link.proxy) is link:
             del self._streams[link.proxy]
             self._orders.leave(link.proxy)
-            self._module.proxy_left(self._clock.now(), link.proxy)
+            self._module.handle(self._clock.now(), ProxyLeft(link.proxy))
             self._stirred.set()
 
     def _send(self, proxy: int, frames: list[bytes], rows: int) -> None:
@@ -152,13 +151,9 @@
         return after
 
     def _take_list(self, answer: Fields) -> int:
-        whole, rows = self._listing.read(answer)
-        now = self._clock.now()
-        if whole or rows:
-            self._module.list_began(now, whole)
-            for row in rows:
-                self._module.host_listed(now, *row)
-            self._module.list_ended(now)
+        received = self._listing.read(answer)
+        if received.is_complete or received.entries:
+            self._module.handle(self._clock.now(), received)
             self._stirred.set()
         return self._listing.seq
 
@@ -166,7 +161,7 @@
         if not self._hard:
             self._hard = True
             self._say(f"no list from discovery: {why}")
-        self._module.list_lost(self._clock.now())
+        self._module.handle(self._clock.now(), EndpointListLost())
         self._stirred.set()
 
     # Tasks.
@@ -200,17 +195,18 @@
         self._say(f"configured anew: discovery at {start.discovery[0]}:{start.discovery[1]}")
 
     async def _decide(self) -> None:
-        if not self._facts.subscribe:
+        if not self._settings.list_on_request:
             self._watch.watch(True)
         while True:
-            wait = (self._timers[0][0] - self._clock.now()) / SECOND if self._timers else TELL_S
+            wait = (self._timers[0] - self._clock.now()) / SECOND if self._timers else TELL_S
             with trio.move_on_after(max(wait, 0.0)):
                 await self._stirred.wait()
             self._stirred = trio.Event()
             began = now = self._clock.now()
-            while self._timers and self._timers[0][0] <= now:
-                self._module.timer_due(now, heapq.heappop(self._timers)[2])
-            self._module.moment_over(now)
+            while self._timers and self._timers[0] <= now:
+                heapq.heappop(self._timers)
+                self._module.handle(now, EvaluationDue())
+            self._module.flush(now)
             self._orders.moment_over()
             took = self._clock.now() - began
             self._longest = max(self._longest, took)
@@ -220,7 +216,7 @@
         while True:
             await trio.sleep(TELL_S)
             module = self._module
-            ready = sum(up.mode == "in_service" for up in module.hosts.values())
+            ready = sum(up.mode is EndpointState.IN_SERVICE for up in module.hosts.values())
             memory = resource.getrusage(resource.RUSAGE_SELF)
             self._say(
                 f"believed: {len(self._streams)} proxies, {ready} of {len(module.hosts)} hosts in service, "
--- a/willowhook/node/start.py
+++ b/willowhook/node/start.py
@@ -7,9 +7,9 @@
 from pathlib import Path
 from typing import Any
 
-from ..facts import facts_of
+from ..decisions.settings import DeploymentSettings
 from ..frames.codec import Fields, Unreadable, read_object
-from ..host import Facts
+from ..settings_codec import SettingsError, decode_settings
 
 PATH = "ROUTER_CONFIG"
 MOST = 64 << 20  # bytes of a configuration
@@ -27,7 +27,7 @@
     seed: int
     sockets: int  # descriptors that the director may hold
     known: Fields  # the list as this director last had it, in discovery's form
-    facts: Facts
+    settings: DeploymentSettings
 
 
 def read_start(environment: dict[str, str]) -> Start:
@@ -45,10 +45,8 @@
     except Unreadable as fault:
         raise Unusable(f"{PATH}: {fault}") from fault
     try:
-        facts = facts_of(_part(top, "settings", dict))
-    except KeyError as fault:
-        raise Unusable(f"settings: {fault.args[0]} is missing") from fault
-    except (TypeError, ValueError, AttributeError) as fault:
+        settings = decode_settings(_part(top, "settings", dict))
+    except SettingsError as fault:
         raise Unusable(f"settings: {fault}") from fault
     limits, seed = _part(top, "limits", dict, {}), top.get("seed", "")
     known = _part(top, "known", dict, {"seq": 0, "whole": True, "hosts": []})
@@ -60,7 +58,7 @@
         seed=int.from_bytes(str(seed).encode(), "little"),
         sockets=int(_part(limits, "sockets", int, 1024)),
         known=known,
-        facts=facts,
+        settings=settings,
     )
 
 
--- a/willowhook/trial/herd.py
+++ b/willowhook/trial/herd.py
@@ -43,16 +43,16 @@
 
     go = 0
 
-    def timer_due(self, now: int, key: int) -> None:
+    def evaluate(self, now: int) -> None:
         if OnDemand.go > self.moment and self.hosts:
             self.moment = OnDemand.go
             for name in self.hosts:
-                self.host.line(0, name, 1 + self.moment / 100)
-        self.host.after(20, 0)
+                self.host.set_weight(0, name, 1 + self.moment / 100)
+        self.host.schedule_evaluation(20)
 
     def order(self) -> None:
         for name in self.hosts:
-            self.host.line(0, name, 1.0)
+            self.host.set_weight(0, name, 1.0)
 
 
 class Herd(msgspec.Struct):
--- a/willowhook/versions/rollout.py
+++ b/willowhook/versions/rollout.py
@@ -19,7 +19,7 @@
 
 import xxhash
 
-from ..state import Ring
+from ..decisions.model import Ring
 
 SECOND = 10_000
 KEPT = 16  # contents of a unit that are remembered
