--- a/tests/broken_director.py
+++ b/tests/broken_director.py
@@ -9,10 +9,10 @@
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
 from willowhook.cli.main import main
+from willowhook.controlplane import book, render
 from willowhook.decisions.controller import Controller
 from willowhook.decisions.events import EvaluationDue, Event
 from willowhook.decisions.runtime import AdmissionLimit
-from willowhook.director import book, render
 
 
 def rule_1() -> None:
--- a/tests/test_director_parts.py
+++ b/tests/test_controlplane_parts.py
@@ -11,12 +11,12 @@
 
 from willowhook.config.example import EXAMPLE
 from willowhook.config.facts import facts
+from willowhook.controlplane.book import Message, OrderBook, View
+from willowhook.controlplane.channel import Channel
+from willowhook.controlplane.intake import Intake
+from willowhook.controlplane.outlets import FileOutlet
+from willowhook.controlplane.render import Held, Renderer
 from willowhook.decisions.runtime import AdmissionLimit
-from willowhook.director.book import Message, OrderBook, View
-from willowhook.director.channel import Channel
-from willowhook.director.intake import Intake
-from willowhook.director.outlets import FileOutlet
-from willowhook.director.render import Held, Renderer
 from willowhook.files.swap import Shelf
 from willowhook.versions.core import Core, first_era
 from willowhook.xds import forms, tables
--- a/tests/test_watch.py
+++ b/tests/test_discovery_watch.py
@@ -7,8 +7,8 @@
 
 import trio
 
-from willowhook.frames.codec import Fields, Spoilt
-from willowhook.node.watch import Watch
+from willowhook.platform.discovery_watch import Watch
+from willowhook.platform.framing import Fields, Spoilt
 
 Scene = Callable[["Place", "Told"], Awaitable[None]]
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -23,9 +23,9 @@
 from willowhook.cli.main import main
 from willowhook.config.example import EXAMPLE
 from willowhook.config.terms import FrontTerms
+from willowhook.controlplane.service import Service
 from willowhook.decisions.controller import Controller
 from willowhook.decisions.runtime import AdmissionLimit
-from willowhook.director.run import Service
 from willowhook.files.swap import read_group
 from willowhook.front.bodies import Bodies, chosen
 from willowhook.front.identity import Bearer, CredentialError
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -11,8 +11,8 @@
 from test_service import ByHand, Log, Roster, until
 
 from willowhook.config.example import EXAMPLE
-from willowhook.director.memory import Memory
-from willowhook.director.run import Service
+from willowhook.controlplane.memory import Memory
+from willowhook.controlplane.service import Service
 from willowhook.store.store import Op, Store
 from willowhook.web.wire import answer_calls
 
--- a/tests/test_frames.py
+++ b/tests/test_platform_protocol.py
@@ -24,10 +24,10 @@
     RequestReport,
 )
 from willowhook.decisions.runtime import AdmissionLimit
-from willowhook.frames.codec import MOST, Cutter, Fields, Spoilt, Unreadable, frame
-from willowhook.frames.fields import Reader
-from willowhook.frames.listing import Listing
-from willowhook.frames.orders import Orders
+from willowhook.platform.endpoint_list import Listing
+from willowhook.platform.framing import MOST, Cutter, Fields, Spoilt, Unreadable, frame
+from willowhook.platform.messages import Reader
+from willowhook.platform.proxy_updates import Orders
 
 IN_SERVICE = EndpointState.IN_SERVICE
 ATTACH = {"t": "attach", "proxy": 4, "zone": "south", "weight": 21.5, "fresh": True}
--- a/tests/test_node.py
+++ b/tests/test_platform_server.py
@@ -17,9 +17,9 @@
 import pytest
 import trio
 
-from willowhook.frames.codec import Cutter, Fields, frame
-from willowhook.node.links import Links
-from willowhook.node.start import PATH, Unusable, read_start
+from willowhook.platform.configuration import PATH, Unusable, read_start
+from willowhook.platform.connections import Links
+from willowhook.platform.framing import Cutter, Fields, frame
 from willowhook.web.wire import Call, Reply, answer_calls
 
 SETTINGS = json.loads((Path(__file__).parent / "options.json").read_text())
@@ -121,7 +121,7 @@
     async with trio.open_nursery() as nursery:
         await nursery.start(service.discovery.serve, service.place)
         log = service.path.with_name("log").open("wb")
-        run = [sys.executable, "-m", "willowhook.node"]
+        run = [sys.executable, "-m", "willowhook.platform"]
         process = subprocess.Popen(run, env={**os.environ, PATH: str(service.path)}, stderr=log)
         try:
             with trio.fail_after(20):
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -18,9 +18,9 @@
 
 from willowhook.cli.main import main
 from willowhook.config.example import EXAMPLE
+from willowhook.controlplane.service import Service
 from willowhook.decisions.controller import Controller
 from willowhook.decisions.events import EndpointListReceived, ProxyJoined
-from willowhook.director.run import Service
 from willowhook.files.layout import FolderTaken
 from willowhook.files.ops import DiskOps
 from willowhook.files.swap import read_group, swap_file
@@ -412,7 +412,7 @@
 
 
 def test_a_link_that_talks_nonsense_is_told_once(tmp_path: Path) -> None:
-    from willowhook.director.links import Post
+    from willowhook.controlplane.links import Post
 
     async def play(service: Service, roster: Roster, log: Log) -> None:
         post = Post(f"http://127.0.0.1:{service.link_port}", 1.0)
--- a/tests/test_benchlink.py
+++ b/tests/test_simulator.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from willowhook.benchlink import link
-from willowhook.benchlink.units import load_report, number, seconds, ticks
+from willowhook.simulator import adapter
+from willowhook.simulator.values import load_report, number, seconds, ticks
 
 MORE_BAD = ["ROSTER_CHANGE\t3\t1\t0\tnews", "REGISTER\t0\tx"]
 BAD = ["WHAT\t3", "DIGEST\t3\t1", "REMINDER\t9\t0", "REMINDER\t3\tx", *MORE_BAD]
@@ -28,7 +28,7 @@
 
 def play(*lines: str) -> tuple[int, str, str]:
     sink, errors = io.StringIO(), io.StringIO()
-    code = link.Link((line + "\n" for line in lines), sink, errors).run()
+    code = adapter.Link((line + "\n" for line in lines), sink, errors).run()
     return code, sink.getvalue(), errors.getvalue()
 
 
@@ -83,6 +83,6 @@
     def breaks(*_: object) -> None:
         raise IndexError("index out of range")
 
-    monkeypatch.setattr(link.Controller, "handle", breaks)
+    monkeypatch.setattr(adapter.Controller, "handle", breaks)
     code, out, errors = play(*START, "CLOCK\t9.0\t2", "REMINDER\t3\t0", "COMMIT")
     assert code == 0 and "GIVE_IN\t3\tIndexError: index out of range" in out and "Traceback" in errors
--- a/willowhook/cli/commands.py
+++ b/willowhook/cli/commands.py
@@ -46,7 +46,7 @@
         return
     if not path:
         raise click.UsageError("--config FILE is missing")
-    from ..director.main import run
+    from ..controlplane.main import run
 
     sys.exit(run(load_terms(path), log_format))
 
@@ -126,7 +126,7 @@
 @click.option("--proxy", "only", default="", help="Show this proxy alone.")
 def show(folder: str, only: str) -> None:
     """Show what each proxy of a director's folder would read now."""
-    from ..director.render import DIRECTORS
+    from ..controlplane.render import DIRECTORS
     from ..files.layout import DOWN
     from ..files.swap import read_group
     from ..xds import tables as forms
--- a/willowhook/director/main.py
+++ b/willowhook/controlplane/main.py
@@ -13,7 +13,7 @@
 
 from ..config.terms import Terms
 from ..files.layout import FolderTaken
-from .run import Service
+from .service import Service
 
 TAKEN, BROKEN = 3, 4
 
--- a/willowhook/node/__main__.py
+++ b/willowhook/platform/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m willowhook.node`: one director, as the platform starts it; exits with 0 when told to end."""
+"""`python -m willowhook.platform`: one director, as the platform starts it; exits with 0 when told to end."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 import traceback
 from functools import partial
 
-from .director import run
-from .start import Unusable, read_start
+from .configuration import Unusable, read_start
+from .server import run
 
 UNUSABLE, BROKEN = 2, 4
 
--- a/willowhook/node/start.py
+++ b/willowhook/platform/configuration.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 from ..decisions.settings import DeploymentSettings
-from ..frames.codec import Fields, Unreadable, read_object
 from ..settings_codec import SettingsError, decode_settings
+from .framing import Fields, Unreadable, read_object
 
 PATH = "ROUTER_CONFIG"
 MOST = 64 << 20  # bytes of a configuration
--- a/willowhook/node/links.py
+++ b/willowhook/platform/connections.py
@@ -13,7 +13,7 @@
 
 import trio
 
-from ..frames.codec import MOST, Cutter, Fields, Unreadable, frame
+from .framing import MOST, Cutter, Fields, Unreadable, frame
 
 CHUNK = 64 << 10  # read at one go: half of what may be left unread
 FIRST_MOST = 4096  # bytes of a message before it is known who speaks: joinings are short
--- a/willowhook/node/watch.py
+++ b/willowhook/platform/discovery_watch.py
@@ -6,8 +6,8 @@
 
 import trio
 
-from ..frames.codec import Fields, Spoilt, Unreadable, read_object
 from ..web.wire import Broken, Caller, Reply, dial
+from .framing import Fields, Spoilt, Unreadable, read_object
 
 # A watch waits so long for news, and an answer may be late by so much: together, how long a silent discovery
 # goes unnoticed.  The wait is under what is counted as told, with room to dial and ask once more.
--- a/willowhook/frames/listing.py
+++ b/willowhook/platform/endpoint_list.py
@@ -5,8 +5,8 @@
 from typing import Any
 
 from ..decisions.events import EndpointEntry, EndpointListReceived, EndpointState
-from .codec import Fields, Spoilt
-from .fields import figure, whole, word
+from .framing import Fields, Spoilt
+from .messages import figure, whole, word
 
 STATES = {
     "active": EndpointState.IN_SERVICE,
--- a/willowhook/frames/fields.py
+++ b/willowhook/platform/messages.py
@@ -9,7 +9,7 @@
 
 from ..decisions.events import EndpointReport, MessageAcknowledged, ProxyJoined, RequestReport
 from ..decisions.settings import DeploymentSettings
-from .codec import Fields, Spoilt
+from .framing import Fields, Spoilt
 
 # What a message can hold at most, to keep a spoilt figure from passing as one: a mark is two bytes, by the
 # orders; a report tells of a second or so, at proxies that pass some hundreds of calls a second.
--- a/willowhook/frames/orders.py
+++ b/willowhook/platform/proxy_updates.py
@@ -12,7 +12,7 @@
 
 from ..decisions.runtime import AdmissionLimit
 from ..decisions.settings import DeploymentSettings
-from .codec import Fields, frame
+from .framing import Fields, frame
 
 
 class Sheet:
--- a/willowhook/node/director.py
+++ b/willowhook/platform/server.py
@@ -16,14 +16,14 @@
 
 from ..decisions.controller import Controller
 from ..decisions.events import EndpointListLost, EndpointState, EvaluationDue, ProxyJoined, ProxyLeft
-from ..frames.codec import Fields, Spoilt, Unreadable
-from ..frames.fields import Reader
-from ..frames.listing import Listing
-from ..frames.orders import Orders
 from .clock import Clock
-from .links import OK, Link, Links
-from .start import Start, Unusable
-from .watch import Watch
+from .configuration import Start, Unusable
+from .connections import OK, Link, Links
+from .discovery_watch import Watch
+from .endpoint_list import Listing
+from .framing import Fields, Spoilt, Unreadable
+from .messages import Reader
+from .proxy_updates import Orders
 
 SECOND = 10_000
 TICK_S = 0.004  # between moments at least: what comes closer together is one moment
--- a/willowhook/benchlink/__main__.py
+++ b/willowhook/simulator/__main__.py
@@ -5,7 +5,7 @@
 import io
 import sys
 
-from .link import Link
+from .adapter import Link
 
 
 def main() -> int:
--- a/willowhook/benchlink/link.py
+++ b/willowhook/simulator/adapter.py
@@ -28,7 +28,7 @@
 from ..decisions.settings import DeploymentSettings
 from ..errors import WillowhookError
 from ..settings_codec import parse_settings
-from .units import load_report, number, seconds, ticks
+from .values import load_report, number, seconds, ticks
 
 LIST_FORMS = frozenset(("incr", "total", "warm_copy", "lost"))
 HOST_MODES = {
--- a/willowhook/trial/fuzz.py
+++ b/willowhook/trial/fuzz.py
@@ -19,7 +19,7 @@
 import trio
 
 from ..config.terms import FrontTerms
-from ..director.run import Service
+from ..controlplane.service import Service
 from ..web.wire import dial
 from ..xds import forms
 from ..xds.codec import encode
--- a/willowhook/trial/herd.py
+++ b/willowhook/trial/herd.py
@@ -23,7 +23,7 @@
 import zstandard
 
 from ..config.terms import FrontTerms
-from ..director.run import Service
+from ..controlplane.service import Service
 from ..web.wire import Broken, Caller, dial
 from ..xds import forms
 from ..xds.codec import decode, encode
--- a/willowhook/trial/swaps.py
+++ b/willowhook/trial/swaps.py
@@ -21,6 +21,8 @@
 import trio
 
 from ..config.terms import Terms
+from ..controlplane.outlets import FileOutlet
+from ..controlplane.service import Service
 from ..decisions.events import (
     EndpointListLost,
     EndpointListReceived,
@@ -32,8 +34,6 @@
 )
 from ..decisions.runtime import AdmissionLimit, ControllerRuntime
 from ..decisions.settings import DeploymentSettings
-from ..director.outlets import FileOutlet
-from ..director.run import Service
 from ..files.swap import Shelf, read_group
 from ..records.writer import read_records
 from ..xds import tables
--- a/willowhook/trial/versions.py
+++ b/willowhook/trial/versions.py
@@ -17,7 +17,7 @@
 import msgspec
 import trio
 
-from ..director.run import Service
+from ..controlplane.service import Service
 from ..records.writer import read_records
 from .beliefs import Beliefs, check
 from .day import Day, Trouble, draw, terms_of
