--- a/tests/test_discovery_watch.py
+++ b/tests/test_discovery_watch.py
@@ -8,7 +8,7 @@
 import trio
 
 from willowhook.platform.discovery_watch import Watch
-from willowhook.platform.framing import Fields, Spoilt
+from willowhook.platform.fields import FieldError, Fields
 
 Scene = Callable[["Place", "Told"], Awaitable[None]]
 
@@ -59,7 +59,7 @@
         act, self.act = self.act, lambda: None
         act()
         if fields["seq"] < 0:
-            raise Spoilt("seq")
+            raise FieldError("seq")
         return int(fields["seq"])
 
     def hears_lost(self, why: str) -> None:
--- a/tests/test_platform_protocol.py
+++ b/tests/test_platform_protocol.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from dataclasses import astuple
-from functools import partial
 from typing import Any
 
 import pytest
@@ -24,9 +23,10 @@
     RequestReport,
 )
 from willowhook.decisions.runtime import AdmissionLimit
-from willowhook.platform.endpoint_list import Listing
-from willowhook.platform.framing import MOST, Cutter, Fields, Spoilt, Unreadable, frame
-from willowhook.platform.messages import Reader
+from willowhook.platform.endpoint_list import EndpointListDecoder
+from willowhook.platform.fields import FieldError, Fields
+from willowhook.platform.framing import MAX_MESSAGE_BYTES, FrameDecoder, FramingError, encode_frame
+from willowhook.platform.messages import MessageDecoder
 from willowhook.platform.proxy_updates import Orders
 
 IN_SERVICE = EndpointState.IN_SERVICE
@@ -37,9 +37,7 @@
     "span_ms": 1000.0, "load": {"util": 0.61, "queue": 2, "later": "x"},
 }  # fmt: skip
 CLIENT = {"t": "client_stats", "proxy": 4, "class": "read", "tries": 19, "failed": 0, "span_ms": 500.0}
-READER = Reader(SETTINGS)
-READERS = {"attach": READER.attach, "done": partial(READER.done, proxy=4), "upstream_stats": READER.upstream,
-           "client_stats": READER.client}  # fmt: skip
+DECODER = MessageDecoder(SETTINGS)
 FREE = {("done", "proxy")}  # the stream says whose mark it is
 values = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats(allow_nan=False) | st.text(max_size=5),
@@ -51,35 +49,44 @@
 @settings(derandomize=True, max_examples=150, deadline=None)
 @given(st.lists(st.dictionaries(st.text(max_size=5), values, max_size=4), max_size=6), st.data())
 def test_messages_come_out_as_they_went_in_however_they_are_cut(messages: list[Fields], data: Any) -> None:
-    sent = b"".join(map(frame, messages))
+    sent = b"".join(map(encode_frame, messages))
     cuts = sorted(data.draw(st.lists(st.integers(0, len(sent)), max_size=8)))
-    cutter, got = Cutter(), []
+    decoder, got = FrameDecoder(), []
     for start, end in zip([0, *cuts], [*cuts, len(sent)], strict=True):
-        got += list(cutter.take(sent[start:end]))
+        got += list(decoder.feed(sent[start:end]))
     assert len(got) == len(messages)
     for new, old in zip(got, messages, strict=True):
-        assert frame(new) == frame(old)
-
-
-@pytest.mark.parametrize("bad", [b"GET / HTTP/1.1\r\n\r\n", (MOST + 1).to_bytes(4, "little"), b"\2\0\0\0[]",
-                                 b"\3\0\0\0\xff\xff\xff", b"\0\0\0\0", b"\1\0\0\0{"])  # fmt: skip
+        assert encode_frame(new) == encode_frame(old)
+
+
+@pytest.mark.parametrize(
+    "bad",
+    [
+        b"GET / HTTP/1.1\r\n\r\n",
+        (MAX_MESSAGE_BYTES + 1).to_bytes(4, "little"),
+        b"\2\0\0\0[]",
+        b"\3\0\0\0\xff\xff\xff",
+        b"\0\0\0\0",
+        b"\1\0\0\0{",
+    ],
+)
 def test_what_cannot_be_read_ends_the_connection_after_the_good_ones(bad: bytes) -> None:
     got = []
-    with pytest.raises(Unreadable):
-        for message in Cutter().take(frame(DONE) + bad):
+    with pytest.raises(FramingError):
+        for message in FrameDecoder().feed(encode_frame(DONE) + bad):
             got.append(message)
     assert got == [DONE]
 
 
 def test_fields_become_the_values_of_calls() -> None:
-    assert READER.attach(ATTACH) == ProxyJoined(4, "south", 21.5, True)
-    assert READER.done(DONE, 4) == MessageAcknowledged(4, 905)
+    assert DECODER.decode(ATTACH, None) == ProxyJoined(4, "south", 21.5, True)
+    assert DECODER.decode(DONE, 4) == MessageAcknowledged(4, 905)
     report = EndpointReport("s-1", 212, 3, 417, 0.61)
-    assert READER.upstream(UPSTREAM) == report
-    assert READER.upstream({**UPSTREAM, "load": {"busy": 0.61, "q": 2}}) == report  # the settings' words
-    assert READER.client(CLIENT) == RequestReport(4, "read", 19, 5000)
+    assert DECODER.decode(UPSTREAM, None) == report
+    assert DECODER.decode({**UPSTREAM, "load": {"busy": 0.61, "q": 2}}, None) == report  # the settings' words
+    assert DECODER.decode(CLIENT, 4) == RequestReport(4, "read", 19, 5000)
     # calls that were let in earlier may fail in a span that none came in
-    assert READER.client({**CLIENT, "tries": 0, "failed": 1}) == RequestReport(4, "read", 0, 5000)
+    assert DECODER.decode({**CLIENT, "tries": 0, "failed": 1}, 4) == RequestReport(4, "read", 0, 5000)
 
 
 @settings(derandomize=True, max_examples=400, deadline=None)
@@ -88,11 +95,11 @@
     key = data.draw(st.sampled_from([key for key in good if key != "t" and (good["t"], key) not in FREE]))
     missing = {k: v for k, v in good.items() if k != key}
     if key != "load":
-        with pytest.raises(Spoilt):
-            READERS[good["t"]](missing)
+        with pytest.raises(FieldError):
+            DECODER.decode(missing, 4)
     try:
-        told = READERS[good["t"]]({**missing, key: value})
-    except Spoilt:
+        told = DECODER.decode({**missing, key: value}, 4)
+    except FieldError:
         return
     fields = astuple(told)
     assert all(type(each) in (int, float, str, bool) or each is None for each in fields)
@@ -106,42 +113,42 @@
 
 
 def test_a_list_keeps_its_good_entries_and_what_was_known_of_spoilt_ones() -> None:
-    listing = Listing()
-    listed = listing.read({"seq": 7, "whole": True, "hosts": [entry("a"), entry("b", born_ms=0)]})
+    listing = EndpointListDecoder()
+    listed = listing.decode({"seq": 7, "whole": True, "hosts": [entry("a"), entry("b", born_ms=0)]})
     first = EndpointEntry("a", IN_SERVICE, 17_000_000_000_005, 1.0, "fast", "north")
     assert listed.is_complete and listed.entries[0] == first
     assert listed.entries[1].started_at == 0
     bad = [entry("a", health="odd"), entry("b", born_ms="x"), 5, entry("c", share=-1), entry("d", "leaving")]
-    with pytest.raises(Spoilt):  # a host may be missing as its entry has no name: asked again
-        listing.read({"seq": 8, "whole": True, "hosts": bad})
-    again = [(row.name, row.state) for row in listing.read({"seq": 8, "whole": True, "hosts": bad}).entries]
+    with pytest.raises(FieldError):  # a host may be missing as its entry has no name: asked again
+        listing.decode({"seq": 8, "whole": True, "hosts": bad})
+    again = [(row.name, row.state) for row in listing.decode({"seq": 8, "whole": True, "hosts": bad}).entries]
     assert again == [("a", IN_SERVICE), ("b", IN_SERVICE), ("d", EndpointState.DRAINING)]
-    assert listing.seq == 8 and listing.spoilt == 8
-    with pytest.raises(Spoilt):
-        listing.read({"seq": 9, "whole": True})
-    assert listing.seq == 8
-    left = listing.read({"seq": 9, "whole": False, "hosts": [entry("a", "left")]})
+    assert listing.version == 8 and listing.malformed_entries == 8
+    with pytest.raises(FieldError):
+        listing.decode({"seq": 9, "whole": True})
+    assert listing.version == 8
+    left = listing.decode({"seq": 9, "whole": False, "hosts": [entry("a", "left")]})
     assert left.entries[0].state is EndpointState.REMOVED
 
 
 def test_an_answer_older_than_the_list_or_without_names_does_not_replace_it_at_once() -> None:
-    listing = Listing()
-    listing.read({"seq": 7, "whole": True, "hosts": [entry("a"), entry("b")]})
+    listing = EndpointListDecoder()
+    listing.decode({"seq": 7, "whole": True, "hosts": [entry("a"), entry("b")]})
     for _ in range(2):  # an old change never counts
-        with pytest.raises(Spoilt):
-            listing.read({"seq": 5, "whole": False, "hosts": [entry("a", "leaving")]})
+        with pytest.raises(FieldError):
+            listing.decode({"seq": 5, "whole": False, "hosts": [entry("a", "leaving")]})
     assert (
-        listing.read({"seq": 5, "whole": False, "hosts": []}) == EndpointListReceived(False, ())
-        and listing.seq == 7
+        listing.decode({"seq": 5, "whole": False, "hosts": []}) == EndpointListReceived(False, ())
+        and listing.version == 7
     )
     for _ in range(3):  # all entries spoilt: no empty list
-        with pytest.raises(Spoilt):
-            listing.read({"seq": 8, "whole": True, "hosts": [{"host": 5}, None]})
-    assert listing.read({"seq": 8, "whole": True, "hosts": []}) == EndpointListReceived(True, ())
-    with pytest.raises(Spoilt):
-        listing.read({"seq": 2, "whole": True, "hosts": [entry("a")]})
-    anew = listing.read({"seq": 2, "whole": True, "hosts": [entry("a")]})  # discovery began anew
-    assert anew.is_complete and len(anew.entries) == 1 and listing.seq == 2
+        with pytest.raises(FieldError):
+            listing.decode({"seq": 8, "whole": True, "hosts": [{"host": 5}, None]})
+    assert listing.decode({"seq": 8, "whole": True, "hosts": []}) == EndpointListReceived(True, ())
+    with pytest.raises(FieldError):
+        listing.decode({"seq": 2, "whole": True, "hosts": [entry("a")]})
+    anew = listing.decode({"seq": 2, "whole": True, "hosts": [entry("a")]})  # discovery began anew
+    assert anew.is_complete and len(anew.entries) == 1 and listing.version == 2
 
 
 class Proxy:
@@ -156,7 +163,7 @@
         self.rows = 0
 
     def take(self, frames: list[bytes]) -> None:
-        parts = list(Cutter().take(b"".join(frames)))
+        parts = list(FrameDecoder().feed(b"".join(frames)))
         assert len(parts) <= 64 and [part.get("part", False) for part in parts[:-1]] == [True] * (
             len(parts) - 1
         )
@@ -257,7 +264,7 @@
     orders.readmit_for_proxy(2, ["a"])
     orders.moment_over()
     assert list(told) == [0, 1, 2]
-    last = list(Cutter().take(told[2][0][-1]))
+    last = list(FrameDecoder().feed(told[2][0][-1]))
     assert last == [{"t": "assign", "undrop": ["a"]}]
     orders.readmit_endpoint("b")  # another may have shut it out of who was under orders before
     orders.moment_over()
@@ -266,7 +273,7 @@
     orders.exclude_for_proxy(1, ["b"])  # it has left
     orders.moment_over()
     assert len(told[0]) == 2 and len(told[1]) == 1
-    assert list(Cutter().take(told[2][-1][0])) == [{"t": "assign", "drop": ["b", "c"]}]
+    assert list(FrameDecoder().feed(told[2][-1][0])) == [{"t": "assign", "drop": ["b", "c"]}]
 
 
 class Counting(Orders):
--- a/tests/test_platform_server.py
+++ b/tests/test_platform_server.py
@@ -19,18 +19,23 @@
 
 from willowhook.platform.configuration import PATH, Unusable, read_start
 from willowhook.platform.connections import Links
-from willowhook.platform.framing import Cutter, Fields, frame
+from willowhook.platform.fields import Fields
+from willowhook.platform.framing import FrameDecoder, encode_frame
 from willowhook.web.wire import Call, Reply, answer_calls
 
 SETTINGS = json.loads((Path(__file__).parent / "options.json").read_text())
 ATTACH = {"t": "attach", "proxy": 0, "zone": "north", "weight": 5.0, "fresh": True}
 STRANGERS = {
-    "silent": b"", "half a message": frame(ATTACH)[:-3], "http": b"GET / HTTP/1.1\r\nHost: x\r\n\r\n",
-    "too long": (2 << 20).to_bytes(4, "little") + b"x" * 99, "orders": frame({"t": "assign", "drop": ["h0"]}),
-    "a report with no joining": frame({"t": "client_stats", "proxy": 0}),
-    "no proxy": frame({**ATTACH, "proxy": 6}),
-    "no zone": frame({"t": "telemetry", "zone": "west"}), "no JSON": b"\4\0\0\0nope",
-}  # fmt: skip
+    "silent": b"",
+    "half a message": encode_frame(ATTACH)[:-3],
+    "http": b"GET / HTTP/1.1\r\nHost: x\r\n\r\n",
+    "too long": (2 << 20).to_bytes(4, "little") + b"x" * 99,
+    "orders": encode_frame({"t": "assign", "drop": ["h0"]}),
+    "a report with no joining": encode_frame({"t": "client_stats", "proxy": 0}),
+    "no proxy": encode_frame({**ATTACH, "proxy": 6}),
+    "no zone": encode_frame({"t": "telemetry", "zone": "west"}),
+    "no JSON": b"\4\0\0\0nope",
+}
 
 
 def free_port() -> int:
@@ -77,17 +82,17 @@
     """Whoever dials the director."""
 
     def __init__(self, stream: trio.SocketStream) -> None:
-        self.stream, self.cutter, self.got = stream, Cutter(), list[Fields]()
+        self.stream, self.decoder, self.got = stream, FrameDecoder(), list[Fields]()
 
     async def say(self, *messages: Fields) -> None:
-        await self.stream.send_all(b"".join(map(frame, messages)))
+        await self.stream.send_all(b"".join(map(encode_frame, messages)))
 
     async def hear(self, wanted: Callable[[list[Fields]], bool]) -> None:
         with trio.fail_after(8):
             while not wanted(self.got):
                 data = await self.stream.receive_some(65536)
                 assert data, "closed"
-                for message in self.cutter.take(data):
+                for message in self.decoder.feed(data):
                     self.got.append(message)
                     if "stamp" in message:
                         await self.say({"t": "done", "proxy": 0, "mark": message["stamp"], "took_ms": 1.0})
@@ -166,7 +171,7 @@
 
     async def scene(process: subprocess.Popen[bytes]) -> None:
         proxy = await service.dial()
-        for byte in frame(ATTACH):  # its bytes come one by one
+        for byte in encode_frame(ATTACH):  # its bytes come one by one
             await proxy.stream.send_all(bytes([byte]))
         await proxy.hear(lambda got: set(rows(got)) == {"h0", "h1"})
         service.discovery.list("h1", "leaving")
--- a/willowhook/platform/configuration.py
+++ b/willowhook/platform/configuration.py
@@ -9,7 +9,8 @@
 
 from ..decisions.settings import DeploymentSettings
 from ..settings_codec import SettingsError, decode_settings
-from .framing import Fields, Unreadable, read_object
+from .fields import Fields
+from .framing import FramingError, decode_object
 
 PATH = "ROUTER_CONFIG"
 MOST = 64 << 20  # bytes of a configuration
@@ -39,10 +40,10 @@
         size = os.stat(path).st_size
         if size > MOST:
             raise Unusable(f"{PATH}: {size} bytes")
-        top = read_object(Path(path).read_bytes())
+        top = decode_object(Path(path).read_bytes())
     except OSError as fault:
         raise Unusable(f"{PATH} cannot be read: {fault.strerror}") from fault
-    except Unreadable as fault:
+    except FramingError as fault:
         raise Unusable(f"{PATH}: {fault}") from fault
     try:
         settings = decode_settings(_part(top, "settings", dict))
--- a/willowhook/platform/connections.py
+++ b/willowhook/platform/connections.py
@@ -13,7 +13,9 @@
 
 import trio
 
-from .framing import MOST, Cutter, Fields, Unreadable, frame
+from .fields import Fields
+from .framing import MAX_MESSAGE_BYTES, FrameDecoder, FramingError
+from .messages import REJECTION
 
 CHUNK = 64 << 10  # read at one go: half of what may be left unread
 FIRST_MOST = 4096  # bytes of a message before it is known who speaks: joinings are short
@@ -25,8 +27,6 @@
 KERNEL_BYTES = 64 << 10  # of each socket's sending side, so that silent ones cost little memory
 BACKLOG, TURN = 1024, 64  # connections that wait to be taken; taken at one go
 OWN = 24  # descriptors for other than links: listener, discovery (two while it moves), polls, logs, spare
-REJECT = frame({"t": "reject"})
-OK = frame({"t": "hb_ok"})
 
 
 class Link:
@@ -35,7 +35,7 @@
     def __init__(self, sock: socket.socket, since: float, turn: int) -> None:
         self.sock, self.since, self.turn = sock, since, turn  # the how-manieth that was taken
         self.proxy, self.zone, self.open = -1, "", True
-        self.cutter = Cutter(FIRST_MOST)
+        self.decoder = FrameDecoder(FIRST_MOST)
         self._waiting: deque[bytes] = deque()
         self._bytes = 0
         self.flushing = False
@@ -96,7 +96,7 @@
 
 
 class Links:
-    """`heard` is called for each message, and may raise Unreadable; `ended` when a known link ended."""
+    """`heard` is called for each message, and may raise FramingError; `ended` when a known link ended."""
 
     def __init__(
         self, address: tuple[str, int], sockets: int,
@@ -165,7 +165,7 @@
     def turn_away(self, link: Link) -> None:
         if link.open:
             self.turned_away += 1
-            link.put(REJECT)
+            link.put(REJECTION)
         self.end(link)
 
     def end(self, link: Link) -> None:
@@ -180,7 +180,7 @@
     def meet(self, link: Link) -> None:
         """It is known now who speaks."""
         self._strangers.pop(link, None)
-        link.cutter.most = MOST
+        link.decoder.max_message_bytes = MAX_MESSAGE_BYTES
 
     def send(self, link: Link, data: bytes) -> None:
         if not link.put(data):
@@ -202,11 +202,11 @@
             if not data:
                 break
             try:
-                for message in link.cutter.take(data):
+                for message in link.decoder.feed(data):
                     self._heard(link, message)
                     if not link.open:
                         break
-            except Unreadable:
+            except FramingError:
                 self.turn_away(link)
         self.end(link)
 
--- a/willowhook/platform/discovery_watch.py
+++ b/willowhook/platform/discovery_watch.py
@@ -7,7 +7,9 @@
 import trio
 
 from ..web.wire import Broken, Caller, Reply, dial
-from .framing import Fields, Spoilt, Unreadable, read_object
+from .endpoint_list import change_request_target, list_request_target
+from .fields import FieldError, Fields
+from .framing import FramingError, decode_object
 
 # A watch waits so long for news, and an answer may be late by so much: together, how long a silent discovery
 # goes unnoticed.  The wait is under what is counted as told, with room to dial and ask once more.
@@ -63,7 +65,7 @@
         address, began, answer = self._address, trio.current_time(), None
         try:
             answer = await self._ask(whole)
-        except (Broken, trio.TooSlowError, Unreadable) as fault:
+        except (Broken, trio.TooSlowError, FramingError) as fault:
             with trio.CancelScope(shield=True):  # a move just now must not swallow that it was lost
                 await self._drop()
             if address == self._address:
@@ -76,7 +78,7 @@
         held = self._after
         try:
             self._after = self._told(answer)
-        except Spoilt as fault:
+        except FieldError as fault:
             self._wanted, self._whole = trio.Event(), True
             self._lost(f"an answer of no use: {fault}")
         else:
@@ -84,14 +86,14 @@
                 await trio.sleep(PAUSE_S)  # a discovery that answers at once with nothing new, for ever
 
     async def _ask(self, whole: bool) -> Fields:
-        target, wait = "/v1/servers", 0.0
+        target, wait = list_request_target(), 0.0
         if not whole:
-            target, wait = f"{target}?after={self._after}&wait_ms={WAIT_MS}", WAIT_MS / 1000
+            target, wait = change_request_target(self._after, WAIT_MS), WAIT_MS / 1000
         with trio.fail_after(wait + PATIENCE_S):
             reply = await self._call(target.encode())
         if reply.status != 200:
             raise Broken(f"status {reply.status}", True)
-        return read_object(reply.body)
+        return decode_object(reply.body)
 
     async def _call(self, target: bytes) -> Reply:
         if self._caller is not None and self._caller.usable and self._at == self._address:
--- a/willowhook/platform/endpoint_list.py
+++ b/willowhook/platform/endpoint_list.py
@@ -1,86 +1,134 @@
-"""The platform's list of hosts: an answer of discovery, or the copy that a configuration brings along."""
+"""The platform's endpoint list: how it is requested, and how an answer of discovery is decoded.
+
+A controller's configuration brings a copy of the list, in the form of an answer.
+"""
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from typing import Any
 
 from ..decisions.events import EndpointEntry, EndpointListReceived, EndpointState
-from .framing import Fields, Spoilt
-from .messages import figure, whole, word
+from ..ticks import ticks_from_milliseconds
+from .fields import FieldError, Fields, describe, read_boolean, read_integer, read_number, read_text
 
+LIST_PATH = "/v1/servers"
 STATES = {
     "active": EndpointState.IN_SERVICE,
     "leaving": EndpointState.DRAINING,
     "left": EndpointState.REMOVED,
 }
-VERSIONS, BORN_MS, SHARE = 1 << 62, 1e15, 1e9
+MAX_VERSION = 1 << 62
+MAX_START_TIME_MS = 1e15  # since the Unix epoch
+MAX_LISTED_WEIGHT = 1e9
+
+
+def list_request_target() -> str:
+    """The request target that gets the complete list at once."""
+    return LIST_PATH
+
+
+def change_request_target(version: int, wait_ms: int) -> str:
+    """The request target that gets what is newer than a version, after `wait_ms` milliseconds at the latest."""
+    return f"{LIST_PATH}?after={version}&wait_ms={wait_ms}"
+
+
+@dataclass(frozen=True, slots=True)
+class _DecodedEntries:
+    by_name: dict[str, EndpointEntry]
+    unidentified_count: int  # malformed entries that belong to no known endpoint
+
 
+class EndpointListDecoder:
+    """Decodes answers of discovery, one after the other, and refuses implausible ones.
 
-class Listing:
-    """Follows the list: every answer gives the version, whether it is whole, and its rows.
+    A malformed entry stands for what was last known of its endpoint: a bad field is no reason to take an
+    endpoint out. A complete list is refused if it is older than the last one or has entries that name no
+    known endpoint, unless the next answer is such a list as well.
 
-    An entry that is spoilt keeps what was last known of its host: it is no reason to take a host out.  Nor
-    is an answer that is older than what is held, or has entries without names, unless it comes so twice.
+    Attributes:
+        version: of the newest list that was accepted; None: there was none yet.
+        malformed_entries: how many were met, in all answers.
     """
 
     def __init__(self) -> None:
-        self.seq = -1  # of the newest answer; -1: none yet
-        self.spoilt = 0
-        self._doubted = False  # the last answer was a whole list that is older, or lacks names
-        self._rows: dict[str, EndpointEntry] = {}
-
-    def read(self, answer: Fields) -> EndpointListReceived:
-        """Whether the rows are the whole list, and the rows.  Raises Spoilt on an answer of no use."""
-        seq, full, entries = whole(answer, "seq", VERSIONS), answer.get("whole"), answer.get("hosts")
-        if type(full) is not bool:
-            raise Spoilt("whole")
-        if type(entries) is not list:
-            raise Spoilt("hosts")
-        if seq < self.seq and not full and not entries:
-            return EndpointListReceived(False, ())  # nothing new, by a discovery that is behind
-        rows: dict[str, EndpointEntry] = {}
-        nameless = 0
-        for entry in entries:
+        """Starts with no list."""
+        self.version: int | None = None
+        self.malformed_entries = 0
+        self._is_doubtful = False  # the last answer was a complete list that is older, or lacks endpoints
+        self._known: dict[str, EndpointEntry] = {}
+
+    def decode(self, answer: Fields) -> EndpointListReceived:
+        """Decodes an answer. Raises FieldError if it is malformed or implausible as a whole."""
+        version = read_integer(answer, "seq", MAX_VERSION)
+        is_complete = read_boolean(answer, "whole")
+        listed = answer.get("hosts")
+        if type(listed) is not list:
+            raise FieldError(f"hosts: expected a list, got {describe(listed)}")
+        if self._is_older(version) and not is_complete and not listed:
+            return EndpointListReceived(False, ())  # no changes, from a replica that lags behind
+        entries = self._decode_entries(listed)
+        self._check_plausibility(version, is_complete, entries.unidentified_count, len(listed))
+        self.version = version
+        self._remember(is_complete, entries.by_name)
+        return EndpointListReceived(is_complete, tuple(entries.by_name.values()))
+
+    def _is_older(self, version: int) -> bool:
+        return self.version is not None and version < self.version
+
+    def _decode_entries(self, listed: list[Any]) -> _DecodedEntries:
+        entries: dict[str, EndpointEntry] = {}
+        unidentified_count = 0
+        for fields in listed:
             try:
-                row = self._row(entry)
-            except Spoilt:
-                self.spoilt += 1
-                name = entry.get("host") if type(entry) is dict else None
-                kept = self._rows.get(name) if type(name) is str else None
-                if kept is None:
-                    nameless += 1
+                entry = _decode_entry(fields)
+            except FieldError:
+                self.malformed_entries += 1
+                known = self._find_known(fields)
+                if known is None:
+                    unidentified_count += 1
                     continue
-                row = kept
-            rows[row.name] = row
-        again, self._doubted = self._doubted, full and (seq < self.seq or nameless > 0)
-        if seq < self.seq and not (full and again):
-            raise Spoilt(f"seq: {seq} after {self.seq}")
-        if full and nameless and (not again or 2 * nameless >= len(entries)):
-            raise Spoilt(f"hosts: {nameless} of {len(entries)} entries")  # whose absence says nothing
-        self.seq = seq
-        if full:
-            self._rows = {}
-        for name, row in rows.items():
-            if row.state is EndpointState.REMOVED:
-                self._rows.pop(name, None)
+                entry = known
+            entries[entry.name] = entry
+        return _DecodedEntries(entries, unidentified_count)
+
+    def _find_known(self, fields: Any) -> EndpointEntry | None:
+        name = fields.get("host") if type(fields) is dict else None
+        return self._known.get(name) if type(name) is str else None
+
+    def _check_plausibility(
+        self, version: int, is_complete: bool, unidentified_count: int, entry_count: int
+    ) -> None:
+        """Raises FieldError on an older list, and on a complete one whose gaps say nothing."""
+        is_older = self._is_older(version)
+        is_repeated = self._is_doubtful
+        self._is_doubtful = is_complete and (is_older or unidentified_count > 0)
+        if is_older and not (is_complete and is_repeated):
+            raise FieldError(f"seq: {version} after {self.version}")
+        if is_complete and unidentified_count and (not is_repeated or 2 * unidentified_count >= entry_count):
+            raise FieldError(f"hosts: {unidentified_count} of {entry_count} entries name no known endpoint")
+
+    def _remember(self, is_complete: bool, entries: dict[str, EndpointEntry]) -> None:
+        if is_complete:
+            self._known = {}
+        for name, entry in entries.items():
+            if entry.state is EndpointState.REMOVED:
+                self._known.pop(name, None)
             else:
-                self._rows[name] = row
-        return EndpointListReceived(full, tuple(rows.values()))
-
-    @staticmethod
-    def _row(entry: Any) -> EndpointEntry:
-        if type(entry) is not dict:
-            raise Spoilt("entry")
-        state = STATES.get(word(entry, "health"))
-        if state is None:
-            raise Spoilt("health")
-        born = figure(entry, "born_ms", BORN_MS)
-        size = figure(entry, "share", SHARE)
-        return EndpointEntry(
-            word(entry, "host"),
-            state,
-            round(born * 10),
-            size,
-            word(entry, "class"),
-            word(entry, "site"),
-        )
+                self._known[name] = entry
+
+
+def _decode_entry(fields: Any) -> EndpointEntry:
+    if type(fields) is not dict:
+        raise FieldError(f"entry: expected an object, got {describe(fields)}")
+    state = STATES.get(read_text(fields, "health"))
+    if state is None:
+        raise FieldError("health: unknown state")
+    return EndpointEntry(
+        started_at=ticks_from_milliseconds(read_number(fields, "born_ms", MAX_START_TIME_MS)),
+        listed_weight=read_number(fields, "share", MAX_LISTED_WEIGHT),
+        name=read_text(fields, "host"),
+        state=state,
+        endpoint_class=read_text(fields, "class"),
+        zone=read_text(fields, "site"),
+    )
--- a/willowhook/platform/framing.py
+++ b/willowhook/platform/framing.py
@@ -1,68 +1,77 @@
-"""Frames: a length of four bytes, least significant first, then so many bytes that hold one JSON object."""
+"""Frames of the platform protocol: a length, then as many bytes that hold one JSON object.
+
+The length has four bytes, the least significant first.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
-from typing import Any
 
 import msgspec
 
-HEAD = 4
-MOST = 1 << 20  # bytes of one message, by the protocol
-
-Fields = dict[str, Any]  # a message as it was decoded: messages get no types
+from ..errors import WillowhookError
+from .fields import Fields
 
-_decode = msgspec.json.Decoder().decode
-_encode = msgspec.json.Encoder().encode
+LENGTH_BYTES = 4  # of the prefix of a frame
+MAX_MESSAGE_BYTES = 1 << 20  # set by the protocol
 
+_decode_json = msgspec.json.Decoder().decode
+_encode_json = msgspec.json.Encoder().encode
 
-class Unreadable(Exception):
-    """What came cannot be read, nor can anything that follows it on the connection."""
 
+class FramingError(WillowhookError):
+    """What a peer sent cannot be decoded, nor can anything that follows on the connection.
 
-class Spoilt(Exception):
-    """One message, or one entry, is of no use; those around it are not concerned."""
+    The peer's fault. The connection is of no more use.
+    """
 
 
-class Cutter:
-    """Cuts the bytes of one connection into messages, however they were cut on their way.
+class FrameDecoder:
+    """Decodes the byte stream of one connection into messages, however the network has split it.
 
-    It holds less than one message of `most` bytes, whatever comes.
+    It buffers less than one message of `max_message_bytes`, which may be changed between two messages.
     """
 
-    def __init__(self, most: int = MOST) -> None:
-        self.most = most
-        self._held = bytearray()
+    def __init__(self, max_message_bytes: int = MAX_MESSAGE_BYTES) -> None:
+        """Starts with an empty buffer."""
+        self.max_message_bytes = max_message_bytes
+        self._buffer = bytearray()
 
-    def take(self, data: bytes) -> Iterator[Fields]:
-        """The messages that `data` completes, in turn.  Raises Unreadable after the last good one."""
-        held, at = self._held, 0
-        held += data
+    def feed(self, data: bytes) -> Iterator[Fields]:
+        """Yields the messages that `data` completes, in order.
+
+        Raises FramingError in the place of the first message that cannot be decoded.
+        """
+        buffer = self._buffer
+        position = 0
+        buffer += data
         try:
-            while len(held) - at >= HEAD:
-                size = int.from_bytes(held[at : at + HEAD], "little")
-                if size > self.most:
-                    raise Unreadable(f"a message of {size} bytes")
-                if len(held) - at - HEAD < size:
+            while len(buffer) - position >= LENGTH_BYTES:
+                start = position + LENGTH_BYTES
+                size = int.from_bytes(buffer[position:start], "little")
+                if size > self.max_message_bytes:
+                    raise FramingError(f"a message of {size} bytes, over {self.max_message_bytes}")
+                if len(buffer) - start < size:
                     return
-                body = bytes(held[at + HEAD : at + HEAD + size])
-                at += HEAD + size
-                yield read_object(body)
+                body = bytes(buffer[start : start + size])
+                position = start + size
+                yield decode_object(body)
         finally:
-            del held[:at]
+            del buffer[:position]
 
 
-def read_object(body: bytes) -> Fields:
-    """Raises Unreadable on what is no JSON object."""
+def decode_object(body: bytes) -> Fields:
+    """Decodes one JSON object. Raises FramingError if `body` does not hold one."""
     try:
-        found = _decode(body)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
-        raise Unreadable(f"no JSON: {fault}") from fault
-    if not isinstance(found, dict):
-        raise Unreadable(f"no object but {type(found).__name__}")
-    return found
-
-
-def frame(message: Fields) -> bytes:
-    body = _encode(message)
-    return len(body).to_bytes(HEAD, "little") + body
+        document = _decode_json(body)
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+        raise FramingError(f"no JSON: {error}") from error
+    if not isinstance(document, dict):
+        raise FramingError(f"expected a JSON object, got {type(document).__name__}")
+    return document
+
+
+def encode_frame(message: Fields) -> bytes:
+    """Encodes one message, length prefix included."""
+    body = _encode_json(message)
+    return len(body).to_bytes(LENGTH_BYTES, "little") + body
--- a/willowhook/platform/messages.py
+++ b/willowhook/platform/messages.py
@@ -1,113 +1,174 @@
-"""The fields of what proxies and collectors say, checked one by one, as the values of a decision's call.
+"""Decodes the messages of proxies and collectors into typed events, and holds the replies to them.
 
-Every method takes a decoded message and gives the values that the decision module is called with: times in
-tenths of a millisecond, ids as they came.  Each raises Spoilt, naming the field, on what is missing, of
-another type, out of range or unknown.
+The names of the protocol's fields stand here, in `endpoint_list` and in `update_encoder`, and nowhere else.
 """
 
 from __future__ import annotations
 
+from collections.abc import Callable
+from dataclasses import dataclass
+
 from ..decisions.events import EndpointReport, MessageAcknowledged, ProxyJoined, RequestReport
 from ..decisions.settings import DeploymentSettings
-from .framing import Fields, Spoilt
+from ..ticks import TICKS_PER_MILLISECOND, ticks_from_milliseconds
+from .fields import FieldError, Fields, describe, read_boolean, read_integer, read_number, read_text
+from .framing import encode_frame
+
+# Bounds, so that a malformed figure does not pass as a measurement.
+MAX_SYNC_MARKER = (1 << 16) - 1  # the controller counts markers in two bytes
+MAX_REQUESTS = 100_000  # of one report, which covers about a second
+MAX_DURATION_MS = 600_000.0
+MAX_REQUESTS_PER_SECOND = 1e6
+LATENCY_TOLERANCE = 2.0  # a mean latency lies under the longest deadline, but for the noise of a report
+
+# Load figures and their upper bounds. The settings document and the protocol's specification name them
+# differently, and peers use either name.
+CPU_UTILIZATION_KEYS = ("busy", "util")
+MAX_LOAD_FIGURES = {
+    "busy": 4.0,
+    "q": 1e6,
+    "rif": 1e6,
+    "lat_ms": 6e5,
+    "rate": 1e6,
+    "fail_rate": 1e6,
+    "util": 4.0,
+    "queue": 1e6,
+    "inflight": 1e6,
+    "latency_ms": 6e5,
+    "qps": 1e6,
+    "eps": 1e6,
+}
+
+HEARTBEAT_REPLY = encode_frame({"t": "hb_ok"})
+REJECTION = encode_frame({"t": "reject"})
+
 
-# What a message can hold at most, to keep a spoilt figure from passing as one: a mark is two bytes, by the
-# orders; a report tells of a second or so, at proxies that pass some hundreds of calls a second.
-MARKS, CALLS, SPAN_MS, RATE = 1 << 16, 100_000, 600_000.0, 1e6
-NOISE = 2.0  # a mean of answered tries lies under the longest time limit, but for the noise of a report
-# The words of load reports: those of the settings, which the module reads, and those of the protocol's page.
-LOAD_WORDS = {
-    "busy": ("busy", 4.0), "q": ("q", 1e6), "rif": ("rif", 1e6), "lat_ms": ("lat_ms", 6e5),
-    "rate": ("rate", 1e6), "fail_rate": ("fail_rate", 1e6),
-    "util": ("busy", 4.0), "queue": ("q", 1e6), "inflight": ("rif", 1e6), "latency_ms": ("lat_ms", 6e5),
-    "qps": ("rate", 1e6), "eps": ("fail_rate", 1e6),
-}  # fmt: skip
+@dataclass(frozen=True, slots=True)
+class Heartbeat:
+    """A peer asks whether the connection is alive; the answer is HEARTBEAT_REPLY."""
 
 
-def whole(message: Fields, key: str, most: int) -> int:
-    value = message.get(key)
-    if type(value) is not int or not 0 <= value <= most:
-        raise Spoilt(key)
-    return value
+@dataclass(frozen=True, slots=True)
+class CollectorJoined:
+    """A collector, which sends endpoint reports, has identified itself.
 
+    Attributes:
+        zone: the collector's zone.
+    """
 
-def figure(message: Fields, key: str, most: float) -> float:
-    value = message.get(key)
-    if isinstance(value, bool) or not isinstance(value, int | float):
-        raise Spoilt(key)
-    if not 0 <= value <= most:  # so it is finite, and a number
-        raise Spoilt(key)
-    return float(value)
+    zone: str
 
 
-def word(message: Fields, key: str) -> str:
-    value = message.get(key)
-    if type(value) is not str or not 0 < len(value) <= 200:
-        raise Spoilt(key)
-    return value
+Message = Heartbeat | CollectorJoined | ProxyJoined | EndpointReport | RequestReport | MessageAcknowledged
 
+HEARTBEAT = Heartbeat()
 
-def ticks(ms: float) -> int:
-    return round(ms * 10)
 
+class MessageDecoder:
+    """Decodes messages and checks each field against the settings of the deployment."""
 
-class Reader:
     def __init__(self, settings: DeploymentSettings) -> None:
-        self._zones, self._last = frozenset(settings.zones), settings.fleet.proxy_count - 1
+        """Takes the known zones, routes and proxy numbers from the settings."""
+        longest_deadline_ticks = max(route.deadline_ticks for route in settings.routes)
+        self._zones = frozenset(settings.zones)
         self._routes = frozenset(route.name for route in settings.routes)
-        self._slowest = max(route.deadline_ticks for route in settings.routes) / 10 * NOISE
-
-    def zone(self, message: Fields) -> str:
-        zone = word(message, "zone")
+        self._last_proxy = settings.fleet.proxy_count - 1
+        self._max_mean_latency_ms = longest_deadline_ticks / TICKS_PER_MILLISECOND * LATENCY_TOLERANCE
+        self._decoders: dict[str, Callable[[Fields, int | None], Message]] = {
+            "hb": self._decode_heartbeat,
+            "attach": self._decode_proxy_joined,
+            "telemetry": self._decode_collector_joined,
+            "upstream_stats": self._decode_endpoint_report,
+            "client_stats": self._decode_request_report,
+            "done": self._decode_acknowledgement,
+        }
+
+    def decode(self, fields: Fields, proxy: int | None) -> Message:
+        """Decodes a message.
+
+        Args:
+            fields: of the message.
+            proxy: the proxy whose connection carried it; None: it is not a proxy's, or not identified.
+
+        Raises:
+            FieldError: if the type is unknown, or a field is missing, of another type or out of range.
+        """
+        message_type = fields.get("t")
+        decoder = self._decoders.get(message_type) if type(message_type) is str else None
+        if decoder is None:
+            raise FieldError("t: unknown message type")
+        return decoder(fields, proxy)
+
+    def _decode_heartbeat(self, _fields: Fields, _proxy: int | None) -> Heartbeat:
+        return HEARTBEAT
+
+    def _decode_proxy_joined(self, fields: Fields, _proxy: int | None) -> ProxyJoined:
+        return ProxyJoined(
+            is_fresh=read_boolean(fields, "fresh"),
+            proxy=read_integer(fields, "proxy", self._last_proxy),
+            usual_rate_per_second=read_number(fields, "weight", MAX_REQUESTS_PER_SECOND),
+            zone=self._read_zone(fields),
+        )
+
+    def _decode_collector_joined(self, fields: Fields, _proxy: int | None) -> CollectorJoined:
+        return CollectorJoined(self._read_zone(fields))
+
+    def _decode_acknowledgement(self, fields: Fields, proxy: int | None) -> MessageAcknowledged:
+        if proxy is None:
+            raise FieldError("t: only a proxy acknowledges messages")
+        marker = read_integer(fields, "mark", MAX_SYNC_MARKER)
+        read_number(fields, "took_ms", MAX_DURATION_MS)
+        return MessageAcknowledged(proxy, marker)
+
+    def _decode_endpoint_report(self, fields: Fields, _proxy: int | None) -> EndpointReport:
+        endpoint = read_text(fields, "server")
+        self._read_zone(fields)
+        attempts = read_integer(fields, "tries", MAX_REQUESTS)
+        failures = read_integer(fields, "failed", attempts)
+        mean_latency_ms = read_number(fields, "mean_ms", self._max_mean_latency_ms)
+        _read_window_ticks(fields)
+        cpu_utilization = _read_cpu_utilization(fields)
+        return EndpointReport(
+            endpoint, attempts, failures, ticks_from_milliseconds(mean_latency_ms), cpu_utilization
+        )
+
+    def _decode_request_report(self, fields: Fields, _proxy: int | None) -> RequestReport:
+        proxy = read_integer(fields, "proxy", self._last_proxy)
+        route = read_text(fields, "class")
+        if route not in self._routes:
+            raise FieldError("class: unknown route")
+        requests = read_integer(fields, "tries", MAX_REQUESTS)
+        # not bounded by the requests: one that failed may have come in an earlier window
+        read_integer(fields, "failed", MAX_REQUESTS)
+        return RequestReport(proxy, route, requests, _read_window_ticks(fields))
+
+    def _read_zone(self, fields: Fields) -> str:
+        zone = read_text(fields, "zone")
         if zone not in self._zones:
-            raise Spoilt("zone")
+            raise FieldError("zone: unknown zone")
         return zone
 
-    def attach(self, message: Fields) -> ProxyJoined:
-        """Proxy, zone, usual calls a second, whether it holds no table that was ordered."""
-        fresh = message.get("fresh")
-        if type(fresh) is not bool:
-            raise Spoilt("fresh")
-        proxy, rate = whole(message, "proxy", self._last), figure(message, "weight", RATE)
-        return ProxyJoined(proxy, self.zone(message), rate, fresh)
-
-    def done(self, message: Fields, proxy: int) -> MessageAcknowledged:
-        """Mark and the time that it took."""
-        mark = whole(message, "mark", MARKS - 1)
-        figure(message, "took_ms", SPAN_MS)
-        return MessageAcknowledged(proxy, mark)
-
-    def upstream(self, message: Fields) -> EndpointReport:
-        """Host, zone, tries, dropped among them, mean time of the others, span, load."""
-        name = word(message, "server")
-        self.zone(message)
-        tries = whole(message, "tries", CALLS)
-        failed = whole(message, "failed", tries)
-        mean = figure(message, "mean_ms", self._slowest)
-        self._span(message)
-        return EndpointReport(name, tries, failed, ticks(mean), self._load(message).get("busy"))
-
-    def client(self, message: Fields) -> RequestReport:
-        """Proxy, route, calls that reached it, dropped after they were let in, span."""
-        proxy, route = whole(message, "proxy", self._last), word(message, "class")
-        if route not in self._routes:
-            raise Spoilt("class")
-        # a call that failed may have come in an earlier span
-        calls = whole(message, "tries", CALLS)
-        whole(message, "failed", CALLS)
-        return RequestReport(proxy, route, calls, self._span(message))
-
-    def _span(self, message: Fields) -> int:
-        span = figure(message, "span_ms", SPAN_MS)
-        if span <= 0:
-            raise Spoilt("span_ms")
-        return ticks(span)
-
-    def _load(self, message: Fields) -> dict[str, float]:
-        load = message.get("load")
-        if load is None:
-            return {}
-        if type(load) is not dict:
-            raise Spoilt("load")
-        told = [(word, LOAD_WORDS[word]) for word in load if word in LOAD_WORDS]
-        return {ours: figure(load, word, most) for word, (ours, most) in told}
+
+def _read_window_ticks(fields: Fields) -> int:
+    window_ms = read_number(fields, "span_ms", MAX_DURATION_MS)
+    if window_ms <= 0:
+        raise FieldError("span_ms: expected a number over 0")
+    return ticks_from_milliseconds(window_ms)
+
+
+def _read_cpu_utilization(fields: Fields) -> float | None:
+    """The last one of the load figures; all known ones are checked. None if there is none."""
+    load = fields.get("load")
+    if load is None:
+        return None
+    if type(load) is not dict:
+        raise FieldError(f"load: expected an object, got {describe(load)}")
+    cpu_utilization = None
+    for key in load:
+        maximum = MAX_LOAD_FIGURES.get(key)
+        if maximum is None:
+            continue
+        figure = read_number(load, key, maximum)
+        if key in CPU_UTILIZATION_KEYS:
+            cpu_utilization = figure
+    return cpu_utilization
--- a/willowhook/platform/proxy_updates.py
+++ b/willowhook/platform/proxy_updates.py
@@ -12,7 +12,8 @@
 
 from ..decisions.runtime import AdmissionLimit
 from ..decisions.settings import DeploymentSettings
-from .framing import Fields, frame
+from .fields import Fields
+from .framing import encode_frame
 
 
 class Sheet:
@@ -191,7 +192,7 @@
                 told = {"t": "assign", "for": [self._names[k]], "part": True}
                 parts.append({**told, "gate": level.limit, "again": level.retries})
                 rows += 1
-        return [frame(part) for part in parts], rows
+        return [encode_frame(part) for part in parts], rows
 
     def _last(self, shut: tuple[tuple[str, bool], ...]) -> tuple[list[bytes], int]:
         part: Fields = {"t": "assign"}
@@ -201,7 +202,7 @@
                 part[key] = hosts
         if self._stamp >= 0:
             part["stamp"] = self._stamp
-        return [frame(part)], len(shut) + (self._stamp >= 0)
+        return [encode_frame(part)], len(shut) + (self._stamp >= 0)
 
     def _sheet(self, table: int) -> Sheet:
         return self._sheets.setdefault(table, Sheet())
--- a/willowhook/platform/server.py
+++ b/willowhook/platform/server.py
@@ -18,11 +18,12 @@
 from ..decisions.events import EndpointListLost, EndpointState, EvaluationDue, ProxyJoined, ProxyLeft
 from .clock import Clock
 from .configuration import Start, Unusable
-from .connections import OK, Link, Links
+from .connections import Link, Links
 from .discovery_watch import Watch
-from .endpoint_list import Listing
-from .framing import Fields, Spoilt, Unreadable
-from .messages import Reader
+from .endpoint_list import EndpointListDecoder
+from .fields import FieldError, Fields
+from .framing import FramingError
+from .messages import HEARTBEAT_REPLY, CollectorJoined, Heartbeat, Message, MessageDecoder
 from .proxy_updates import Orders
 
 SECOND = 10_000
@@ -40,7 +41,8 @@
         # no probes and nothing from director to director in the protocol, and withdrawals outlive a stream
         settings = replace(start.settings, health_checks=False, exclusions_outlive_sessions=True)
         self._settings, self._reread, self._say = settings, reread, say
-        self._clock, self._reader, self._listing = Clock(), Reader(settings), Listing()
+        self._clock, self._decoder = Clock(), MessageDecoder(settings)
+        self._listing = EndpointListDecoder()
         self._orders = Orders(settings, self._send)
         self._streams: dict[int, Link] = {}  # by proxy
         self._timers: list[int] = []  # when evaluations are due
@@ -59,7 +61,7 @@
         after = -1
         try:
             after = self._take_list(start.known)
-        except Spoilt as fault:
+        except FieldError as fault:
             say(f"the list of the configuration is of no use: {fault}")
         self._watch = Watch(start.discovery, self._told, self._lost, after)
         self._hard = False  # discovery is lost
@@ -83,47 +85,42 @@
 
     # What comes in.
 
-    def _heard(self, link: Link, message: Fields) -> None:
-        kind = message.get("t")
-        if kind == "hb":
-            self._links.send(link, OK)
-            return
+    def _heard(self, link: Link, fields: Fields) -> None:
         try:
+            message = self._decoder.decode(fields, link.proxy if link.proxy >= 0 else None)
+            if isinstance(message, Heartbeat):
+                self._links.send(link, HEARTBEAT_REPLY)
+                return
             if not link.known:
-                self._met(link, kind, message)
-            elif kind == "upstream_stats":
-                self._module.handle(self._clock.now(), self._reader.upstream(message))
-            elif kind == "client_stats":
-                self._module.handle(self._clock.now(), self._reader.client(message))
-            elif kind == "done" and link.proxy >= 0:
-                self._module.handle(self._clock.now(), self._reader.done(message, link.proxy))
+                self._met(link, message)
+            elif isinstance(message, CollectorJoined | ProxyJoined):
+                raise FieldError("t: has joined already")
             else:
-                raise Spoilt("t")
-        except Spoilt as fault:
+                self._module.handle(self._clock.now(), message)
+        except FieldError as fault:
+            if not link.known:
+                raise FramingError(f"no joining: {fault}") from fault
             self._spoilt += 1
             if self._spoilt <= SPOILT_TOLD:
-                self._say(f"spoilt: {fault} of {str(kind)[:40]!r}")
+                self._say(f"spoilt: {fault} of {str(fields.get('t'))[:40]!r}")
             return
         self._stirred.set()
 
-    def _met(self, link: Link, kind: object, message: Fields) -> None:
+    def _met(self, link: Link, message: Message) -> None:
         """The first message says who speaks; who says anything else is turned away."""
-        try:
-            if kind == "telemetry":
-                link.zone = self._reader.zone(message)
-            elif kind == "attach":
-                self._joined(link, self._reader.attach(message))
-            else:
-                raise Spoilt("t")
-        except Spoilt as fault:
-            raise Unreadable(f"no joining: {fault}") from fault
+        if isinstance(message, CollectorJoined):
+            link.zone = message.zone
+        elif isinstance(message, ProxyJoined):
+            self._joined(link, message)
+        else:
+            raise FieldError("t: joins nobody")
         self._links.meet(link)
 
     def _joined(self, link: Link, joined: ProxyJoined) -> None:
         proxy = joined.proxy
         old = self._streams.get(proxy)
         if old is not None and old.turn > link.turn:  # read in one go, in any order: this is the one it left
-            raise Spoilt("proxy")
+            raise FieldError("proxy: has joined on a newer connection")
         if old is not None:  # it dialled again before its old stream was seen to end
             self._links.end(old)
         link.proxy = proxy
@@ -151,11 +148,11 @@
         return after
 
     def _take_list(self, answer: Fields) -> int:
-        received = self._listing.read(answer)
+        received = self._listing.decode(answer)
         if received.is_complete or received.entries:
             self._module.handle(self._clock.now(), received)
             self._stirred.set()
-        return self._listing.seq
+        return -1 if self._listing.version is None else self._listing.version
 
     def _lost(self, why: str) -> None:
         if not self._hard:
