--- a/tests/test_platform_bytes.py
+++ b/tests/test_platform_bytes.py
@@ -23,11 +23,12 @@
 import trio
 from trio.testing import MockClock, wait_all_tasks_blocked
 
-from willowhook.facts import facts_of
-from willowhook.frames.codec import Spoilt, Unreadable
-from willowhook.node import director as node_module
-from willowhook.node.links import Link
-from willowhook.node.start import Start
+from willowhook.platform import server as node_module
+from willowhook.platform.configuration import Start
+from willowhook.platform.connections import Link
+from willowhook.platform.fields import FieldError
+from willowhook.platform.framing import FramingError
+from willowhook.settings_codec import decode_settings
 
 Message = dict[str, Any]
 DATA = Path(__file__).parent / "data" / "platform_bytes.json"
@@ -62,7 +63,7 @@
         self.watching, self.full_list_wanted = False, 0
         self._connections: list[RecordingLink] = []
         nowhere = ("127.0.0.1", 1)
-        start = Start("n0", nowhere, nowhere, seed, 1024, known, facts_of(settings))
+        start = Start("n0", nowhere, nowhere, seed, 1024, known, decode_settings(settings))
         with (
             mock.patch.object(node_module, "Clock", lambda: self),
             mock.patch.object(node_module, "Watch", self._discovery_client),
@@ -131,11 +132,11 @@
         """As the reader of a socket does with what it received."""
         link, links = self._connections[connection], self._node._links
         try:
-            for message in link.cutter.take(data):
+            for message in link.decoder.feed(data):
                 self._node._heard(link, message)
                 if not link.open:
                     break
-        except Unreadable:
+        except FramingError:
             links.turn_away(link)
 
     def close(self, connection: int) -> None:
@@ -145,7 +146,7 @@
         """Whether it was accepted; one that is of no use counts as discovery lost."""
         try:
             self._told(answer)
-        except Spoilt as fault:
+        except FieldError as fault:
             self.discovery_lost(str(fault))
             return False
         return True
--- a/willowhook/platform/endpoint_list.py
+++ b/willowhook/platform/endpoint_list.py
@@ -29,7 +29,7 @@
 
 
 def change_request_target(version: int, wait_ms: int) -> str:
-    """The request target that gets what is newer than a version, after `wait_ms` milliseconds at the latest."""
+    """The request target that gets what is newer than a version, within `wait_ms` milliseconds."""
     return f"{LIST_PATH}?after={version}&wait_ms={wait_ms}"
 
 
