--- a/tests/test_platform_protocol.py
+++ b/tests/test_platform_protocol.py
@@ -27,7 +27,8 @@
 from willowhook.platform.fields import FieldError, Fields
 from willowhook.platform.framing import MAX_MESSAGE_BYTES, FrameDecoder, FramingError, encode_frame
 from willowhook.platform.messages import MessageDecoder
-from willowhook.platform.proxy_updates import Orders
+from willowhook.platform.proxy_updates import ProxyUpdates
+from willowhook.platform.update_encoder import EncodedParts
 
 IN_SERVICE = EndpointState.IN_SERVICE
 ATTACH = {"t": "attach", "proxy": 4, "zone": "south", "weight": 21.5, "fresh": True}
@@ -206,37 +207,37 @@
 def test_a_plain_proxy_holds_what_was_ordered(script: list[Any]) -> None:
     names = [route.name for route in SETTINGS.routes]
     proxies = {n: Proxy(names) for n in range(3)}
-    orders = Orders(SETTINGS, lambda proxy, frames, rows: proxies[proxy].take(frames))
+    updates = ProxyUpdates(SETTINGS, lambda proxy, update: proxies[proxy].take(update.frames))
     bound: dict[int, dict[int, int]] = {n: {} for n in proxies}
     tables: dict[int, dict[str, float]] = {n: {} for n in range(3)}
     out: set[str] = set()
     for n in proxies:
-        orders.join(n, True)
+        updates.open_session(n, True)
     for what, *rest in [*script, ("over",)]:
         if what == "leave":
-            orders.leave(rest[0])
-            orders.join(rest[0], True)
+            updates.close_session(rest[0])
+            updates.open_session(rest[0], True)
             proxies[rest[0]], bound[rest[0]] = Proxy(names), {}
             continue
         if what == "over":
-            orders.moment_over()
+            updates.flush()
         elif what == "allow":
-            orders.set_admission(rest[0], rest[1], AdmissionLimit(rest[2], rest[3]))
+            updates.set_admission(rest[0], rest[1], AdmissionLimit(rest[2], rest[3]))
         elif what == "mark":
-            orders.send_sync_marker(rest[0])
+            updates.send_sync_marker(rest[0])
         elif what == "line":
-            orders.set_weight(*rest)
+            updates.set_weight(*rest)
             tables[rest[0]].pop(rest[1], None)
             tables[rest[0]].update({rest[1]: rest[2]} if rest[2] else {})
         elif what == "clear":
-            orders.clear_table(rest[0])
+            updates.clear_table(rest[0])
             tables[rest[0]].clear()
         elif what == "withdraw":
-            (orders.exclude_endpoint if rest[1] else orders.readmit_endpoint)(rest[0])
+            (updates.exclude_endpoint if rest[1] else updates.readmit_endpoint)(rest[0])
             (out.add if rest[1] else out.discard)(rest[0])
         elif what == "bind":
             routes = [k for k in range(3) if rest[2] == 0 or rest[2] >> k & 1]
-            orders.bind(rest[0], rest[1], routes)
+            updates.bind(rest[0], rest[1], routes)
             bound[rest[0]].update(dict.fromkeys(routes, rest[1]))
     for n, proxy in proxies.items():
         for route, table in bound[n].items():
@@ -251,32 +252,32 @@
     told: dict[int, list[list[bytes]]] = {}
     names = [route.name for route in SETTINGS.routes]
 
-    def out(proxy: int, frames: list[bytes], rows: int) -> None:
-        told.setdefault(proxy, []).append(frames)
+    def out(proxy: int, update: EncodedParts) -> None:
+        told.setdefault(proxy, []).append(update.frames)
         if proxy == 1:  # found broken as it was written to
-            orders.leave(1)
+            updates.close_session(1)
 
-    orders = Orders(SETTINGS, out)
+    updates = ProxyUpdates(SETTINGS, out)
     for proxy in (0, 1, 2):
-        orders.join(proxy, False)
-        orders.bind(proxy, 0, range(len(names)))
-    orders.set_weight(0, "a", 1.0)
-    orders.readmit_for_proxy(2, ["a"])
-    orders.moment_over()
+        updates.open_session(proxy, False)
+        updates.bind(proxy, 0, range(len(names)))
+    updates.set_weight(0, "a", 1.0)
+    updates.readmit_for_proxy(2, ["a"])
+    updates.flush()
     assert list(told) == [0, 1, 2]
     last = list(FrameDecoder().feed(told[2][0][-1]))
     assert last == [{"t": "assign", "undrop": ["a"]}]
-    orders.readmit_endpoint("b")  # another may have shut it out of who was under orders before
-    orders.moment_over()
+    updates.readmit_endpoint("b")  # another may have shut it out of who was under orders before
+    updates.flush()
     assert len(told[0]) == 2 and len(told[1]) == 1
-    orders.exclude_for_proxy(2, ["b", "c"])  # they went before it joined: the others know
-    orders.exclude_for_proxy(1, ["b"])  # it has left
-    orders.moment_over()
+    updates.exclude_for_proxy(2, ["b", "c"])  # they went before it joined: the others know
+    updates.exclude_for_proxy(1, ["b"])  # it has left
+    updates.flush()
     assert len(told[0]) == 2 and len(told[1]) == 1
     assert list(FrameDecoder().feed(told[2][-1][0])) == [{"t": "assign", "drop": ["b", "c"]}]
 
 
-class Counting(Orders):
+class Counting(ProxyUpdates):
     """The module's host: orders counted as they leave."""
 
     def __init__(self, terms: Any) -> None:
@@ -284,11 +285,11 @@
         self.lines = 0
         super().__init__(terms, self.count)
 
-    def count(self, proxy: int, frames: list[bytes], rows: int) -> None:
+    def count(self, proxy: int, update: EncodedParts) -> None:
         before = self.proxies[proxy].rows
-        self.proxies[proxy].take(frames)
-        assert self.proxies[proxy].rows - before == rows
-        self.lines += rows + int(SETTINGS.channel.message_overhead_entries)
+        self.proxies[proxy].take(update.frames)
+        assert self.proxies[proxy].rows - before == update.entry_count
+        self.lines += update.entry_count + int(SETTINGS.channel.message_overhead_entries)
 
     def nothing(self, *_: object) -> None: ...
 
@@ -313,7 +314,7 @@
     entries = [EndpointEntry(f"h{k}", ready, 0, 1.0, "fast", terms.zones[k % 2]) for k in range(8)]
     module.handle(0, EndpointListReceived(True, tuple(entries)))
     for n in host.proxies:
-        host.join(n, n % 2 == 0)
+        host.open_session(n, n % 2 == 0)
         module.handle(0, ProxyJoined(n, terms.zones[n % 2], 5.0, n % 2 == 0))
     for beat in range(60):
         now += SECOND // 2
@@ -322,15 +323,15 @@
             entry = EndpointEntry("h3", state, 0 if beat < 10 else now, 1.0, "fast", terms.zones[1])
             module.handle(now, EndpointListReceived(False, (entry,)))
         if beat % 15 == 14:
-            host.leave(beat % 6)
+            host.close_session(beat % 6)
             module.handle(now, ProxyLeft(beat % 6))
-            host.join(beat % 6, False)
+            host.open_session(beat % 6, False)
             module.handle(now, ProxyJoined(beat % 6, terms.zones[beat % 6 % 2], 5.0, False))
         for k in range(8):
             module.handle(now, EndpointReport(f"h{k}", 9, 0, 300 + 100 * k * (beat % 7), 0.5))
         module.handle(now, EvaluationDue())
         module.flush(now)
-        host.moment_over()
+        host.flush()
         assert host.lines <= charged  # a line ordered twice in a moment, or of a stream that went, goes once
         for n, proxy in host.proxies.items():
             for stamp in proxy.stamps[-1:]:
--- a/willowhook/platform/proxy_updates.py
+++ b/willowhook/platform/proxy_updates.py
@@ -1,211 +1,288 @@
-"""The decision module's orders as messages on streams: one message a proxy and moment, of what changed.
+"""Turns the controller's commands on tables and proxies into one message per proxy and flush.
 
-Here is the one place that knows what each stream was told.  What is ordered between two `moment_over` calls
-becomes one chain of parts for each proxy concerned: the tables it is bound to, whole, or the lines of its
-tables that changed; their levels; hosts to shut out or let back, with the mark.  Parts that several proxies
-get are encoded once.  No I/O and no clock.
+The decisions own what each table should hold and who is bound to which. This module owns what each session
+has been told, and so what is still to be told: whole tables to those newly bound, changes to the others.
+No I/O and no clock.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Sequence
+from dataclasses import dataclass, field
 
 from ..decisions.runtime import AdmissionLimit
 from ..decisions.settings import DeploymentSettings
-from .fields import Fields
-from .framing import encode_frame
+from .update_encoder import EncodedParts, UpdateEncoder
 
 
-class Sheet:
-    """A table, and what changed in it since the last moment."""
+@dataclass(slots=True)
+class TableState:
+    """A table as it was commanded, and what has changed in it since the last flush.
 
-    def __init__(self) -> None:
-        self.lines: dict[str, float] = {}
-        self.levels: dict[int, AdmissionLimit] = {}
-        self.users: dict[int, tuple[int, ...]] = {}  # by proxy: the routes that it uses this table for
-        self.moved: dict[str, float] = {}
-        self.shifted: dict[int, None] = {}  # routes with another level
-
-
-class Stream:
-    """What the stream of a joined proxy was told."""
-
-    def __init__(self, doubtful: bool) -> None:
-        self.doubtful = doubtful  # other directors gave it orders, and may have shut hosts out of it
-        self.bound: dict[int, int] = {}  # by route: its table
-        self.out: dict[str, None] = {}  # shut out on this stream
-        # since the last moment:
-        self.anew: dict[int, None] = {}  # tables to tell whole
-        self.shut: dict[str, bool] = {}  # hosts to shut out, or to let back
-
-
-class Orders:
-    """The part of the module's host that concerns proxies; `out` takes proxy, frames and their rows."""
-
-    def __init__(self, settings: DeploymentSettings, out: Callable[[int, list[bytes], int], None]) -> None:
-        self._names = [route.name for route in settings.routes]
-        self._out = out
-        self._sheets: dict[int, Sheet] = {}
-        self._streams: dict[int, Stream] = {}
-        self._withdrawn: dict[str, None] = {}
-        self._touched: dict[int, None] = {}
-        self._stamp = -1
-
-    # Members and hosts.
-
-    def join(self, proxy: int, fresh: bool) -> None:
-        self._streams[proxy] = Stream(not fresh)
-
-    def leave(self, proxy: int) -> None:
-        stream = self._streams.pop(proxy, None)
-        self._touched.pop(proxy, None)
-        for table in dict.fromkeys(stream.bound.values()) if stream else ():
-            self._sheets[table].users.pop(proxy, None)
-
-    def forget_endpoint(self, host: str) -> None:
-        """No list names it any more, and no table: nothing is kept of it."""
-        self._withdrawn.pop(host, None)
-        for stream in self._streams.values():
-            stream.out.pop(host, None)
+    Attributes:
+        weights: by endpoint, without those of weight 0; the order is that of the commands.
+        admission: limits by route.
+        routes_by_proxy: the proxies that are bound to the table, and the routes that each uses it for.
+        changed_weights: by endpoint; 0: its entry was taken out.
+        changed_routes: routes with a new limit; a dict for its order.
+    """
+
+    weights: dict[str, float] = field(default_factory=dict)
+    admission: dict[int, AdmissionLimit] = field(default_factory=dict)
+    routes_by_proxy: dict[int, tuple[int, ...]] = field(default_factory=dict)
+    changed_weights: dict[str, float] = field(default_factory=dict)
+    changed_routes: dict[int, None] = field(default_factory=dict)
+
+    def holds(self, endpoint: str) -> bool:
+        """Whether a proxy that uses the table may have an entry for an endpoint, or is about to lose it."""
+        return endpoint in self.weights or endpoint in self.changed_weights
+
+    def forget_changes(self) -> None:
+        """All sessions have been told of the changes."""
+        self.changed_weights.clear()
+        self.changed_routes.clear()
+
+
+@dataclass(slots=True)
+class SessionState:
+    """What a proxy has been told in its session, and what it is to be told at the next flush.
+
+    Attributes:
+        may_hold_exclusions: whether other controllers may have excluded endpoints at this proxy.
+        table_by_route: what it is bound to.
+        excluded: endpoints that it was told to exclude; a dict for its order.
+        tables_to_replace: tables that it has to be told whole; a dict for its order.
+        pending_exclusions: by endpoint: True excludes it, False readmits it.
+    """
+
+    may_hold_exclusions: bool
+    table_by_route: dict[int, int] = field(default_factory=dict)
+    excluded: dict[str, None] = field(default_factory=dict)
+    tables_to_replace: dict[int, None] = field(default_factory=dict)
+    pending_exclusions: dict[str, bool] = field(default_factory=dict)
+
+    def bound_tables(self) -> list[int]:
+        """The tables that it is bound to, each once, in the order of its routes."""
+        return list(dict.fromkeys(self.table_by_route.values()))
+
+    def confirm_sent(self) -> None:
+        """All that was pending has been sent."""
+        for endpoint, is_excluded in self.pending_exclusions.items():
+            self.excluded.pop(endpoint, None)
+            if is_excluded:
+                self.excluded[endpoint] = None
+        self.tables_to_replace.clear()
+        self.pending_exclusions.clear()
+
+
+@dataclass(slots=True)
+class FlushCache:
+    """Parts that several proxies get in the same flush are encoded once.
+
+    Attributes:
+        tables: by table, the routes that use it, and whether it is told whole.
+        last_parts: by the exclusions in them.
+    """
+
+    tables: dict[tuple[int, tuple[int, ...], bool], EncodedParts] = field(default_factory=dict)
+    last_parts: dict[tuple[tuple[str, bool], ...], EncodedParts] = field(default_factory=dict)
+
+
+SendUpdate = Callable[[int, EncodedParts], None]
+
+
+class ProxyUpdates:
+    """The part of `ControllerRuntime` that concerns tables and proxies.
+
+    Commands for a proxy without a session are ignored: it has left.
+    """
+
+    def __init__(self, settings: DeploymentSettings, send: SendUpdate) -> None:
+        """Hands each message to `send`, which may close this or another session."""
+        self._encoder = UpdateEncoder(settings)
+        self._send = send
+        self._tables: dict[int, TableState] = {}
+        self._sessions: dict[int, SessionState] = {}
+        self._excluded: dict[str, None] = {}  # at all proxies; a dict for its order
+        self._pending: dict[int, None] = {}  # proxies with something to be told; a dict for its order
+        self._sync_marker: int | None = None
+
+    # Sessions.
+
+    def open_session(self, proxy: int, is_fresh: bool) -> None:
+        """Starts a session that has been told nothing.
+
+        Args:
+            proxy: its number.
+            is_fresh: whether no controller has told this proxy anything since it started.
+        """
+        self._sessions[proxy] = SessionState(may_hold_exclusions=not is_fresh)
+
+    def close_session(self, proxy: int) -> None:
+        """Forgets a session, if there is one."""
+        session = self._sessions.pop(proxy, None)
+        self._pending.pop(proxy, None)
+        if session is None:
+            return
+        for table in session.bound_tables():
+            self._tables[table].routes_by_proxy.pop(proxy, None)
 
-    # Orders.
+    # Commands, as `ControllerRuntime` describes them.
 
-    def set_weight(self, table: int, host: str, weight: float) -> None:
-        sheet = self._sheet(table)
-        sheet.lines.pop(host, None)
+    def set_weight(self, table: int, endpoint: str, weight: float) -> None:
+        """Sets the weight of an endpoint in a table; 0 takes its entry out."""
+        state = self._table(table)
+        state.weights.pop(endpoint, None)  # set again, it goes to the end of the table
         if weight > 0:
-            sheet.lines[host] = weight
-        sheet.moved[host] = weight
-        self._touch(sheet)
+            state.weights[endpoint] = weight
+        state.changed_weights[endpoint] = weight
+        self._mark_users_pending(state)
 
     def clear_table(self, table: int) -> None:
-        sheet = self._sheet(table)
-        sheet.lines.clear()
-        sheet.levels.clear()
-        for proxy in sheet.users:
-            self._streams[proxy].anew[table] = None
-        self._touch(sheet)
+        """Takes out all entries and limits of a table."""
+        state = self._table(table)
+        state.weights.clear()
+        state.admission.clear()
+        for proxy in state.routes_by_proxy:
+            self._sessions[proxy].tables_to_replace[table] = None
+        self._mark_users_pending(state)
+
+    def bind(self, proxy: int, table: int, routes: Sequence[int]) -> None:
+        """Makes a proxy use a table for these routes, in place of what it used."""
+        session = self._sessions.get(proxy)
+        if session is None:
+            return
+        self._table(table)
+        affected_tables = [*session.bound_tables(), table]
+        for route in routes:
+            session.table_by_route[route] = table
+        for affected in affected_tables:
+            self._update_users(affected, proxy, session)
+        session.tables_to_replace[table] = None
+        self._pending[proxy] = None
+
+    def set_admission(self, table: int, route: int, admission: AdmissionLimit) -> None:
+        """Sets what the proxies that use a table admit of a route."""
+        state = self._table(table)
+        state.admission[route] = admission
+        state.changed_routes[route] = None
+        self._mark_users_pending(state)
 
     def exclude_endpoint(self, endpoint: str) -> None:
-        self._withdrawn[endpoint] = None
-        self._withdraw(endpoint, True)
+        """Excludes an endpoint at all proxies that may hold an entry for it."""
+        self._excluded[endpoint] = None
+        holding_tables = [state for state in self._tables.values() if state.holds(endpoint)]
+        for proxy, session in self._sessions.items():
+            has_default_table = not session.table_by_route  # of unknown content
+            if has_default_table or any(proxy in state.routes_by_proxy for state in holding_tables):
+                session.pending_exclusions[endpoint] = True
+                self._pending[proxy] = None
 
     def readmit_endpoint(self, endpoint: str) -> None:
-        self._withdrawn.pop(endpoint, None)
-        self._withdraw(endpoint, False)
-
-    def _withdraw(self, host: str, on: bool) -> None:
-        holding = [s for s in self._sheets.values() if host in s.lines or host in s.moved]
-        for proxy, stream in self._streams.items():
-            if on:
-                told = not stream.bound or any(proxy in sheet.users for sheet in holding)
-            else:
-                told = host in stream.out or host in stream.shut or stream.doubtful
-            if told:
-                stream.shut[host] = on
-                self._touched[proxy] = None
-
-    def bind(self, proxy: int, table: int, routes: Sequence[int]) -> None:
-        stream = self._streams.get(proxy)
-        if stream is None:
-            return
-        self._sheet(table)
-        old = dict.fromkeys(stream.bound.values())
-        stream.bound.update(dict.fromkeys(routes, table))
-        for number in [*old, table]:
-            used = tuple(k for k, at in sorted(stream.bound.items()) if at == number)
-            if used:
-                self._sheets[number].users[proxy] = used
-            else:
-                self._sheets[number].users.pop(proxy, None)
-                stream.anew.pop(number, None)
-        stream.anew[table] = None
-        self._touched[proxy] = None
+        """Takes `exclude_endpoint` back at all proxies that may have heard of it, here or elsewhere."""
+        self._excluded.pop(endpoint, None)
+        for proxy, session in self._sessions.items():
+            was_told = endpoint in session.excluded or endpoint in session.pending_exclusions
+            if was_told or session.may_hold_exclusions:
+                session.pending_exclusions[endpoint] = False
+                self._pending[proxy] = None
 
     def exclude_for_proxy(self, proxy: int, endpoints: Sequence[str]) -> None:
-        self._shut(proxy, dict.fromkeys(endpoints, True))
+        """Excludes endpoints at one proxy, which joined after they were excluded."""
+        self._set_exclusions(proxy, endpoints, is_excluded=True)
 
     def readmit_for_proxy(self, proxy: int, endpoints: Sequence[str]) -> None:
-        self._shut(proxy, dict.fromkeys(endpoints, False))
-
-    def _shut(self, proxy: int, hosts: dict[str, bool]) -> None:
-        stream = self._streams.get(proxy)
-        if stream is not None:
-            stream.shut.update(hosts)
-            self._touched[proxy] = None
+        """Readmits endpoints at one proxy, where another controller may have excluded them."""
+        self._set_exclusions(proxy, endpoints, is_excluded=False)
 
-    def set_admission(self, table: int, route: int, admission: AdmissionLimit) -> None:
-        sheet = self._sheet(table)
-        sheet.levels[route] = admission
-        sheet.shifted[route] = None
-        self._touch(sheet)
+    def forget_endpoint(self, endpoint: str) -> None:
+        """Forgets the exclusion of an endpoint, which neither a list nor a table names any more."""
+        self._excluded.pop(endpoint, None)
+        for session in self._sessions.values():
+            session.excluded.pop(endpoint, None)
 
     def send_sync_marker(self, marker: int) -> None:
-        self._stamp = marker
-
-    def moment_over(self) -> None:
-        """Hands out what was ordered since the last moment."""
-        made: dict[object, tuple[list[bytes], int]] = {}  # shared parts
-        for proxy in list(self._touched):
-            stream = self._streams.get(proxy)
-            if stream is None:  # it broke as another was written to, and took its place here with it
-                continue
-            frames, rows = list[bytes](), 0
-            for table in dict.fromkeys(stream.bound.values()):
-                sheet, anew = self._sheets[table], table in stream.anew
-                key = (table, sheet.users[proxy], anew)
-                if key not in made:
-                    made[key] = self._table(sheet, key[1], anew)
-                frames += made[key][0]
-                rows += made[key][1]
-                if anew:
-                    stream.shut.update((h, True) for h in sheet.lines if h in self._withdrawn)
-            shut = tuple(stream.shut.items())
-            if shut not in made:
-                made[shut] = self._last(shut)
-            if not frames and not shut and self._stamp < 0:
-                continue
-            self._out(proxy, frames + made[shut][0], rows + made[shut][1])
-            for host, on in shut:
-                stream.out.pop(host, None)
-                if on:
-                    stream.out[host] = None
-            stream.anew.clear()
-            stream.shut.clear()
-        for sheet in self._sheets.values():
-            sheet.moved.clear()
-            sheet.shifted.clear()
-        self._touched.clear()
-        self._stamp = -1
-
-    def _table(self, sheet: Sheet, used: tuple[int, ...], anew: bool) -> tuple[list[bytes], int]:
-        names = [self._names[k] for k in used]
-        parts: list[Fields] = []
-        lines, shifted = (sheet.lines if anew else sheet.moved), (used if anew else sheet.shifted)
-        rows = len(lines) + anew
-        if anew or lines:
-            told: Fields = {"t": "assign", "for": names, "rows": list(lines.items()), "part": True}
-            parts.append({**told, "replace": True} if anew else told)
-        for k in used:
-            level = sheet.levels.get(k)
-            if k in shifted and level is not None:
-                told = {"t": "assign", "for": [self._names[k]], "part": True}
-                parts.append({**told, "gate": level.limit, "again": level.retries})
-                rows += 1
-        return [encode_frame(part) for part in parts], rows
-
-    def _last(self, shut: tuple[tuple[str, bool], ...]) -> tuple[list[bytes], int]:
-        part: Fields = {"t": "assign"}
-        for key, wish in (("drop", True), ("undrop", False)):
-            hosts = [host for host, on in shut if on == wish]
-            if hosts:
-                part[key] = hosts
-        if self._stamp >= 0:
-            part["stamp"] = self._stamp
-        return [encode_frame(part)], len(shut) + (self._stamp >= 0)
-
-    def _sheet(self, table: int) -> Sheet:
-        return self._sheets.setdefault(table, Sheet())
-
-    def _touch(self, sheet: Sheet) -> None:
-        self._touched.update(dict.fromkeys(sheet.users))
+        """Adds a marker to each message of this flush."""
+        self._sync_marker = marker
+
+    # The end of a batch.
+
+    def flush(self) -> None:
+        """Sends one message to each proxy that the commands since the last flush concern."""
+        cache = FlushCache()
+        for proxy in list(self._pending):
+            session = self._sessions.get(proxy)
+            if session is None:
+                continue  # closed as another one was sent to
+            self._send_pending(proxy, session, cache)
+        for state in self._tables.values():
+            state.forget_changes()
+        self._pending.clear()
+        self._sync_marker = None
+
+    def _send_pending(self, proxy: int, session: SessionState, cache: FlushCache) -> None:
+        frames: list[bytes] = []
+        entry_count = 0
+        for table in session.bound_tables():
+            parts = self._encode_table(table, proxy, session, cache)
+            frames += parts.frames
+            entry_count += parts.entry_count
+        if not frames and not session.pending_exclusions and self._sync_marker is None:
+            return
+        last_part = self._encode_last_part(session, cache)
+        self._send(proxy, EncodedParts(frames + last_part.frames, entry_count + last_part.entry_count))
+        session.confirm_sent()
+
+    def _encode_table(self, table: int, proxy: int, session: SessionState, cache: FlushCache) -> EncodedParts:
+        """What a proxy has to be told of a table; a whole one comes with the exclusions of its entries."""
+        state = self._tables[table]
+        routes = state.routes_by_proxy[proxy]
+        is_whole = table in session.tables_to_replace
+        key = (table, routes, is_whole)
+        parts = cache.tables.get(key)
+        if parts is None:
+            weights = state.weights if is_whole else state.changed_weights
+            told_routes = routes if is_whole else [route for route in routes if route in state.changed_routes]
+            limits = {route: state.admission[route] for route in told_routes if route in state.admission}
+            parts = self._encoder.encode_table(routes, weights, limits, replaces_table=is_whole)
+            cache.tables[key] = parts
+        if is_whole:
+            for endpoint in state.weights:
+                if endpoint in self._excluded:
+                    session.pending_exclusions[endpoint] = True
+        return parts
+
+    def _encode_last_part(self, session: SessionState, cache: FlushCache) -> EncodedParts:
+        key = tuple(session.pending_exclusions.items())
+        part = cache.last_parts.get(key)
+        if part is None:
+            part = self._encoder.encode_last_part(session.pending_exclusions, self._sync_marker)
+            cache.last_parts[key] = part
+        return part
+
+    # Private helpers of the commands.
+
+    def _table(self, table: int) -> TableState:
+        state = self._tables.get(table)
+        if state is None:
+            state = self._tables[table] = TableState()
+        return state
+
+    def _mark_users_pending(self, state: TableState) -> None:
+        self._pending.update(dict.fromkeys(state.routes_by_proxy))
+
+    def _update_users(self, table: int, proxy: int, session: SessionState) -> None:
+        """Notes which routes of a proxy use a table now; who uses it no more is not told of it either."""
+        routes = tuple(route for route, used in sorted(session.table_by_route.items()) if used == table)
+        if routes:
+            self._tables[table].routes_by_proxy[proxy] = routes
+        else:
+            self._tables[table].routes_by_proxy.pop(proxy, None)
+            session.tables_to_replace.pop(table, None)
+
+    def _set_exclusions(self, proxy: int, endpoints: Sequence[str], *, is_excluded: bool) -> None:
+        session = self._sessions.get(proxy)
+        if session is None:
+            return
+        session.pending_exclusions.update(dict.fromkeys(endpoints, is_excluded))
+        self._pending[proxy] = None
--- a/willowhook/platform/server.py
+++ b/willowhook/platform/server.py
@@ -24,7 +24,8 @@
 from .fields import FieldError, Fields
 from .framing import FramingError
 from .messages import HEARTBEAT_REPLY, CollectorJoined, Heartbeat, Message, MessageDecoder
-from .proxy_updates import Orders
+from .proxy_updates import ProxyUpdates
+from .update_encoder import EncodedParts
 
 SECOND = 10_000
 TICK_S = 0.004  # between moments at least: what comes closer together is one moment
@@ -43,7 +44,7 @@
         self._settings, self._reread, self._say = settings, reread, say
         self._clock, self._decoder = Clock(), MessageDecoder(settings)
         self._listing = EndpointListDecoder()
-        self._orders = Orders(settings, self._send)
+        self._updates = ProxyUpdates(settings, self._send)
         self._streams: dict[int, Link] = {}  # by proxy
         self._timers: list[int] = []  # when evaluations are due
         self._stirred = trio.Event()
@@ -51,13 +52,16 @@
         self._spoilt = self._longest = 0
         self._module = Controller(self, settings, start.seed, self._clock.now())
         # orders on proxies go where streams are known
-        self.set_weight, self.clear_table = self._orders.set_weight, self._orders.clear_table
-        self.exclude_endpoint = self._orders.exclude_endpoint
-        self.readmit_endpoint = self._orders.readmit_endpoint
-        self.exclude_for_proxy = self._orders.exclude_for_proxy
-        self.readmit_for_proxy = self._orders.readmit_for_proxy
-        self.bind, self.forget_endpoint = self._orders.bind, self._orders.forget_endpoint
-        self.set_admission, self.send_sync_marker = self._orders.set_admission, self._orders.send_sync_marker
+        self.set_weight, self.clear_table = self._updates.set_weight, self._updates.clear_table
+        self.exclude_endpoint = self._updates.exclude_endpoint
+        self.readmit_endpoint = self._updates.readmit_endpoint
+        self.exclude_for_proxy = self._updates.exclude_for_proxy
+        self.readmit_for_proxy = self._updates.readmit_for_proxy
+        self.bind, self.forget_endpoint = self._updates.bind, self._updates.forget_endpoint
+        self.set_admission, self.send_sync_marker = (
+            self._updates.set_admission,
+            self._updates.send_sync_marker,
+        )
         after = -1
         try:
             after = self._take_list(start.known)
@@ -125,18 +129,18 @@
             self._links.end(old)
         link.proxy = proxy
         self._streams[proxy] = link
-        self._orders.join(proxy, joined.is_fresh)
+        self._updates.open_session(proxy, joined.is_fresh)
         self._module.handle(self._clock.now(), joined)
 
     def _ended(self, link: Link) -> None:
         if link.proxy >= 0 and self._streams.get(link.proxy) is link:
             del self._streams[link.proxy]
-            self._orders.leave(link.proxy)
+            self._updates.close_session(link.proxy)
             self._module.handle(self._clock.now(), ProxyLeft(link.proxy))
             self._stirred.set()
 
-    def _send(self, proxy: int, frames: list[bytes], rows: int) -> None:
-        self._links.send(self._streams[proxy], b"".join(frames))
+    def _send(self, proxy: int, update: EncodedParts) -> None:
+        self._links.send(self._streams[proxy], b"".join(update.frames))
 
     # The list.
 
@@ -204,7 +208,7 @@
                 heapq.heappop(self._timers)
                 self._module.handle(now, EvaluationDue())
             self._module.flush(now)
-            self._orders.moment_over()
+            self._updates.flush()
             took = self._clock.now() - began
             self._longest = max(self._longest, took)
             await trio.sleep(max(TICK_S, SHARE * took / SECOND))
--- /dev/null
+++ b/willowhook/platform/update_encoder.py
@@ -0,0 +1,103 @@
+"""Encodes what a proxy is told: the parts of one `assign` message.
+
+The protocol lets a message come in several parts, one frame each; a proxy applies them at once when the last,
+the only one that is not marked as a part, has come.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Mapping
+from typing import NamedTuple
+
+from ..decisions.runtime import AdmissionLimit
+from ..decisions.settings import DeploymentSettings
+from .fields import Fields
+from .framing import encode_frame
+
+
+class EncodedParts(NamedTuple):
+    """Parts of a message.
+
+    Attributes:
+        frames: in the order in which they are sent.
+        entry_count: the entries that the platform charges for them.
+    """
+
+    frames: list[bytes]
+    entry_count: int
+
+
+class UpdateEncoder:
+    """Encodes parts of messages; it keeps nothing of them."""
+
+    def __init__(self, settings: DeploymentSettings) -> None:
+        """Takes the names of the routes from the settings."""
+        self._route_names = [route.name for route in settings.routes]
+
+    def encode_table(
+        self,
+        routes: Iterable[int],
+        weights: Mapping[str, float],
+        admission: Mapping[int, AdmissionLimit],
+        *,
+        replaces_table: bool,
+    ) -> EncodedParts:
+        """Encodes what changes in the table that some routes use.
+
+        Args:
+            routes: by index; those that use the table.
+            weights: of endpoints, in the order of the table; 0 takes an entry out.
+            admission: the new limits, by route.
+            replaces_table: whether the weights are the whole table, in place of what the routes used.
+        """
+        parts: list[Fields] = []
+        entry_count = len(weights)
+        if replaces_table or weights:
+            parts.append(self._weights_part(routes, weights, replaces_table))
+            entry_count += replaces_table
+        for route, limit in admission.items():
+            parts.append(self._admission_part(route, limit))
+            entry_count += 1
+        return EncodedParts([encode_frame(part) for part in parts], entry_count)
+
+    def encode_last_part(self, exclusions: Mapping[str, bool], sync_marker: int | None) -> EncodedParts:
+        """Encodes the last part of a message.
+
+        Args:
+            exclusions: by endpoint: True excludes it, False readmits it.
+            sync_marker: the proxy acknowledges it once it has applied the message; None: there is none.
+        """
+        part: Fields = {"t": "assign"}
+        entry_count = len(exclusions)
+        excluded = [endpoint for endpoint, is_excluded in exclusions.items() if is_excluded]
+        readmitted = [endpoint for endpoint, is_excluded in exclusions.items() if not is_excluded]
+        if excluded:
+            part["drop"] = excluded
+        if readmitted:
+            part["undrop"] = readmitted
+        if sync_marker is not None:
+            part["stamp"] = sync_marker
+            entry_count += 1
+        return EncodedParts([encode_frame(part)], entry_count)
+
+    def _weights_part(
+        self, routes: Iterable[int], weights: Mapping[str, float], replaces_table: bool
+    ) -> Fields:
+        part: Fields = {
+            "t": "assign",
+            "for": [self._route_names[route] for route in routes],
+            "rows": list(weights.items()),
+            "part": True,
+        }
+        if replaces_table:
+            part["replace"] = True
+        return part
+
+    def _admission_part(self, route: int, limit: AdmissionLimit) -> Fields:
+        return {
+            "t": "assign",
+            "for": [self._route_names[route]],
+            "part": True,
+            "gate": limit.limit,
+            "again": limit.retries,
+        }
