--- a/tests/test_discovery_watch.py
+++ b/tests/test_discovery_watch.py
@@ -7,7 +7,8 @@
 
 import trio
 
-from willowhook.platform.discovery_watch import Watch
+from willowhook.platform.address import Address
+from willowhook.platform.discovery_watch import DiscoveryWatch
 from willowhook.platform.fields import FieldError, Fields
 
 Scene = Callable[["Place", "Told"], Awaitable[None]]
@@ -52,7 +53,8 @@
     def __init__(self, port: int) -> None:
         self.seqs, self.lost = list[int](), list[str]()
         self.act: Callable[[], None] = lambda: None
-        self.watch = Watch(("127.0.0.1", port), self.told, self.hears_lost, 7)
+        self.watch = DiscoveryWatch(Address("127.0.0.1", port), self.told, self.hears_lost)
+        self.watch.version = 7
 
     def told(self, fields: Fields) -> int:
         self.seqs.append(fields["seq"])
@@ -72,8 +74,8 @@
             place = Place()
             await nursery.start(place.serve)
             told = Told(place.port)
-            told.watch.watch(True)
-            nursery.start_soon(told.watch.follow)
+            told.watch.resume()
+            nursery.start_soon(told.watch.run)
             await scene(place, told)
             nursery.cancel_scope.cancel()
 
@@ -84,7 +86,7 @@
     async def scene(place: Place, told: Told) -> None:
         target, stream = await place.question()
         assert "after=7" in target
-        told.act = told.watch.fetch  # the module asks for it as it is told
+        told.act = told.watch.fetch_complete_list  # the module asks for it as it is told
         await answer(stream, 8)
         target, _ = await place.question()
         assert target == "/v1/servers"
@@ -95,14 +97,14 @@
 def test_a_wish_for_the_whole_list_survives_a_question_that_is_lost() -> None:
     async def scene(place: Place, told: Told) -> None:
         _, stream = await place.question()
-        told.watch.fetch()
+        told.watch.fetch_complete_list()
         target, stream = await place.question()
         assert target == "/v1/servers"
         await stream.aclose()  # before an answer; it is on a connection of its own, so it counts as lost
         with trio.fail_after(5):
             while not told.lost:
                 await trio.sleep(0.01)
-        told.watch.watch(True)
+        told.watch.resume()
         target, _ = await place.question()
         assert target == "/v1/servers"
 
@@ -115,7 +117,9 @@
             new = Place()
             await nursery.start(new.serve)
             _, stream = await place.question()
-            told.act = lambda: told.watch.move(("127.0.0.1", new.port))  # the old answer came whole before it
+            told.act = lambda: told.watch.move_to(
+                Address("127.0.0.1", new.port)
+            )  # the old answer came whole before it
             await answer(stream, 8)
             target, stream = await new.question()
             assert "after=8" in target and not told.lost
@@ -135,7 +139,7 @@
             with trio.fail_after(5):
                 while not told.lost:
                     await trio.sleep(0.01)
-            told.watch.move(("127.0.0.1", new.port))  # the module's pause is not over
+            told.watch.move_to(Address("127.0.0.1", new.port))  # the module's pause is not over
             target, _ = await new.question()
             assert "after=7" in target
             nursery.cancel_scope.cancel()
@@ -176,7 +180,7 @@
         with trio.fail_after(5):
             while not told.lost:
                 await trio.sleep(0.01)
-        told.watch.watch(True)
+        told.watch.resume()
         target, _ = await place.question()
         assert target == "/v1/servers"
 
--- a/tests/test_platform_bytes.py
+++ b/tests/test_platform_bytes.py
@@ -23,11 +23,11 @@
 import trio
 from trio.testing import MockClock, wait_all_tasks_blocked
 
-from willowhook.platform import server as node_module
-from willowhook.platform.configuration import Start
-from willowhook.platform.connections import Link
+from willowhook.platform import connection_server, server
+from willowhook.platform.address import Address
+from willowhook.platform.configuration import ControllerConfiguration
+from willowhook.platform.connection import Connection
 from willowhook.platform.fields import FieldError
-from willowhook.platform.framing import FramingError
 from willowhook.settings_codec import decode_settings
 
 Message = dict[str, Any]
@@ -44,15 +44,15 @@
         return len(data)
 
 
-class RecordingLink(Link):
+class RecordingConnection(Connection):
     def close(self) -> None:
-        if self.open:
-            self.open = False
-            self.sock.send(b"<closed>")
+        if self.is_open:
+            self.is_open = False
+            self.socket.send(b"<closed>")
 
 
 class ControllerDriver:
-    """Adapter: every use of the project's internals is in this class, its link and the imports above.
+    """Adapter: every use of the project's internals is in this class, its connection and the imports above.
 
     It stands in for the clock and for the client of discovery, and puts recording sockets under the
     controller's own connections.  The controller's own loop runs, on trio's mock clock.
@@ -61,19 +61,20 @@
     def __init__(self, settings: Message, seed: int, known: Message) -> None:
         self.sent: list[tuple[int, bytes]] = []  # connection and bytes, in order; closes as b"<closed>"
         self.watching, self.full_list_wanted = False, 0
-        self._connections: list[RecordingLink] = []
-        nowhere = ("127.0.0.1", 1)
-        start = Start("n0", nowhere, nowhere, seed, 1024, known, decode_settings(settings))
+        self._connections: list[Connection] = []
+        nowhere = Address("127.0.0.1", 1)
+        start = ControllerConfiguration("n0", nowhere, nowhere, seed, 1024, known, decode_settings(settings))
         with (
-            mock.patch.object(node_module, "Clock", lambda: self),
-            mock.patch.object(node_module, "Watch", self._discovery_client),
+            mock.patch.object(server, "Clock", lambda: self),
+            mock.patch.object(server, "DiscoveryWatch", self._discovery_client),
         ):
-            self._node = node_module.Node(start, lambda: start, lambda line: None)
+            self._server = server.PlatformServer(start, lambda: start, lambda line: None)
+        self._connection_server = self._server._sessions.connections
 
     def _discovery_client(
-        self, address: object, told: Callable[..., int], lost: Callable[..., None], after: int
+        self, address: object, handle_answer: Callable[..., int], handle_loss: Callable[..., None]
     ) -> ControllerDriver:
-        self._told, self._lost = told, lost
+        self._handle_answer, self._handle_loss = handle_answer, handle_loss
         return self
 
     # What the controller calls: its clock, and its client of discovery.
@@ -81,10 +82,10 @@
     def now(self) -> int:
         return START_MS * 10 + round(trio.current_time() * 10_000)
 
-    def watch(self, on: bool) -> None:
-        self.watching = on
+    def resume(self) -> None:
+        self.watching = True
 
-    def fetch(self) -> None:
+    def fetch_complete_list(self) -> None:
         self.full_list_wanted += 1
 
     # What the script calls.
@@ -96,7 +97,7 @@
         async def main() -> None:
             driver = ControllerDriver(settings, seed, known)
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(driver._node._decide)
+                nursery.start_soon(driver._server._decide)
                 await script(driver)
                 nursery.cancel_scope.cancel()
 
@@ -117,47 +118,38 @@
             clock.jump(max(due, 0.0))
 
     def connect(self) -> int:
-        links, number = self._node._links, len(self._connections)
-        links._turn += 1
-        links.held += 1
-        link = RecordingLink(RecordingSocket(number, self.sent), trio.current_time(), links._turn)  # type: ignore[arg-type]
-        links._strangers[link] = None
-        self._connections.append(link)
+        number = len(self._connections)
+        with mock.patch.object(connection_server, "Connection", RecordingConnection):
+            connection = self._connection_server.add_connection(RecordingSocket(number, self.sent))  # type: ignore[arg-type]
+        self._connections.append(connection)
         return number
 
     def is_open(self, connection: int) -> bool:
-        return self._connections[connection].open
+        return self._connections[connection].is_open
 
     def deliver_bytes(self, connection: int, data: bytes) -> None:
         """As the reader of a socket does with what it received."""
-        link, links = self._connections[connection], self._node._links
-        try:
-            for message in link.decoder.feed(data):
-                self._node._heard(link, message)
-                if not link.open:
-                    break
-        except FramingError:
-            links.turn_away(link)
+        self._connection_server.receive(self._connections[connection], data)
 
     def close(self, connection: int) -> None:
-        self._node._links.end(self._connections[connection])
+        self._connection_server.close(self._connections[connection])
 
     def discovery_answer(self, answer: Message) -> bool:
         """Whether it was accepted; one that is of no use counts as discovery lost."""
         try:
-            self._told(answer)
-        except FieldError as fault:
-            self.discovery_lost(str(fault))
+            self._handle_answer(answer)
+        except FieldError as error:
+            self.discovery_lost(str(error))
             return False
         return True
 
     def discovery_lost(self, why: str) -> None:
         self.watching = False
-        self._lost(why)
+        self._handle_loss(why)
 
     def endpoints(self) -> dict[str, bool]:
         """The endpoints that the controller holds, and whether each is ejected for its failures."""
-        return {name: endpoint.sick for name, endpoint in self._node._module.hosts.items()}
+        return {name: endpoint.sick for name, endpoint in self._server._controller.hosts.items()}
 
 
 # Nothing below uses names of the project.
--- a/tests/test_platform_server.py
+++ b/tests/test_platform_server.py
@@ -17,8 +17,9 @@
 import pytest
 import trio
 
-from willowhook.platform.configuration import PATH, Unusable, read_start
-from willowhook.platform.connections import Links
+from willowhook.platform.address import Address
+from willowhook.platform.configuration import PATH_VARIABLE, ConfigurationError, read_configuration
+from willowhook.platform.connection_server import ConnectionServer
 from willowhook.platform.fields import Fields
 from willowhook.platform.framing import FrameDecoder, encode_frame
 from willowhook.web.wire import Call, Reply, answer_calls
@@ -127,7 +128,7 @@
         await nursery.start(service.discovery.serve, service.place)
         log = service.path.with_name("log").open("wb")
         run = [sys.executable, "-m", "willowhook.platform"]
-        process = subprocess.Popen(run, env={**os.environ, PATH: str(service.path)}, stderr=log)
+        process = subprocess.Popen(run, env={**os.environ, PATH_VARIABLE: str(service.path)}, stderr=log)
         try:
             with trio.fail_after(20):
                 while True:
@@ -207,7 +208,7 @@
         assert process.returncode == 0
 
     log = play(service, scene)
-    assert "the new configuration is not used" in log and "configured anew" in log and "Traceback" not in log
+    assert "configuration reload failed" in log and "configuration reloaded" in log and "Traceback" not in log
 
 
 def test_a_configuration_half_written_as_the_signal_comes_is_read_once_it_is_whole(tmp_path: Path) -> None:
@@ -222,7 +223,7 @@
             service.path.write_text(text[: len(text) // 2])
             process.send_signal(signal.SIGHUP)
             with trio.fail_after(5):
-                while "is not used" not in service.path.with_name("log").read_text():
+                while "configuration reload failed" not in service.path.with_name("log").read_text():
                     await trio.sleep(0.01)
             service.path.write_text(text)  # and no further signal
             with trio.fail_after(5):
@@ -230,7 +231,7 @@
                     await trio.sleep(0.02)
             nursery.cancel_scope.cancel()
 
-    assert play(service, scene).count("is not used") == 1
+    assert play(service, scene).count("configuration reload failed") == 1
 
 
 def test_who_is_reset_before_it_is_taken_ends_nothing_else() -> None:
@@ -251,10 +252,10 @@
 
     async def scene() -> None:
         async with trio.open_nursery() as nursery:
-            links = Links(("127.0.0.1", 0), 99, lambda *_: None, lambda *_: None)
-            links._nursery = nursery
-            assert links._accept(Listener())  # type: ignore[arg-type]
-            assert links.held == 0 and theirs.recv(1) == b""
+            connections = ConnectionServer(Address("127.0.0.1", 0), 99, lambda *_: None, lambda *_: None)
+            connections._nursery = nursery
+            assert connections._accept_pending(Listener())  # type: ignore[arg-type]
+            assert connections.open_count == 0 and theirs.recv(1) == b""
 
     trio.run(scene)
     theirs.close()
@@ -332,14 +333,22 @@
     play(service, scene)
 
 
-@pytest.mark.parametrize(("text", "why"), [
-    ("{", "no JSON"), ('{"name": "n"}', "settings is missing"), ('{"settings": {}}', "is missing"),
-    (json.dumps({"settings": SETTINGS, "listen": "here"}), "listen"),
-    (json.dumps({"settings": SETTINGS, "listen": "127.0.0.1:1", "discovery": 5}), "discovery is int"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("text", "why"),
+    [
+        ("{", "no JSON"),
+        ('{"name": "n"}', "settings is missing"),
+        ('{"settings": {}}', "is missing"),
+        (json.dumps({"settings": SETTINGS, "listen": "here"}), "listen"),
+        (
+            json.dumps({"settings": SETTINGS, "listen": "127.0.0.1:1", "discovery": 5}),
+            "discovery: expected str, got int",
+        ),
+    ],
+)
 def test_an_unusable_configuration_is_told_in_one_line(tmp_path: Path, text: str, why: str) -> None:
     (tmp_path / "c.json").write_text(text)
-    with pytest.raises(Unusable, match=why):
-        read_start({PATH: str(tmp_path / "c.json")})
-    with pytest.raises(Unusable, match="not set"):
-        read_start({})
+    with pytest.raises(ConfigurationError, match=why):
+        read_configuration({PATH_VARIABLE: str(tmp_path / "c.json")})
+    with pytest.raises(ConfigurationError, match="not set"):
+        read_configuration({})
--- a/willowhook/decisions/controller.py
+++ b/willowhook/decisions/controller.py
@@ -31,6 +31,7 @@
 from .model import NEVER, Channel, Ring, Table, Upstream, cap, middle
 from .runtime import AdmissionLimit, ControllerRuntime
 from .settings import AdmissionUnit, DeploymentSettings, LoadSource
+from .status import ControllerStatus
 
 # Time, in tenths of a millisecond.
 SECOND, BEAT = 10_000, 5_000  # a beat is between looks at health and levels
@@ -133,6 +134,17 @@
         """Takes one event in; what follows from it is ordered by the next `flush`."""
         self._handlers[type(event)](now, event)
 
+    def status(self, now: int) -> ControllerStatus:
+        """The state at this time."""
+        in_service = sum(host.mode is EndpointState.IN_SERVICE for host in self.hosts.values())
+        return ControllerStatus(
+            endpoints_in_service=in_service,
+            endpoint_count=len(self.hosts),
+            load_fraction=self.loads[now // BEAT - 1 & 7],
+            admitted_fraction=self.room,
+            queue_entries=self.channel.load(),
+        )
+
     def proxy_joined(self, now: int, event: ProxyJoined) -> None:
         proxy, zone, rate, fresh = event.proxy, event.zone, event.usual_rate_per_second, event.is_fresh
         self.proxies[proxy], self.channel.waiting[proxy] = (zone, rate), []
--- a/willowhook/platform/__init__.py
+++ b/willowhook/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The director on the platform's protocol: streams, discovery, clock, signals round the decision module."""
+"""The platform protocol, and the server that runs a controller on it."""
--- a/willowhook/platform/__main__.py
+++ b/willowhook/platform/__main__.py
@@ -1,4 +1,7 @@
-"""`python -m willowhook.platform`: one director, as the platform starts it; exits with 0 when told to end."""
+"""Runs one controller as the platform starts it: `python -m willowhook.platform`.
+
+The exit code is 0 after SIGTERM or SIGINT.
+"""
 
 from __future__ import annotations
 
@@ -6,40 +9,54 @@
 import sys
 import time
 import traceback
+from enum import IntEnum
 from functools import partial
 
-from .configuration import Unusable, read_start
-from .server import run
+from .configuration import ConfigurationError, ControllerConfiguration, read_configuration
+from .configuration_reload import ReadConfiguration
+from .server import run_server
+
+
+class ExitCode(IntEnum):
+    """How the process ended."""
 
-UNUSABLE, BROKEN = 2, 4
+    TERMINATED = 0
+    CANNOT_START = 2
+    INTERNAL_ERROR = 4
 
 
-def say(text: str) -> None:
-    try:  # a log that cannot be written must not end a director
+def write_log(text: str) -> None:
+    """Writes one line, with the Unix time in seconds, to standard error."""
+    try:
         sys.stderr.write(f"{time.time():.3f} {text}\n")
         sys.stderr.flush()
     except (OSError, ValueError):
-        pass
+        pass  # a log that cannot be written must not end the controller
 
 
 def main() -> int:
-    reread = partial(read_start, dict(os.environ))
+    """Runs a server until it is told to end; returns an `ExitCode`."""
+    read_again = partial(read_configuration, dict(os.environ))
     try:
-        start = reread()
-    except Unusable as fault:
-        say(f"willowhook cannot start: {fault}")
-        return UNUSABLE
-    code = 0
+        configuration = read_again()
+    except ConfigurationError as error:
+        write_log(f"cannot start error={str(error)!r}")
+        return ExitCode.CANNOT_START
+    return _serve(configuration, read_again)
+
+
+def _serve(configuration: ControllerConfiguration, read_again: ReadConfiguration) -> ExitCode:
+    exit_code = ExitCode.TERMINATED
     try:
-        run(start, reread, say)
-    except* OSError as faults:
-        say(f"willowhook cannot listen on {start.listen[0]}:{start.listen[1]}: {faults.exceptions[0]}")
-        code = UNUSABLE
-    except* Exception as faults:
-        traceback.print_exception(faults)
-        say("the director broke")
-        code = BROKEN
-    return code
+        run_server(configuration, read_again, write_log)
+    except* OSError as errors:
+        write_log(f"cannot listen address={configuration.listen} error={str(errors.exceptions[0])!r}")
+        exit_code = ExitCode.CANNOT_START
+    except* Exception as errors:
+        traceback.print_exception(errors)
+        write_log("stopped by an internal error")
+        exit_code = ExitCode.INTERNAL_ERROR
+    return exit_code
 
 
 if __name__ == "__main__":
--- a/willowhook/platform/clock.py
+++ b/willowhook/platform/clock.py
@@ -1,15 +1,19 @@
-"""The clock of decisions: Unix time in tenths of a millisecond, as lists tell when a host started."""
+"""The clock of the controller: Unix time in ticks, as endpoint lists give the start of an endpoint."""
 
 from __future__ import annotations
 
 import time
 
+from ..ticks import TICKS_PER_SECOND
+
 
 class Clock:
-    """Read from the system's clocks; it never goes back, and a step of the Unix clock does not move it."""
+    """A clock that never goes back; a step of the system's Unix clock does not move it."""
 
     def __init__(self) -> None:
-        self._base = time.time() - time.monotonic()
+        """Reads the Unix time once."""
+        self._monotonic_epoch_s = time.time() - time.monotonic()
 
     def now(self) -> int:
-        return int((self._base + time.monotonic()) * 10_000)
+        """The present time in ticks."""
+        return int((self._monotonic_epoch_s + time.monotonic()) * TICKS_PER_SECOND)
--- /dev/null
+++ b/willowhook/platform/connection_server.py
@@ -0,0 +1,190 @@
+"""Accepts the connections of proxies and collectors, and reads them.
+
+A connection is unidentified until its first message says who the peer is. Unidentified ones have a time
+limit, and are the first to go when the process runs out of descriptors.
+"""
+
+from __future__ import annotations
+
+import errno
+import socket
+from collections.abc import Callable
+
+import trio
+
+from ..errors import WillowhookError
+from .address import Address
+from .connection import Connection
+from .fields import Fields
+from .framing import FramingError
+from .messages import REJECTION
+
+RECEIVE_BYTES = 64 << 10  # per read
+IDENTIFICATION_TIMEOUT_S = 2.0
+OVERDUE_CHECK_INTERVAL_S = 0.25
+OUT_OF_DESCRIPTORS_PAUSE_S = 0.25  # before the next connection is accepted
+SEND_BUFFER_BYTES = 64 << 10  # of the kernel, per socket: peers that read nothing must cost little memory
+LISTEN_BACKLOG = 1024
+MAX_ACCEPTED_PER_TURN = 64  # so that other tasks have their turn
+RESERVED_DESCRIPTORS = 24  # listener, discovery (two while it moves), event loop, log, spare
+OUT_OF_RESOURCES = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
+
+
+class IdentificationError(WillowhookError):
+    """The first message of a connection does not say who the peer is. The peer's fault; it is rejected."""
+
+
+MessageHandler = Callable[[Connection, Fields], None]  # raises FramingError, IdentificationError: reject it
+CloseHandler = Callable[[Connection], None]  # for identified connections only
+
+
+class ConnectionServer:
+    """Listens at the controller's address and owns the connections that it accepts.
+
+    Attributes:
+        open_count: connections that are open.
+        rejected_count: connections that were rejected, since the start.
+    """
+
+    def __init__(
+        self,
+        address: Address,
+        max_descriptors: int,
+        handle_message: MessageHandler,
+        handle_close: CloseHandler,
+    ) -> None:
+        """Does not listen yet; `max_descriptors` is the limit of the whole process."""
+        self._address = address
+        self._max_descriptors = max_descriptors
+        self._handle_message = handle_message
+        self._handle_close = handle_close
+        self._unidentified: dict[Connection, None] = {}  # the oldest first
+        self._accepted_count = 0
+        self._nursery: trio.Nursery | None = None
+        self.open_count = 0
+        self.rejected_count = 0
+
+    def set_max_descriptors(self, max_descriptors: int) -> None:
+        """Changes the limit for connections to come."""
+        self._max_descriptors = max_descriptors
+
+    async def serve(self) -> None:
+        """Listens until cancelled. Raises OSError if the address cannot be listened on."""
+        with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as listener:
+            listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
+            listener.bind(self._address)
+            listener.listen(LISTEN_BACKLOG)
+            listener.setblocking(False)
+            async with trio.open_nursery() as self._nursery:
+                self._nursery.start_soon(self._reject_overdue_connections)
+                while True:
+                    await trio.lowlevel.wait_readable(listener)
+                    if not self._accept_pending(listener):
+                        await trio.sleep(OUT_OF_DESCRIPTORS_PAUSE_S)
+
+    def add_connection(self, sock: socket.socket) -> Connection:
+        """Takes over an accepted socket, whose peer is unidentified."""
+        self._accepted_count += 1
+        connection = Connection(sock, trio.current_time(), self._accepted_count)
+        self.open_count += 1
+        self._unidentified[connection] = None
+        return connection
+
+    def send(self, connection: Connection, data: bytes) -> None:
+        """Sends without waiting; closes a connection that has failed or reads too slowly."""
+        if not connection.send(data):
+            self.close(connection)
+        elif connection.has_queued_bytes and not connection.is_sending_queue:
+            assert self._nursery is not None
+            connection.is_sending_queue = True
+            self._nursery.start_soon(connection.send_queue)
+
+    def receive(self, connection: Connection, data: bytes) -> None:
+        """Handles the messages that `data` completes; rejects the peer if they cannot be decoded."""
+        try:
+            for message in connection.decoder.feed(data):
+                self._handle_message(connection, message)
+                if not connection.is_open:
+                    break
+        except (FramingError, IdentificationError):
+            self.reject(connection)
+
+    def confirm_identity(self, connection: Connection) -> None:
+        """The peer has said who it is: its time limit and the limit on its first message are off."""
+        self._unidentified.pop(connection, None)
+        connection.allow_long_messages()
+
+    def reject(self, connection: Connection) -> None:
+        """Tells a peer that it is rejected, as far as it still listens, and closes the connection."""
+        if connection.is_open:
+            self.rejected_count += 1
+            connection.send(REJECTION)
+        self.close(connection)
+
+    def close(self, connection: Connection) -> None:
+        """Closes a connection and reports it, if its peer was identified. Does nothing if it is closed."""
+        self._unidentified.pop(connection, None)
+        if not connection.is_open:
+            return
+        self.open_count -= 1
+        connection.close()
+        if connection.is_identified:
+            self._handle_close(connection)
+
+    def _accept_pending(self, listener: socket.socket) -> bool:
+        """Accepts the connections that wait; False if descriptors have run out."""
+        for _ in range(MAX_ACCEPTED_PER_TURN):
+            try:
+                sock, _ = listener.accept()
+            except BlockingIOError:
+                return True
+            except OSError as error:
+                if error.errno in OUT_OF_RESOURCES:
+                    self._reject_oldest_unidentified()
+                    return False
+                continue  # the peer was gone before it was accepted
+            try:
+                sock.setblocking(False)
+                sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            except OSError:  # some kernels report a reset in the backlog here
+                sock.close()
+                continue
+            self._start_connection(sock)
+        return True
+
+    def _start_connection(self, sock: socket.socket) -> None:
+        assert self._nursery is not None
+        connection = self.add_connection(sock)
+        if self.open_count + RESERVED_DESCRIPTORS > self._max_descriptors:
+            self._reject_oldest_unidentified()
+        if connection.is_open:
+            self._nursery.start_soon(self._read, connection)
+
+    def _reject_oldest_unidentified(self) -> None:
+        oldest = next(iter(self._unidentified), None)
+        if oldest is not None:
+            self.reject(oldest)
+
+    async def _read(self, connection: Connection) -> None:
+        while connection.is_open:
+            try:
+                await trio.lowlevel.wait_readable(connection.socket)
+                data = connection.socket.recv(RECEIVE_BYTES)
+            except (BlockingIOError, InterruptedError):
+                continue
+            except (OSError, trio.ClosedResourceError):
+                break
+            if not data:
+                break
+            self.receive(connection, data)
+        self.close(connection)
+
+    async def _reject_overdue_connections(self) -> None:
+        """Rejects, for ever, those that have not said in time who they are."""
+        while True:
+            await trio.sleep(OVERDUE_CHECK_INTERVAL_S)
+            deadline = trio.current_time() - IDENTIFICATION_TIMEOUT_S
+            overdue = [each for each in self._unidentified if each.accepted_at < deadline]
+            for connection in overdue:
+                self.reject(connection)
--- a/willowhook/platform/discovery_watch.py
+++ b/willowhook/platform/discovery_watch.py
@@ -1,4 +1,4 @@
-"""Follows discovery: one watch after the other, each asking for what is newer than the last answer."""
+"""Follows the endpoint list by long polling: a request waits at discovery for what is newer."""
 
 from __future__ import annotations
 
@@ -7,109 +7,153 @@
 import trio
 
 from ..web.wire import Broken, Caller, Reply, dial
+from .address import Address
 from .endpoint_list import change_request_target, list_request_target
 from .fields import FieldError, Fields
 from .framing import FramingError, decode_object
 
-# A watch waits so long for news, and an answer may be late by so much: together, how long a silent discovery
-# goes unnoticed.  The wait is under what is counted as told, with room to dial and ask once more.
-WAIT_MS, PATIENCE_S, DIAL_S = 2000, 1.2, 1.0
-# Between questions when an answer at once brought nothing: under the 200 ms within which a watch goes on.
-PAUSE_S = 0.1
-CLOSING_S = 0.1  # a question on a connection that had just been closed fails within this, on any network here
-MOST = 16 << 20  # bytes of an answer
-
-
-class Watch:
-    """`told` is handed every answer and returns the version to ask after; `lost` hears that none came."""
-
-    def __init__(
-        self, address: tuple[str, int], told: Callable[[Fields], int], lost: Callable[[str], None], after: int
-    ) -> None:
-        self._address, self._told, self._lost, self._after = address, told, lost, after
-        self._wanted, self._scope = trio.Event(), trio.CancelScope()
-        self._whole = False
+# How long a request waits for a change, and how much later its answer may come: together, how long it takes
+# to notice that discovery is silent. The rules allow for both, and for one more connection and request.
+CHANGE_WAIT_MS = 2000
+ANSWER_TIMEOUT_S = 1.2
+CONNECT_TIMEOUT_S = 1.0
+MIN_REQUEST_INTERVAL_S = 0.1  # when an answer brought nothing new; rules ask for the next within 0.2 s
+IDLE_CLOSE_S = 0.1  # a request on a connection that the other side had just closed fails within this
+MAX_ANSWER_BYTES = 16 << 20
+STATUS_OK = 200
+
+AnswerHandler = Callable[[Fields], int | None]
+LossHandler = Callable[[str], None]
+
+
+class DiscoveryWatch:
+    """Requests the endpoint list until cancelled; stops after a loss until it is told to resume.
+
+    Attributes:
+        version: of the list that changes are requested for; None: the complete list is requested.
+    """
+
+    def __init__(self, address: Address, handle_answer: AnswerHandler, handle_loss: LossHandler) -> None:
+        """Takes its handlers; it starts when it is told to resume.
+
+        Args:
+            address: of discovery.
+            handle_answer: takes an answer and returns the version of the list then. Raises FieldError.
+            handle_loss: takes the reason for which there was no answer, or none of use.
+        """
+        self.version: int | None = None
+        self._address = address
+        self._handle_answer = handle_answer
+        self._handle_loss = handle_loss
+        self._resumed = trio.Event()
+        self._exchange = trio.CancelScope()  # the request that is out, and the handling of its answer
+        self._wants_complete_list = False
         self._caller: Caller | None = None
-        self._at = address  # of the caller
+        self._connected_to = address
 
-    def watch(self, on: bool) -> None:
-        if on:
-            self._wanted.set()
-        else:
-            self._wanted = trio.Event()
+    def resume(self) -> None:
+        """Requests the list, and goes on until discovery is lost."""
+        self._resumed.set()
 
-    def fetch(self) -> None:
-        """The next question is for the whole list, and it is asked at once."""
-        self._whole = True
-        self._wanted.set()
-        self._scope.cancel()
+    def fetch_complete_list(self) -> None:
+        """Requests the complete list at once, in place of the request that is out."""
+        self._wants_complete_list = True
+        self._resumed.set()
+        self._exchange.cancel()
 
-    def move(self, address: tuple[str, int]) -> None:
-        """Discovery answers elsewhere from now on, and is asked there at once; the old address is let go."""
+    def move_to(self, address: Address) -> None:
+        """Requests the list at another address from now on, at once."""
         if address != self._address:
             self._address = address
-            self._wanted.set()  # a pause was for the old address: the new one has not failed
-            self._scope.cancel()
+            self._resumed.set()  # only the old address was lost
+            self._exchange.cancel()
 
-    async def follow(self) -> None:
+    async def run(self) -> None:
+        """Requests the list until cancelled."""
         while True:
-            await self._wanted.wait()
-            with trio.CancelScope() as self._scope:
-                await self._turn()
-            if self._scope.cancelled_caught:
-                await self._drop()
-
-    async def _turn(self) -> None:
-        """One question and its answer; a wish for the whole list that comes meanwhile is for the next."""
-        whole, self._whole = self._whole or self._after < 0, False
-        address, began, answer = self._address, trio.current_time(), None
+            await self._resumed.wait()
+            with trio.CancelScope() as self._exchange:
+                await self._exchange_once()
+            if self._exchange.cancelled_caught:
+                await self._disconnect()
+
+    def _pause(self) -> None:
+        """Requests nothing more until told to: the controller has its own backoff."""
+        self._resumed = trio.Event()
+
+    async def _exchange_once(self) -> None:
+        """Sends one request and handles its answer."""
+        started_at = trio.current_time()
+        version_before = self.version
+        answer = await self._request_answer()
+        if answer is None:
+            return
         try:
-            answer = await self._ask(whole)
-        except (Broken, trio.TooSlowError, FramingError) as fault:
-            with trio.CancelScope(shield=True):  # a move just now must not swallow that it was lost
-                await self._drop()
-            if address == self._address:
-                self._wanted = trio.Event()  # the module says when to ask again
-                self._lost(f"{type(fault).__name__}: {fault}".rstrip(": "))
+            self.version = self._handle_answer(answer)
+        except FieldError as error:
+            self._pause()
+            self._wants_complete_list = True
+            self._handle_loss(f"malformed answer: {error}")
             return
-        finally:
-            if answer is None:
-                self._whole = self._whole or whole
-        held = self._after
+        is_unchanged = self.version == version_before
+        if is_unchanged and trio.current_time() - started_at < MIN_REQUEST_INTERVAL_S:
+            await trio.sleep(MIN_REQUEST_INTERVAL_S)  # discovery answers at once, without news
+
+    async def _request_answer(self) -> Fields | None:
+        """The answer to one request; None if there was none, which has then been handled."""
+        is_complete = self._wants_complete_list or self.version is None
+        self._wants_complete_list = False  # one that is wanted from here on is for the next request
+        address = self._address
+        answer = None
         try:
-            self._after = self._told(answer)
-        except FieldError as fault:
-            self._wanted, self._whole = trio.Event(), True
-            self._lost(f"an answer of no use: {fault}")
+            answer = await self._request(is_complete)
+        except (Broken, trio.TooSlowError, FramingError) as error:
+            with trio.CancelScope(shield=True):  # a move at this time must not hide the loss
+                await self._disconnect()
+            if address == self._address:
+                self._pause()
+                self._handle_loss(f"{type(error).__name__}: {error}".rstrip(": "))
+        finally:
+            if answer is None and is_complete:
+                self._wants_complete_list = True
+        return answer
+
+    async def _request(self, is_complete: bool) -> Fields:
+        """Raises Broken, TooSlowError or FramingError if no answer comes, or one that is no JSON object."""
+        if is_complete or self.version is None:
+            target = list_request_target()
+            timeout_s = ANSWER_TIMEOUT_S
         else:
-            if self._after == held and trio.current_time() - began < PAUSE_S:
-                await trio.sleep(PAUSE_S)  # a discovery that answers at once with nothing new, for ever
-
-    async def _ask(self, whole: bool) -> Fields:
-        target, wait = list_request_target(), 0.0
-        if not whole:
-            target, wait = change_request_target(self._after, WAIT_MS), WAIT_MS / 1000
-        with trio.fail_after(wait + PATIENCE_S):
+            target = change_request_target(self.version, CHANGE_WAIT_MS)
+            timeout_s = CHANGE_WAIT_MS / 1000 + ANSWER_TIMEOUT_S
+        with trio.fail_after(timeout_s):
             reply = await self._call(target.encode())
-        if reply.status != 200:
+        if reply.status != STATUS_OK:
             raise Broken(f"status {reply.status}", True)
         return decode_object(reply.body)
 
     async def _call(self, target: bytes) -> Reply:
-        if self._caller is not None and self._caller.usable and self._at == self._address:
-            began = trio.current_time()
+        """Sends the request on the connection that is there, or else on a new one. Raises Broken."""
+        caller = self._caller
+        if caller is not None and caller.usable and self._connected_to == self._address:
+            started_at = trio.current_time()
             try:
-                return await self._caller.call(b"GET", target, most=MOST)
+                return await caller.call(b"GET", target, most=MAX_ANSWER_BYTES)
             except Broken:
-                if trio.current_time() - began > CLOSING_S:
+                if trio.current_time() - started_at > IDLE_CLOSE_S:
                     raise
-                # the other side closed an idle connection as the question was written: it is asked anew
-        await self._drop()
-        self._at = self._address
-        self._caller = await dial(*self._at, DIAL_S)
-        return await self._caller.call(b"GET", target, most=MOST)
+                # the other side closed an idle connection as the request was written: retried on a new one
+        caller = await self._connect()
+        return await caller.call(b"GET", target, most=MAX_ANSWER_BYTES)
+
+    async def _connect(self) -> Caller:
+        await self._disconnect()
+        self._connected_to = self._address
+        self._caller = await dial(*self._connected_to, CONNECT_TIMEOUT_S)
+        return self._caller
 
-    async def _drop(self) -> None:
+    async def _disconnect(self) -> None:
         if self._caller is not None:
-            caller, self._caller = self._caller, None
+            caller = self._caller
+            self._caller = None
             await caller.close()
--- a/willowhook/platform/endpoint_list.py
+++ b/willowhook/platform/endpoint_list.py
@@ -19,6 +19,7 @@
     "left": EndpointState.REMOVED,
 }
 MAX_VERSION = 1 << 62
+EMPTY_LIST: Fields = {"seq": 0, "whole": True, "hosts": []}  # an answer that lists nothing
 MAX_START_TIME_MS = 1e15  # since the Unix epoch
 MAX_LISTED_WEIGHT = 1e9
 
--- /dev/null
+++ b/willowhook/platform/proxy_sessions.py
@@ -0,0 +1,122 @@
+"""The sessions of proxies and collectors: their messages become events, and proxies get updates."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from ..decisions.events import Event, ProxyJoined, ProxyLeft
+from ..decisions.settings import DeploymentSettings
+from .configuration import ControllerConfiguration
+from .connection import Connection
+from .connection_server import ConnectionServer, IdentificationError
+from .fields import FieldError, Fields
+from .messages import HEARTBEAT_REPLY, CollectorJoined, Heartbeat, Message, MessageDecoder
+from .proxy_updates import ProxyUpdates
+from .runtime import WriteLog
+from .update_encoder import EncodedParts
+
+MAX_LOGGED_MALFORMED_MESSAGES = 20  # one by one; all are counted
+MAX_LOGGED_TYPE_CHARACTERS = 40
+
+SubmitEvent = Callable[[Event], None]
+
+
+class ProxySessions:
+    """Knows which connection belongs to which proxy.
+
+    Attributes:
+        connections: the server of all connections.
+        updates: what each proxy has been told.
+        malformed_count: messages that were refused, since the start.
+    """
+
+    def __init__(
+        self,
+        configuration: ControllerConfiguration,
+        settings: DeploymentSettings,
+        submit: SubmitEvent,
+        wake: Callable[[], None],
+        write_log: WriteLog,
+    ) -> None:
+        """Takes what it reports to.
+
+        Args:
+            configuration: of the controller.
+            settings: of the deployment, as the controller has them.
+            submit: takes the events that come from the messages.
+            wake: is called when a collector joins, which is no event.
+            write_log: writes a line of the log.
+        """
+        self.connections = ConnectionServer(
+            configuration.listen, configuration.max_descriptors, self._handle_message, self._handle_close
+        )
+        self.updates = ProxyUpdates(settings, self._send_update)
+        self.malformed_count = 0
+        self._decoder = MessageDecoder(settings)
+        self._submit = submit
+        self._wake = wake
+        self._write_log = write_log
+        self._connection_by_proxy: dict[int, Connection] = {}
+
+    @property
+    def proxy_count(self) -> int:
+        """The proxies that have a session."""
+        return len(self._connection_by_proxy)
+
+    def _handle_message(self, connection: Connection, fields: Fields) -> None:
+        """Raises IdentificationError if the first message, heartbeats aside, does not identify the peer."""
+        try:
+            message = self._decoder.decode(fields, connection.proxy)
+            if isinstance(message, Heartbeat):
+                self.connections.send(connection, HEARTBEAT_REPLY)
+            elif not connection.is_identified:
+                self._identify(connection, message)
+            elif isinstance(message, ProxyJoined | CollectorJoined):
+                raise FieldError("t: the peer has joined already")
+            else:
+                self._submit(message)
+        except FieldError as error:
+            if not connection.is_identified:
+                raise IdentificationError(str(error)) from error
+            self._record_malformed(fields, error)
+
+    def _identify(self, connection: Connection, message: Message) -> None:
+        if isinstance(message, ProxyJoined):
+            self._open_session(connection, message)
+        elif isinstance(message, CollectorJoined):
+            connection.zone = message.zone
+            self._wake()
+        else:
+            raise FieldError("t: the peer has not joined")
+        self.connections.confirm_identity(connection)
+
+    def _open_session(self, connection: Connection, joined: ProxyJoined) -> None:
+        """Gives a proxy its session; of two connections the one that was accepted last counts."""
+        proxy = joined.proxy
+        previous = self._connection_by_proxy.get(proxy)
+        if previous is not None:
+            if previous.sequence_number > connection.sequence_number:
+                # both became readable in the same turn, and are read in any order
+                raise FieldError("proxy: it has joined on a newer connection")
+            self.connections.close(previous)  # it reconnected before its old connection was seen to end
+        connection.proxy = proxy
+        self._connection_by_proxy[proxy] = connection
+        self.updates.open_session(proxy, joined.is_fresh)
+        self._submit(joined)
+
+    def _handle_close(self, connection: Connection) -> None:
+        proxy = connection.proxy
+        if proxy is None or self._connection_by_proxy.get(proxy) is not connection:
+            return
+        del self._connection_by_proxy[proxy]
+        self.updates.close_session(proxy)
+        self._submit(ProxyLeft(proxy))
+
+    def _send_update(self, proxy: int, update: EncodedParts) -> None:
+        self.connections.send(self._connection_by_proxy[proxy], b"".join(update.frames))
+
+    def _record_malformed(self, fields: Fields, error: FieldError) -> None:
+        self.malformed_count += 1
+        if self.malformed_count <= MAX_LOGGED_MALFORMED_MESSAGES:
+            message_type = str(fields.get("t"))[:MAX_LOGGED_TYPE_CHARACTERS]
+            self._write_log(f"malformed message type={message_type!r} error={str(error)!r}")
--- a/willowhook/platform/server.py
+++ b/willowhook/platform/server.py
@@ -1,238 +1,115 @@
-"""One director in service: what comes in becomes calls on the decision module, its orders go out on streams.
+"""A controller as a server on the platform: joins its connections, discovery and decisions.
 
-Calls are made where messages are read; one task ends each moment.  A fault of the module ends the program.
+Events reach the controller where they are read, and one task ends each batch of them. A fault of the
+controller ends the process.
 """
 
 from __future__ import annotations
 
-import heapq
-import resource
-import signal
-from collections.abc import Callable
 from dataclasses import replace
 from functools import partial
 
 import trio
 
 from ..decisions.controller import Controller
-from ..decisions.events import EndpointListLost, EndpointState, EvaluationDue, ProxyJoined, ProxyLeft
+from ..decisions.events import Event
 from .clock import Clock
-from .configuration import Start, Unusable
-from .connections import Link, Links
-from .discovery_watch import Watch
-from .endpoint_list import EndpointListDecoder
+from .configuration import ControllerConfiguration
+from .configuration_reload import ConfigurationReloader, ReadConfiguration
+from .control_loop import ControlLoop
+from .discovery_watch import DiscoveryWatch
+from .endpoint_list_feed import EndpointListFeed
+from .evaluation_timer import EvaluationTimer
 from .fields import FieldError, Fields
-from .framing import FramingError
-from .messages import HEARTBEAT_REPLY, CollectorJoined, Heartbeat, Message, MessageDecoder
-from .proxy_updates import ProxyUpdates
-from .update_encoder import EncodedParts
-
-SECOND = 10_000
-TICK_S = 0.004  # between moments at least: what comes closer together is one moment
-SHARE = 3.0  # and so many times as long as the last moment took, for reading to have its turn
-TELL_S = 10.0  # between lines on what is believed
-REREAD_S = (0.0, 0.1, 0.2, 0.4, 0.8, 1.6)  # before each look at a new configuration: it may be half written
-SPOILT_TOLD = 20  # messages that are told one by one; the others are counted
-
-
-class Node:
-    """The module's host, and all that calls it.  `say` writes a line of the log."""
-
-    def __init__(self, start: Start, reread: Callable[[], Start], say: Callable[[str], None]) -> None:
-        # no probes and nothing from director to director in the protocol, and withdrawals outlive a stream
-        settings = replace(start.settings, health_checks=False, exclusions_outlive_sessions=True)
-        self._settings, self._reread, self._say = settings, reread, say
-        self._clock, self._decoder = Clock(), MessageDecoder(settings)
-        self._listing = EndpointListDecoder()
-        self._updates = ProxyUpdates(settings, self._send)
-        self._streams: dict[int, Link] = {}  # by proxy
-        self._timers: list[int] = []  # when evaluations are due
-        self._stirred = trio.Event()
-        self._links = Links(start.listen, start.sockets, self._heard, self._ended)
-        self._spoilt = self._longest = 0
-        self._module = Controller(self, settings, start.seed, self._clock.now())
-        # orders on proxies go where streams are known
-        self.set_weight, self.clear_table = self._updates.set_weight, self._updates.clear_table
-        self.exclude_endpoint = self._updates.exclude_endpoint
-        self.readmit_endpoint = self._updates.readmit_endpoint
-        self.exclude_for_proxy = self._updates.exclude_for_proxy
-        self.readmit_for_proxy = self._updates.readmit_for_proxy
-        self.bind, self.forget_endpoint = self._updates.bind, self._updates.forget_endpoint
-        self.set_admission, self.send_sync_marker = (
-            self._updates.set_admission,
-            self._updates.send_sync_marker,
+from .lifecycle import run_until_terminated
+from .proxy_sessions import ProxySessions
+from .runtime import PlatformRuntime, WriteLog
+from .status_log import ServerStatus, log_status_periodically
+
+
+class PlatformServer:
+    """Builds the components of a server and connects them."""
+
+    def __init__(
+        self, configuration: ControllerConfiguration, read_again: ReadConfiguration, write_log: WriteLog
+    ) -> None:
+        """Builds all components; nothing listens yet.
+
+        Args:
+            configuration: of the controller.
+            read_again: reads the configuration as it stands then. Raises ConfigurationError.
+            write_log: writes a line of the log.
+        """
+        # the protocol has no health checks, and exclusions outlive sessions there
+        settings = replace(configuration.settings, health_checks=False, exclusions_outlive_sessions=True)
+        self._list_on_request = settings.list_on_request
+        self._write_log = write_log
+        self._clock = Clock()
+        self._sessions = ProxySessions(configuration, settings, self._submit, self._wake, write_log)
+        self._list_feed = EndpointListFeed(self._submit, write_log)
+        self._discovery = DiscoveryWatch(
+            configuration.discovery, self._list_feed.handle_answer, self._list_feed.handle_loss
         )
-        after = -1
-        try:
-            after = self._take_list(start.known)
-        except FieldError as fault:
-            say(f"the list of the configuration is of no use: {fault}")
-        self._watch = Watch(start.discovery, self._told, self._lost, after)
-        self._hard = False  # discovery is lost
+        self._reloader = ConfigurationReloader(read_again, self._apply_configuration, write_log)
+        updates = self._sessions.updates
+        evaluations = EvaluationTimer(self._clock)
+        runtime = PlatformRuntime(updates, self._discovery, evaluations, write_log)
+        self._controller = Controller(runtime, settings, configuration.seed, self._clock.now())
+        self._loop = ControlLoop(self._controller, updates, evaluations, self._clock)
+        self._load_endpoint_list(configuration.endpoint_list)
 
-    # The module's host, but for orders on proxies.
+    async def run(self) -> None:
+        """Serves until SIGTERM or SIGINT. Raises OSError, in a group, if it cannot listen."""
+        tasks = (self._sessions.connections.serve, self._discovery.run, self._decide, self._log_status)
+        await run_until_terminated(tasks, self._reloader.reload)
 
-    def schedule_evaluation(self, delay_ticks: int) -> None:
-        heapq.heappush(self._timers, self._clock.now() + max(delay_ticks, 0))
+    async def _decide(self) -> None:
+        if not self._list_on_request:
+            self._discovery.resume()
+        await self._loop.run()
 
-    def log(self, text: str) -> None:
-        self._say(text)
+    async def _log_status(self) -> None:
+        await log_status_periodically(self._collect_status, self._write_log)
 
-    def watch_endpoints(self) -> None:
-        self._watch.watch(True)
+    def _submit(self, event: Event) -> None:
+        self._loop.submit(event)
 
-    def fetch_endpoint_list(self) -> None:
-        self._watch.fetch()
+    def _wake(self) -> None:
+        self._loop.wake()
 
-    def check_health(self, endpoint: str) -> None:
-        """Never ordered: the settings say that there are none."""
+    def _load_endpoint_list(self, answer: Fields) -> None:
+        """Starts from the configured list; a malformed one is left out."""
+        try:
+            self._discovery.version = self._list_feed.load(answer)
+        except FieldError as error:
+            self._write_log(f"configured endpoint list refused error={str(error)!r}")
+
+    def _apply_configuration(self, configuration: ControllerConfiguration) -> None:
+        """Takes over what may change while the server runs."""
+        self._discovery.move_to(configuration.discovery)
+        self._sessions.connections.set_max_descriptors(configuration.max_descriptors)
+
+    def _collect_status(self) -> ServerStatus:
+        status = ServerStatus(
+            proxies=self._sessions.proxy_count,
+            controller=self._controller.status(self._clock.now()),
+            connections=self._sessions.connections.open_count,
+            longest_flush_ticks=self._loop.longest_flush_ticks,
+            malformed_messages=self._sessions.malformed_count,
+            rejected_connections=self._sessions.connections.rejected_count,
+        )
+        self._loop.longest_flush_ticks = 0
+        return status
 
-    # What comes in.
 
-    def _heard(self, link: Link, fields: Fields) -> None:
-        try:
-            message = self._decoder.decode(fields, link.proxy if link.proxy >= 0 else None)
-            if isinstance(message, Heartbeat):
-                self._links.send(link, HEARTBEAT_REPLY)
-                return
-            if not link.known:
-                self._met(link, message)
-            elif isinstance(message, CollectorJoined | ProxyJoined):
-                raise FieldError("t: has joined already")
-            else:
-                self._module.handle(self._clock.now(), message)
-        except FieldError as fault:
-            if not link.known:
-                raise FramingError(f"no joining: {fault}") from fault
-            self._spoilt += 1
-            if self._spoilt <= SPOILT_TOLD:
-                self._say(f"spoilt: {fault} of {str(fields.get('t'))[:40]!r}")
-            return
-        self._stirred.set()
-
-    def _met(self, link: Link, message: Message) -> None:
-        """The first message says who speaks; who says anything else is turned away."""
-        if isinstance(message, CollectorJoined):
-            link.zone = message.zone
-        elif isinstance(message, ProxyJoined):
-            self._joined(link, message)
-        else:
-            raise FieldError("t: joins nobody")
-        self._links.meet(link)
-
-    def _joined(self, link: Link, joined: ProxyJoined) -> None:
-        proxy = joined.proxy
-        old = self._streams.get(proxy)
-        if old is not None and old.turn > link.turn:  # read in one go, in any order: this is the one it left
-            raise FieldError("proxy: has joined on a newer connection")
-        if old is not None:  # it dialled again before its old stream was seen to end
-            self._links.end(old)
-        link.proxy = proxy
-        self._streams[proxy] = link
-        self._updates.open_session(proxy, joined.is_fresh)
-        self._module.handle(self._clock.now(), joined)
-
-    def _ended(self, link: Link) -> None:
-        if link.proxy >= 0 and self._streams.get(link.proxy) is link:
-            del self._streams[link.proxy]
-            self._updates.close_session(link.proxy)
-            self._module.handle(self._clock.now(), ProxyLeft(link.proxy))
-            self._stirred.set()
-
-    def _send(self, proxy: int, update: EncodedParts) -> None:
-        self._links.send(self._streams[proxy], b"".join(update.frames))
-
-    # The list.
-
-    def _told(self, answer: Fields) -> int:
-        after = self._take_list(answer)
-        if self._hard:
-            self._hard = False
-            self._say("discovery answers again")
-        return after
-
-    def _take_list(self, answer: Fields) -> int:
-        received = self._listing.decode(answer)
-        if received.is_complete or received.entries:
-            self._module.handle(self._clock.now(), received)
-            self._stirred.set()
-        return -1 if self._listing.version is None else self._listing.version
-
-    def _lost(self, why: str) -> None:
-        if not self._hard:
-            self._hard = True
-            self._say(f"no list from discovery: {why}")
-        self._module.handle(self._clock.now(), EndpointListLost())
-        self._stirred.set()
-
-    # Tasks.
+def run_server(
+    configuration: ControllerConfiguration, read_again: ReadConfiguration, write_log: WriteLog
+) -> None:
+    """Runs a server until SIGTERM or SIGINT. Raises what ends it before, in an exception group."""
+    trio.run(partial(_run, configuration, read_again, write_log))
 
-    async def run(self) -> None:
-        """Until SIGTERM or SIGINT.  Raises OSError if the address cannot be had."""
-        with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
-            async with trio.open_nursery() as nursery:
-                for task in (self._links.serve, self._watch.follow, self._decide, self._believe):
-                    nursery.start_soon(task)
-                async for each in signals:
-                    if each != signal.SIGHUP:
-                        nursery.cancel_scope.cancel()
-                        break
-                    nursery.start_soon(self._configured)
-
-    async def _configured(self) -> None:
-        """The file of the configuration was replaced: discovery may answer elsewhere."""
-        for pause in REREAD_S:
-            await trio.sleep(pause)
-            try:
-                start = self._reread()
-                break
-            except Unusable as fault:
-                if not pause:
-                    self._say(f"the new configuration is not used: {fault}")
-        else:
-            return
-        self._watch.move(start.discovery)
-        self._links.limit(start.sockets)
-        self._say(f"configured anew: discovery at {start.discovery[0]}:{start.discovery[1]}")
 
-    async def _decide(self) -> None:
-        if not self._settings.list_on_request:
-            self._watch.watch(True)
-        while True:
-            wait = (self._timers[0] - self._clock.now()) / SECOND if self._timers else TELL_S
-            with trio.move_on_after(max(wait, 0.0)):
-                await self._stirred.wait()
-            self._stirred = trio.Event()
-            began = now = self._clock.now()
-            while self._timers and self._timers[0] <= now:
-                heapq.heappop(self._timers)
-                self._module.handle(now, EvaluationDue())
-            self._module.flush(now)
-            self._updates.flush()
-            took = self._clock.now() - began
-            self._longest = max(self._longest, took)
-            await trio.sleep(max(TICK_S, SHARE * took / SECOND))
-
-    async def _believe(self) -> None:
-        while True:
-            await trio.sleep(TELL_S)
-            module = self._module
-            ready = sum(up.mode is EndpointState.IN_SERVICE for up in module.hosts.values())
-            memory = resource.getrusage(resource.RUSAGE_SELF)
-            self._say(
-                f"believed: {len(self._streams)} proxies, {ready} of {len(module.hosts)} hosts in service, "
-                f"load {module.loads[self._clock.now() // (SECOND // 2) - 1 & 7]:.2f}, "
-                f"room {module.room:.2f}, queue {module.channel.load():.0f}; {self._links.held} links, "
-                f"{memory.ru_maxrss >> 10} MB, {memory.ru_utime + memory.ru_stime:.1f} s of CPU, "
-                f"longest moment {self._longest / 10:.0f} ms, {self._spoilt} messages spoilt, "
-                f"{self._links.turned_away} turned away"
-            )
-            self._longest = 0
-
-
-def run(start: Start, reread: Callable[[], Start], say: Callable[[str], None]) -> None:
-    trio.run(partial(_run, start, reread, say))
-
-
-async def _run(start: Start, reread: Callable[[], Start], say: Callable[[str], None]) -> None:
-    await Node(start, reread, say).run()
+async def _run(
+    configuration: ControllerConfiguration, read_again: ReadConfiguration, write_log: WriteLog
+) -> None:
+    await PlatformServer(configuration, read_again, write_log).run()
--- /dev/null
+++ b/willowhook/platform/status_log.py
@@ -0,0 +1,66 @@
+"""The status line that the server logs periodically."""
+
+from __future__ import annotations
+
+import resource
+from collections.abc import Callable
+from dataclasses import dataclass
+
+import trio
+
+from ..decisions.status import ControllerStatus
+from ..ticks import TICKS_PER_MILLISECOND
+from .runtime import WriteLog
+
+STATUS_INTERVAL_S = 10.0
+
+
+@dataclass(frozen=True, slots=True)
+class ServerStatus:
+    """The figures of a status line.
+
+    Attributes:
+        proxies: that have a session.
+        controller: the controller's own figures.
+        connections: that are open.
+        longest_flush_ticks: since the last status line.
+        malformed_messages: since the start.
+        rejected_connections: since the start.
+    """
+
+    proxies: int
+    controller: ControllerStatus
+    connections: int
+    longest_flush_ticks: int
+    malformed_messages: int
+    rejected_connections: int
+
+
+def format_status(status: ServerStatus) -> str:
+    """The status line, with the CPU time and the peak memory of this process."""
+    controller = status.controller
+    usage = resource.getrusage(resource.RUSAGE_SELF)
+    peak_memory_mb = usage.ru_maxrss >> 10  # ru_maxrss is in KiB
+    cpu_s = usage.ru_utime + usage.ru_stime
+    figures = (
+        f"proxies={status.proxies}",
+        f"endpoints_in_service={controller.endpoints_in_service}",
+        f"endpoints={controller.endpoint_count}",
+        f"load={controller.load_fraction:.2f}",
+        f"admitted_fraction={controller.admitted_fraction:.2f}",
+        f"queue_entries={controller.queue_entries:.0f}",
+        f"connections={status.connections}",
+        f"memory_mb={peak_memory_mb}",
+        f"cpu_s={cpu_s:.1f}",
+        f"longest_flush_ms={status.longest_flush_ticks / TICKS_PER_MILLISECOND:.0f}",
+        f"malformed_messages={status.malformed_messages}",
+        f"rejected_connections={status.rejected_connections}",
+    )
+    return " ".join(("status", *figures))
+
+
+async def log_status_periodically(collect: Callable[[], ServerStatus], write_log: WriteLog) -> None:
+    """Writes a status line every STATUS_INTERVAL_S seconds until cancelled."""
+    while True:
+        await trio.sleep(STATUS_INTERVAL_S)
+        write_log(format_status(collect()))
