--- a/willowhook/platform/proxy_sessions.py
+++ b/willowhook/platform/proxy_sessions.py
@@ -17,6 +17,7 @@
 
 MAX_LOGGED_MALFORMED_MESSAGES = 20  # one by one; all are counted
 MAX_LOGGED_TYPE_CHARACTERS = 40
+JOIN_MESSAGES = (ProxyJoined, CollectorJoined)
 
 SubmitEvent = Callable[[Event], None]
 
@@ -71,7 +72,7 @@
                 self.connections.send(connection, HEARTBEAT_REPLY)
             elif not connection.is_identified:
                 self._identify(connection, message)
-            elif isinstance(message, ProxyJoined | CollectorJoined):
+            elif isinstance(message, JOIN_MESSAGES):
                 raise FieldError("t: the peer has joined already")
             else:
                 self._submit(message)
