--- /dev/null
+++ b/tests/test_platform_messages.py
@@ -0,0 +1,77 @@
+"""Messages of proxies and collectors: decoded into typed events, or refused for a field."""
+
+from __future__ import annotations
+
+from dataclasses import astuple
+from typing import Any
+
+import pytest
+from fakes import SETTINGS
+from hypothesis import given, settings
+from hypothesis import strategies as st
+from platform_fixtures import ATTACH, CLIENT_STATS, DONE, UPSTREAM_STATS
+from test_platform_framing import json_values
+
+from willowhook.decisions.events import EndpointReport, MessageAcknowledged, ProxyJoined, RequestReport
+from willowhook.platform.fields import FieldError, Fields
+from willowhook.platform.messages import CollectorJoined, Heartbeat, MessageDecoder
+
+DECODER = MessageDecoder(SETTINGS)
+UNREAD_FIELDS = {("done", "proxy")}  # the connection says whose acknowledgement it is
+
+
+def test_messages_decode_to_events() -> None:
+    assert DECODER.decode(ATTACH, None) == ProxyJoined(4, "south", 21.5, True)
+    assert DECODER.decode(DONE, 4) == MessageAcknowledged(4, 905)
+    assert DECODER.decode({"t": "telemetry", "zone": "north"}, None) == CollectorJoined("north")
+    assert DECODER.decode({"t": "hb", "zone": 5}, None) == Heartbeat()
+    assert DECODER.decode(CLIENT_STATS, 4) == RequestReport(4, "read", 19, 5000)
+
+
+def test_endpoint_report_takes_load_under_either_name() -> None:
+    report = EndpointReport("s-1", 212, 3, 417, 0.61)
+    assert DECODER.decode(UPSTREAM_STATS, None) == report
+    assert DECODER.decode({**UPSTREAM_STATS, "load": {"busy": 0.61, "q": 2}}, None) == report
+
+
+def test_request_report_may_hold_more_failures_than_requests() -> None:
+    """Requests of an earlier window may fail in one without requests."""
+    fields = {**CLIENT_STATS, "tries": 0, "failed": 1}
+    assert DECODER.decode(fields, 4) == RequestReport(4, "read", 0, 5000)
+
+
+@pytest.mark.parametrize("message_type", [None, 5, "", "odd", ["hb"], {"hb": 1}, True])
+def test_unknown_message_type_is_refused(message_type: object) -> None:
+    with pytest.raises(FieldError, match="^t: "):
+        DECODER.decode({**DONE, "t": message_type}, 4)
+
+
+def test_acknowledgement_from_a_connection_without_a_proxy_is_refused() -> None:
+    with pytest.raises(FieldError, match="^t: "):
+        DECODER.decode(DONE, None)
+
+
+def test_field_error_names_the_field_and_what_came_in_few_characters() -> None:
+    for value in ("x" * 10_000, 10**300, [0] * 10_000, None, -1, 1.5, True):
+        with pytest.raises(FieldError, match="^mark: expected an integer from 0 to 65535, got ") as caught:
+            DECODER.decode({**DONE, "mark": value}, 4)
+        assert len(str(caught.value)) < 100
+
+
+@settings(derandomize=True, max_examples=400, deadline=None)
+@given(st.sampled_from([ATTACH, DONE, UPSTREAM_STATS, CLIENT_STATS]), st.data(), json_values)
+def test_malformed_field_is_refused_or_within_its_range(valid: Fields, data: Any, value: object) -> None:
+    checked = [key for key in valid if key != "t" and (valid["t"], key) not in UNREAD_FIELDS]
+    key = data.draw(st.sampled_from(checked))
+    without_key = {name: field for name, field in valid.items() if name != key}
+    if key != "load":
+        with pytest.raises(FieldError):
+            DECODER.decode(without_key, 4)
+    try:
+        event = DECODER.decode({**without_key, key: value}, 4)
+    except FieldError:
+        return
+    attributes = astuple(event)
+    assert all(type(each) in (int, float, str, bool) or each is None for each in attributes)
+    assert all(each >= 0 for each in (*attributes, value) if isinstance(each, int | float))
+    assert type(value) is type(valid[key]) or key == "load" or type(valid[key]) is float
--- /dev/null
+++ b/tests/test_platform_status_log.py
@@ -0,0 +1,81 @@
+"""The status line, the evaluation timer and the feed of the endpoint list."""
+
+from __future__ import annotations
+
+import re
+
+import pytest
+from platform_fixtures import list_entry
+
+from willowhook.decisions.events import EndpointListLost, EndpointListReceived, Event
+from willowhook.decisions.status import ControllerStatus
+from willowhook.platform.clock import Clock
+from willowhook.platform.endpoint_list_feed import EndpointListFeed
+from willowhook.platform.evaluation_timer import EvaluationTimer
+from willowhook.platform.fields import FieldError
+from willowhook.platform.status_log import ServerStatus, format_status
+
+
+def test_status_line_holds_figures_as_key_and_value() -> None:
+    controller = ControllerStatus(
+        endpoints_in_service=190,
+        endpoint_count=200,
+        load_fraction=0.618,
+        admitted_fraction=1.4,
+        queue_entries=12.4,
+    )
+    status = ServerStatus(
+        proxies=12,
+        controller=controller,
+        connections=14,
+        longest_flush_ticks=83,
+        malformed_messages=2,
+        rejected_connections=3,
+    )
+    line = format_status(status)
+    assert re.fullmatch(
+        r"status proxies=12 endpoints_in_service=190 endpoints=200 load=0\.62 admitted_fraction=1\.40 "
+        r"queue_entries=12 connections=14 memory_mb=\d+ cpu_s=\d+\.\d longest_flush_ms=8 "
+        r"malformed_messages=2 rejected_connections=3",
+        line,
+    )
+
+
+class FakeClock(Clock):
+    def __init__(self) -> None:
+        self.ticks = 1000
+
+    def now(self) -> int:
+        return self.ticks
+
+
+def test_evaluations_fall_due_in_the_order_of_their_times() -> None:
+    clock = FakeClock()
+    timer = EvaluationTimer(clock)
+    assert timer.ticks_until_next() is None and not timer.take_due(10**9)
+    timer.schedule(300)
+    timer.schedule(100)
+    timer.schedule(-5)  # is due at once
+    assert timer.ticks_until_next() == 0
+    assert timer.take_due(1000) and not timer.take_due(1000)
+    clock.ticks = 1150
+    assert timer.ticks_until_next() == -50
+    assert timer.take_due(1150) and not timer.take_due(1150)
+    assert timer.take_due(1300) and timer.ticks_until_next() is None
+
+
+def test_endpoint_list_feed_logs_a_loss_once_and_its_recovery() -> None:
+    events: list[Event] = []
+    log: list[str] = []
+    feed = EndpointListFeed(events.append, log.append)
+    assert feed.load({"seq": 3, "whole": True, "hosts": [list_entry("a")]}) == 3
+    assert isinstance(events[0], EndpointListReceived)
+    feed.handle_loss("timeout")
+    feed.handle_loss("timeout")
+    assert events[1:] == [EndpointListLost(), EndpointListLost()]
+    assert log == ["discovery lost error='timeout'"]
+    with pytest.raises(FieldError):
+        feed.handle_answer({"seq": "x"})
+    assert len(log) == 1
+    assert feed.handle_answer({"seq": 3, "whole": False, "hosts": []}) == 3  # no change, and no event
+    assert len(events) == 3 and log[1:] == ["discovery recovered"]
