--- a/benchmarks/intake.py
+++ b/benchmarks/intake.py
@@ -16,7 +16,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from willowhook.decisions.model import Ring
+from willowhook.decisions.windows import WindowedSums
 from willowhook.reports.fading import Landmark
 from willowhook.reports.queue import Queue
 
@@ -48,11 +48,11 @@
 
 
 def ring(rows: list[tuple[int, int]]) -> object:
-    cells: dict[int, Ring] = {}
+    cells: dict[int, WindowedSums] = {}
     for now, key in rows:
         cell = cells.get(key)
         if cell is None:
-            cell = cells[key] = Ring(5000, 8, 1)
+            cell = cells[key] = WindowedSums(5000, 8, 1)
         cell.add(now, 3.0)
     return cells
 
--- a/tests/broken_director.py
+++ b/tests/broken_director.py
@@ -13,6 +13,7 @@
 from willowhook.decisions.controller import Controller
 from willowhook.decisions.events import EvaluationDue, Event
 from willowhook.decisions.runtime import AdmissionLimit
+from willowhook.decisions.weights import EndpointWeights
 
 
 def rule_1() -> None:
@@ -49,21 +50,22 @@
         handle(self, now, event)
         if not isinstance(event, EvaluationDue):
             return
-        for table in self.tables:
-            for name, weight in list(table.sent.items()):
-                self.runtime.set_weight(table.number, name, weight)
+        for table in self.fleet.tables:
+            for name, weight in list(table.entries.items()):
+                self._runtime.set_weight(table.number, name, weight)
 
     Controller.handle = again  # type: ignore[method-assign]
 
 
 def rule_4() -> None:
     """A cold host gets nearly everything."""
-    weight = Controller.weight
+    weight = EndpointWeights.weight
 
-    def all_of_it(self: Any, now: int, table: Any, up: Any) -> float:
-        return weight(self, now, table, up) * (1.0 if self.warmth(now, up) in (0.0, 1.0) else 1000.0)
+    def all_of_it(self: Any, now: int, table: Any, endpoint: Any) -> float:
+        is_cold = self._slow_start.weight_fraction(now, endpoint) not in (0.0, 1.0)
+        return weight(self, now, table, endpoint) * (1000.0 if is_cold else 1.0)
 
-    Controller.weight = all_of_it  # type: ignore[method-assign]
+    EndpointWeights.weight = all_of_it  # type: ignore[method-assign]
 
 
 def rule_5() -> None:
@@ -75,9 +77,9 @@
         if not isinstance(event, EvaluationDue):
             return
         for _ in range(150):
-            for table in self.tables:
-                for name, weight in list(table.sent.items()):
-                    self.runtime.set_weight(table.number, name, weight)
+            for table in self.fleet.tables:
+                for name, weight in list(table.entries.items()):
+                    self._runtime.set_weight(table.number, name, weight)
 
     Controller.handle = flood  # type: ignore[method-assign]
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -2,24 +2,36 @@
 
 from __future__ import annotations
 
+from dataclasses import replace
+
 import pytest
 from fakes import SECOND, SETTINGS, Stage, replaced
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from willowhook.decisions.channel import UpdateChannel
 from willowhook.decisions.events import (
     EndpointListLost,
     EndpointState,
     HealthCheckCompleted,
     HealthCheckOutcome,
 )
-from willowhook.decisions.model import Channel
 from willowhook.decisions.settings import AdmissionUnit, LoadSource
+from willowhook.decisions.subsets import SubsetMode
 
 IN_SERVICE, DRAINING, REMOVED = EndpointState.IN_SERVICE, EndpointState.DRAINING, EndpointState.REMOVED
 READY = (IN_SERVICE, 0)
 
 
+def joined_channel(proxies: int) -> UpdateChannel:
+    """A channel that carries 0.16 entries a tick, with an overhead of 7, to so many proxies."""
+    parts = {"entries_per_second": 1600.0, "message_overhead_entries": 6.0, "max_delay_ticks": 4000}
+    channel = UpdateChannel(replace(SETTINGS.channel, **parts), 0)
+    for proxy in range(proxies):
+        channel.add_proxy(proxy)
+    return channel
+
+
 def started(stage: Stage, hosts: int = 8, proxies: int = 4) -> Stage:
     stage.list({f"h{k}": READY for k in range(hosts)})
     for proxy in range(proxies):
@@ -154,7 +166,8 @@
         stage.pass_time(SECOND)
     levels = stage.host.levels
     assert levels[0, 0] < 0.9 and levels[0, 0] < levels[0, 1] <= 1
-    assert any(text.startswith("room 1.40 to") for text in stage.host.logs)
+    began = [text for text in stage.host.logs if text.startswith("load shedding began ")]
+    assert any(" before=1.40 " in text for text in began)
 
 
 def test_no_cold_host_is_used_while_hardly_a_try_is_answered() -> None:
@@ -206,8 +219,8 @@
     stage = started(Stage())
     stage.pass_time(SECOND)
     stage.list({f"h{k}": (IN_SERVICE, stage.now) for k in range(4)}, whole=False)
-    for up in list(stage.director.hosts.values())[4:]:
-        up.sick, up.out_until = True, 100 * SECOND
+    for up in list(stage.director.endpoints.values())[4:]:
+        up.is_ejected, up.ejected_until = True, 100 * SECOND
     stage.pass_time(3 * SECOND)
     assert set(stage.weights()) == {"h4", "h5", "h6", "h7"}
 
@@ -319,7 +332,7 @@
     terms = replaced(rules__drain_grace_ticks=4 * SECOND, fleet__proxy_count=100, **held)
     stage = started(Stage(terms), hosts=80, proxies=0)
     stage.pass_time(5 * SECOND)
-    wide = {table.number for table in stage.director.wide}
+    wide = {table.number for table in stage.director.fleet.default_tables}
     for k in range(40):  # what is withdrawn is more than can be told to each
         stage.list({f"h{k}": (DRAINING, 0)}, whole=False)
     stage.pass_time(4 * SECOND)
@@ -327,14 +340,14 @@
         stage.join(proxy, fresh=False)
         stage.over()
     stage.pass_time(3 * SECOND)  # the grace less the way there
-    assert len(stage.host.bound) == 100 and not stage.director.joined
+    assert len(stage.host.bound) == 100 and not stage.director.pending_binds
     assert stage.host.queue < 1600
     parts = [stage.host.bound[proxy][0] for proxy in range(100)]
     assert len(set(parts) - wide) > 1
     assert all(stage.weights(table) and "h0" not in stage.weights(table) for table in parts)
     stage.pass_time(30 * SECOND)
     assert {table for book in stage.host.bound.values() for table in book.values()} <= wide
-    assert not stage.director.groups and len(stage.director.tables) == len(wide)
+    assert stage.director.subsets.mode is SubsetMode.OFF and len(stage.director.fleet.tables) == len(wide)
 
 
 def test_a_crowd_that_joins_while_hosts_go_has_its_parts_before_the_withdrawals() -> None:
@@ -358,7 +371,7 @@
     stage.list({f"h{k}": (DRAINING, 0) for k in range(25, 45)}, whole=False)
     stage.over()
     stage.pass_time(2 * SECOND)
-    assert not stage.director.joined and stage.host.queue < 7 * 3000  # so all have it within the grace
+    assert not stage.director.pending_binds and stage.host.queue < 7 * 3000  # so all have it within the grace
     stage.pass_time(7 * SECOND)
     gone = {f"h{k}" for k in range(45)}
     assert all(
@@ -370,70 +383,66 @@
 
 
 def test_while_answers_come_however_late_nothing_in_the_channel_is_lost() -> None:
-    channel = Channel(0.16, 7, 4000, 0)
-    channel.waiting.update({0: [], 1: [], 2: []})
+    channel = joined_channel(3)
     for _ in range(2):
         channel.charge([0, 1, 2], 100)
-        channel.send(0)
-    channel.answered(70_000, 0, 1)
-    channel.look(80_000, 20_000)
+        channel.flush(0)
+    channel.acknowledge(70_000, 0, 1)
+    channel.update_overdue(80_000, 20_000)
     channel.drain(80_000)
-    assert channel.ceiling() == channel.unproven() == 5 * 107
-    channel.look(95_000, 20_000)  # nothing comes any more
+    assert channel.queue_ceiling() == channel.unproven_entries() == 5 * 107
+    channel.update_overdue(95_000, 20_000)  # nothing comes any more
     channel.drain(95_000)
-    assert channel.ceiling() == channel.unproven() == 0
+    assert channel.queue_ceiling() == channel.unproven_entries() == 0
 
 
 def test_what_may_wait_at_the_most_is_all_that_no_answer_proves_to_have_left() -> None:
-    channel = Channel(0.16, 7, 4000, 0)
-    channel.waiting.update({0: [], 1: []})
+    channel = joined_channel(2)
     channel.charge([0, 1], 300)
-    assert channel.ceiling() == 614
-    channel.send(0)
+    assert channel.queue_ceiling() == 614
+    channel.flush(0)
     channel.drain(3000)  # at the stated rate 480 have left: one that slowed down may hold them all
-    assert channel.load() == 134 and channel.ceiling() == 614
+    assert channel.queue_estimate() == 134 and channel.queue_ceiling() == 614
     channel.charge([0], 10)
-    assert channel.ceiling() == 631
-    channel.send(3000)
-    channel.answered(3000, 0, 1)
+    assert channel.queue_ceiling() == 631
+    channel.flush(3000)
+    channel.acknowledge(3000, 0, 1)
     channel.drain(3000)
-    assert channel.ceiling() == 307 + 17
+    assert channel.queue_ceiling() == 307 + 17
 
 
 def test_messages_leave_in_turn_and_what_is_long_overdue_is_lost() -> None:
-    channel = Channel(0.16, 7, 4000, 0)
-    channel.waiting.update({0: [], 1: []})
+    channel = joined_channel(2)
     for number in (1, 2):
         channel.charge([0, 1], 10)
-        assert channel.send(0) == number
-    channel.look(6000, 50_000)
+        assert channel.flush(0) == number
+    channel.update_overdue(6000, 50_000)
     assert channel.overdue == 68
-    channel.answered(6000, 1, 1)  # the rest of its moment may still wait, and the second message to both
-    channel.look(6000, 50_000)
-    assert channel.overdue == channel.unproven() == 51
-    channel.answered(6000, 1, 2)
-    channel.look(6000, 50_000)
+    channel.acknowledge(6000, 1, 1)  # the rest of its moment may still wait, and the second message to both
+    channel.update_overdue(6000, 50_000)
+    assert channel.overdue == channel.unproven_entries() == 51
+    channel.acknowledge(6000, 1, 2)
+    channel.update_overdue(6000, 50_000)
     assert channel.overdue == 17
-    channel.look(60_000, 50_000)
-    assert channel.overdue == channel.unproven() == 0
+    channel.update_overdue(60_000, 50_000)
+    assert channel.overdue == channel.unproven_entries() == 0
 
 
 def test_lines_that_no_answer_proves_to_have_left_count_as_waiting_but_for_those_on_their_way() -> None:
     """Guards against rule 5 while a channel stalls, which the estimate at the stated rate does not know."""
-    channel = Channel(0.16, 7, 4000, 0)
-    channel.waiting.update({proxy: [] for proxy in range(50)})
+    channel = joined_channel(50)
     channel.charge([*range(50)], 33)
-    channel.send(0)
+    channel.flush(0)
     channel.drain(10_000)
-    assert channel.queue == 400 and channel.load() == 2000 - 640
+    assert channel.queued == 400 and channel.queue_estimate() == 2000 - 640
     channel.drain(20_000)
-    assert channel.queue == 0 and channel.load() == 2000 - 640
+    assert channel.queued == 0 and channel.queue_estimate() == 2000 - 640
     channel.charge([0], 3)
-    assert channel.load() == 2010 - 640
-    channel.send(20_000)
-    channel.answered(20_000, 0, 2)
+    assert channel.queue_estimate() == 2010 - 640
+    channel.flush(20_000)
+    channel.acknowledge(20_000, 0, 2)
     channel.drain(20_000)
-    assert channel.load() == 10
+    assert channel.queue_estimate() == 10
 
 
 def test_a_cold_host_is_readmitted_when_nobody_waits_to_be_bound() -> None:
@@ -454,18 +463,18 @@
     stage.list({"h0": (IN_SERVICE, stage.now)}, whole=False)
     stage.over()
     stage.pass_time(SECOND // 4)
-    assert stage.director.joined and stage.host.out["h0"]
+    assert len(stage.director.pending_binds) and stage.host.out["h0"]
     stage.pass_time(12 * SECOND)
-    assert not stage.director.joined and not stage.host.out["h0"]
+    assert not stage.director.pending_binds and not stage.host.out["h0"]
 
 
 def test_moved_lines_of_all_tables_go_by_how_far_they_moved() -> None:
     terms = replaced(fleet__cross_zone_price=0.08, channel__entry_price=0.01)
     stage = started(Stage(terms), hosts=80, proxies=60)
     stage.pass_time(20 * SECOND)
-    for up in stage.director.hosts.values():
-        up.factor = 0.5
-    stage.director.news = True
+    for up in stage.director.endpoints.values():
+        up.latency_factor = 0.5
+    stage.director.updater.has_changes = True
     stage.pass_time(24 * SECOND)
     used = {table for book in stage.host.bound.values() for table in book.values()}
     assert len(used) == 4 and all(max(stage.weights(table).values()) < 0.6 for table in used)
@@ -488,7 +497,7 @@
             stuck = k == 1
             stage.hear(f"h{k}", 2 if stuck else 10 + 10 * (k % 2), 0, 200, 1.0 if stuck else 0.5)
         stage.pass_time(SECOND)
-    assert abs(stage.director.hosts["h3"].size / stage.director.hosts["h2"].size - 2) < 0.01
+    assert abs(stage.director.endpoints["h3"].capacity / stage.director.endpoints["h2"].capacity - 2) < 0.01
 
 
 def test_who_brings_a_table_is_bound_after_the_first_solve_of_a_director_that_starts() -> None:
@@ -631,18 +640,18 @@
     stage = started(Stage(terms), hosts=20, proxies=40)
     stage.pass_time(20 * SECOND)
     before = {proxy: len(times) for proxy, times in stage.host.messages.items()}
-    for up in stage.director.hosts.values():
-        up.factor = 0.5
+    for up in stage.director.endpoints.values():
+        up.latency_factor = 0.5
     stage.pass_time(SECOND)  # weights may have drifted: no message for that alone
     assert {proxy: len(times) for proxy, times in stage.host.messages.items()} == before
-    stage.director.news = True
+    stage.director.updater.has_changes = True
     stage.pass_time(SECOND // 2)
     assert (
         sum(w == 0.5 for w in stage.weights().values()) > 15
     )  # not three lines a message, as a head costs seven
     assert {len(times) - before[proxy] for proxy, times in stage.host.messages.items()} == {1}
     left = terms.rules.drain_grace_ticks - terms.channel.max_delay_ticks - terms.rules.drain_grace_ticks // 8
-    assert stage.director.channel.queue + 40 * 8 <= left * terms.channel.entries_per_second / SECOND + 40
+    assert stage.director.channel.queued + 40 * 8 <= left * terms.channel.entries_per_second / SECOND + 40
 
 
 def test_waves_into_a_channel_that_stalls_wait_for_answers_of_the_last() -> None:
@@ -652,9 +661,9 @@
     stage.pass_time(20 * SECOND)
     highest = 0.0
     for step in range(8):
-        for k, up in enumerate(stage.director.hosts.values()):
-            up.factor = 1.6 if (k + step) % 2 else 0.6
-        stage.director.news = True
+        for k, up in enumerate(stage.director.endpoints.values()):
+            up.latency_factor = 1.6 if (k + step) % 2 else 0.6
+        stage.director.updater.has_changes = True
         stage.pass_time(SECOND // 2, 0.0)
         highest = max(highest, stage.host.queue)
     assert 0.2 < highest / terms.channel.queue_limit_entries < 0.85
@@ -663,15 +672,15 @@
 def test_what_is_told_again_takes_a_twentieth_of_the_rate() -> None:
     stage = started(Stage(), hosts=40, proxies=40)
     stage.pass_time(15 * SECOND)
-    lines = stage.director.channel.mark
+    lines = stage.director.channel.last_marker
     for second in range(60):
         if second % 2 == 0:
             stage.leave(second % 7)
             stage.join(second % 7, fresh=False)
             stage.over()
-        stage.director.news = True
+        stage.director.updater.has_changes = True
         stage.pass_time(SECOND)
-    assert stage.director.channel.mark - lines < 30 + 60 * 0.05 * 1600 * 2 / (40 * 8)
+    assert stage.director.channel.last_marker - lines < 30 + 60 * 0.05 * 1600 * 2 / (40 * 8)
 
 
 def test_hosts_that_are_gone_are_forgotten_and_may_come_back_cold() -> None:
@@ -682,8 +691,8 @@
         stage.hear(f"h{day + 7}", 10, 0, 100)
         stage.come(0, "read", 10)
         stage.pass_time(6 * SECOND)
-        most = max(most, len(stage.director.hosts), len(stage.host.out))
-    assert most < 16 and len(stage.director.shifted) < 16
+        most = max(most, len(stage.director.endpoints), len(stage.host.out))
+    assert most < 16 and len(stage.director.exclusions._changed) < 16
     stage.list({"h0": (IN_SERVICE, stage.now)}, whole=False)
     stage.pass_time(4 * SECOND)
     assert 0 < stage.weights()["h0"] < 1
@@ -697,13 +706,13 @@
         for proxy in range(8):
             stage.come(proxy, "read", 10)
         stage.pass_time(SECOND)
-    near = next(table for table in stage.director.tables if table.zone == "north" and 0 in table.routes)
-    before = near.far
+    near = next(table for table in stage.director.fleet.tables if table.zone == "north" and 0 in table.routes)
+    before = near.remote_factor
     stage.list({f"h{k}": (DRAINING, 0) for k in (0, 2, 4, 6)}, whole=False)
     stage.over()
     while not stage.host.out.get("h6"):
         stage.pass_time(SECOND // 10)
-    assert before < 0.2 and near.far > 2 * before
+    assert before < 0.2 and near.remote_factor > 2 * before
     assert stage.weights(near.number)["h1"] > 2 * before  # in the same message
 
 
@@ -716,8 +725,10 @@
                 stage.hear(f"h{k}", 10, 0, 100, busy=0.8)
             stage.come(0, "read", 10)
             stage.pass_time(SECOND)
-        stage.director.solve_at = stage.director.news_at = stage.now + 9 * SECOND
-        stage.director.room, stage.director.news, start = room, False, stage.now
+        solver, start = stage.director.solver, stage.now
+        solver._next_step_at = solver._next_changes_at = start + 9 * SECOND
+        stage.director.admission.admitted_fraction = room
+        stage.director.updater.has_changes = False
         stage.list({"h8": (IN_SERVICE, 0)}, whole=False)
         stage.over()
         while "h8" not in stage.weights():
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -111,7 +111,7 @@
                     await trio.sleep(0.5)
                 elif not taken:
                     await until(lambda: "recalls what it met" in log.texts())
-                    assert service.director.hosts["a"].heard.total(service.clock.now(), 10)[0] > 0
+                    assert service.director.endpoints["a"].attempts(service.clock.now(), 10).attempts > 0
             nursery.cancel_scope.cancel()
 
     trio.run(life, 1)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -193,7 +193,7 @@
         one.join()
         await until(lambda: one.hosts() == {"a", "b", "c"})
         one.answer()
-        await until(lambda: not any(service.director.channel.waiting.values()))
+        await until(lambda: not any(service.director.channel.unacknowledged.values()))
         roster.hosts["b"], roster.index = True, 2
         await until(lambda: one.hosts() == {"a", "c"})
         one.load()
@@ -396,15 +396,15 @@
             one.put("load.json", encode(forms.LoadStatsRequest(one.node, [stats])))
             await until(lambda: bool(other._met))
             shutil.rmtree(one.up)
-            await until(lambda: bool(service._hints._hints) and "b" in service.director.hosts)
+            await until(lambda: bool(service._hints._hints) and "b" in service.director.endpoints)
             now = service.clock.now()
-            assert service.director.hosts["b"].heard.total(now, 4) == [0, 0, 0]
+            assert service.director.endpoints["b"].attempts(now) == (0, 0, 0)
             moved = ByHand(service, "p1")
             moved.node.metadata["term"] = 2
             moved.join()
             await until(lambda: len(moved.hosts()) == 3)
-            heard = service.director.hosts["b"].heard.total(service.clock.now(), 4)
-            assert heard == [10, 2, 8 * 5000]
+            heard = service.director.endpoints["b"].attempts(service.clock.now())
+            assert heard == (10, 2, 8 * 5000)
             await until(lambda: len(other._tellers[0]) == 0)
             nursery.cancel_scope.cancel()
 
@@ -429,14 +429,17 @@
 
     class Eager:
         def __init__(self, host: Any, settings: Any, seed: int, now: int) -> None:
-            self.host, self.channel, self.hosts, self.joined = host, self, list[str](), list[int]()
+            self.host, self.hosts, self.joined = host, list[str](), list[int]()
             self.routes = range(len(settings.routes))
             host.watch_endpoints()
             host.schedule_evaluation(100)
 
-        def load(self) -> float:
+        def queue_estimate(self) -> float:
             return 0.0
 
+        def learnt_capacities(self) -> dict[str, float]:
+            return {}
+
         def handle(self, now: int, event: Any) -> None:
             """What is heard of anything else changes nothing here."""
             if isinstance(event, ProxyJoined):
--- a/willowhook/controlplane/service.py
+++ b/willowhook/controlplane/service.py
@@ -36,7 +36,7 @@
     ProxyLeft,
     RequestReport,
 )
-from ..decisions.model import Ring
+from ..decisions.windows import WindowedSums
 from ..files.layout import DRAIN, PACE, Folder
 from ..files.ops import DiskOps, FileOps, remove
 from ..files.swap import Shelf, swap_file
@@ -149,7 +149,9 @@
         self._route_at = {route.name: k for k, route in enumerate(terms.routes)}
         self._terms_of: dict[int, int] = {}  # of each proxy's stay
         self._draining = False
-        self._met: dict[int, dict[str, Ring]] = {}  # by proxy and host: tries, errors, time of the answered
+        self._met: dict[
+            int, dict[str, WindowedSums]
+        ] = {}  # by proxy and host: tries, errors, time of the answered
         links = terms.links
         lasts = ticks(links.lasts_ms)
         self._hints = Listener(lasts)
@@ -337,12 +339,10 @@
 
     def _compare(self, now: int) -> None:
         """The module's estimate of its channel beside the true queue."""
-        believed, true = self.director.channel.load(), self.channel.waiting
+        believed, true = self.director.queue_estimate(), self.channel.waiting
         if now // SECOND != self._noted_at:
             self._noted_at = now // SECOND
-            if isinstance(self.director, Controller):
-                sizes = {name: up.size for name, up in self.director.hosts.items()}
-                self.publisher.tell_guard(self.watchman.learnt, sizes)
+            self.publisher.tell_guard(self.watchman.learnt, self.director.learnt_capacities())
             self.records.note(
                 now, "queue", believed=round(believed, 1), waiting=true, messages=len(self.channel)
             )
@@ -610,7 +610,7 @@
             if self._posts:
                 ring = self._met.setdefault(proxy, {}).get(host)
                 if ring is None:
-                    ring = self._met[proxy][host] = Ring(SECOND, MET_BUCKETS, 3)
+                    ring = self._met[proxy][host] = WindowedSums(SECOND, MET_BUCKETS, 3)
                 ring.add(now, came, failed, spent)
 
     def _hand_sums(
--- /dev/null
+++ b/willowhook/decisions/admission.py
@@ -0,0 +1,170 @@
+"""Admission control: how much of the requests' work is let in, and the limits that follow for each route.
+
+Each evaluation sets the admitted fraction by a control step: down to a target utilization when the fleet is
+too busy or too late, up again when it is idle. What reports show now answers to the fraction of a while ago,
+so each step starts from that one. The admitted work goes to routes by priority per latency objective; each
+keeps a floor. What is not let in is shed at once.
+
+The retry budget: one retry while everything is let in, none while load is shed, as a retry is one more
+request for a full fleet.
+"""
+
+from __future__ import annotations
+
+from .arithmetic import even_allowance
+from .context import ControllerContext
+from .demand import RequestDemand
+from .load import FULL_UTILIZATION, IDLE_UTILIZATION, LATE_FRACTION, LoadSample
+from .model import EndpointTable
+from .runtime import AdmissionLimit
+from .settings import AdmissionUnit, Route
+from .timing import EVALUATION_INTERVAL_TICKS
+from .windows import IntervalHistory
+
+# Utilization, as a share of cores in use.
+SHED_UTILIZATION = 0.93  # over it, load is shed
+SHED_PROJECTED_UTILIZATION = 1.02  # the same, for what a rise leads to
+TARGET_UTILIZATION = FULL_UTILIZATION  # what shedding aims at
+RAISE_UTILIZATION = 0.75  # what the way back aims at
+
+# The control step.
+FALL_GAIN = 5.0  # of the way down, over the feedback time
+RISE_GAIN = 4.0  # of the way up, over the feedback time
+MAX_GROWTH = 1.5  # over the feedback time
+MAX_FEEDBACK_TICKS = 30 * EVALUATION_INTERVAL_TICKS  # as far back as the fractions are kept
+HISTORY_INTERVALS = 32
+
+# Admitted fractions: of the demand that was known when shedding began, so one may pass 1.
+OPEN_FRACTION = 1.4  # from here on nothing is shed
+NEARLY_OPEN = 0.97  # of that: as good as open
+MIN_FRACTION = 0.1  # of a route, whatever happens
+RETRY_FRACTION = 1.0  # from here on a retry is allowed
+WHOLE_FRACTION = 0.999  # from here on a route has no limit
+UNLIMITED_RATE = 1e6  # requests per second
+
+
+class AdmissionController:
+    """Keeps the admitted fraction and makes the limits of a table.
+
+    Attributes:
+        admitted_fraction: of the demand known when shedding began; `OPEN_FRACTION` if nothing is shed.
+    """
+
+    def __init__(self, context: ControllerContext, demand: RequestDemand) -> None:
+        self._fleet = context.fleet
+        self._runtime = context.runtime
+        self._conditions = context.conditions
+        self._demand = demand
+        self.admitted_fraction = OPEN_FRACTION
+        self._history = IntervalHistory(EVALUATION_INTERVAL_TICKS, HISTORY_INTERVALS, OPEN_FRACTION)
+
+    @property
+    def is_shedding(self) -> bool:
+        """Whether some requests are rejected to keep the others in time."""
+        return self.admitted_fraction < OPEN_FRACTION
+
+    def evaluate(self, now: int, sample: LoadSample, feedback_ticks: int) -> None:
+        """Sets the admitted fraction anew.
+
+        Args:
+            now: the time.
+            sample: what the reports say.
+            feedback_ticks: from a command to reports that show it, without the requests' own latency.
+        """
+        # failures where responses are in time are no overload
+        is_late = sample.latency_fraction > LATE_FRACTION
+        success = sample.median_success_fraction if is_late else 1.0
+        self._conditions.pressure = sample.latency_fraction + 1 - success
+        self._conditions.success_fraction = min(success, sample.overall_success_fraction)
+        was_shedding = self.is_shedding
+        before = self.admitted_fraction
+        feedback = min(feedback_ticks + int(sample.mean_latency_ticks), MAX_FEEDBACK_TICKS)
+        self._step(now, sample, success, feedback)
+        if was_shedding != self.is_shedding:
+            self._log_change(before, sample, success)
+
+    def record(self, now: int) -> None:
+        """Keeps the admitted fraction, for the reports that will answer to it."""
+        self._history.record(now, self.admitted_fraction)
+
+    def route_fractions(self) -> list[float]:
+        """What is let in of each route, by index: most priority for its latency objective first."""
+        routes = self._fleet.settings.routes
+        work = [route.latency_objective_ticks * self._demand.total(route) for route in routes]
+        left = (self.admitted_fraction - MIN_FRACTION) * sum(work)
+        fractions = [MIN_FRACTION] * len(work)
+        for index in sorted(range(len(routes)), key=lambda index: -_priority(routes[index])):
+            part = min(max(left, 0.0), (1 - MIN_FRACTION) * work[index])
+            fractions[index] += part / work[index] if work[index] else 1.0
+            left -= part
+        return fractions
+
+    def limits(self, table: EndpointTable, fractions: list[float]) -> dict[int, AdmissionLimit]:
+        """The admission limits of a table, by route index, for these route fractions."""
+        retries = 1 if self.admitted_fraction >= RETRY_FRACTION else 0
+        unit = self._fleet.settings.fleet.admission_unit
+        if unit is AdmissionUnit.REQUESTS_PER_SECOND:
+            return {k: AdmissionLimit(retries, self._rate_limit(k, fractions[k])) for k in table.routes}
+        return {k: AdmissionLimit(retries, fractions[k]) for k in table.routes}
+
+    def _rate_limit(self, index: int, fraction: float) -> float:
+        """The same allowance for each proxy, which leaves those with little traffic whole."""
+        rates = list(self._demand.by_proxy(self._fleet.settings.routes[index]).values())
+        if fraction >= WHOLE_FRACTION or not rates:
+            return UNLIMITED_RATE
+        return max(even_allowance(rates, fraction), MIN_FRACTION)
+
+    def _step(self, now: int, sample: LoadSample, success: float, feedback: int) -> None:
+        if self._must_shed(sample, success):
+            self._shed(now, sample, success, feedback)
+        elif sample.projected_utilization < RAISE_UTILIZATION and self.is_shedding:
+            self._raise(now, sample, feedback)
+        is_open = self.admitted_fraction >= OPEN_FRACTION * NEARLY_OPEN
+        self.admitted_fraction = OPEN_FRACTION if is_open else max(self.admitted_fraction, MIN_FRACTION)
+
+    def _must_shed(self, sample: LoadSample, success: float) -> bool:
+        """At once when full or late; while load is shed already, by the target that it is shed for."""
+        has_room = self.admitted_fraction >= RETRY_FRACTION
+        highest = SHED_UTILIZATION if has_room else TARGET_UTILIZATION
+        highest_projected = SHED_PROJECTED_UTILIZATION if has_room else TARGET_UTILIZATION
+        return (
+            sample.utilization > highest
+            or sample.projected_utilization > highest_projected
+            or self._easing(sample, success) < 1
+        )
+
+    def _easing(self, sample: LoadSample, success: float) -> float:
+        """What lateness and failures ask to cut the admitted fraction by, as a factor."""
+        if self.is_shedding and sample.projected_utilization <= IDLE_UTILIZATION:
+            return 1.0  # what is late or failed is left over from before
+        return success * min(1.0, LATE_FRACTION / sample.latency_fraction)
+
+    def _shed(self, now: int, sample: LoadSample, success: float, feedback: int) -> None:
+        by_load = min(1.0, TARGET_UTILIZATION / sample.projected_utilization)
+        wanted = self._answered_fraction(now, feedback) * by_load * self._easing(sample, success)
+        start = min(self.admitted_fraction, 1.0)
+        gain = min(FALL_GAIN * EVALUATION_INTERVAL_TICKS / feedback, 1.0)
+        self.admitted_fraction = start + min(wanted - start, 0.0) * gain
+
+    def _raise(self, now: int, sample: LoadSample, feedback: int) -> None:
+        growth = min(RAISE_UTILIZATION / sample.projected_utilization, MAX_GROWTH)
+        wanted = self._answered_fraction(now, feedback) * growth
+        gain = min(RISE_GAIN * EVALUATION_INTERVAL_TICKS / feedback, 1.0)
+        self.admitted_fraction += max(wanted - self.admitted_fraction, 0.0) * gain
+
+    def _answered_fraction(self, now: int, feedback: int) -> float:
+        """The admitted fraction that today's reports answer to, at most 1."""
+        fractions = [self._history.at(now - feedback, offset) for offset in (-1, 0, 1)]
+        return min(1.0, sum(fractions) / len(fractions))
+
+    def _log_change(self, before: float, sample: LoadSample, success: float) -> None:
+        what = "load shedding began" if self.is_shedding else "load shedding ended"
+        self._runtime.log(
+            f"{what} admitted_fraction={self.admitted_fraction:.2f} before={before:.2f} "
+            f"latency_fraction={sample.latency_fraction:.2f} success_fraction={success:.2f} "
+            f"utilization={sample.utilization:.2f}"
+        )
+
+
+def _priority(route: Route) -> float:
+    return route.priority_weight / route.latency_objective_ticks
--- /dev/null
+++ b/willowhook/decisions/binding.py
@@ -0,0 +1,102 @@
+"""Binding: which joining proxy gets its tables when.
+
+A controller that has just started knows no endpoint's latency. A proxy that holds a table of another
+controller, or a default one that knows as much, keeps it until the first step of the weight solver.
+"""
+
+from __future__ import annotations
+
+import math
+
+from .context import ControllerContext
+from .pending_binds import PendingBinds
+from .readmissions import SessionReadmissions
+from .subsets import SubsetAssigner, SubsetMode
+from .table_updates import TableUpdater
+from .update_cost import bind_cost
+from .weight_solver import STEP_INTERVAL_TICKS
+
+SAFETY_ENTRIES = 1  # of a bind, over what the channel will carry
+
+
+class ProxyBinder:
+    """Binds proxies to the default tables or to those of their subset."""
+
+    def __init__(
+        self,
+        context: ControllerContext,
+        pending_binds: PendingBinds,
+        readmissions: SessionReadmissions,
+        subsets: SubsetAssigner,
+        updater: TableUpdater,
+    ) -> None:
+        self._fleet = context.fleet
+        self._runtime = context.runtime
+        self._channel = context.channel
+        self._pending_binds = pending_binds
+        self._readmissions = readmissions
+        self._subsets = subsets
+        self._updater = updater
+        self._learning_until = context.started_at + STEP_INTERVAL_TICKS
+
+    def end_learning(self) -> None:
+        """Weights are known, or binds are needed to keep the drain rule: nobody is held back any more."""
+        self._learning_until = 0
+
+    def due(self, now: int) -> list[int]:
+        """The proxies that may be bound now, the most urgent first."""
+        endpoints = self._fleet.endpoints.values()
+        excluded = sum(endpoint.is_excluded for endpoint in endpoints)
+        if now >= self._learning_until or 2 * excluded >= len(endpoints):
+            return self._pending_binds.in_order(with_earlier_table=True)
+        settings = self._fleet.settings
+        default_table_is_as_good = settings.fleet.default_table_size and not settings.lists_capacity
+        if default_table_is_as_good:
+            return []
+        return self._pending_binds.in_order(with_earlier_table=False)
+
+    def bind_burst(self, now: int, due: list[int]) -> None:
+        """Binds proxies that never were to subsets, if too many of them wait for whole tables.
+
+        A subset table holds nothing that has to be excluded, and its bind costs less than telling a proxy
+        what has been.
+        """
+        new = [proxy for proxy in due if proxy not in self._fleet.subset_of]
+        if self._subsets.is_burst(new):
+            self.bind_in_order(now, self._subsets.assign_burst(now, new), math.inf)
+
+    def bind_in_order(self, now: int, due: list[int], limit: float) -> None:
+        """Binds those of these proxies that still wait, as long as the queue stays under the limit."""
+        if due and self._channel.queue_estimate() < limit:
+            # a table that nobody uses yet is brought up to date before anyone is bound, and costs nothing
+            unused = [table for table in self._fleet.tables if not self._fleet.users(table)]
+            self._updater.update(now, unused, limit)
+        for proxy in due:
+            if self._channel.queue_estimate() >= limit:
+                break
+            self._bind(now, proxy)
+            self._pending_binds.remove(proxy)
+
+    def end_burst(self, now: int, limit: float) -> None:
+        """Binds proxies with a subset to the default tables, once nobody waits, as the queue allows."""
+        if self._subsets.mode is not SubsetMode.JOIN_BURST or self._pending_binds:
+            return
+        while self._subsets.mode is SubsetMode.JOIN_BURST:
+            if self._channel.queue_estimate() >= limit:
+                return
+            proxy = self._subsets.release_next()
+            if proxy in self._fleet.proxies:
+                self._bind(now, proxy)
+        self._fleet.tables = list(self._fleet.default_tables)
+
+    def _bind(self, now: int, proxy: int) -> None:
+        subset = self._subsets.assigned(proxy)
+        self._fleet.subset_of[proxy] = subset
+        tables = self._fleet.tables_for(proxy, subset)
+        self._readmissions.readmit_at(now, proxy, tables)
+        for table in tables:
+            self._runtime.bind(proxy, table.number, table.routes)
+            excluded = sum(self._fleet.endpoints[name].is_excluded for name in table.entries)
+            cost = bind_cost(len(table.entries), len(table.limits), excluded)
+            self._channel.charge([proxy], cost + SAFETY_ENTRIES)
+            table.pending_resend = dict.fromkeys(table.entries)
--- /dev/null
+++ b/willowhook/decisions/channel.py
@@ -0,0 +1,147 @@
+"""An estimate of what waits in the channel to the proxies, by what was sent and what was acknowledged.
+
+The channel carries entries at a stated rate, and messages leave it in the order in which they were sent. So
+an acknowledgement proves that everything sent before that message's flush has left. It proves nothing of its
+own flush: a large one takes a second to leave, and its first acknowledgement comes early.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from typing import NamedTuple
+
+from ..ticks import TICKS_PER_SECOND
+from .settings import ChannelSettings
+from .update_cost import SYNC_MARKER_ENTRIES, message_overhead
+
+MARKERS = 1 << 16  # a sync marker has two bytes on the wire
+
+
+class SentMessage(NamedTuple):
+    """A message that was sent and not acknowledged yet.
+
+    Attributes:
+        marker: its sync marker.
+        entries: its cost.
+        due_at: when its acknowledgement is overdue.
+        flush: the number of the flush that sent it.
+    """
+
+    marker: int
+    entries: int
+    due_at: int
+    flush: int
+
+
+class UpdateChannel:
+    """What waits in the channel: entries sent, at its stated rate, and those that are overdue.
+
+    Attributes:
+        entries_per_tick: the stated rate.
+        overhead_entries: the cost of a message with its marker, before it carries anything.
+        queued: entries that wait, by the stated rate alone.
+        last_marker: the marker of the last flush.
+        overdue: entries of messages whose acknowledgement is overdue.
+        pending: entries by proxy, charged since the last flush.
+        unacknowledged: by joined proxy, its messages in the order in which they were sent.
+    """
+
+    def __init__(self, settings: ChannelSettings, now: int) -> None:
+        self.entries_per_tick = settings.entries_per_second / TICKS_PER_SECOND
+        self.overhead_entries = message_overhead(settings) + SYNC_MARKER_ENTRIES
+        self.pending: dict[int, int] = {}
+        self.unacknowledged: dict[int, list[SentMessage]] = {}
+        self._max_delay_ticks = settings.max_delay_ticks
+        self.queued = 0.0  # by the stated rate
+        self.overdue = 0.0
+        self._possibly_waiting = 0.0  # not proven to have left
+        self._certainly_waiting = 0.0  # of these, what cannot be on its way even at the stated rate
+        self._drained_at = now
+        self._heard_at = now  # the last acknowledgement
+        self._lost_before = now  # what was due by then is lost, or does not count any more
+        self.last_marker = 0
+        self._flushes = 0
+        self._flushes_proven = 0  # these have left whole
+
+    def add_proxy(self, proxy: int) -> None:
+        """A proxy has joined: it has acknowledgements to give from now on."""
+        self.unacknowledged[proxy] = []
+
+    def remove_proxy(self, proxy: int) -> None:
+        """A proxy has left: what was sent to it does not count any more."""
+        self.unacknowledged.pop(proxy, None)
+
+    def queue_estimate(self) -> float:
+        """Entries that wait, as far as is known."""
+        return max(self.queued + self.overdue, self._certainly_waiting)
+
+    def queue_ceiling(self) -> float:
+        """Entries that wait at the most, however slow the channel has become: its limit is held by this."""
+        return max(self.queue_estimate(), self._possibly_waiting)
+
+    def cost(self, proxies: Sequence[int], entries: int) -> int:
+        """What so many entries at each of these proxies would cost, with new messages where needed."""
+        new_messages = sum(proxy not in self.pending for proxy in proxies)
+        return entries * len(proxies) + self.overhead_entries * new_messages
+
+    def charge(self, proxies: Sequence[int], entries: int) -> None:
+        """Counts so many entries at each of these proxies, to be sent by the next flush."""
+        cost = self.cost(proxies, entries)
+        self.queued += cost
+        self._certainly_waiting += cost
+        self._possibly_waiting += cost
+        for proxy in proxies:
+            self.pending[proxy] = self.pending.get(proxy, self.overhead_entries) + entries
+
+    def drain(self, now: int) -> None:
+        """Takes off what has left since the last call."""
+        self.queued = max(0.0, self.queued - self.entries_per_tick * (now - self._drained_at))
+        self._drained_at = now
+        self._possibly_waiting = self.unproven_entries()
+        # what left within a message's longest delay may not be acknowledged yet; the rest still waits
+        on_its_way = self.entries_per_tick * self._max_delay_ticks
+        self._certainly_waiting = max(0.0, self._possibly_waiting - on_its_way)
+
+    def flush(self, now: int) -> int:
+        """Turns what is pending into messages under one marker, and returns the marker."""
+        self.last_marker = (self.last_marker + 1) % MARKERS
+        due_at = now + int(self.queue_estimate() / self.entries_per_tick) + self._max_delay_ticks
+        self._flushes += 1
+        for proxy, entries in self.pending.items():
+            self.unacknowledged[proxy].append(SentMessage(self.last_marker, entries, due_at, self._flushes))
+        self.pending.clear()
+        return self.last_marker
+
+    def acknowledge(self, now: int, proxy: int, marker: int) -> None:
+        """A proxy has applied the message with this marker, and all before it."""
+        self._heard_at = now
+        messages = self.unacknowledged.get(proxy, [])
+        for index, message in enumerate(messages):
+            if message.marker == marker:
+                self._flushes_proven = max(self._flushes_proven, message.flush - 1)
+                del messages[: index + 1]
+                return
+
+    def unproven_entries(self) -> int:
+        """Entries of which no acknowledgement shows yet that they have left."""
+        return sum(
+            message.entries
+            for messages in self.unacknowledged.values()
+            for message in messages
+            if message.flush > self._flushes_proven and message.due_at > self._lost_before
+        )
+
+    def update_overdue(self, now: int, lost_after_ticks: int) -> None:
+        """Sums what is overdue, and gives up what has been so for too long.
+
+        While acknowledgements come, however late, the channel is slow, and what has none still waits in its
+        turn. Once none has come for `lost_after_ticks`, what has been overdue for so long is lost.
+        """
+        if now - self._heard_at >= lost_after_ticks:
+            self._lost_before = now - lost_after_ticks
+        self.overdue = sum(
+            message.entries
+            for messages in self.unacknowledged.values()
+            for message in messages
+            if message.flush > self._flushes_proven and self._lost_before < message.due_at < now
+        )
--- /dev/null
+++ b/willowhook/decisions/fleet.py
@@ -0,0 +1,98 @@
+"""The state that the components share: endpoints, proxies, tables, and which proxy uses which table."""
+
+from __future__ import annotations
+
+from .model import Endpoint, EndpointTable, ProxySession
+from .settings import DeploymentSettings, Route
+
+ZONE_TABLES_FROM_PRICE = 0.05  # of a cross-zone request: from here on, each zone has tables of its own
+
+
+class FleetState:
+    """Endpoints, proxies and tables, as one controller holds them.
+
+    Attributes:
+        settings: the deployment's.
+        endpoints: all that are or were listed, by name.
+        proxies: those that have joined, by number.
+        default_tables: one for each group of routes that allow the same endpoints, and zone where needed.
+        tables: the default tables, and those of subsets while there are any.
+        subset_of: by bound proxy, its subset; None: it uses the default tables.
+    """
+
+    def __init__(self, settings: DeploymentSettings) -> None:
+        self.settings = settings
+        self.endpoints: dict[str, Endpoint] = {}
+        self.proxies: dict[int, ProxySession] = {}
+        self.default_tables = build_default_tables(settings)
+        self.tables = list(self.default_tables)
+        self.subset_of: dict[int, int | None] = {}
+
+    @property
+    def absent_proxies(self) -> int:
+        """Proxies of the deployment that have not joined here."""
+        return max(self.settings.fleet.proxy_count - len(self.proxies), 0)
+
+    def remove_proxy(self, proxy: int) -> None:
+        """A proxy has left: it uses no table any more."""
+        self.proxies.pop(proxy, None)
+        self.subset_of.pop(proxy, None)
+
+    def users(self, table: EndpointTable) -> list[int]:
+        """The proxies that are bound to a table."""
+        bound = self.subset_of.items()
+        return [proxy for proxy, subset in bound if subset == table.subset and self.is_local(table, proxy)]
+
+    def is_local(self, table: EndpointTable, proxy: int) -> bool:
+        """Whether a table is for the zone of this proxy."""
+        return table.zone is None or table.zone == self.proxies[proxy].zone
+
+    def tables_for(self, proxy: int, subset: int | None) -> list[EndpointTable]:
+        """The tables that a proxy of this subset uses."""
+        return [table for table in self.tables if table.subset == subset and self.is_local(table, proxy)]
+
+    def tables_with(self, endpoint: str) -> list[EndpointTable]:
+        """The tables that hold an entry for an endpoint."""
+        return [table for table in self.tables if endpoint in table.entries]
+
+    def has_subset_bindings(self) -> bool:
+        """Whether a proxy is still bound to tables of a subset."""
+        return any(subset is not None for subset in self.subset_of.values())
+
+    def is_without_open_entry(self, table: EndpointTable) -> bool:
+        """Whether no entry of a table is for an endpoint that proxies may use."""
+        return all(self.endpoints[name].is_excluded for name in table.entries)
+
+    @staticmethod
+    def is_eligible(table: EndpointTable, endpoint: Endpoint) -> bool:
+        """Whether an endpoint is in service and allowed in a table."""
+        requirements = table.requirements
+        if not endpoint.is_in_service:
+            return False
+        if requirements.same_zone_only and endpoint.zone != table.zone:
+            return False
+        if requirements.allowed_classes and endpoint.endpoint_class not in requirements.allowed_classes:
+            return False
+        if requirements.allowed_zones and endpoint.zone not in requirements.allowed_zones:
+            return False
+        return not table.members or endpoint in table.members
+
+
+def build_default_tables(settings: DeploymentSettings) -> list[EndpointTable]:
+    """One table for each group of routes that allow the same endpoints, and each zone where it matters."""
+    groups: dict[tuple[object, ...], list[int]] = {}
+    zones: dict[tuple[object, ...], str | None] = {}
+    for index, route in enumerate(settings.routes):
+        for zone in _table_zones(settings, route):
+            key = (route.allowed_classes, route.allowed_zones, route.same_zone_only, zone)
+            groups.setdefault(key, []).append(index)
+            zones[key] = zone
+    return [
+        EndpointTable(number, routes, settings.routes[routes[0]], zones[key])
+        for number, (key, routes) in enumerate(groups.items())
+    ]
+
+
+def _table_zones(settings: DeploymentSettings, route: Route) -> tuple[str | None, ...]:
+    prefers_local = settings.fleet.cross_zone_price >= ZONE_TABLES_FROM_PRICE
+    return settings.zones if route.same_zone_only or prefers_local else (None,)
--- /dev/null
+++ b/willowhook/decisions/health_checks.py
@@ -0,0 +1,68 @@
+"""Active health checks: when to send them, and what their ends tell of load.
+
+They are sent only where endpoints report their load with health checks. They tell of load and of partitions;
+whether an endpoint serves requests is judged by the requests (see outliers.py).
+"""
+
+from __future__ import annotations
+
+from ..ticks import TICKS_PER_SECOND
+from .context import ControllerContext
+from .events import HealthCheckCompleted, HealthCheckOutcome
+from .load import IDLE_UTILIZATION, LATE_FRACTION
+from .model import RECENT_BUCKETS, Endpoint
+from .partitions import PartitionDetector
+from .settings import LoadSource
+
+INTERVAL_TICKS = 2 * TICKS_PER_SECOND
+BUSY_INTERVAL_TICKS = INTERVAL_TICKS // 2
+MISSED = frozenset({HealthCheckOutcome.TIMED_OUT, HealthCheckOutcome.UNREACHABLE})
+FULL_UTILIZATION = 1.0
+
+
+class HealthChecks:
+    """Sends health checks and takes their ends in."""
+
+    def __init__(self, context: ControllerContext, partitions: PartitionDetector) -> None:
+        self._fleet = context.fleet
+        self._runtime = context.runtime
+        self._conditions = context.conditions
+        self._random_fraction = context.random_fraction
+        self._partitions = partitions
+        settings = context.settings
+        self._is_enabled = settings.health_checks and settings.fleet.load_source is LoadSource.HEALTH_CHECKS
+        self._shortest_objective_ticks = min(route.latency_objective_ticks for route in settings.routes)
+
+    def send_due(self, now: int) -> None:
+        """Checks each endpoint in service whose next check is due."""
+        if not self._is_enabled:
+            return
+        for endpoint in self._fleet.endpoints.values():
+            if endpoint.is_in_service and now >= endpoint.next_health_check_at:
+                self._runtime.check_health(endpoint.name)
+                is_idle = endpoint.utilization < IDLE_UTILIZATION
+                interval = INTERVAL_TICKS if is_idle else BUSY_INTERVAL_TICKS
+                endpoint.next_health_check_at = now + int(interval * (0.5 + self._random_fraction()))
+
+    def record(self, now: int, event: HealthCheckCompleted) -> None:
+        """Takes the end of a health check in; one of an unknown endpoint, of before a restart, is ignored."""
+        endpoint = self._fleet.endpoints.get(event.endpoint)
+        if endpoint is None:
+            return
+        endpoint.missed_health_check = event.outcome in MISSED
+        if event.cpu_utilization is not None:
+            endpoint.utilization = event.cpu_utilization
+            endpoint.utilization_at = now
+        elif self._is_overloaded(now, endpoint, event.outcome):
+            endpoint.utilization = FULL_UTILIZATION
+            endpoint.utilization_at = now
+
+    def _is_overloaded(self, now: int, endpoint: Endpoint, outcome: HealthCheckOutcome) -> bool:
+        """A timeout tells of a full endpoint only if the requests that it answers are late too."""
+        if outcome is not HealthCheckOutcome.TIMED_OUT:
+            return False
+        if endpoint.zone in self._partitions.unreachable_zones:
+            return False
+        sums = endpoint.attempts(now, RECENT_BUCKETS)
+        is_late = sums.latency_ticks > sums.successes * LATE_FRACTION * self._shortest_objective_ticks
+        return is_late or not self._conditions.pressure
--- /dev/null
+++ b/willowhook/decisions/locality.py
@@ -0,0 +1,53 @@
+"""Locality spillover: where crossing zones has a price, a zone keeps the requests that it can serve."""
+
+from __future__ import annotations
+
+from .admission import AdmissionController
+from .context import ControllerContext
+from .model import EndpointTable
+from .weights import EndpointWeights
+
+MAX_KEPT_FRACTION = 0.95  # of a zone's requests, so that the others are tried too
+MIN_DEMAND_FRACTION = 0.01  # of all requests, that a zone counts with
+
+
+class LocalitySpillover:
+    """Sets how much endpoints in other zones count in a zone's table."""
+
+    def __init__(
+        self, context: ControllerContext, admission: AdmissionController, weights: EndpointWeights
+    ) -> None:
+        self._fleet = context.fleet
+        self._admission = admission
+        self._weights = weights
+
+    def rebalance(self, now: int, table: EndpointTable) -> None:
+        """Sets the remote factor of a table anew. While load is shed, every endpoint serves all zones."""
+        table.remote_factor = 1.0
+        if table.zone is None or self._admission.is_shedding:
+            return
+        local, remote = self._capacity_by_side(now, table)
+        if not local or not remote:
+            return
+        demand = max(self._demand_fraction(table.zone), MIN_DEMAND_FRACTION)
+        kept = min(MAX_KEPT_FRACTION, local / (local + remote) / demand)
+        table.remote_factor = min(1.0, local * (1 - kept) / (kept * remote))
+
+    def _capacity_by_side(self, now: int, table: EndpointTable) -> tuple[float, float]:
+        """The weight of the endpoints in the table's zone, and of all others."""
+        local = remote = 0.0
+        for endpoint in self._fleet.endpoints.values():
+            weight = self._weights.weight(now, table, endpoint)
+            if endpoint.zone == table.zone:
+                local += weight
+            else:
+                remote += weight
+        return local, remote
+
+    def _demand_fraction(self, zone: str) -> float:
+        """The share of all requests that reaches the proxies of a zone; absent proxies count as average."""
+        sessions = self._fleet.proxies.values()
+        rates = [session.usual_rate_per_second for session in sessions] or [1.0]
+        absent = self._fleet.absent_proxies * sum(rates) / len(rates)
+        local = sum(session.usual_rate_per_second for session in sessions if session.zone == zone)
+        return (local + absent / len(self._fleet.settings.zones)) / (sum(rates) + absent)
--- /dev/null
+++ b/willowhook/decisions/outliers.py
@@ -0,0 +1,70 @@
+"""Outlier detection: ejects endpoints that fail nearly all attempts while others do not.
+
+An endpoint that answers some attempts stays: in one-sided trouble and under overload the others could not
+carry its requests too. Ejections get longer each time.
+"""
+
+from __future__ import annotations
+
+from ..ticks import TICKS_PER_SECOND
+from .context import ControllerContext
+from .model import AttemptSums, Endpoint
+
+MIN_ATTEMPTS = 3  # for an endpoint to count in what is usual
+MIN_FAILURES = 3  # for an endpoint to be ejected
+EXCESS_FAILURES = 0.75  # share of attempts that fail, above that at the better endpoints
+FIRST_EJECTION_TICKS = 5 * TICKS_PER_SECOND
+MAX_EJECTION_TICKS = 4 * FIRST_EJECTION_TICKS
+
+
+class OutlierDetector:
+    """Ejects endpoints and readmits them when their ejection has ended."""
+
+    def __init__(self, context: ControllerContext) -> None:
+        self._fleet = context.fleet
+        self._runtime = context.runtime
+
+    def update(self, now: int) -> bool:
+        """Judges all endpoints in service; whether one was ejected."""
+        judged = [
+            (endpoint, endpoint.attempts(now))
+            for endpoint in self._fleet.endpoints.values()
+            if endpoint.is_in_service
+        ]
+        usual = self._usual_failure_fraction(judged)
+        ejected = False
+        for endpoint, sums in judged:
+            failure_fraction = sums.failures / max(sums.attempts, 1.0)
+            if endpoint.is_ejected:
+                if now >= endpoint.ejected_until:
+                    self._end_ejection(endpoint)
+            elif sums.failures >= MIN_FAILURES and failure_fraction - usual > EXCESS_FAILURES:
+                self._eject(now, endpoint, sums, usual)
+                ejected = True
+        return ejected
+
+    @staticmethod
+    def _usual_failure_fraction(judged: list[tuple[Endpoint, AttemptSums]]) -> float:
+        """That of the better quarter of the endpoints in use: half a fleet may be failing."""
+        fractions = sorted(
+            sums.failures / sums.attempts
+            for endpoint, sums in judged
+            if sums.attempts >= MIN_ATTEMPTS and not endpoint.is_ejected
+        )
+        return fractions[len(fractions) // 4] if fractions else 0.0
+
+    def _eject(self, now: int, endpoint: Endpoint, sums: AttemptSums, usual: float) -> None:
+        doubled = min(2 * endpoint.ejection_ticks, MAX_EJECTION_TICKS)
+        endpoint.ejection_ticks = doubled or FIRST_EJECTION_TICKS
+        endpoint.is_ejected = True
+        endpoint.ejected_until = now + endpoint.ejection_ticks
+        self._runtime.log(
+            f"endpoint ejected endpoint={endpoint.name} failures={sums.failures:.0f} "
+            f"attempts={sums.attempts:.0f} usual_failure_fraction={usual:.2f} "
+            f"seconds={endpoint.ejection_ticks / TICKS_PER_SECOND:.0f}"
+        )
+
+    def _end_ejection(self, endpoint: Endpoint) -> None:
+        endpoint.is_ejected = False
+        endpoint.forget_attempts()
+        self._runtime.log(f"endpoint ejection ended endpoint={endpoint.name}")
--- /dev/null
+++ b/willowhook/decisions/pending_binds.py
@@ -0,0 +1,64 @@
+"""Proxies that wait to be bound to their tables, and their order."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Iterator
+from typing import NamedTuple
+
+from ..ticks import TICKS_PER_SECOND
+
+FRESH_ADVANTAGE_SECONDS = 2  # a proxy with few endpoints of its own may lose them all
+
+
+class BindPriority(NamedTuple):
+    """Orders waiting proxies: who waits longest first, then who has most traffic.
+
+    Attributes:
+        waiting_since_second: when it joined; earlier for a proxy that no controller has sent a table.
+        negative_rate: minus its usual requests per second.
+        has_earlier_table: whether another controller has sent it one.
+    """
+
+    waiting_since_second: int
+    negative_rate: float
+    has_earlier_table: bool
+
+
+class PendingBinds:
+    """The proxies that wait to be bound."""
+
+    def __init__(self) -> None:
+        self._waiting: dict[int, BindPriority] = {}
+
+    def __contains__(self, proxy: int) -> bool:
+        return proxy in self._waiting
+
+    def __iter__(self) -> Iterator[int]:
+        return iter(self._waiting)
+
+    def __len__(self) -> int:
+        return len(self._waiting)
+
+    def add(self, now: int, proxy: int, rate_per_second: float, is_fresh: bool) -> None:
+        """A proxy has joined."""
+        since = now // TICKS_PER_SECOND - FRESH_ADVANTAGE_SECONDS * is_fresh
+        self._waiting[proxy] = BindPriority(since, -rate_per_second, not is_fresh)
+
+    def rebind_all(self, now: int, proxies: Iterable[int]) -> None:
+        """These proxies, and no others, are to be bound again."""
+        priority = BindPriority(now // TICKS_PER_SECOND, 0.0, has_earlier_table=False)
+        self._waiting = dict.fromkeys(proxies, priority)
+
+    def remove(self, proxy: int) -> None:
+        """A proxy was bound, or has left."""
+        self._waiting.pop(proxy, None)
+
+    def in_order(self, *, with_earlier_table: bool) -> list[int]:
+        """Who waits, the most urgent first, with or without those that hold another controller's table."""
+        due = [
+            proxy
+            for proxy, priority in self._waiting.items()
+            if with_earlier_table or not priority.has_earlier_table
+        ]
+        due.sort(key=self._waiting.__getitem__)
+        return due
--- /dev/null
+++ b/willowhook/decisions/queue_limits.py
@@ -0,0 +1,54 @@
+"""How much may wait in the channel, for each kind of update.
+
+Exclusions keep a rule, so they may fill nearly all of the queue. Binds and table updates leave room, so that
+the exclusions that come next still reach all proxies within the drain grace.
+"""
+
+from __future__ import annotations
+
+from .channel import UpdateChannel
+from .fleet import FleetState
+
+EXCLUSION_FRACTION = 0.95  # of the queue's limit
+TABLE_FRACTION = 0.4  # of the queue's limit, at the most
+BIND_DIVISOR = 3  # of the queue's limit, or of what can leave within the grace
+EXCLUSION_GATHER_DIVISOR = 8  # exclusions gather for this part of the grace before they are sent
+REMINDER_DIVISOR = 4  # a proxy that waits for this part of the grace is told of earlier exclusions
+
+
+class QueueLimits:
+    """Limits of the queue, in entries."""
+
+    def __init__(self, fleet: FleetState, channel: UpdateChannel) -> None:
+        self._fleet = fleet
+        self._channel = channel
+        self._settings = fleet.settings.channel
+        self._grace_ticks = fleet.settings.rules.drain_grace_ticks
+
+    def for_exclusions(self) -> float:
+        """For what keeps the drain rule and the rule of empty tables."""
+        return self._settings.queue_limit_entries * EXCLUSION_FRACTION
+
+    def for_binds(self) -> float:
+        """For binds: a third of the queue; down to a sixth where two rounds of exclusions need the rest."""
+        reach = self._channel.entries_per_tick * (self._grace_ticks - self._settings.max_delay_ticks)
+        proxies = self._fleet.settings.fleet.proxy_count + len(self._fleet.proxies)
+        reach -= proxies * (self._channel.overhead_entries + 1)
+        limit = self._settings.queue_limit_entries
+        return min(limit, max(reach, limit / 2)) / BIND_DIVISOR
+
+    def for_table_updates(self) -> float:
+        """For weights: exclusions that come next still reach all proxies in time."""
+        gathering = self._grace_ticks / EXCLUSION_GATHER_DIVISOR
+        in_time = self._grace_ticks - gathering - self._settings.max_delay_ticks
+        reach = self._channel.entries_per_tick * in_time
+        reach -= len(self._fleet.proxies) * (self._channel.overhead_entries + 1)
+        return max(self.for_binds(), min(self._settings.queue_limit_entries * TABLE_FRACTION, reach))
+
+    def for_reminders(self) -> float:
+        """For earlier exclusions told to joining proxies: what is told after the grace is of no use."""
+        waited = self._grace_ticks / REMINDER_DIVISOR
+        in_time = self._grace_ticks - waited - self._settings.max_delay_ticks
+        reach = self._channel.entries_per_tick * in_time
+        limit = self._settings.queue_limit_entries
+        return min(limit * EXCLUSION_FRACTION, max(reach, limit / 2))
--- /dev/null
+++ b/willowhook/decisions/readmissions.py
@@ -0,0 +1,54 @@
+"""Readmission at proxies that come from another controller.
+
+Where exclusions outlive a session, such a proxy keeps the endpoints that the controller before excluded.
+Those that are in service again are readmitted by name when it is bound.
+"""
+
+from __future__ import annotations
+
+from .context import ControllerContext
+from .model import Endpoint, EndpointTable
+from .update_cost import UPDATE_ENTRIES
+
+
+class SessionReadmissions:
+    """Knows which proxies may hold exclusions of another controller."""
+
+    def __init__(self, context: ControllerContext) -> None:
+        self._fleet = context.fleet
+        self._runtime = context.runtime
+        self._channel = context.channel
+        self._proxies: dict[int, None] = {}
+
+    def add_proxy(self, proxy: int) -> None:
+        """A proxy has joined that another controller had before."""
+        if self._fleet.settings.exclusions_outlive_sessions:
+            self._proxies[proxy] = None
+
+    def remove_proxy(self, proxy: int) -> None:
+        """A proxy has left."""
+        self._proxies.pop(proxy, None)
+
+    def readmit_at(self, now: int, proxy: int, tables: list[EndpointTable]) -> None:
+        """A proxy is bound to these tables: readmits what another controller may have excluded there."""
+        if proxy not in self._proxies:
+            return
+        since = now - self._fleet.settings.rules.slow_start_ticks
+        endpoints = [
+            endpoint.name
+            for endpoint in self._fleet.endpoints.values()
+            if endpoint.is_in_service and not endpoint.is_excluded and _came_back_at(endpoint) > since
+        ]
+        if self._fleet.subset_of[proxy] is None:
+            del self._proxies[proxy]
+        else:  # what is not in its part of the table can wait for the whole
+            endpoints = [name for name in endpoints if any(name in table.entries for table in tables)]
+        if endpoints:
+            self._runtime.readmit_for_proxy(proxy, endpoints)
+            self._channel.charge([proxy], len(endpoints) * UPDATE_ENTRIES)
+
+
+def _came_back_at(endpoint: Endpoint) -> int:
+    """When it may have come back unseen; nobody excluded one that was listed here for the first time."""
+    started_at = 0 if endpoint.is_new else endpoint.started_at
+    return max(started_at, endpoint.exclusion_changed_at)
--- /dev/null
+++ b/willowhook/decisions/subsets.py
@@ -0,0 +1,192 @@
+"""Subsets: small tables of a few endpoints, each for a part of the proxies.
+
+One mechanism with two triggers. In a join burst, too many proxies wait for whole tables to reach all within
+the drain grace: each gets a part of the tables first, and the whole when nobody waits. And where idle
+endpoints refuse connections, each proxy is kept to a few endpoints for a time, which doubles.
+"""
+
+from __future__ import annotations
+
+from enum import Enum
+
+from ..ticks import TICKS_PER_SECOND
+from .context import ControllerContext
+from .load import FULL_UTILIZATION, LATE_FRACTION, LoadSample
+from .model import Endpoint, EndpointTable
+from .update_cost import BIND_ENTRIES
+from .weights import EndpointWeights
+
+MIN_ENDPOINTS = 2  # in a subset table
+FIRST_CONNECTION_LIMIT_TICKS = 30 * TICKS_PER_SECOND
+MIN_SUCCESS_FRACTION = 0.4  # under it, of idle endpoints that answer in time: they refuse connections
+TABLE_OVERHEAD_ENTRIES = BIND_ENTRIES + 1  # of a bind, one entry on the safe side
+GRACE_FRACTION = 0.5  # of the drain grace, within which all who join are to be bound
+
+
+class SubsetMode(Enum):
+    """Whether proxies use subset tables, and why."""
+
+    OFF = "off"
+    JOIN_BURST = "join burst"
+    CONNECTION_LIMIT = "connection limit"
+
+
+class SubsetAssigner:
+    """Makes subset tables and assigns proxies to them."""
+
+    def __init__(self, context: ControllerContext, weights: EndpointWeights) -> None:
+        self._fleet = context.fleet
+        self._runtime = context.runtime
+        self._channel = context.channel
+        self._limits = context.limits
+        self._random_fraction = context.random_fraction
+        self._weights = weights
+        self._assigned: dict[int, int] = {}  # by proxy, its subset
+        self._count = 1
+        self._endpoints_each = MIN_ENDPOINTS
+        self._last_table = len(context.fleet.default_tables)
+        self._limited_until: int | None = None
+        self._next_limit_ticks = FIRST_CONNECTION_LIMIT_TICKS
+        # as many as any proxy uses: those of one zone
+        tables = context.fleet.default_tables
+        self._tables_of_one = [table for table in tables if table.zone == tables[0].zone]
+
+    @property
+    def mode(self) -> SubsetMode:
+        """Whether proxies use subset tables now, and why."""
+        if self._limited_until is not None:
+            return SubsetMode.CONNECTION_LIMIT
+        return SubsetMode.JOIN_BURST if self._assigned else SubsetMode.OFF
+
+    def assigned(self, proxy: int) -> int | None:
+        """The subset that a proxy is to be bound to; None: the default tables."""
+        return self._assigned.get(proxy)
+
+    def add_proxy(self, proxy: int) -> None:
+        """A proxy has joined: it gets a subset too while connections are limited."""
+        if self.mode is SubsetMode.CONNECTION_LIMIT:
+            self._assigned.setdefault(proxy, self._draw_subset())
+
+    # Join bursts.
+
+    def is_burst(self, waiting: list[int]) -> bool:
+        """Whether whole tables would reach these proxies too late for what is excluded in them."""
+        if self.mode is SubsetMode.CONNECTION_LIMIT or not waiting:
+            return False
+        entries = sum(
+            len(table.entries) + len(table.limits) + TABLE_OVERHEAD_ENTRIES for table in self._tables_of_one
+        )
+        cost = self._channel.cost(waiting, entries)
+        return self._channel.queue_estimate() + cost > self._entries_in_time()
+
+    def assign_burst(self, now: int, waiting: list[int]) -> list[int]:
+        """Assigns waiting proxies to subsets at random; returns those whose binds fit in the queue now."""
+        if self.mode is SubsetMode.OFF:
+            if self._fleet.has_subset_bindings():
+                return []  # their tables' numbers would be used again
+            self._endpoints_each = self._burst_table_size(len(waiting))
+            self._make_tables(now, self._endpoints_each)
+            self._runtime.log(f"join burst began waiting={len(waiting)} subsets={self._count}")
+        drawn = {proxy: self._draw_subset() for proxy in waiting}
+        self._assigned = drawn | self._assigned
+        routes = len(self._fleet.settings.routes)
+        table_cost = TABLE_OVERHEAD_ENTRIES + self._endpoints_each + routes
+        cost = self._channel.overhead_entries + len(self._tables_of_one) * table_cost
+        room = self._limits.for_exclusions() - self._channel.queue_ceiling()
+        return waiting[: max(0, int(room / cost))]
+
+    def release_next(self) -> int:
+        """Ends the assignment of the next proxy of a join burst, and returns the proxy."""
+        proxy = next(iter(self._assigned))
+        del self._assigned[proxy]
+        return proxy
+
+    def _burst_table_size(self, waiting: int) -> int:
+        """So large that all who may still come are bound in time, and as a default table at least."""
+        expected = waiting + self._fleet.absent_proxies
+        entries = self._entries_in_time() / expected - self._channel.overhead_entries
+        affordable = int(entries / len(self._tables_of_one)) - TABLE_OVERHEAD_ENTRIES
+        return max(MIN_ENDPOINTS, self._fleet.settings.fleet.default_table_size, affordable)
+
+    def _entries_in_time(self) -> float:
+        """Entries that the channel carries within the part of the grace that binds may take."""
+        grace = self._fleet.settings.rules.drain_grace_ticks
+        return self._channel.entries_per_tick * grace * GRACE_FRACTION
+
+    # Refused connections.
+
+    def refuses_connections(self, sample: LoadSample) -> bool:
+        """Whether idle endpoints fail most attempts and answer the others in time: too many connections."""
+        return (
+            self.mode is not SubsetMode.CONNECTION_LIMIT
+            and sample.best_success_fraction < MIN_SUCCESS_FRACTION
+            and sample.utilization < FULL_UTILIZATION
+            and sample.latency_fraction < LATE_FRACTION
+        )
+
+    def limit_connections(self, now: int, sample: LoadSample) -> None:
+        """Keeps each proxy to few endpoints, with about as much traffic for each subset, for a time."""
+        self._runtime.log(
+            f"connection limit began success_fraction={sample.median_success_fraction:.2f} "
+            f"utilization={sample.utilization:.2f}"
+        )
+        self._limited_until = now + self._next_limit_ticks
+        self._next_limit_ticks *= 2
+        self._make_tables(now, MIN_ENDPOINTS)
+        there_and_back = [*range(self._count), *reversed(range(self._count))]
+        proxies = self._fleet.proxies
+        for zone in dict.fromkeys(table.zone for table in self._fleet.default_tables):
+            local = [proxy for proxy, session in proxies.items() if zone is None or session.zone == zone]
+            local.sort(key=lambda proxy: -proxies[proxy].usual_rate_per_second)
+            for index, proxy in enumerate(local):
+                self._assigned[proxy] = there_and_back[index % len(there_and_back)]
+
+    def end_connection_limit_if_due(self, now: int) -> bool:
+        """Whether the time of limited connections has just ended."""
+        if self._limited_until is None or now < self._limited_until:
+            return False
+        self._limited_until = None
+        self._assigned = {}
+        self._runtime.log(f"connection limit ended proxies={len(self._fleet.proxies)}")
+        return True
+
+    # Tables.
+
+    def _draw_subset(self) -> int:
+        return int(self._random_fraction() * self._count)
+
+    def _make_tables(self, now: int, endpoints_each: int) -> None:
+        """Adds to the default tables those of the subsets, with so many endpoints in each."""
+        fleet = self._fleet
+        fleet.tables = list(fleet.default_tables)
+        if not fleet.has_subset_bindings():
+            self._last_table = len(fleet.default_tables)
+        zones = len({table.zone for table in fleet.default_tables})
+        in_service = sum(endpoint.is_in_service for endpoint in fleet.endpoints.values())
+        self._count = max(1, in_service // (endpoints_each * zones))
+        for table in fleet.default_tables:
+            endpoints = self._best_endpoints(now, table)
+            for subset in range(self._count if endpoints else 0):
+                fleet.tables.append(self._make_table(table, subset, endpoints))
+
+    def _make_table(self, table: EndpointTable, subset: int, endpoints: list[Endpoint]) -> EndpointTable:
+        self._last_table += 1
+        self._runtime.clear_table(self._last_table)
+        made = EndpointTable(self._last_table, table.routes, table.requirements, table.zone, subset)
+        end = max(len(endpoints), subset + 1 + self._count * (MIN_ENDPOINTS - 1))
+        places = range(subset, end, self._count)
+        made.members = [endpoints[place % len(endpoints)] for place in places]
+        return made
+
+    def _best_endpoints(self, now: int, table: EndpointTable) -> list[Endpoint]:
+        """Those that may serve a table, usable and local ones where there are any, the largest first."""
+        fleet = self._fleet
+        eligible = [endpoint for endpoint in fleet.endpoints.values() if fleet.is_eligible(table, endpoint)]
+        usable = [
+            endpoint
+            for endpoint in eligible
+            if self._weights.weight(now, table, endpoint) and not endpoint.is_excluded
+        ]
+        candidates = usable or eligible
+        local = [endpoint for endpoint in candidates if table.is_for_zone(endpoint.zone)]
+        return sorted(local or candidates, key=lambda endpoint: -endpoint.capacity * endpoint.latency_factor)
--- a/willowhook/membership/tiers.py
+++ b/willowhook/membership/tiers.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from ..decisions.model import Ring
+from ..decisions.windows import WindowedSums
 
 BUCKET, BUCKETS = 5_000, 6  # three seconds of tries that failed
 LEAST_TRIES = 8  # so many failed on end: it does not answer
@@ -35,7 +35,7 @@
     tier: int
     draining: bool
     started: int  # 0: warm
-    met: Ring = field(default_factory=lambda: Ring(BUCKET, BUCKETS, 1))
+    met: WindowedSums = field(default_factory=lambda: WindowedSums(BUCKET, BUCKETS, 1))
     silent: bool = False  # it does not answer, and has not answered since
 
 
@@ -87,7 +87,7 @@
         if row is None or all(len(self._groups[group].tiers) < 2 for group in row.groups):
             return
         if errors < tries:  # what failed before it does not count any more
-            row.met.forget()
+            row.met.clear()
             row.silent = False
             return
         row.met.add(now, tries)
--- a/willowhook/platform/server.py
+++ b/willowhook/platform/server.py
@@ -15,7 +15,7 @@
 import trio
 
 from ..decisions.controller import Controller
-from ..decisions.events import EndpointListLost, EndpointState, EvaluationDue, ProxyJoined, ProxyLeft
+from ..decisions.events import EndpointListLost, EvaluationDue, ProxyJoined, ProxyLeft
 from .clock import Clock
 from .configuration import Start, Unusable
 from .connections import OK, Link, Links
@@ -216,13 +216,15 @@
         while True:
             await trio.sleep(TELL_S)
             module = self._module
-            ready = sum(up.mode is EndpointState.IN_SERVICE for up in module.hosts.values())
+            status = module.status(self._clock.now())
             memory = resource.getrusage(resource.RUSAGE_SELF)
             self._say(
-                f"believed: {len(self._streams)} proxies, {ready} of {len(module.hosts)} hosts in service, "
-                f"load {module.loads[self._clock.now() // (SECOND // 2) - 1 & 7]:.2f}, "
-                f"room {module.room:.2f}, queue {module.channel.load():.0f}; {self._links.held} links, "
-                f"{memory.ru_maxrss >> 10} MB, {memory.ru_utime + memory.ru_stime:.1f} s of CPU, "
+                f"believed: {len(self._streams)} proxies, "
+                f"{status.endpoints_in_service} of {status.endpoint_count} hosts in service, "
+                f"load {status.load_fraction:.2f}, "
+                f"room {status.admitted_fraction:.2f}, queue {status.queue_entries:.0f}; "
+                f"{self._links.held} links, {memory.ru_maxrss >> 10} MB, "
+                f"{memory.ru_utime + memory.ru_stime:.1f} s of CPU, "
                 f"longest moment {self._longest / 10:.0f} ms, {self._spoilt} messages spoilt, "
                 f"{self._links.turned_away} turned away"
             )
--- a/willowhook/trial/swaps.py
+++ b/willowhook/trial/swaps.py
@@ -63,13 +63,15 @@
         self.known: dict[str, None] = {}
         self.joined: list[int] = []
         self.moment, self.mark = 0, 0
-        self.channel = self
         host.watch_endpoints()
         host.schedule_evaluation(EVERY)
 
-    def load(self) -> float:
+    def queue_estimate(self) -> float:
         return 0.0
 
+    def learnt_capacities(self) -> dict[str, float]:
+        return {}
+
     def handle(self, now: int, event: Event) -> None:
         match event:
             case EndpointListReceived():
--- a/willowhook/versions/rollout.py
+++ b/willowhook/versions/rollout.py
@@ -19,7 +19,7 @@
 
 import xxhash
 
-from ..decisions.model import Ring
+from ..decisions.windows import WindowedSums
 
 SECOND = 10_000
 KEPT = 16  # contents of a unit that are remembered
@@ -80,7 +80,7 @@
     def __init__(self, terms: RolloutTerms, host: Host) -> None:
         self._terms, self._host = terms, host
         self.tracks: dict[Unit, Track] = {}
-        self._met: dict[int, Ring] = {}  # by proxy: tries, errors
+        self._met: dict[int, WindowedSums] = {}  # by proxy: tries, errors
         self._count = 0
 
     # What may go out.
@@ -196,7 +196,7 @@
         """Calls of this proxy, by its sums."""
         ring = self._met.get(proxy)
         if ring is None:
-            ring = self._met[proxy] = Ring(SECOND, 10, 2)
+            ring = self._met[proxy] = WindowedSums(SECOND, 10, 2)
         ring.add(now, tries, errors)
 
     def left(self, proxy: int) -> None:
