--- a/tests/test_platform_bytes.py
+++ b/tests/test_platform_bytes.py
@@ -23,11 +23,11 @@
 import trio
 from trio.testing import MockClock, wait_all_tasks_blocked
 
-from willowhook.facts import facts_of
-from willowhook.frames.codec import Spoilt, Unreadable
-from willowhook.node import director as node_module
-from willowhook.node.links import Link
-from willowhook.node.start import Start
+from willowhook.platform import server as server_module
+from willowhook.platform.configuration import Start
+from willowhook.platform.connections import Link
+from willowhook.platform.framing import Spoilt, Unreadable
+from willowhook.settings_codec import decode_settings
 
 Message = dict[str, Any]
 DATA = Path(__file__).parent / "data" / "platform_bytes.json"
@@ -62,12 +62,12 @@
         self.watching, self.full_list_wanted = False, 0
         self._connections: list[RecordingLink] = []
         nowhere = ("127.0.0.1", 1)
-        start = Start("n0", nowhere, nowhere, seed, 1024, known, facts_of(settings))
+        start = Start("n0", nowhere, nowhere, seed, 1024, known, decode_settings(settings))
         with (
-            mock.patch.object(node_module, "Clock", lambda: self),
-            mock.patch.object(node_module, "Watch", self._discovery_client),
+            mock.patch.object(server_module, "Clock", lambda: self),
+            mock.patch.object(server_module, "Watch", self._discovery_client),
         ):
-            self._node = node_module.Node(start, lambda: start, lambda line: None)
+            self._node = server_module.Node(start, lambda: start, lambda line: None)
 
     def _discovery_client(
         self, address: object, told: Callable[..., int], lost: Callable[..., None], after: int
@@ -156,7 +156,7 @@
 
     def endpoints(self) -> dict[str, bool]:
         """The endpoints that the controller holds, and whether each is ejected for its failures."""
-        return {name: endpoint.sick for name, endpoint in self._node._module.hosts.items()}
+        return {name: endpoint.is_ejected for name, endpoint in self._node._module.endpoints.items()}
 
 
 # Nothing below uses names of the project.
