--- a/tests/test_platform_bytes.py
+++ b/tests/test_platform_bytes.py
@@ -149,7 +149,7 @@
 
     def endpoints(self) -> dict[str, bool]:
         """The endpoints that the controller holds, and whether each is ejected for its failures."""
-        return {name: endpoint.sick for name, endpoint in self._server._controller.hosts.items()}
+        return {name: endpoint.is_ejected for name, endpoint in self._server._controller.endpoints.items()}
 
 
 # Nothing below uses names of the project.
--- a/willowhook/decisions/status.py
+++ b/willowhook/decisions/status.py
@@ -1,4 +1,4 @@
-"""What a controller reports of itself, for logs."""
+"""A controller's state in figures, for log lines and records."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ControllerStatus:
-    """The state of a controller.
+    """What a controller believes now.
 
     Attributes:
-        endpoints_in_service: endpoints that the list has in service.
-        endpoint_count: endpoints that are known.
-        load_fraction: the share of cores in use at the endpoints of the fullest table.
-        admitted_fraction: the share of requests that is admitted; over 1: nothing is shed.
-        queue_entries: entries that are believed to wait in the channel to the proxies.
+        endpoints_in_service: of those that it knows.
+        endpoint_count: all that it knows, with those that drain or are removed.
+        load_fraction: share of cores in use at the busiest table, at the last evaluation.
+        admitted_fraction: of the requests' work that is let in; 1.4 if nothing is shed.
+        queue_entries: that wait in the channel, as far as is known.
     """
 
     endpoints_in_service: int
