--- a/willowhook/platform/__main__.py
+++ b/willowhook/platform/__main__.py
@@ -35,7 +35,7 @@
 
 
 def main() -> int:
-    """Runs a server until it is told to end; returns an `ExitCode`."""
+    """Runs a server until a signal ends it; returns an `ExitCode`."""
     read_again = partial(read_configuration, dict(os.environ))
     try:
         configuration = read_again()
--- a/willowhook/platform/configuration.py
+++ b/willowhook/platform/configuration.py
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ControllerConfiguration:
-    """What a controller is told at its start.
+    """What a controller knows at its start.
 
     Attributes:
         name: of the controller.
--- a/willowhook/platform/proxy_sessions.py
+++ b/willowhook/platform/proxy_sessions.py
@@ -27,7 +27,7 @@
 
     Attributes:
         connections: the server of all connections.
-        updates: what each proxy has been told.
+        updates: what each proxy has been sent.
         malformed_count: messages that were refused, since the start.
     """
 
--- a/willowhook/platform/proxy_updates.py
+++ b/willowhook/platform/proxy_updates.py
@@ -1,7 +1,7 @@
 """Turns the controller's commands on tables and proxies into one message per proxy and flush.
 
 The decisions own what each table should hold and who is bound to which. This module owns what each session
-has been told, and so what is still to be told: whole tables to those newly bound, changes to the others.
+has been sent, and so what is pending for it: complete tables for those newly bound, changes for the others.
 No I/O and no clock.
 """
 
@@ -38,20 +38,20 @@
         return endpoint in self.weights or endpoint in self.changed_weights
 
     def forget_changes(self) -> None:
-        """All sessions have been told of the changes."""
+        """All sessions have been sent the changes."""
         self.changed_weights.clear()
         self.changed_routes.clear()
 
 
 @dataclass(slots=True)
 class SessionState:
-    """What a proxy has been told in its session, and what it is to be told at the next flush.
+    """What a proxy has been sent in its session, and what is pending until the next flush.
 
     Attributes:
         may_hold_exclusions: whether other controllers may have excluded endpoints at this proxy.
         table_by_route: what it is bound to.
-        excluded: endpoints that it was told to exclude; a dict for its order.
-        tables_to_replace: tables that it has to be told whole; a dict for its order.
+        excluded: endpoints that it was sent to exclude; a dict for its order.
+        tables_to_replace: tables that it has to be sent completely; a dict for its order.
         pending_exclusions: by endpoint: True excludes it, False readmits it.
     """
 
@@ -80,7 +80,7 @@
     """Parts that several proxies get in the same flush are encoded once.
 
     Attributes:
-        tables: by table, the routes that use it, and whether it is told whole.
+        tables: by table, the routes that use it, and whether it is sent completely.
         last_parts: by the exclusions in them.
     """
 
@@ -104,17 +104,17 @@
         self._tables: dict[int, TableState] = {}
         self._sessions: dict[int, SessionState] = {}
         self._excluded: dict[str, None] = {}  # at all proxies; a dict for its order
-        self._pending: dict[int, None] = {}  # proxies with something to be told; a dict for its order
+        self._pending: dict[int, None] = {}  # proxies that updates are pending for; a dict for its order
         self._sync_marker: int | None = None
 
     # Sessions.
 
     def open_session(self, proxy: int, is_fresh: bool) -> None:
-        """Starts a session that has been told nothing.
+        """Starts a session that has been sent nothing.
 
         Args:
             proxy: its number.
-            is_fresh: whether no controller has told this proxy anything since it started.
+            is_fresh: whether no controller has sent this proxy a table since it started.
         """
         self._sessions[proxy] = SessionState(may_hold_exclusions=not is_fresh)
 
@@ -179,11 +179,11 @@
                 self._pending[proxy] = None
 
     def readmit_endpoint(self, endpoint: str) -> None:
-        """Takes `exclude_endpoint` back at all proxies that may have heard of it, here or elsewhere."""
+        """Takes `exclude_endpoint` back at all proxies that any controller may have sent it to."""
         self._excluded.pop(endpoint, None)
         for proxy, session in self._sessions.items():
-            was_told = endpoint in session.excluded or endpoint in session.pending_exclusions
-            if was_told or session.may_hold_exclusions:
+            was_sent = endpoint in session.excluded or endpoint in session.pending_exclusions
+            if was_sent or session.may_hold_exclusions:
                 session.pending_exclusions[endpoint] = False
                 self._pending[proxy] = None
 
@@ -234,19 +234,21 @@
         session.confirm_sent()
 
     def _encode_table(self, table: int, proxy: int, session: SessionState, cache: FlushCache) -> EncodedParts:
-        """What a proxy has to be told of a table; a whole one comes with the exclusions of its entries."""
+        """What a proxy has to be sent of a table; a complete one comes with the exclusions of its entries."""
         state = self._tables[table]
         routes = state.routes_by_proxy[proxy]
-        is_whole = table in session.tables_to_replace
-        key = (table, routes, is_whole)
+        is_complete = table in session.tables_to_replace
+        key = (table, routes, is_complete)
         parts = cache.tables.get(key)
         if parts is None:
-            weights = state.weights if is_whole else state.changed_weights
-            told_routes = routes if is_whole else [route for route in routes if route in state.changed_routes]
-            limits = {route: state.admission[route] for route in told_routes if route in state.admission}
-            parts = self._encoder.encode_table(routes, weights, limits, replaces_table=is_whole)
+            weights = state.weights if is_complete else state.changed_weights
+            sent_routes = (
+                routes if is_complete else [route for route in routes if route in state.changed_routes]
+            )
+            limits = {route: state.admission[route] for route in sent_routes if route in state.admission}
+            parts = self._encoder.encode_table(routes, weights, limits, replaces_table=is_complete)
             cache.tables[key] = parts
-        if is_whole:
+        if is_complete:
             for endpoint in state.weights:
                 if endpoint in self._excluded:
                     session.pending_exclusions[endpoint] = True
@@ -272,7 +274,7 @@
         self._pending.update(dict.fromkeys(state.routes_by_proxy))
 
     def _update_users(self, table: int, proxy: int, session: SessionState) -> None:
-        """Notes which routes of a proxy use a table now; who uses it no more is not told of it either."""
+        """Notes which routes of a proxy use a table now; if none does, it need not be sent any more."""
         routes = tuple(route for route, used in sorted(session.table_by_route.items()) if used == table)
         if routes:
             self._tables[table].routes_by_proxy[proxy] = routes
--- a/willowhook/platform/update_encoder.py
+++ b/willowhook/platform/update_encoder.py
@@ -1,4 +1,4 @@
-"""Encodes what a proxy is told: the parts of one `assign` message.
+"""Encodes the parts of one `assign` message, which updates a proxy.
 
 The protocol lets a message come in several parts, one frame each; a proxy applies them at once when the last,
 the only one that is not marked as a part, has come.
@@ -48,7 +48,7 @@
             routes: by index; those that use the table.
             weights: of endpoints, in the order of the table; 0 takes an entry out.
             admission: the new limits, by route.
-            replaces_table: whether the weights are the whole table, in place of what the routes used.
+            replaces_table: whether the weights are the complete table, in place of what the routes used.
         """
         parts: list[Fields] = []
         entry_count = len(weights)
