--- a/willowhook/decisions/endpoint_list.py
+++ b/willowhook/decisions/endpoint_list.py
@@ -90,7 +90,7 @@
             self._note_restart(endpoint, entry)
         if self._fleet.settings.lists_capacity:
             endpoint.capacity = entry.listed_weight
-        endpoint.state = entry.state
+        endpoint.set_state(entry.state)
         endpoint.started_at = entry.started_at
         endpoint.endpoint_class = entry.endpoint_class
         endpoint.zone = entry.zone
@@ -129,5 +129,5 @@
                 f"endpoint list doubted listed={len(listed)} in_service={len(sums)} removed={len(missing)}"
             )
         for name in missing:
-            self._fleet.endpoints[name].state = EndpointState.REMOVED
+            self._fleet.endpoints[name].set_state(EndpointState.REMOVED)
             self._exclusions.note_change(now, name)
--- a/willowhook/decisions/model.py
+++ b/willowhook/decisions/model.py
@@ -37,7 +37,7 @@
 
     Attributes:
         name: as in the endpoint list.
-        state: in service, draining or removed, as last listed.
+        state, is_in_service: as last listed; set by `set_state`.
         started_at: when its process started; 0: long ago.
         endpoint_class: the kind of machine.
         zone: where it is.
@@ -55,6 +55,7 @@
     def __init__(self, name: str, bucket_ticks: int) -> None:
         self.name = name
         self.state = EndpointState.REMOVED
+        self.is_in_service = False  # kept beside the state: read for each endpoint of each table
         self.started_at = 0
         self.endpoint_class = ""
         self.zone = ""
@@ -73,10 +74,10 @@
         self.restarted_in_service = False
         self._attempts = WindowedSums(bucket_ticks, REPORT_BUCKETS, len(AttemptSums._fields))
 
-    @property
-    def is_in_service(self) -> bool:
-        """Whether the endpoint list says that it may be used."""
-        return self.state is EndpointState.IN_SERVICE
+    def set_state(self, state: EndpointState) -> None:
+        """Notes what the endpoint list says of its life."""
+        self.state = state
+        self.is_in_service = state is EndpointState.IN_SERVICE
 
     def record_attempts(self, now: int, attempts: int, failures: int, latency_ticks: int) -> None:
         """Adds reported attempts; `latency_ticks` is the sum over those that succeeded."""
--- a/willowhook/decisions/table_updates.py
+++ b/willowhook/decisions/table_updates.py
@@ -169,7 +169,7 @@
         changes: list[WeightChange] = []
         for name, weight in weights.items():
             old = table.entries.get(name, 0.0)
-            moved = _distance(old, weight)
+            moved = _distance(old, weight) if weight != old else 0.0
             if moved > threshold:
                 is_excluded = self._fleet.endpoints[name].is_excluded
                 is_urgent = (not weight or (not old and is_needed)) and not is_excluded
--- a/willowhook/decisions/weights.py
+++ b/willowhook/decisions/weights.py
@@ -41,7 +41,8 @@
         proxy must not be left without an endpoint.
         """
         endpoints = self._fleet.endpoints
-        weights = {name: self.weight(now, table, endpoint) for name, endpoint in endpoints.items()}
+        weigh = self.weight
+        weights = {name: weigh(now, table, endpoint) for name, endpoint in endpoints.items()}
         if any(weights.values()):
             return weights
         eligible = [name for name, endpoint in endpoints.items() if self._fleet.is_eligible(table, endpoint)]
