--- a/tests/test_platform_protocol.py
+++ b/tests/test_platform_protocol.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from fakes import SECOND, SETTINGS, replaced
+from builders import SECOND, SETTINGS, settings_with
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -290,7 +290,7 @@
 
 
 def test_rows_on_streams_are_those_that_the_module_charged() -> None:
-    terms = replaced(exclusions_outlive_sessions=True, fleet__cross_zone_price=0.08)
+    terms = settings_with(exclusions_outlive_sessions=True, fleet__cross_zone_price=0.08)
     host = Counting(terms)
     module, now = Controller(host, terms, 1, 0), 0
     charged = 0
