--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -1,18 +1,54 @@
-"""The adapter, with the wire page's own shapes of messages."""
+"""The adapter to the simulator, with lines as the page of the wire shows them."""
 
 from __future__ import annotations
 
 import io
 import json
+from collections.abc import Iterable, Iterator
 from pathlib import Path
 
 import pytest
 
-from willowhook.simulator import adapter
-from willowhook.simulator.values import load_report, number, seconds, ticks
-
-MORE_BAD = ["ROSTER_CHANGE\t3\t1\t0\tnews", "REGISTER\t0\tx"]
-BAD = ["WHAT\t3", "DIGEST\t3\t1", "REMINDER\t9\t0", "REMINDER\t3\tx", *MORE_BAD]
+from willowhook.decisions.controller import Controller
+from willowhook.decisions.events import (
+    EndpointListReceived,
+    EndpointReport,
+    EndpointState,
+    HealthCheckCompleted,
+    HealthCheckOutcome,
+    ProxyJoined,
+)
+from willowhook.simulator.adapter import SimulatorAdapter
+from willowhook.simulator.codec import MessageReader
+from willowhook.simulator.messages import InstanceEvent, MalformedMessageError
+from willowhook.simulator.values import (
+    FieldError,
+    format_number,
+    format_seconds,
+    parse_bytes,
+    parse_load_report,
+    parse_ticks,
+)
+
+MALFORMED_LINES = [
+    "WHAT\t3",
+    "DIGEST\t3\t1",
+    "REMINDER\t9\t0",
+    "REMINDER\t3\tx",
+    "ROSTER_CHANGE\t3\t1\t0\tnews",
+    "ROSTER_CHANGE\t3\t1\t5\ttotal",
+    "REGISTER\t0\tx",
+    "REGISTER\t0",
+    "REGISTER\t0\t1",
+    "CLOCK\t9.0",
+    "CLOCK\tinf\t2",
+    "HELLO\t3\t42",
+    "HELLO\t3\tx\t{}",
+    "HELLO\t3\t42\t{}",
+    "TEARDOWN",
+    "INBOX\t3\t2\t*",
+    "DIGEST\t3\t1\t1.0\t14\thost-a\tnorth\t0.04825\tbusy:x",
+]
 OPTIONS = json.dumps(json.loads((Path(__file__).parent / "options.json").read_text()))
 START = [
     "CLOCK\t8.41225\t1",
@@ -26,33 +62,107 @@
 ]
 
 
-def play(*lines: str) -> tuple[int, str, str]:
-    sink, errors = io.StringIO(), io.StringIO()
-    code = adapter.Link((line + "\n" for line in lines), sink, errors).run()
+def run_adapter(lines: Iterable[str]) -> tuple[int, str, str]:
+    """The exit code, the replies and the messages on errors."""
+    sink = io.StringIO()
+    errors = io.StringIO()
+    code = SimulatorAdapter((line + "\n" for line in lines), sink, errors).run()
     return code, sink.getvalue(), errors.getvalue()
 
 
-def test_units() -> None:
-    assert ticks("0.04825") == 482 and ticks("8.5") == 85_000 and seconds(123_456) == "12.3456"
-    assert number(0.75) == "0.75" and number(0.0) == "0" and number(1e6) == "1000000"
-    assert load_report("busy:0.62,q:3") == {"busy": 0.62, "q": 3.0} and load_report("-") == {}
+def decode(*lines: str) -> list[object]:
+    """The events on these lines."""
+    messages = MessageReader(line + "\n" for line in lines).messages()
+    return [message.decode() for message in messages if isinstance(message, InstanceEvent)]
+
+
+def raise_index_error(*_: object) -> None:
+    raise IndexError("index out of range")
+
+
+def test_values_are_converted_between_the_wire_and_ticks() -> None:
+    assert parse_ticks("elapsed", "0.04825") == 482
+    assert parse_ticks("elapsed", "8.5") == 85_000
+    assert format_seconds(123_456) == "12.3456"
+    assert format_number(0.75) == "0.75"
+    assert format_number(0.0) == "0"
+    assert format_number(1e6) == "1000000"
+    assert parse_load_report("metrics", "busy:0.62,q:3") == {"busy": 0.62, "q": 3.0}
+    assert parse_load_report("metrics", "-") == {}
+    assert parse_bytes("contents", "aGkgNw==") == b"hi 7"
+    assert parse_bytes("contents", "-") == b""
+
+
+@pytest.mark.parametrize("text", ["x", "", "inf", "nan"])
+def test_a_time_that_is_no_number_raises_an_error_that_names_field_and_value(text: str) -> None:
+    with pytest.raises(FieldError, match=f"elapsed is '{text}', not a time in seconds"):
+        parse_ticks("elapsed", text)
+
+
+def test_an_endpoint_report_is_decoded() -> None:
+    events = decode("DIGEST\t3\t1\t1.0\t14\thost-a\tnorth\t0.04825\tbusy:0.62,q:3,later:1")
+    assert events == [EndpointReport("host-a", 14, 1, 482, 0.62)]
+
+
+def test_an_endpoint_list_is_decoded_for_each_instance_that_receives_it() -> None:
+    first, second = decode(*START[2:6], "ROSTER_CHANGE\t4\t41\t0\tincr")
+    assert isinstance(first, EndpointListReceived) and isinstance(second, EndpointListReceived)
+    assert first.is_complete and not second.is_complete
+    assert first.entries == second.entries
+    assert [entry.state for entry in first.entries] == [EndpointState.IN_SERVICE] * 2
+    assert [entry.started_at for entry in first.entries] == [0, 61_000]
+
+
+def test_a_list_number_that_is_registered_again_stands_for_the_new_list() -> None:
+    again = ["REGISTER\t0\t1", "ENTRY\thost-c\tterminating\t-\t0\t-\tfast\tnorth", START[5]]
+    _, second = decode(*START[2:6], *again)
+    assert isinstance(second, EndpointListReceived)
+    assert [(entry.name, entry.listed_weight) for entry in second.entries] == [("host-c", 1.0)]
 
 
-def test_empty_batch() -> None:
-    assert play("CLOCK\t8.41225\t1", "COMMIT") == (0, "READY\t1\n", "")
+@pytest.mark.parametrize(
+    ("code", "outcome"),
+    [
+        (0, HealthCheckOutcome.HEALTHY),
+        (1, HealthCheckOutcome.HEALTHY),
+        (2, HealthCheckOutcome.HEALTHY),
+        (3, HealthCheckOutcome.TIMED_OUT),
+        (4, HealthCheckOutcome.UNREACHABLE),
+        (5, HealthCheckOutcome.HEALTHY),
+    ],
+)
+def test_only_a_silent_endpoint_fails_its_health_check(code: int, outcome: HealthCheckOutcome) -> None:
+    events = decode(f"PROBE_DONE\t3\thost-a\t{code}\t0.0014\t-")
+    assert events == [HealthCheckCompleted("host-a", outcome, None)]
 
 
-def test_a_start_binds_what_attaches() -> None:
-    code, out, errors = play(*START)
+def test_a_proxy_that_joins_is_decoded() -> None:
+    assert decode(START[6]) == [ProxyJoined(41, "north", 6.5, True)]
+
+
+def test_a_malformed_field_is_named_with_its_message() -> None:
+    with pytest.raises(MalformedMessageError, match="CONFIRMED: sidecar is 'x', not an integer"):
+        decode("CONFIRMED\t3\t1\tx\t0.4125")
+
+
+def test_an_empty_batch_gets_an_empty_reply() -> None:
+    assert run_adapter(["CLOCK\t8.41225\t1", "COMMIT"]) == (0, "READY\t1\n", "")
+
+
+def test_an_instance_that_starts_binds_the_proxy_that_joins() -> None:
+    code, replies, errors = run_adapter(START)
     assert (code, errors) == (0, "")
-    assert "LISTEN\t3\t1" in out and "USE_TABLE\t3\t41\t0\t3" in out and out.endswith("READY\t1\n")
-    assert "ENDPOINT\t3\thost-a\t0\t1\n" in out
+    assert "LISTEN\t3\t1" in replies
+    assert "USE_TABLE\t3\t41\t0\t3" in replies
+    assert "ENDPOINT\t3\thost-a\t0\t1\n" in replies
+    assert replies.endswith("READY\t1\n")
 
 
-def test_teardown_and_hello_in_one_batch_start_afresh() -> None:
+def test_an_instance_stopped_and_started_in_one_batch_starts_afresh() -> None:
     again = ["CLOCK\t9.5\t2", "TEARDOWN\t3", *START[1:6], "COMMIT"]
-    code, out, errors = play(*START, *again)
-    assert (code, errors) == (0, "") and "USE_TABLE" not in out.split("READY\t1\n")[1]
+    code, replies, errors = run_adapter([*START, *again])
+    assert (code, errors) == (0, "")
+    assert "USE_TABLE" not in replies.split("READY\t1\n")[1]
 
 
 def test_every_event_is_decoded() -> None:
@@ -69,20 +179,66 @@
         "REMINDER\t3\t0",
         "DISCONNECTED\t3\t41",
     ]
-    code, out, errors = play(*START, "CLOCK\t9.0\t2", *events, "COMMIT")
-    assert (code, errors) == (0, "") and out.endswith("READY\t2\n")
-
-
-@pytest.mark.parametrize("line", BAD)
-def test_a_malformed_line_ends_the_link_with_one_plain_message(line: str) -> None:
-    code, _, errors = play(*START, "CLOCK\t9.0\t2", line)
-    assert code == 1 and errors.count("\n") == 1 and line in errors
-
-
-def test_a_fault_of_the_module_is_given_in(monkeypatch: pytest.MonkeyPatch) -> None:
-    def breaks(*_: object) -> None:
-        raise IndexError("index out of range")
-
-    monkeypatch.setattr(adapter.Controller, "handle", breaks)
-    code, out, errors = play(*START, "CLOCK\t9.0\t2", "REMINDER\t3\t0", "COMMIT")
-    assert code == 0 and "GIVE_IN\t3\tIndexError: index out of range" in out and "Traceback" in errors
+    code, replies, errors = run_adapter([*START, "CLOCK\t9.0\t2", *events, "COMMIT"])
+    assert (code, errors) == (0, "")
+    assert replies.endswith("READY\t2\n")
+
+
+@pytest.mark.parametrize("line", MALFORMED_LINES)
+def test_a_malformed_line_ends_the_process_with_one_plain_message(line: str) -> None:
+    code, _, errors = run_adapter([*START, "CLOCK\t9.0\t2", line])
+    assert code == 1
+    assert errors.count("\n") == 1
+    assert line in errors
+
+
+@pytest.mark.parametrize(
+    "entry",
+    [
+        "ENTRY\thost-a\tin_service\t-\t0\t1\tfast",
+        "ENTRY\thost-a\tgone\t-\t0\t1\tfast\tnorth",
+        "ENTRY\thost-a\tin_service\tx\t0\t1\tfast\tnorth",
+        "ENTRY\thost-a\tin_service\t-\t0\tx\tfast\tnorth",
+        "COMMIT",
+    ],
+)
+def test_a_malformed_entry_of_a_list_ends_the_process_with_one_plain_message(entry: str) -> None:
+    lines = ["CLOCK\t9.0\t2", "REGISTER\t1\t1", entry, "ROSTER_CHANGE\t3\t42\t1\ttotal"]
+    code, _, errors = run_adapter([*START, *lines])
+    assert code == 1
+    assert errors.count("\n") == 1
+
+
+def test_a_batch_that_ends_before_it_starts_ends_the_process_with_one_plain_message() -> None:
+    code, replies, errors = run_adapter(["COMMIT"])
+    assert (code, replies) == (1, "")
+    assert errors.count("\n") == 1
+
+
+def test_a_controller_that_raises_is_reported_on_the_wire(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(Controller, "handle", raise_index_error)
+    code, replies, errors = run_adapter([*START, "CLOCK\t9.0\t2", "REMINDER\t3\t0", "COMMIT"])
+    assert code == 0
+    assert "GIVE_IN\t3\tIndexError: index out of range" in replies
+    assert "Traceback" in errors
+
+
+@pytest.mark.parametrize("method", ["__init__", "handle", "flush"])
+def test_a_controller_that_raises_fails_its_instance_alone(
+    monkeypatch: pytest.MonkeyPatch, method: str
+) -> None:
+    """What comes for the failed instance later is not even decoded; another instance goes on."""
+
+    def lines() -> Iterator[str]:
+        with monkeypatch.context() as patched:
+            patched.setattr(Controller, method, raise_index_error)
+            yield from START
+        yield from ("CLOCK\t9.0\t2", f"HELLO\t4\t42\t{OPTIONS}", "ROSTER_CHANGE\t4\t41\t0\twarm_copy")
+        yield from ("REMINDER\t3\tx", "ATTACHED\t4\t41\tnorth\t6.5\t1", "COMMIT")
+
+    code, replies, _ = run_adapter(lines())
+    assert code == 0
+    first, second = replies.split("READY\t1\n")
+    assert "GIVE_IN\t3\tIndexError: index out of range" in first
+    assert "USE_TABLE\t4\t41\t0\t3" in second
+    assert "\t3\t" not in second.replace("\t0\t3", "")
--- a/willowhook/simulator/__init__.py
+++ b/willowhook/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The bench's wire: lines in, calls on the decision module, orders out as lines."""
+"""The adapter to the simulator: lines of its wire to events for the decisions, and commands back to lines."""
