--- a/benchmarks/guard.py
+++ b/benchmarks/guard.py
@@ -10,8 +10,8 @@
 
 from willowhook.guard.guard import Candidate, Guard
 from willowhook.guard.world import OPEN, GuardTerms, HostFacts, RouteFacts, Tables, World
+from willowhook.ticks import TICKS_PER_SECOND
 
-SECOND = 10_000
 ROUTES = (
     RouteFacts("load", "idempotent"),
     RouteFacts("save", "deduplicated"),
@@ -34,8 +34,8 @@
     chance = random.Random(1)
     terms = GuardTerms(ROUTES, 25_000, 100_000, 0.3, 4.0, 0.2, 1e9, 0, 100_000, proxies)
     world = World(terms)
-    now = 1000 * SECOND
-    rows = [HostFacts(f"h{k}", OPEN, 0, now - SECOND if k < cold else 0) for k in range(hosts)]
+    now = 1000 * TICKS_PER_SECOND
+    rows = [HostFacts(f"h{k}", OPEN, 0, now - TICKS_PER_SECOND if k < cold else 0) for k in range(hosts)]
     world.list_hosts(0, rows)
     made = []
     for at in range(contents):
@@ -47,7 +47,7 @@
 
 
 def main() -> None:
-    now = 1000 * SECOND
+    now = 1000 * TICKS_PER_SECOND
     for hosts, proxies in ((86, 245), (1000, 20_000)):
         world, made = fleet(hosts, proxies)
         guard = Guard(world)
--- a/tests/test_controlplane_parts.py
+++ b/tests/test_controlplane_parts.py
@@ -18,6 +18,7 @@
 from willowhook.controlplane.render import Held, Renderer
 from willowhook.decisions.runtime import AdmissionLimit
 from willowhook.files.swap import Shelf
+from willowhook.ticks import TICKS_PER_SECOND
 from willowhook.versions.core import Core, first_era
 from willowhook.xds import forms, tables
 from willowhook.xds.codec import encode
@@ -122,7 +123,7 @@
 @given(st.lists(st.tuples(st.integers(0, 4000), st.integers(1, 300), st.integers(0, 3)), max_size=40))
 def test_the_channel_keeps_its_rate_and_its_order(rows: list[tuple[int, int, int]]) -> None:
     channel, now, left = Channel(SETTINGS.channel), 100_000, list[tuple[int, Message]]()
-    rate = SETTINGS.channel.entries_per_second / 10_000
+    rate = SETTINGS.channel.entries_per_second / TICKS_PER_SECOND
     for k, (pause, lines, proxy) in enumerate(rows):
         now += pause
         while (taken := channel.take(now)) is not None:
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -33,20 +33,19 @@
 from willowhook.front.serve import Line, Server, Times, Waiting
 from willowhook.front.turns import Turns
 from willowhook.records.writer import read_records
+from willowhook.ticks import TICKS_PER_SECOND
 from willowhook.trial.swaps import Churn
 from willowhook.web.wire import Call, Caller, Reply, answer_calls, dial
 from willowhook.xds import forms, tables
 from willowhook.xds.codec import decode, encode
 
-SECOND = 10_000
-
 # What decides.
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.lists(st.integers(0, 5000), max_size=60), st.integers(1, 50), st.integers(1, 20))
 def test_a_bucket_never_lets_more_through_than_its_rate(waits: list[int], rate: int, burst: int) -> None:
-    bucket, now, let = Bucket(rate / SECOND, burst, burst, 0), 0, 0
+    bucket, now, let = Bucket(rate / TICKS_PER_SECOND, burst, burst, 0), 0, 0
     for wait in waits:
         now += wait
         told = bucket.take(now)
@@ -55,7 +54,7 @@
         else:
             assert bucket.take(now + told) == 0  # when to come back is true
             now, let = now + told, let + 1
-    assert let <= burst + rate * now / SECOND + 1e-6
+    assert let <= burst + rate * now / TICKS_PER_SECOND + 1e-6
 
 
 def test_the_gate_counts_all_and_each() -> None:
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -15,9 +15,9 @@
 from willowhook.guard.guard import FAILS_CLOSED, Candidate, Guard
 from willowhook.guard.verdict import PASSED, REFUSED, SPLIT, Verdict
 from willowhook.guard.world import DRAINING, OPEN, GuardTerms, HostFacts, RouteFacts, Tables, World
+from willowhook.ticks import TICKS_PER_SECOND
 from willowhook.trial.guard_cases import BAD, GOOD, confusion
 
-SECOND = 10_000
 TERMS = GuardTerms(
     (RouteFacts("read", "idempotent"), RouteFacts("write", "at_most_once")), 25_000, 100_000, 0.25, 4.0, 0.16,
     3200, 0, 100_000, 4,
@@ -39,7 +39,7 @@
     return made
 
 
-def judged(made: World, lines: dict[str, float], now: int = 10 * SECOND, **parts: Any) -> Verdict:
+def judged(made: World, lines: dict[str, float], now: int = 10 * TICKS_PER_SECOND, **parts: Any) -> Verdict:
     return Guard(made).judge(now, Candidate(0, tables(lines, **parts), (1, 1, 1)))
 
 
@@ -53,7 +53,7 @@
     made = world()
     assert judged(made, {"a": 1.0, "b": 1.0}).good
     rows = [HostFacts(name, DRAINING if name in "ab" else OPEN, 0) for name in "abcd"]
-    made.list_hosts(9 * SECOND, rows)
+    made.list_hosts(9 * TICKS_PER_SECOND, rows)
     verdict = judged(made, {"a": 1.0, "b": 1.0})
     assert verdict.what == REFUSED and verdict.findings[0].rule == 1
     assert "add a warm host, such as c" in verdict.findings[0].line()
@@ -61,7 +61,7 @@
 
 def test_a_cold_host_is_counted_over_all_proxies_and_what_is_on_its_way() -> None:
     made = world()
-    made.list_hosts(0, [HostFacts(n, OPEN, 0, 10 * SECOND - 1 if n == "d" else 0) for n in "abcd"])
+    made.list_hosts(0, [HostFacts(n, OPEN, 0, 10 * TICKS_PER_SECOND - 1 if n == "d" else 0) for n in "abcd"])
     for proxy in range(4):
         made.sent(0, proxy, tables({**EVEN, "d": 0.001}), (1, 1, 0))
         made.answered(proxy)
@@ -69,15 +69,15 @@
     seen = []
     for proxy in range(4):
         candidate = Candidate(proxy, tables(much), (1, 2, proxy))
-        verdict = Guard(made).judge(10 * SECOND, candidate)
+        verdict = Guard(made).judge(10 * TICKS_PER_SECOND, candidate)
         seen.append(verdict.what)
         if verdict.good:
-            made.sent(10 * SECOND, proxy, candidate.tables, candidate.version)
+            made.sent(10 * TICKS_PER_SECOND, proxy, candidate.tables, candidate.version)
     assert seen[0] == PASSED and seen[-1] in (SPLIT, REFUSED)  # one may; all together may not
-    last = Guard(made).judge(10 * SECOND, Candidate(3, tables(much), (1, 2, 9)))
+    last = Guard(made).judge(10 * TICKS_PER_SECOND, Candidate(3, tables(much), (1, 2, 9)))
     if last.what == SPLIT:
         first = Tables(last.steps[0].lines, frozenset(), (1, 1), (math.inf,) * 2)
-        assert Guard(made).judge(10 * SECOND, Candidate(3, first, (1, 2, 9))).good
+        assert Guard(made).judge(10 * TICKS_PER_SECOND, Candidate(3, first, (1, 2, 9))).good
         assert Guard(made).judge(last.steps[1].at + 1, Candidate(3, tables(much), (1, 2, 9))).good
 
 
@@ -90,7 +90,7 @@
     verdict = judged(made, some, out="ab")
     assert verdict.good and "only withdraws" in verdict.rescue
     made.list_hosts(0, [HostFacts(name, DRAINING, 0) for name in "abcd"])
-    late = judged(made, {"a": 1.0}, now=100 * SECOND)
+    late = judged(made, {"a": 1.0}, now=100 * TICKS_PER_SECOND)
     assert late.good and "no host is open" in late.rescue
     assert judged(made, some, out="ab", tries=(1, 3)).what == REFUSED  # no rescue has need of that
 
@@ -108,7 +108,7 @@
         raise ZeroDivisionError("on purpose")
 
     guard.checks[name] = breaks
-    verdict = guard.judge(10 * SECOND, Candidate(0, tables(EVEN), (1, 1, 1)))
+    verdict = guard.judge(10 * TICKS_PER_SECOND, Candidate(0, tables(EVEN), (1, 1, 1)))
     assert verdict.good != FAILS_CLOSED[name] and "on purpose" in verdict.faults[0]
     assert set(guard.checks) == set(FAILS_CLOSED)
 
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -14,14 +14,13 @@
 from willowhook.controlplane.memory import Memory
 from willowhook.controlplane.service import Service
 from willowhook.store.store import Op, Store
+from willowhook.ticks import TICKS_PER_SECOND
 from willowhook.web.wire import answer_calls
 
-SECOND = 10_000
-
 
 def lived(folder: Path, rows: list[tuple[int, str, str, int, int, int]]) -> None:
     """One life in which this was met: when, host, zone, tries, errors, mean."""
-    memory = Memory(str(folder), "d", 1, 10 * SECOND, lambda text: None)
+    memory = Memory(str(folder), "d", 1, 10 * TICKS_PER_SECOND, lambda text: None)
     for row in rows:
         memory.met(*row)
     memory.close()
@@ -31,37 +30,37 @@
     tmp_path: Path,
 ) -> None:
     rows = [(0, "a", "north", 30, 3, 50), (0, "b", "north", 9, 9, 0), (0, "c", "south", 5, 0, 7)]
-    lived(tmp_path / "s", [*rows, (SECOND, "a", "north", 10, 1, 90)])
-    memory = Memory(str(tmp_path / "s"), "d", 2, 10 * SECOND, lambda text: None)
+    lived(tmp_path / "s", [*rows, (TICKS_PER_SECOND, "a", "north", 10, 1, 90)])
+    memory = Memory(str(tmp_path / "s"), "d", 2, 10 * TICKS_PER_SECOND, lambda text: None)
     assert memory.last_life == 1
-    soon = memory.calendar() / SECOND + 5
+    soon = memory.calendar() / TICKS_PER_SECOND + 5
     # b started anew, c is not listed, z was never met
     found = memory.recall({"a": 0.0, "b": soon, "z": 0.0})
     assert [(host, s.zone, s.tries, s.errors, s.mean, s.window) for host, s, _ in found] == [
-        ("a", "north", 40, 4, 60, SECOND)
+        ("a", "north", 40, 4, 60, TICKS_PER_SECOND)
     ]
-    assert 0 <= found[0][2] < 5 * SECOND
+    assert 0 <= found[0][2] < 5 * TICKS_PER_SECOND
     memory.close()
 
 
 def test_what_is_old_is_of_no_use(tmp_path: Path) -> None:
-    lived(tmp_path / "s", [(0, "a", "north", 30, 3, 50), (SECOND, "a", "north", 1, 0, 9)])
+    lived(tmp_path / "s", [(0, "a", "north", 30, 3, 50), (TICKS_PER_SECOND, "a", "north", 1, 0, 9)])
     store = Store(str(tmp_path / "s"))
     for key, entry in store.by_key("met"):
-        store.write([Op("met", key, entry.at - 3600 * SECOND, entry.value)])
+        store.write([Op("met", key, entry.at - 3600 * TICKS_PER_SECOND, entry.value)])
     store.flush()
     store.close()
-    memory = Memory(str(tmp_path / "s"), "d", 2, 10 * SECOND, lambda text: None)
+    memory = Memory(str(tmp_path / "s"), "d", 2, 10 * TICKS_PER_SECOND, lambda text: None)
     assert memory.recall({"a": 0.0}) == []
     memory.close()
 
 
 def test_hosts_that_are_no_longer_listed_are_forgotten(tmp_path: Path) -> None:
-    memory = Memory(str(tmp_path / "s"), "d", 1, SECOND, lambda text: None)
+    memory = Memory(str(tmp_path / "s"), "d", 1, TICKS_PER_SECOND, lambda text: None)
     memory.listed({"a": [False, 0.0], "b": [True, 1.0]})
     memory.withdrawn("b", True)
     memory.close()
-    memory = Memory(str(tmp_path / "s"), "d", 2, SECOND, lambda text: None)
+    memory = Memory(str(tmp_path / "s"), "d", 2, TICKS_PER_SECOND, lambda text: None)
     assert {key for key, _ in memory.store.by_key("hosts")} == {"a", "b"}
     assert [key for key, _ in memory.store.by_key("withdrawn")] == ["b"]
     memory.listed({"a": [False, 0.0]})
@@ -106,7 +105,7 @@
                 if number == 1:
                     now = service.clock.now()
                     for k in range(3):
-                        service.memory.met(now + k * SECOND, "a", "north", 20, 15, 100)  # type: ignore[union-attr]
+                        service.memory.met(now + k * TICKS_PER_SECOND, "a", "north", 20, 15, 100)  # type: ignore[union-attr]
                     one.answer()
                     await trio.sleep(0.5)
                 elif not taken:
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -19,11 +19,11 @@
 from willowhook.reports.sample import whole
 from willowhook.reports.sums import Row, Sums, combined
 from willowhook.reports.windows import BACK, KEEP, Windows
+from willowhook.ticks import TICKS_PER_SECOND
 from willowhook.xds import forms
 from willowhook.xds.codec import FormError
 
-SECOND = 10_000
-HALF = 2 * SECOND
+HALF = 2 * TICKS_PER_SECOND
 
 
 # Fading.
@@ -63,7 +63,7 @@
     for age in (0, HALF // 2, HALF, 3 * HALF):
         heard: list[int] = []
         sums = Sums(HALF, lambda host, zone, tries, *rest, told=heard: told.append(tries))
-        now = 100 * SECOND
+        now = 100 * TICKS_PER_SECOND
         sums.add(now, "z", now - age - 100, now - age, {("h", "r"): (1e6, 0.0, 0.0, 0.0)}, {})
         sums.flush()
         assert abs(heard[0] / 1e6 / 2 ** (-age / HALF) - 1) < 0.001
@@ -106,7 +106,7 @@
 
 def test_what_is_known_of_a_proxy_outlives_its_stay_but_not_for_ever() -> None:
     windows = Windows()
-    windows.told(SECOND, "p", "one", 40_000, 50_000)
+    windows.told(TICKS_PER_SECOND, "p", "one", 40_000, 50_000)
     windows.look(KEEP // 2)
     assert windows.told(KEEP // 2, "p", "two", 40_000, 50_000).part == 0 and len(windows) == 1
     windows.look(2 * KEEP)
@@ -256,8 +256,8 @@
 def test_more_than_fits_slows_proxies_down_and_room_brings_them_back() -> None:
     told: list[int] = []
     budget = Budget(100, 0.5, 5000, 40_000, told.append)
-    assert sum(budget.spend(SECOND, 1) for _ in range(50)) == 10
-    assert sum(budget.spend(SECOND + k, 1) for k in range(SECOND)) in (99, 100, 101)
+    assert sum(budget.spend(TICKS_PER_SECOND, 1) for _ in range(50)) == 10
+    assert sum(budget.spend(TICKS_PER_SECOND + k, 1) for k in range(TICKS_PER_SECOND)) in (99, 100, 101)
     budget.look(0, 150, 40)
     assert told == [6250]  # faster than they should be: one step
     budget.look(0, 400, 200)
@@ -271,11 +271,11 @@
 
 def test_time_is_a_budget_too() -> None:
     budget, used = Budget(1e6, 0.25, 5000, 40_000, print), 0
-    for now in range(0, 10 * SECOND, 5):
+    for now in range(0, 10 * TICKS_PER_SECOND, 5):
         if budget.spend(now, 1):
             budget.took(10)  # a millisecond each
             used += 10
-    assert 0.24 < used / (10 * SECOND) < 0.27
+    assert 0.24 < used / (10 * TICKS_PER_SECOND) < 0.27
 
 
 class Told:
--- a/tests/test_tiers.py
+++ b/tests/test_tiers.py
@@ -7,9 +7,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from willowhook.membership.tiers import HOLD, LEAST_TRIES, Tiers
+from willowhook.ticks import TICKS_PER_SECOND
 
-SECOND = 10_000
-COLD = 8 * SECOND
+COLD = 8 * TICKS_PER_SECOND
 
 
 class Told:
@@ -21,7 +21,7 @@
         self.rows.append((host, on))
 
 
-def made(*rows: tuple[str, int, bool, int], now: int = 100 * SECOND) -> tuple[Tiers, Told]:
+def made(*rows: tuple[str, int, bool, int], now: int = 100 * TICKS_PER_SECOND) -> tuple[Tiers, Told]:
     told = Told()
     tiers = Tiers(told, COLD)
     tiers.listed(now, [(name, ("g",), tier, drains, started) for name, tier, drains, started in rows])
@@ -29,12 +29,12 @@
 
 
 def test_a_backup_is_held_until_the_last_primary_drains_and_after_a_warm_one_is_back() -> None:
-    now = 100 * SECOND
+    now = 100 * TICKS_PER_SECOND
     tiers, told = made(("a", 0, False, 0), ("b", 1, False, 0))
     assert tiers.held("b") and not tiers.held("a") and told.rows == [("b", False)]
     tiers.listed(now, [("a", ("g",), 0, True, 0), ("b", ("g",), 1, False, 0)])
     assert not tiers.held("b") and told.rows[-1] == ("b", True)
-    started = now + SECOND
+    started = now + TICKS_PER_SECOND
     rows = [("a", ("g",), 0, False, started), ("b", ("g",), 1, False, 0)]
     tiers.listed(started, rows)
     tiers.look(started + COLD - 1)
@@ -47,7 +47,7 @@
 
 
 def test_silent_primaries_count_as_none_until_one_answers() -> None:
-    now = 100 * SECOND
+    now = 100 * TICKS_PER_SECOND
     tiers, _ = made(("a", 0, False, 0), ("b", 1, False, 0), ("c", 2, False, 0))
     tiers.heard(now, "a", LEAST_TRIES - 1, LEAST_TRIES - 1)
     tiers.look(now)
@@ -58,19 +58,19 @@
     tiers.heard(now, "b", 30, 30)
     tiers.look(now)
     assert not tiers.held("c")
-    tiers.heard(now + SECOND, "a", 3, 2)
-    tiers.look(now + SECOND)
-    tiers.look(now + SECOND + HOLD)
+    tiers.heard(now + TICKS_PER_SECOND, "a", 3, 2)
+    tiers.look(now + TICKS_PER_SECOND)
+    tiers.look(now + TICKS_PER_SECOND + HOLD)
     assert tiers.held("b") and tiers.held("c")
 
 
 def test_a_host_of_two_groups_is_let_in_where_one_of_them_wants_it() -> None:
     tiers = Tiers(told := Told(), COLD)
     rows = [("a", ("g",), 0, False, 0), ("b", ("g", "h"), 1, False, 0), ("c", ("h",), 0, True, 0)]
-    tiers.listed(SECOND, rows)
+    tiers.listed(TICKS_PER_SECOND, rows)
     assert not tiers.held("b")
-    tiers.listed(SECOND, [*rows[:2], ("c", ("h",), 0, False, 0)])
-    tiers.look(SECOND + HOLD)
+    tiers.listed(TICKS_PER_SECOND, [*rows[:2], ("c", ("h",), 0, False, 0)])
+    tiers.look(TICKS_PER_SECOND + HOLD)
     assert tiers.held("b") and told.rows == [("b", False)]
 
 
@@ -86,7 +86,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.now, self.told = 100 * SECOND, Told()
+        self.now, self.told = 100 * TICKS_PER_SECOND, Told()
         self.tiers = Tiers(self.told, COLD)
         self.hosts: dict[str, tuple[int, bool, int]] = {}
         self.silent: set[str] = set()
@@ -121,7 +121,7 @@
     @rule(s=st.integers(1, 9))
     def time(self, s: int) -> None:
         for _ in range(s):
-            self.now += SECOND
+            self.now += TICKS_PER_SECOND
             self.tiers.look(self.now)
 
     @invariant()
@@ -142,7 +142,7 @@
         elif self.earlier_since is None:
             self.earlier_since = self.now
         if self.earlier_since is not None:
-            assert self.now - self.earlier_since <= HOLD + SECOND
+            assert self.now - self.earlier_since <= HOLD + TICKS_PER_SECOND
 
 
 Machine.TestCase.settings = settings(
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -9,12 +9,11 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
+from willowhook.ticks import TICKS_PER_SECOND
 from willowhook.versions.core import Core, Part, Resource, first_era, next_era, read_version
 from willowhook.versions.desk import CLUSTERS, KINDS, ROUTES, TABLES, Answer, Ask, Desk
 from willowhook.versions.rollout import BACK, GO, Rollout, RolloutTerms
 
-SECOND = 10_000
-
 
 def uses(row: Resource) -> tuple[str, ...]:
     """Bodies of these tests: names of what is used, after a colon."""
@@ -419,11 +418,11 @@
     given = out(rollout, 20, 3, everyone)
     canaries = [proxy for proxy in everyone if given[proxy] == 3]
     assert 1 <= len(canaries) <= 6 and {20, 41} & set(canaries)
-    rollout.look(20 + SECOND)
+    rollout.look(20 + TICKS_PER_SECOND)
     assert len(halts.rows) == 1
-    rollout.look(30 + 2 * SECOND)
+    rollout.look(30 + 2 * TICKS_PER_SECOND)
     assert halts.rows[-1] == ("released",)
-    assert set(out(rollout, 5 * SECOND, 4, everyone).values()) == {4}
+    assert set(out(rollout, 5 * TICKS_PER_SECOND, 4, everyone).values()) == {4}
 
 
 def test_a_canary_that_refuses_or_whose_calls_go_worse_stops_it_again() -> None:
@@ -437,10 +436,10 @@
         canaries = set(track.canaries)
         out(rollout, 2, 3, everyone, canaries if way == "refuses" else set())
         for proxy in everyone:
-            rollout.met(2 * SECOND, proxy, 30, 20 if way == "worse" and proxy in canaries else 1)
-        rollout.look(SECOND + 2 * SECOND)
+            rollout.met(2 * TICKS_PER_SECOND, proxy, 30, 20 if way == "worse" and proxy in canaries else 1)
+        rollout.look(TICKS_PER_SECOND + 2 * TICKS_PER_SECOND)
         assert [row[:2] for row in halts.rows][:2] == [("halted", 2), ("halted", 3)], way
-        assert rollout.choose(4 * SECOND, 49, "t", 3) == (BACK, 1)
+        assert rollout.choose(4 * TICKS_PER_SECOND, 49, "t", 3) == (BACK, 1)
 
 
 def test_canaries_that_say_nothing_hold_nobody_up_for_long() -> None:
@@ -450,8 +449,8 @@
     out(rollout, 1, 2, range(10), {0, 1})
     for proxy in list(rollout.tracks["t"].canaries):
         rollout.left(proxy)
-    rollout.look(SECOND)
-    assert halts.rows[-1] == ("released",) and rollout.choose(SECOND, 9, "t", 5) == (GO, 5)
+    rollout.look(TICKS_PER_SECOND)
+    assert halts.rows[-1] == ("released",) and rollout.choose(TICKS_PER_SECOND, 9, "t", 5) == (GO, 5)
 
 
 def test_one_proxy_that_refuses_everything_stops_nobody() -> None:
@@ -476,10 +475,10 @@
     out(rollout, 0, 1, range(40))
     given = out(rollout, 10, 2, range(40))
     assert 1 <= sum(chosen == 2 for chosen in given.values()) <= 4
-    rollout.look(3 * SECOND)
+    rollout.look(3 * TICKS_PER_SECOND)
     assert halts.rows == [("released",)]
-    assert set(out(rollout, 3 * SECOND, 2, range(40)).values()) == {2}
-    assert sum(chosen == 3 for chosen in out(rollout, 4 * SECOND, 3, range(40)).values()) <= 4
+    assert set(out(rollout, 3 * TICKS_PER_SECOND, 2, range(40)).values()) == {2}
+    assert sum(chosen == 3 for chosen in out(rollout, 4 * TICKS_PER_SECOND, 3, range(40)).values()) <= 4
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
--- a/willowhook/front/discovery.py
+++ b/willowhook/front/discovery.py
@@ -15,7 +15,9 @@
 import msgspec
 import trio
 
+from ..clock import monotonic_ticks
 from ..membership.claim import names_me
+from ..ticks import TICKS_PER_SECOND
 from ..versions.desk import KINDS, Answer, Ask, Desk
 from ..web.wire import Call, Reply
 from ..xds import forms
@@ -23,10 +25,9 @@
 from .bodies import Bodies, chosen
 from .identity import Identity
 from .limits import Gate
-from .serve import Line, Waiting, refusal, ticks
+from .serve import Line, Waiting, refusal
 from .turns import Turns
 
-SECOND = 10_000
 LONGEST_HOLD_S = 2.0
 BATCH = 32  # calls that are woken before others get a turn of the loop
 SERVICES = {"cds": ("cluster", "Cluster"), "eds": ("endpoint", "Endpoint"), "rds": ("route", "Route")}
@@ -170,9 +171,9 @@
         self, name: str, said: Said, asked: forms.DiscoveryRequest | forms.DeltaDiscoveryRequest, first: bool
     ) -> Reply | None:
         """A proxy that is not here joins with its first call; one of another stay is told so."""
-        wait = self._gate.asks(ticks(), name)
+        wait = self._gate.asks(monotonic_ticks(), name)
         if wait:
-            return refusal(429, 8, "too many calls", wait / SECOND)
+            return refusal(429, 8, "too many calls", wait / TICKS_PER_SECOND)
         here, node = self._hall.here(name), said.node
         assert node is not None
         term = node.metadata.get("term", 0)
@@ -219,19 +220,19 @@
         self._report_s = interval_s
 
     async def _report(self, line: Line, call: Call) -> Reply:
-        wait = self._gate.asks(ticks(), line.proxy)
+        wait = self._gate.asks(monotonic_ticks(), line.proxy)
         if wait:
-            return refusal(429, 8, "too many calls", wait / SECOND)
+            return refusal(429, 8, "too many calls", wait / TICKS_PER_SECOND)
         if self._hall.here(line.proxy) is None:
             return refusal(400, 9, "ask for resources first")
         await self._hall.report(line.proxy, call.body)
         # who reports far too often gets its answer when a report would have been due: it is asked to wait
-        now = ticks()
-        due = line.reported_at + round(self._report_s * SECOND * 0.75)
+        now = monotonic_ticks()
+        due = line.reported_at + round(self._report_s * TICKS_PER_SECOND * 0.75)
         wait = due - now if line.reported_at >= 0 else 0
         if wait > 0:
-            await trio.sleep(min(wait / SECOND, LONGEST_HOLD_S))
-        line.reported_at = ticks()
+            await trio.sleep(min(wait / TICKS_PER_SECOND, LONGEST_HOLD_S))
+        line.reported_at = monotonic_ticks()
         return Reply(
             200, [JSON], encode(forms.LoadStatsResponse(True, f"{self._report_s:.3f}".rstrip("0") + "s"))
         )
@@ -278,7 +279,7 @@
     def _reply(self, waiter: Waiter, answer: Answer) -> Reply:
         """From here on the proxy may run it."""
         waiter.desk.leaves(waiter.kind, answer)
-        self._answered[waiter.desk] = ticks()
+        self._answered[waiter.desk] = monotonic_ticks()
         self._hall.delivered(waiter.name)
         self.answers += 1
         body, encoding = self.bodies.get(*self._body(waiter, answer), waiter.encoding)
--- a/willowhook/front/serve.py
+++ b/willowhook/front/serve.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import time
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
 from typing import Any
@@ -14,7 +13,6 @@
 from .limits import Gate
 
 CHUNK = 65536
-SECOND = 10_000
 
 
 @dataclass(slots=True)
@@ -207,7 +205,3 @@
             await stream.send_all(data)
         self.slow += scope.cancelled_caught
         return not scope.cancelled_caught
-
-
-def ticks() -> int:
-    return time.monotonic_ns() // 100_000
--- a/willowhook/guard/offline.py
+++ b/willowhook/guard/offline.py
@@ -7,11 +7,11 @@
 
 import msgspec
 
+from ..ticks import TICKS_PER_SECOND, ticks_from_seconds
 from .guard import Candidate, Guard
 from .verdict import Verdict
 from .world import GuardTerms, HostFacts, RouteFacts, Tables, World
 
-SECOND = 10_000
 SEMANTICS = {"repeatable": "idempotent", "keyed": "deduplicated", "mutating": "at_most_once"}
 T = TypeVar("T")
 
@@ -104,20 +104,32 @@
 
 def build(state: State) -> World:
     """Raises OfflineError where names do not fit together."""
-    t, now = state.terms, round(state.now_s * SECOND)
+    t, now = state.terms, ticks_from_seconds(state.now_s)
     routes = tuple(
         RouteFacts(row.name, SEMANTICS[row.semantics], row.own_zone, tuple(row.zones), tuple(row.kinds))
         for row in state.routes
     )
-    world = World(GuardTerms(
-        routes, round(t.drain_grace_s * SECOND), round(t.cold_s * SECOND), t.start_capacity, t.fall_multiple,
-        t.lines_per_s / SECOND, t.most_waiting_lines, t.messages_most, round(t.messages_over_s * SECOND),
-        t.fleet, t.cold_part, t.swing, t.capacity_calls_per_s,
-    ))  # fmt: skip
+    world = World(
+        GuardTerms(
+            routes,
+            ticks_from_seconds(t.drain_grace_s),
+            ticks_from_seconds(t.cold_s),
+            t.start_capacity,
+            t.fall_multiple,
+            t.lines_per_s / TICKS_PER_SECOND,
+            t.most_waiting_lines,
+            t.messages_most,
+            ticks_from_seconds(t.messages_over_s),
+            t.fleet,
+            t.cold_part,
+            t.swing,
+            t.capacity_calls_per_s,
+        )
+    )
     for row in state.hosts:
-        started = now - round(row.started_s_ago * SECOND) if row.started_s_ago < t.cold_s else 0
+        started = now - ticks_from_seconds(row.started_s_ago) if row.started_s_ago < t.cold_s else 0
         facts = HostFacts(row.name, row.mode, 0, started, row.size, row.kind, row.zone, row.address)
-        facts.since = now - round(row.told_s_ago * SECOND)
+        facts.since = now - ticks_from_seconds(row.told_s_ago)
         world.hosts[row.name] = facts
     world.look_again()
     names = [row.name for row in routes]
@@ -149,7 +161,7 @@
     """Each candidate in turn; one that passes is taken as sent before the next is judged."""
     made = read(state, State)
     world = build(made)
-    guard, now = Guard(world), round(made.now_s * SECOND)
+    guard, now = Guard(world), ticks_from_seconds(made.now_s)
     names = [row.name for row in made.routes]
     found = []
     for at, row in enumerate(read(candidates, list[OfflineCandidate])):
--- a/willowhook/membership/tiers.py
+++ b/willowhook/membership/tiers.py
@@ -17,10 +17,11 @@
 from typing import Protocol
 
 from ..decisions.model import Ring
+from ..ticks import TICKS_PER_SECOND
 
 BUCKET, BUCKETS = 5_000, 6  # three seconds of tries that failed
 LEAST_TRIES = 8  # so many failed on end: it does not answer
-HOLD = 5 * 10_000  # a later tier stays for so long after one before it is back
+HOLD = 5 * TICKS_PER_SECOND  # a later tier stays for so long after one before it is back
 
 
 class TierHost(Protocol):
--- a/willowhook/nginx/result.py
+++ b/willowhook/nginx/result.py
@@ -15,6 +15,7 @@
 from ..config.facts import SEMANTICS, paths
 from ..config.terms import ClosedTerms, FileTerms, RecordTerms, Terms
 from ..membership.claim import safe_tries
+from ..ticks import ticks_from_milliseconds
 from ..xds import forms, tables
 from ..xds.codec import encode, response
 from .plan import Plan
@@ -71,7 +72,7 @@
 
 def table_files(plan: Plan, terms: Terms) -> dict[str, bytes]:
     """The group of files of a proxy that follows no director: the tables as they were."""
-    zone, ticks = plan.asked.zone, round(terms.fleet.dial_ms * 10)
+    zone, ticks = plan.asked.zone, ticks_from_milliseconds(terms.fleet.dial_ms)
     assignments, clusters, rows = dict[str, bytes](), dict[str, bytes](), list[bytes]()
     by_name = {group.name: group for group in plan.groups.values()}
     for name, group in by_name.items():
@@ -99,10 +100,20 @@
             safe_tries(SEMANTICS[route.semantics], 2 if route.semantics == "repeatable" else 1), route.tries
         )
         filters = tables.level("rps", route.most_per_s or float("inf"), 1)
-        rows.append(encode(tables.route(
-            route.name, tables.match(path.match, path.path), to, round(route.time_limit_ms * 10),
-            tables.retry(tries, round(route.time_limit_ms * 10)), filters, path.rewrite, route.hash_by,
-        )))  # fmt: skip
+        rows.append(
+            encode(
+                tables.route(
+                    route.name,
+                    tables.match(path.match, path.path),
+                    to,
+                    ticks_from_milliseconds(route.time_limit_ms),
+                    tables.retry(tries, ticks_from_milliseconds(route.time_limit_ms)),
+                    filters,
+                    path.rewrite,
+                    route.hash_by,
+                )
+            )
+        )
     calls = {"name": "all", "domains": ["*"], "routes": [msgspec.Raw(row) for row in rows]}
     routes = encode({"@type": forms.ROUTES, "name": "calls", "virtual_hosts": [calls]})
     bodies = {"eds": list(assignments.values()), "cds": list(clusters.values()), "rds": [routes]}
--- a/willowhook/records/states.py
+++ b/willowhook/records/states.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-SECOND = 10_000
+from ..ticks import TICKS_PER_SECOND
 
 
 @dataclass
@@ -56,13 +56,13 @@
         found = [f"{len(here)} proxies are here: {shown}"]
         for name, known in sorted(here.items()):
             for part, (state, version, since) in sorted(known.parts.items()):
-                old = (self.last - since) / SECOND
+                old = (self.last - since) / TICKS_PER_SECOND
                 if state in ("refused", "lost") or (state == "sent" and old > 2):
                     why = known.refused[-1][2] if state == "refused" and known.refused else ""
                     told = version or "not certain"
                     found.append(f"  {name}: {part} {state} for {old:.1f} s, version {told} {why}".rstrip())
         for row in self.stops[-10:]:
-            ago = (self.last - row["t"]) / SECOND
+            ago = (self.last - row["t"]) / TICKS_PER_SECOND
             what = {"halted": "stopped", "rollback": "taken back", "released": "released to all"}[row["kind"]]
             rest = f": {row['why']}" if "why" in row else ""
             rest += f" at {row['readers']} proxies" if "readers" in row else ""
@@ -75,10 +75,9 @@
             return [f"{name}: no record of it"]
         found = [f"{name}: {'here' if known.here else 'has left'}, term {known.term}"]
         for part, (state, version, since) in sorted(known.parts.items()):
-            old = (self.last - since) / SECOND
+            old = (self.last - since) / TICKS_PER_SECOND
             found.append(f"  {part} {state} for {old:.1f} s, version {version or 'not certain'}")
         for t, what, why in known.refused:
-            found.append(
-                f"  refused {(self.last - t) / SECOND:.1f} s before the end of the record: {what}: {why}"
-            )
+            ago = (self.last - t) / TICKS_PER_SECOND
+            found.append(f"  refused {ago:.1f} s before the end of the record: {what}: {why}")
         return found
--- a/willowhook/reports/budget.py
+++ b/willowhook/reports/budget.py
@@ -10,10 +10,11 @@
 
 from collections.abc import Callable
 
-SECOND = 10_000
-LONGEST_TURN = SECOND // 20  # of time that may be saved up
+from ..ticks import TICKS_PER_SECOND
+
+LONGEST_TURN = TICKS_PER_SECOND // 20  # of time that may be saved up
 TARGET = 0.8  # of the rate, that reports at the asked interval should take
-STEP, LOOK = 0.8, 2 * SECOND  # one change, and how long there must have been room before one down
+STEP, LOOK = 0.8, 2 * TICKS_PER_SECOND  # one change, and how long there must have been room before one down
 CLOSE = 1.1  # a change under a tenth is not told
 
 
@@ -24,7 +25,7 @@
         """`share`: of all time; `every`: the interval that proxies have by themselves, `most`: the longest
         that may be asked for; `told(interval)`: it is another one.
         """
-        self._rate, self._every, self._told = per_s / SECOND, every, told
+        self._rate, self._every, self._told = per_s / TICKS_PER_SECOND, every, told
         self._longest = float(max(most, every))
         self._most = max(2.0, per_s / 10)  # a tenth of a second of work may be done on end
         self._tokens, self._at = self._most, -1
@@ -50,10 +51,10 @@
 
     def look(self, now: int, came_per_s: float, proxies: int, each: float = 0.0) -> None:
         """Once in a while: how many came, from how many, and how long one takes."""
-        able = self._rate * SECOND
+        able = self._rate * TICKS_PER_SECOND
         if each > 0:
-            able = min(able, self._share * SECOND / each)
-        wanted = proxies / (able * TARGET) * SECOND
+            able = min(able, self._share * TICKS_PER_SECOND / each)
+        wanted = proxies / (able * TARGET) * TICKS_PER_SECOND
         interval = float(min(max(wanted, self._every), self._longest))
         if came_per_s > able and interval <= self.interval:
             # more come than these proxies should send: some are faster than they were asked to be
--- a/willowhook/reports/quarantine.py
+++ b/willowhook/reports/quarantine.py
@@ -11,9 +11,10 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-SECOND = 10_000
-ON_END, WITHIN, LONG = 3, 5, 60 * SECOND
-REST, MOST_REST = 5 * SECOND, 60 * SECOND
+from ..ticks import TICKS_PER_SECOND
+
+ON_END, WITHIN, LONG = 3, 5, 60 * TICKS_PER_SECOND
+REST, MOST_REST = 5 * TICKS_PER_SECOND, 60 * TICKS_PER_SECOND
 EVIDENCE = 200  # bytes
 
 
--- a/willowhook/reports/read.py
+++ b/willowhook/reports/read.py
@@ -4,12 +4,12 @@
 
 from dataclasses import dataclass, field
 
+from ..ticks import TICKS_PER_SECOND, ticks_from_seconds
 from ..xds import forms
 from ..xds.codec import FormError, seconds
 from ..xds.orca import load
 from .sums import Row
 
-SECOND = 10_000
 LATENCY = "latency_seconds"  # the named metric in which a proxy sums the time of what was answered
 MOST_CALLS = 1e9  # of one report; more is no count
 MOST_SUM = 1e12
@@ -38,7 +38,8 @@
         raise FormError("node.metadata.load_from and load_until are no numbers")
     if not (0 <= since < until < 1e12 and until - since <= LONGEST_S):
         raise FormError(f"node.metadata.load_from is {since:g} and load_until {until:g}")
-    made.since, made.until = round(since * SECOND), max(round(until * SECOND), round(since * SECOND) + 1)
+    made.since = ticks_from_seconds(since)
+    made.until = max(ticks_from_seconds(until), made.since + 1)
     made.process = str(node.metadata.get("process", ""))[:64]
 
 
@@ -49,8 +50,8 @@
     spent: dict[tuple[str, str], list[float]] = {}  # answered, errors, time, answered with a time
     told: dict[tuple[str, str], list[float]] = {}
     for cluster in report.cluster_stats:
-        made.length = round(seconds(cluster.load_report_interval) * SECOND)
-        if not 0 < made.length <= LONGEST_S * SECOND:
+        made.length = round(seconds(cluster.load_report_interval) * TICKS_PER_SECOND)
+        if not 0 < made.length <= LONGEST_S * TICKS_PER_SECOND:
             raise FormError(f"load_report_interval is {cluster.load_report_interval}")
         name = cluster.cluster_name.partition("@")[0]
         route = name if name in routes else ""
@@ -96,7 +97,7 @@
             made.came[route] = (old[0] + calls + dropped, old[1] + errors)
     for (address, route), (answered, failed, took, timed) in spent.items():
         if answered + failed:
-            time = took / timed * answered * SECOND if timed else 0.0
+            time = took / timed * answered * TICKS_PER_SECOND if timed else 0.0
             made.row.cells[address, route] = (answered + failed, failed, time)
     means: dict[str, dict[str, float]] = {}
     for (address, name), pair in told.items():
--- a/willowhook/reports/sample.py
+++ b/willowhook/reports/sample.py
@@ -5,11 +5,12 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
+from ..ticks import TICKS_PER_SECOND
 from .read import Report
 from .sums import Row, combined
 from .windows import Covered, Windows
 
-LONGEST = 120 * 10_000  # of a stretch that a sample stands for
+LONGEST = 120 * TICKS_PER_SECOND  # of a stretch that a sample stands for
 Cells = dict[tuple[str, str], tuple[float, float, float, float]]
 
 
--- a/willowhook/reports/windows.py
+++ b/willowhook/reports/windows.py
@@ -11,11 +11,12 @@
 from bisect import bisect_left, bisect_right
 from dataclasses import dataclass, field
 
-SECOND = 10_000
+from ..ticks import TICKS_PER_SECOND
+
 DRIFT = 10_000  # clocks run apart by one part in so many at the most
 MOST_SPANS = 16  # apart from each other, a proxy; older ones grow together
-BACK = 10 * SECOND  # a clock that stands still or goes back for so long was set anew
-KEEP = 600 * SECOND  # what is known of a proxy that says nothing
+BACK = 10 * TICKS_PER_SECOND  # a clock that stands still or goes back for so long was set anew
+KEEP = 600 * TICKS_PER_SECOND  # what is known of a proxy that says nothing
 KEPT = 4  # hashes of reports without times
 
 
--- a/willowhook/ticks.py
+++ b/willowhook/ticks.py
@@ -8,6 +8,7 @@
 
 TICKS_PER_SECOND = 10_000
 TICKS_PER_MILLISECOND = 10
+NANOSECONDS_PER_TICK = 100_000
 
 
 def ticks_from_seconds(seconds: str | float) -> int:
--- a/willowhook/trial/flood.py
+++ b/willowhook/trial/flood.py
@@ -26,17 +26,19 @@
 import msgspec
 import trio
 
+from ..clock import monotonic_ticks
 from ..config.terms import FrontTerms
 from ..files.follow import Followers
 from ..files.layout import DOWN, LOAD, PACE, STATUS, UP
 from ..files.ops import DiskOps
 from ..files.swap import read_group, swap_file
 from ..records.writer import read_records
+from ..ticks import TICKS_PER_SECOND, ticks_from_seconds
 from ..web.wire import Broken, Caller, dial
 from ..xds import forms, tables
 from ..xds.codec import FormError, decode, encode, seconds
 from .day import HostPlan, draw, terms_of
-from .notes import SECOND, Notes, read_notes, ticks
+from .notes import Notes, read_notes
 from .standin_link import LOADS, token
 from .standin_roster import StandInRoster
 
@@ -176,7 +178,7 @@
                     self.sent += 1
                 except OSError:
                     self.join()  # it was given up, and comes again
-            now = (ticks() - self.o.start) / SECOND
+            now = (monotonic_ticks() - self.o.start) / TICKS_PER_SECOND
             if phase == 1:
                 await trio.sleep(max(0.0, (math.floor(now / self.every) + 1) * self.every - now))
             elif phase == 2:
@@ -185,7 +187,10 @@
                 await trio.sleep(self.every * (0.9 + 0.2 * self.chance.random()))
 
     def phase(self) -> int:
-        return min(max(0, int((ticks() - self.o.start) / SECOND / self.o.phase_s)), len(PHASES) - 1)
+        return min(
+            max(0, int((monotonic_ticks() - self.o.start) / TICKS_PER_SECOND / self.o.phase_s)),
+            len(PHASES) - 1,
+        )
 
     async def _post(self, caller: Caller | None) -> Caller | None:
         head = [(b"authorization", b"Bearer " + token(self.name))]
@@ -232,7 +237,9 @@
     rows = [Reporter(orders, name, int(name.rpartition("-")[2]) % 2 == 1) for name in orders.names]
     by_name = {row.name: row for row in rows}
     followers = Followers("inotify", 0.02, lambda name, files: by_name[name].answer_files(files))
-    with trio.move_on_after((orders.start - ticks()) / SECOND + orders.phase_s * len(PHASES)):
+    with trio.move_on_after(
+        (orders.start - monotonic_ticks()) / TICKS_PER_SECOND + orders.phase_s * len(PHASES)
+    ):
         async with trio.open_nursery() as nursery:
             nursery.start_soon(followers.run)
             for row in rows:
@@ -352,7 +359,7 @@
             hostile = chance.sample(names, max(1, proxies // 100))
             done.hostile = len(hostile)
             settle = 6.0 + proxies / 80
-            start = ticks() + round(settle * SECOND)
+            start = monotonic_ticks() + ticks_from_seconds(settle)
             for part in range(parts):
                 orders = Orders(
                     names[part::parts], hostile, str(place), port,
@@ -363,12 +370,12 @@
                 one.write_bytes(msgspec.json.encode(orders))
                 code = f"from willowhook.trial.flood import report_all; report_all({str(one)!r})"
                 reporters.append(subprocess.Popen([sys.executable, "-c", code]))
-            await trio.sleep(max(0.0, (start - ticks()) / SECOND))
+            await trio.sleep(max(0.0, (start - monotonic_ticks()) / TICKS_PER_SECOND))
             marks = [_usage(director.pid)]
             changes: dict[int, int] = {}
             files = [name for name in names[::2] if name not in hostile]
             for k, name in enumerate(PHASES):
-                end = start + round((k + 1) * phase_s * SECOND)
+                end = start + round((k + 1) * phase_s * TICKS_PER_SECOND)
                 await _probe(roster, plans, place, files, end, k, changes, done)
                 marks.append(_usage(director.pid))
                 done.phases[name].rss_mb = marks[-1][1]
@@ -399,17 +406,17 @@
 ) -> None:  # fmt: skip
     """The list changes ten times a second, and once in a phase a host drains, which must be kept in time."""
     drained = plans[k + 1]
-    half, at = (ticks() + end) // 2, 0
-    while ticks() < end:
+    half, at = (monotonic_ticks() + end) // 2, 0
+    while monotonic_ticks() < end:
         entry = roster.entries[plans[0].id]
         entry["Service"]["Meta"]["mark"] = str(len(changes))  # it means nothing to anybody
         roster._set(plans[0].id, entry)
-        changes[roster.index] = ticks()
-        if ticks() > half and not at:
-            at = ticks()
+        changes[roster.index] = monotonic_ticks()
+        if monotonic_ticks() > half and not at:
+            at = monotonic_ticks()
             roster._set(drained.id, roster.entry(drained, True, 0.0))
         await trio.sleep(0.1)
-    await trio.sleep(max(0.0, (at - ticks()) / SECOND + 2.5))
+    await trio.sleep(max(0.0, (at - monotonic_ticks()) / TICKS_PER_SECOND + 2.5))
     late = [name for name in names if _sends_to(place, name, drained.id)]
     if late:
         done.faults.append(f"{len(late)} proxies send to {drained.id} 2.5 s after it began to drain (rule 3)")
@@ -444,25 +451,27 @@
 ) -> None:
     """The director's own count of reports, by phase; and whether its queue kept its limit."""
     rows = list(read_records(records))
-    offset = 100_000 * SECOND  # of its clock beside the machine's
+    offset = 100_000 * TICKS_PER_SECOND  # of its clock beside the machine's
     notes = [row for row in rows if row["kind"] == "intake"]
     # the lists that the roster gave, in order, are those that the director decided on, after its own last one
     given = [row["index"] for row in read_notes(notes_of_roster) if row["kind"] == "listed"]
     decided = [row["t"] - offset for row in rows if row["kind"] == "list"][1:]
     for number, at in changes.items():
         k = next((k for k, index in enumerate(given) if index >= number), len(given))
-        phase = done.phases[PHASES[min(max(0, int((at - start) / SECOND / phase_s)), len(PHASES) - 1)]]
+        phase = done.phases[
+            PHASES[min(max(0, int((at - start) / TICKS_PER_SECOND / phase_s)), len(PHASES) - 1)]
+        ]
         if k >= len(decided):
             done.faults.append(f"change {number} was never decided on")
         else:
             phase.delays_ms.append((decided[k] - at) / 10)
     for k, phase in enumerate(done.phases.values()):
-        since = start + offset + round(k * phase_s * SECOND)
-        inside = [row for row in notes if since <= row["t"] < since + phase_s * SECOND]
+        since = start + offset + round(k * phase_s * TICKS_PER_SECOND)
+        inside = [row for row in notes if since <= row["t"] < since + phase_s * TICKS_PER_SECOND]
         if len(inside) < 2:
             continue
         a, b = inside[0], inside[-1]
-        scale = phase_s * SECOND / (b["t"] - a["t"])
+        scale = phase_s * TICKS_PER_SECOND / (b["t"] - a["t"])
         for name in ("looked_at", "came", "dropped", "spent_us", "handed"):
             setattr(phase, name, round((b[name] - a[name]) * scale))
         phase.waiting, phase.bytes = max(r["waiting"] for r in inside), max(r["bytes"] for r in inside)
--- a/willowhook/trial/guard_cases.py
+++ b/willowhook/trial/guard_cases.py
@@ -14,10 +14,10 @@
 from ..guard.guard import Candidate, Guard
 from ..guard.verdict import PASSED
 from ..guard.world import GuardTerms, HostFacts, RouteFacts, Tables, World
+from ..ticks import TICKS_PER_SECOND, ticks_from_seconds
 from .oracle import PlayedHost, PlayedProxy, Situation, play
 
-SECOND = 10_000
-NOW = 1000 * SECOND
+NOW = 1000 * TICKS_PER_SECOND
 SEMANTICS = ("idempotent", "deduplicated", "at_most_once")
 
 
@@ -326,17 +326,26 @@
         RouteFacts(f"r{k}", SEMANTICS[k], own, (), kinds) for k, (own, kinds) in enumerate(s.places)
     )
     terms = GuardTerms(
-        routes, round(s.grace * SECOND), round(s.cold_s * SECOND), s.start, s.multiple, s.rate / SECOND,
-        s.most_waiting, s.messages_most, 10 * SECOND, s.fleet, capacity=s.able,
-    )  # fmt: skip
+        routes,
+        ticks_from_seconds(s.grace),
+        ticks_from_seconds(s.cold_s),
+        s.start,
+        s.multiple,
+        s.rate / TICKS_PER_SECOND,
+        s.most_waiting,
+        s.messages_most,
+        10 * TICKS_PER_SECOND,
+        s.fleet,
+        capacity=s.able,
+    )
     world = World(terms)
     rows = []
     for name, host in s.hosts.items():
         if host.known:
-            started = 0 if host.age > 1e6 else NOW - round(host.age * SECOND)
+            started = 0 if host.age > 1e6 else NOW - ticks_from_seconds(host.age)
             facts = HostFacts(name, host.mode, 0, started, host.size, host.kind, host.zone, host.reachable)
             world.hosts[name] = facts
-            facts.since = NOW - round(host.since * SECOND)
+            facts.since = NOW - ticks_from_seconds(host.since)
             rows.append(facts)
     world.look_again()
     for k, proxy in enumerate(s.proxies):
@@ -345,7 +354,7 @@
             held = Tables(tuple(proxy.lines), frozenset(proxy.out), tuple(s.tries), (math.inf,) * 3)
         world.join(k, proxy.zone, tuple(proxy.rates), held)
     world.proxies[0].newest = s.newest
-    world.proxies[0].sent_at = [NOW - SECOND] * s.messages
+    world.proxies[0].sent_at = [NOW - TICKS_PER_SECOND] * s.messages
     world.queue(NOW, s.waiting)
     tables = Tables(tuple(s.lines), frozenset(s.out), tuple(s.tries), tuple(s.levels))
     return NOW, Guard(world), Candidate(0, tables, s.version, round(s.cost))
--- a/willowhook/trial/herd.py
+++ b/willowhook/trial/herd.py
@@ -22,13 +22,14 @@
 import trio
 import zstandard
 
+from ..clock import monotonic_ticks
 from ..config.terms import FrontTerms
 from ..controlplane.service import Service
 from ..web.wire import Broken, Caller, dial
 from ..xds import forms
 from ..xds.codec import decode, encode
 from .day import draw, terms_of
-from .notes import Notes, ticks
+from .notes import Notes
 from .standin_link import token
 from .standin_roster import StandInRoster
 from .swaps import Churn
@@ -97,7 +98,7 @@
                     if table.endpoints
                     else 0
                 )
-                rows.append((name, ticks(), weight))
+                rows.append((name, monotonic_ticks(), weight))
             elif reply.status != 304:
                 nonce = ""
                 await trio.sleep(0.5)
@@ -233,7 +234,7 @@
         cpu = time.process_time()
         for change in range(1, CHANGES + 1):
             OnDemand.go = change
-            sent_at.append(ticks())
+            sent_at.append(monotonic_ticks())
             await trio.sleep(3.0 if hosts <= 200 else 8.0)
         report.cpu_ms = (time.process_time() - cpu) / CHANGES * 1000
         report.encoded, report.packed = web.bodies.made - made, web.bodies.packed - packed
--- a/willowhook/trial/judge.py
+++ b/willowhook/trial/judge.py
@@ -14,8 +14,9 @@
 from pathlib import Path
 from typing import Any
 
-SECOND = 10_000
-START = 100_000 * SECOND  # by how much a director's clock is ahead of the machine's
+from ..ticks import TICKS_PER_SECOND
+
+START = 100_000 * TICKS_PER_SECOND  # by how much a director's clock is ahead of the machine's
 Rows = list[dict[str, Any]]
 
 
@@ -76,7 +77,7 @@
         return sorted(rows, key=lambda row: row["t"])
 
     def at(self, t: int) -> str:
-        return f"{(t - self.zero) / SECOND:.2f} s"
+        return f"{(t - self.zero) / TICKS_PER_SECOND:.2f} s"
 
     def joined_times(self) -> dict[str, list[tuple[int, int, str]]]:
         """By proxy: from when to when it was joined to which director.
@@ -130,10 +131,10 @@
         steps = []
         for t, hosts, wall in self.lists.get(director, []):
             ages = [wall - started for mode, started in hosts.values() if mode == "open"]
-            warm = [age * SECOND >= self.limits.cold for age in ages]
+            warm = [age * TICKS_PER_SECOND >= self.limits.cold for age in ages]
             steps.append((t, any(warm)))
             if ages and not any(warm):
-                steps.append((t + round(self.limits.cold - max(ages) * SECOND), True))
+                steps.append((t + round(self.limits.cold - max(ages) * TICKS_PER_SECOND), True))
         return sorted(steps)
 
     def bare(self) -> Verdict:
@@ -153,7 +154,9 @@
                             found.append(
                                 f"{proxy} had no line for {route} from {self.at(began)} to {self.at(ended)}"
                             )
-        text = f"longest without a line {worst / SECOND:.2f} s, {self.limits.bare / SECOND:.2f} s allowed"
+        worst_s = worst / TICKS_PER_SECOND
+        allowed_s = self.limits.bare / TICKS_PER_SECOND
+        text = f"longest without a line {worst_s:.2f} s, {allowed_s:.2f} s allowed"
         return Verdict(1, "a line for every route", not found, text, found[:5])
 
     @staticmethod
@@ -244,9 +247,9 @@
                     worst = max(worst, late)
                     if late > self.limits.grace:
                         text = f"{row['p']} sent {row['c']} to {row['h']} at {self.at(row['t'])}"
-                        found.append(f"{text}, {late / SECOND:.2f} s after {director} knew")
-        grace = self.limits.grace / SECOND
-        text = f"latest call {worst / SECOND:.2f} s after it was known, {grace:.2f} s allowed"
+                        found.append(f"{text}, {late / TICKS_PER_SECOND:.2f} s after {director} knew")
+        grace = self.limits.grace / TICKS_PER_SECOND
+        text = f"latest call {worst / TICKS_PER_SECOND:.2f} s after it was known, {grace:.2f} s allowed"
         return Verdict(3, "drains kept", not found, text, found[:5])
 
     # 4: no cold host pushed over.
@@ -292,7 +295,7 @@
                 if row["kind"] == "started":
                     waiting, at = 0.0, row["t"]
                 elif row["kind"] == "order":
-                    waiting = max(0.0, waiting - (row["t"] - at) * self.limits.lines_per_s / SECOND)
+                    waiting = max(0.0, waiting - (row["t"] - at) * self.limits.lines_per_s / TICKS_PER_SECOND)
                     waiting, at = waiting + row["lines"], row["t"]
                     most = max(most, waiting)
                     if waiting > self.limits.most_waiting:
@@ -313,7 +316,9 @@
                         found.append(f"{director}: version {row['v']} at {row['p']} is in no record")
         crowd = self.messages()
         if self.limits.messages_most and crowd > self.limits.messages_most:
-            found.append(f"{crowd} messages to one proxy within {self.limits.messages_over / SECOND:.0f} s")
+            found.append(
+                f"{crowd} messages to one proxy within {self.limits.messages_over / TICKS_PER_SECOND:.0f} s"
+            )
         allowed = self.limits.most_waiting
         text = f"at most {most:.0f} lines of {allowed:.0f} waiting, {crowd} messages to one proxy"
         if self.limits.messages_most:
--- a/willowhook/trial/notes.py
+++ b/willowhook/trial/notes.py
@@ -4,20 +4,15 @@
 
 import os
 import sys
-import time
 from collections.abc import Awaitable, Callable
 from typing import Any
 
 import msgspec
 import trio
 
-_encode = msgspec.json.Encoder().encode
-SECOND = 10_000
-
+from ..clock import monotonic_ticks
 
-def ticks() -> int:
-    """Tenths of a millisecond; the same clock in every process of the machine."""
-    return time.monotonic_ns() // 100_000
+_encode = msgspec.json.Encoder().encode
 
 
 class Notes:
@@ -26,7 +21,7 @@
         self._rows: list[bytes] = []
 
     def note(self, kind: str, **parts: Any) -> None:
-        self._rows.append(_encode({"t": ticks(), "kind": kind, **parts}))
+        self._rows.append(_encode({"t": monotonic_ticks(), "kind": kind, **parts}))
         if len(self._rows) >= 200:
             self.flush()
 
--- a/willowhook/trial/restart.py
+++ b/willowhook/trial/restart.py
@@ -10,13 +10,14 @@
 
 import msgspec
 
+from ..ticks import TICKS_PER_SECOND
 from .day import Day, Trouble, draw
 from .judge import START, Judge
-from .notes import SECOND, read_notes
+from .notes import read_notes
 from .stage import play
 
 WAYS = ("none", "kept", "aged")
-SOON = 3 * SECOND  # after a restart, in which what was remembered shows
+SOON = 3 * TICKS_PER_SECOND  # after a restart, in which what was remembered shows
 
 
 @dataclass
@@ -50,7 +51,7 @@
     tries = failed = to_sick = 0
     waits = []
     for start in starts:
-        within = range(start, start + 6 * SECOND)
+        within = range(start, start + 6 * TICKS_PER_SECOND)
         joins = [row["t"] for row in proxies if row["kind"] == "joined" and row["t"] in within]
         if not joins:
             continue
--- a/willowhook/trial/stage.py
+++ b/willowhook/trial/stage.py
@@ -25,13 +25,14 @@
 import msgspec
 import trio
 
-from ..config.facts import ticks as ms_ticks
+from ..clock import monotonic_ticks
 from ..config.terms import FrontTerms, GuardTerms, StoreTerms, Terms
 from ..files.layout import DRAIN
 from ..store.store import Op, Store
+from ..ticks import TICKS_PER_SECOND, ticks_from_milliseconds
 from .day import ZONES, Day, HostPlan, Trouble, terms_of
 from .judge import Judge, Limits, Verdict
-from .notes import SECOND, Notes, read_notes, ticks
+from .notes import Notes, read_notes
 from .standin_client import ClientOrders
 from .standin_host import HostOrders
 from .standin_link import token
@@ -133,7 +134,7 @@
         host.plan.port = int(port)
         host.draining = False
         if cold:
-            host.warm_from = ticks() + round(rules.cold_ms * 10)
+            host.warm_from = monotonic_ticks() + ticks_from_milliseconds(rules.cold_ms)
         self.roster.show(host.plan, started=time.time() if cold else 0.0)
 
     def tell(self, process: subprocess.Popen[bytes] | None, **order: Any) -> None:
@@ -275,7 +276,7 @@
         await self.start_proxies()
         path = self.folder / "day.json"
         path.write_bytes(msgspec.json.encode(day))
-        self.zero = ticks() + SECOND
+        self.zero = monotonic_ticks() + TICKS_PER_SECOND
         parts = math.ceil(day.calls_per_s / 300)
         for part in range(parts):
             orders = ClientOrders(
@@ -289,7 +290,7 @@
             ]
             self.clients.append(self.start(args, "clients.log", stdout=subprocess.DEVNULL))
         for trouble in day.troubles:
-            wait = (self.zero - ticks()) / SECOND + trouble.at_s
+            wait = (self.zero - monotonic_ticks()) / TICKS_PER_SECOND + trouble.at_s
             if wait > 0:
                 await trio.sleep(wait)
             strike = getattr(self, f"strike_{trouble.kind}", None)
@@ -298,7 +299,9 @@
                 self.notes.note("trouble", what=trouble.kind)
                 nursery.start_soon(strike, trouble)
         longest = max(route.time_limit_ms for route in day.routes) / 1000
-        with trio.move_on_after((self.zero - ticks()) / SECOND + day.length_s + longest + 5):
+        with trio.move_on_after(
+            (self.zero - monotonic_ticks()) / TICKS_PER_SECOND + day.length_s + longest + 5
+        ):
             for client in self.clients:
                 await trio.to_thread.run_sync(client.wait, abandon_on_cancel=True)
 
@@ -344,12 +347,18 @@
     def limits(self) -> Limits:
         day = self.day
         routes: dict[str, str] = {route.name: route.semantics for route in day.routes}
-        windows = {route.name: ms_ticks(route.window_ms) for route in day.routes}
+        windows = {route.name: ticks_from_milliseconds(route.window_ms) for route in day.routes}
         return Limits(
-            ms_ticks(day.rules.bare_ms), ms_ticks(day.rules.drain_grace_ms), ms_ticks(day.rules.cold_ms),
-            day.channel.most_waiting_lines, day.channel.lines_per_s, day.channel.messages_most,
-            ms_ticks(day.channel.messages_over_ms), routes, windows,
-        )  # fmt: skip
+            ticks_from_milliseconds(day.rules.bare_ms),
+            ticks_from_milliseconds(day.rules.drain_grace_ms),
+            ticks_from_milliseconds(day.rules.cold_ms),
+            day.channel.most_waiting_lines,
+            day.channel.lines_per_s,
+            day.channel.messages_most,
+            ticks_from_milliseconds(day.channel.messages_over_ms),
+            routes,
+            windows,
+        )
 
     def note_delays(self) -> None:
         """From an order to its file in place, and the longest queue, by each director's own record."""
@@ -376,7 +385,7 @@
                 got = 1.0 if row["took"] <= route.slo_time_ms * 10 else route.late_importance
             for book in (
                 worth.setdefault(route.name, [0.0, 0.0]),
-                stretches.setdefault((row["began"] - self.zero) // (10 * SECOND), [0.0, 0.0]),
+                stretches.setdefault((row["began"] - self.zero) // (10 * TICKS_PER_SECOND), [0.0, 0.0]),
             ):
                 book[0] += got * route.importance
                 book[1] += route.importance
@@ -392,7 +401,7 @@
     def some_hosts(self, part: float) -> list[HostProcess]:
         """Hosts that are up and serving; never so many that none is left."""
         up = [h for h in self.hosts.values() if h.process and h.process.poll() is None and not h.draining]
-        up = [h for h in up if ticks() >= h.warm_from]
+        up = [h for h in up if monotonic_ticks() >= h.warm_from]
         count = min(max(1, round(part * len(self.day.hosts))), max(len(up) - 3, 0))
         return self.chance.sample(up, count)
 
@@ -575,7 +584,7 @@
     """As if its director had been away for so much longer."""
     store = Store(folder)
     for space, rows in list(store.state.items()):
-        store.write([Op(space, key, e.at - seconds * SECOND, e.value) for key, e in rows.items()])
+        store.write([Op(space, key, e.at - seconds * TICKS_PER_SECOND, e.value) for key, e in rows.items()])
     store.flush()
     store.close()
 
--- a/willowhook/trial/standin_client.py
+++ b/willowhook/trial/standin_client.py
@@ -13,10 +13,12 @@
 import msgspec
 import trio
 
+from ..clock import monotonic_ticks
+from ..ticks import TICKS_PER_SECOND
 from ..web.wire import Broken, Caller, dial
 from ..xds.tables import PROOF
 from .day import Arrival, Day, arrivals
-from .notes import SECOND, Notes, ticks
+from .notes import Notes
 
 
 class ClientOrders(msgspec.Struct):
@@ -38,7 +40,7 @@
 
     async def one(self, arrival: Arrival) -> None:
         route = self.routes[arrival.route]
-        began = ticks()
+        began = monotonic_ticks()
         out, attempts = "dropped", 0
         with trio.move_on_after(route.time_limit_ms / 1000):
             while True:
@@ -56,8 +58,15 @@
                 if attempts > self.day.client_retries or not may:
                     break
                 await trio.sleep(self.day.client_wait_ms / 1000 * (0.5 + self.chance.random()))
-        self.notes.note("call", c=arrival.id, r=arrival.route, began=began, took=ticks() - began, out=out,
-                        attempts=attempts)  # fmt: skip
+        self.notes.note(
+            "call",
+            c=arrival.id,
+            r=arrival.route,
+            began=began,
+            took=monotonic_ticks() - began,
+            out=out,
+            attempts=attempts,
+        )
 
     async def ask(self, port: int, path: str, head: list[tuple[bytes, bytes]]) -> tuple[int, bool]:
         idle = self.idle.setdefault(port, [])
@@ -89,7 +98,7 @@
                 for k, arrival in enumerate(arrivals(self.day)):
                     if k % self.o.parts != self.o.part:
                         continue
-                    wait = (self.o.start - ticks()) / SECOND + arrival.at
+                    wait = (self.o.start - monotonic_ticks()) / TICKS_PER_SECOND + arrival.at
                     if wait > 0:
                         await trio.sleep(wait)
                     calls.start_soon(self.one, arrival)
--- a/willowhook/trial/standin_host.py
+++ b/willowhook/trial/standin_host.py
@@ -17,11 +17,13 @@
 import msgspec
 import trio
 
+from ..clock import monotonic_ticks
+from ..ticks import TICKS_PER_SECOND
 from ..web.wire import Call, Reply, answer_calls
 from ..xds import orca
 from ..xds.tables import PROOF
 from .day import HostPlan
-from .notes import SECOND, Notes, obey, ticks
+from .notes import Notes, obey
 
 
 class HostOrders(msgspec.Struct):
@@ -41,10 +43,10 @@
         self.o, self.plan = orders, orders.plan
         self.notes = Notes(orders.notes)
         self.chance = random.Random(orders.seed)
-        self.born = ticks()
+        self.born = monotonic_ticks()
         self.cores = trio.Semaphore(orders.plan.cores)
         self.waiting = self.open = self.busy = 0
-        self.used, self.used_at, self.told = 0.0, ticks(), 0.0
+        self.used, self.used_at, self.told = 0.0, monotonic_ticks(), 0.0
         self.hang = self.draining = False
         self.slow, self.fail, self.squeeze = 1.0, 0.0, 1.0
         self.unanswered, self.false_load = "", -1.0
@@ -57,7 +59,7 @@
     def warmth(self) -> float:
         if not self.o.cold_s:
             return 1.0
-        age = (ticks() - self.born) / SECOND
+        age = (monotonic_ticks() - self.born) / TICKS_PER_SECOND
         start = self.o.start_capacity
         return min(1.0, start + (1 - start) * age / self.o.cold_s)
 
@@ -65,10 +67,10 @@
         """Too much for a cold host, over its window: it falls."""
         if not self.o.cold_s or self.warmth() >= 1:
             return
-        now = ticks()
+        now = monotonic_ticks()
         self.window.append((now, work, proxy))
         self.came += work
-        while self.window and self.window[0][0] < now - self.o.fall_s * SECOND:
+        while self.window and self.window[0][0] < now - self.o.fall_s * TICKS_PER_SECOND:
             self.came -= self.window.popleft()[1]
         able = self.plan.cores * self.plan.speed * self.warmth()
         budget = self.o.fall_multiple * self.o.fall_s * able
@@ -85,9 +87,9 @@
             os._exit(9)
 
     def gauge(self) -> None:
-        now = ticks()
+        now = monotonic_ticks()
         span = now - self.used_at
-        if span >= SECOND // 4:
+        if span >= TICKS_PER_SECOND // 4:
             self.told = min(1.0, self.used / (span * self.plan.cores))
             self.used, self.used_at = 0.0, now
 
@@ -134,7 +136,7 @@
             # once begun, it runs to its end, whoever still waits
             with trio.CancelScope(shield=True):
                 await trio.sleep(took)
-            self.used += took * SECOND
+            self.used += took * TICKS_PER_SECOND
         finally:
             self.cores.release()
         return Reply(200, [(orca.HEADER, self.load())], b"done")
@@ -147,17 +149,17 @@
         path = f"{self.o.marks}/{key}"
         try:
             fd = os.open(path, os.O_CREAT | os.O_EXCL | os.O_WRONLY)
-            os.write(fd, str(ticks()).encode())
+            os.write(fd, str(monotonic_ticks()).encode())
             os.close(fd)
             return False
         except FileExistsError:
             with open(path, "rb") as file:
                 at = int(file.read() or b"0")
-            if ticks() - at <= window * SECOND:
+            if monotonic_ticks() - at <= window * TICKS_PER_SECOND:
                 self.notes.note("repeat_dropped", host=self.plan.id, c=attempt)
                 return True
             with open(path, "w") as out:
-                out.write(str(ticks()))
+                out.write(str(monotonic_ticks()))
             return False
 
     async def serve(self, stream: trio.SocketStream) -> None:
@@ -165,7 +167,7 @@
             await trio.aclose_forcefully(stream)
             return
         self.open += 1
-        self.used += self.plan.handshake_ms * SECOND / 1000
+        self.used += self.plan.handshake_ms * TICKS_PER_SECOND / 1000
         try:
             await answer_calls(stream, self.answer)
         finally:
--- a/willowhook/trial/standin_link.py
+++ b/willowhook/trial/standin_link.py
@@ -15,12 +15,13 @@
 import msgspec
 import trio
 
+from ..clock import monotonic_ticks
 from ..files.ops import DiskOps
 from ..files.swap import swap_file
+from ..ticks import TICKS_PER_SECOND, ticks_from_seconds
 from ..web.wire import Broken, Caller, Reply, dial
 from ..xds import forms, tables
 from ..xds.codec import FormError, decode, encode, seconds
-from .notes import ticks
 
 if TYPE_CHECKING:
     from .standin_proxy import DirectorPlace, StandInProxy
@@ -110,7 +111,7 @@
                 kind: {n: ("", body) for n, (_, body) in rows.items()} for kind, rows in self.rows.items()
             }
             self.kept = Kept(place.name, {}, {})
-        self.why_over, self.scope, self.heard_at = "", trio.CancelScope(), ticks()
+        self.why_over, self.scope, self.heard_at = "", trio.CancelScope(), monotonic_ticks()
         self.proxy.crew.later(lambda: self.run(place, self.scope))
 
     def end(self) -> None:
@@ -127,7 +128,7 @@
 
     def over(self, why: str, avoid_s: float = 0.0) -> None:
         if avoid_s and self.proxy.director is not None:
-            self.proxy.avoided[self.proxy.director.name] = ticks() + round(avoid_s * 10_000)
+            self.proxy.avoided[self.proxy.director.name] = monotonic_ticks() + ticks_from_seconds(avoid_s)
         self.why_over = self.why_over or why
 
     async def follow(self, place: DirectorPlace, kind: str, scope: trio.CancelScope) -> None:
@@ -153,7 +154,7 @@
                     )
                 if scope.cancel_called:
                     return  # this stay ended while the answer was on its way
-                self.heard_at = ticks()
+                self.heard_at = monotonic_ticks()
                 nonce, fault, acked = "", "", False
                 if reply.status == 200:
                     nonce, fault = self.apply(place, kind, reply)
@@ -164,7 +165,7 @@
                 nonce, fault, acked = "", "", False  # what was not acknowledged is not on its disk either
                 await self.closed(caller)
                 caller = None
-                if ticks() - self.heard_at > self.o.lost_after_s * 2 * 10_000:
+                if monotonic_ticks() - self.heard_at > self.o.lost_after_s * 2 * TICKS_PER_SECOND:
                     self.over("no answer")
                 await trio.sleep(0.05 + 0.1 * self.proxy.chance.random())
 
--- a/willowhook/trial/standin_proxy.py
+++ b/willowhook/trial/standin_proxy.py
@@ -23,6 +23,7 @@
 import trio
 import xxhash
 
+from ..clock import monotonic_ticks
 from ..config.terms import PathTerms, RouteTerms
 from ..files.follow import Followers
 from ..files.layout import DOWN, LOAD, PACE, STATUS, UP, last_beat
@@ -32,11 +33,12 @@
 from ..membership.claim import APPLY, Claim, Version, VersionError, narrower, read_version
 from ..membership.spread import Home, Pace, dial_wait
 from ..membership.suspicion import Suspicion
+from ..ticks import TICKS_PER_SECOND, ticks_from_milliseconds, ticks_from_seconds
 from ..web.wire import Broken, Call, Caller, Reply, answer_calls, dial
 from ..xds import forms, orca, tables
 from ..xds.codec import FormError, decode, encode, read_response, seconds
 from .day import ProxyPlan
-from .notes import SECOND, Notes, obey, ticks
+from .notes import Notes, obey
 from .standin_link import WebLink
 
 
@@ -85,7 +87,7 @@
     at: int
 
     def take(self, now: int) -> bool:
-        self.level = min(self.most, self.level + self.rate * (now - self.at) / SECOND)
+        self.level = min(self.most, self.level + self.rate * (now - self.at) / TICKS_PER_SECOND)
         self.at = now
         if self.level < 1:
             return False
@@ -134,8 +136,8 @@
         self.sides: dict[str, HostSide] = {}
         self.sums: dict[tuple[str, str], Sums] = {}  # by cluster and address
         self.dropped: dict[str, int] = {}
-        self.asked_at = ticks()
-        self.life = f"{ticks()}"  # of this process
+        self.asked_at = monotonic_ticks()
+        self.life = f"{monotonic_ticks()}"  # of this process
         self.buckets: dict[str, tuple[object, Bucket]] = {}
         self.director = None
         self.state = f"{os.path.dirname(orders.notes)}/terms"
@@ -169,9 +171,9 @@
             paths += [(row, row), *((row, path) for path in row.more)]
         for route, path in sorted(paths, key=lambda row: (row[1].order, -len(row[1].path))):
             name = f"{route.name}@standing"
-            pick, dial_ticks = self.o.pick, round(self.o.dial_s * SECOND)
+            pick, dial_ticks = self.o.pick, ticks_from_seconds(self.o.dial_s)
             self.clusters[name] = tables.cluster(name, "standing", "", pick, dial_ticks, self.o.strikes)
-            limit = round(route.time_limit_ms * 10)
+            limit = ticks_from_milliseconds(route.time_limit_ms)
             how = tables.match(path.match, path.path)
             rows.append(tables.route(route.name, how, name, limit, tables.retry(1, 0), {}, path.rewrite))
         self.routes = rows
@@ -257,7 +259,7 @@
         self.notes.note("applied", p=self.plan.id, d=place.name, **told)
         self.answer_config(kinds, "")
         if "directors" in assignments and self.director is not None:  # it drains
-            self.avoided[self.director.name] = ticks() + round(self.o.stay_s * 2 * SECOND)
+            self.avoided[self.director.name] = monotonic_ticks() + ticks_from_seconds(self.o.stay_s * 2)
             self.leave("sent away")
 
     def runs(self) -> dict[str, Any]:
@@ -325,8 +327,8 @@
 
     def report(self) -> None:
         """The sums of the period that ends now, as the load reporting service has them."""
-        now = ticks()
-        span = f"{(now - self.asked_at) / SECOND:.4f}s"
+        now = monotonic_ticks()
+        span = f"{(now - self.asked_at) / TICKS_PER_SECOND:.4f}s"
         since, self.asked_at = self.asked_at, now
         clusters: dict[str, forms.ClusterStats] = {}
         zones: dict[tuple[str, str], forms.UpstreamLocalityStats] = {}
@@ -353,8 +355,11 @@
             zone.total_error_requests += sums.bad
         self.sums.clear()
         self.dropped.clear()
-        node, calendar = self.node(), time.time() - now / SECOND
-        times = {"load_from": calendar + since / SECOND, "load_until": calendar + now / SECOND}
+        node, calendar = self.node(), time.time() - now / TICKS_PER_SECOND
+        times = {
+            "load_from": calendar + since / TICKS_PER_SECOND,
+            "load_until": calendar + now / TICKS_PER_SECOND,
+        }
         node.metadata |= {**times, "process": self.life}
         if now > since:
             self.put(LOAD, encode(forms.LoadStatsRequest(node, list(clusters.values()))))
@@ -362,9 +367,9 @@
     # Its director.
 
     def reachable(self, place: DirectorPlace) -> bool:
-        if self.crew.unreachable(self.plan.zone, place.zone) or ticks() < self.away_until:
+        if self.crew.unreachable(self.plan.zone, place.zone) or monotonic_ticks() < self.away_until:
             return False
-        return self.crew.alive(place.name) and self.avoided.get(place.name, 0) <= ticks()
+        return self.crew.alive(place.name) and self.avoided.get(place.name, 0) <= monotonic_ticks()
 
     def join(self, place: DirectorPlace) -> None:
         """The new term is on disk before anybody is told of it."""
@@ -378,7 +383,7 @@
         self.claim.join(place.name, term)
         if self.link is not None:
             self.director = place
-            self.home.joined(ticks() / SECOND)
+            self.home.joined(monotonic_ticks() / TICKS_PER_SECOND)
             self.notes.note("joined", p=self.plan.id, d=place.name, term=term)
             self.link.begin(place)
             return
@@ -394,7 +399,7 @@
         self.versions = {}
         os.rename(temp, home)
         self.director = place
-        self.home.joined(ticks() / SECOND)
+        self.home.joined(monotonic_ticks() / TICKS_PER_SECOND)
         self.notes.note("joined", p=self.plan.id, d=place.name, term=term)
         self.report()
         self.crew.follow(self.plan.id, place)
@@ -418,7 +423,7 @@
         """Joined to one director as long as it shows life, then to another; back when that pays."""
         share = self.plan.share * self.o.fleet
         while True:
-            now = ticks() / SECOND
+            now = monotonic_ticks() / TICKS_PER_SECOND
             for place in self.order:
                 self.home.shown(place.name, self.reachable(place), now)
             if self.director is None:
@@ -486,9 +491,9 @@
             assert isinstance(limit, forms.LocalRateLimit)
             most = float(limit.token_bucket.max_tokens)
             level = min(most, bucket.level) if bucket else most / 2
-            bucket = Bucket(rate, most, level, ticks())
+            bucket = Bucket(rate, most, level, monotonic_ticks())
             self.buckets[row.name] = (limit, bucket)
-        return bucket.take(ticks())
+        return bucket.take(monotonic_ticks())
 
     async def route(self, row: forms.Route, call: Call) -> Reply:
         attempt = call.headers.get(b"x-attempt", b"").decode()
@@ -527,7 +532,7 @@
         return next((tables.tries_of(row.route.retry_policy) for row in self.routes if row.name == name), 0)
 
     def pick(self, row: forms.Route, lb_policy: str, tried: list[str], by: str = "") -> str | None:
-        now = ticks()
+        now = monotonic_ticks()
         lines = self.lines.get(row.name, [])
         fit = [line for line in lines if line[0] not in tried] or ([] if tried else lines)
         fit = [line for line in fit if self.sides[line[0]].shunned_until <= now] or fit
@@ -545,7 +550,7 @@
         self, row: forms.Route, cluster: str, host: str, call: Call, patience: float
     ) -> tuple[Reply, bool]:
         """One try: its answer, and whether it is proven that it never ran."""
-        side, began, told = self.sides[host], ticks(), b""
+        side, began, told = self.sides[host], monotonic_ticks(), b""
         reply, proof, out = Reply(504, [], b"time-out"), False, "timeout"
         attempt = call.headers.get(b"x-attempt", b"").decode()
         ours = [(b"x-proxy", self.plan.id.encode()), (b"x-route", row.name.encode())]
@@ -566,7 +571,7 @@
                         caller = None
                 if caller is None:
                     caller = await dial(side.address, side.port, self.o.dial_s)
-                sent = ticks()
+                sent = monotonic_ticks()
                 self.notes.note(
                     "sent", p=self.plan.id, c=attempt, r=row.name, h=host, d=self.name_of_director()
                 )
@@ -589,13 +594,14 @@
             good = out == "answered"
             if good:
                 sums.good += 1
-                sums.spent += (ticks() - began) / SECOND
+                sums.spent += (monotonic_ticks() - began) / TICKS_PER_SECOND
                 side.strikes = 0
             else:
                 sums.bad += 1
                 side.strikes += 1
                 if self.o.strikes and side.strikes >= self.o.strikes:
-                    side.strikes, side.shunned_until = 0, ticks() + round(self.o.shun_s * SECOND)
+                    side.strikes = 0
+                    side.shunned_until = monotonic_ticks() + ticks_from_seconds(self.o.shun_s)
             for name, value in orca.read(told).items() if told else ():
                 pair = sums.told.setdefault(name, [0.0, 0])
                 pair[0] += value
@@ -659,12 +665,14 @@
         self.followers.drop(f"{proxy}|{place.name}")
 
     def alive(self, director: str) -> bool:
-        return director in self.beats and not self.signs[director].suspected(ticks() / SECOND)
+        return director in self.beats and not self.signs[director].suspected(
+            monotonic_ticks() / TICKS_PER_SECOND
+        )
 
     async def look_for_life(self) -> None:
         """The signs of life of all directors, whoever follows them."""
         while True:
-            now = ticks() / SECOND
+            now = monotonic_ticks() / TICKS_PER_SECOND
             for name, place in self.places.items():
                 beat = last_beat(place.folder)
                 if beat != self.beats.get(name) and time.time() - beat < self.o.lost_after_s:
@@ -696,7 +704,7 @@
         for name in proxies:
             if name in self.proxies:
                 self.proxies[name].leave("stream lost")
-                self.proxies[name].away_until = ticks() + round(away_s * SECOND)
+                self.proxies[name].away_until = monotonic_ticks() + ticks_from_seconds(away_s)
 
     def kill(self, proxies: list[str]) -> None:
         for name in proxies:
--- a/willowhook/trial/submits.py
+++ b/willowhook/trial/submits.py
@@ -19,13 +19,13 @@
 
 import trio
 
+from ..clock import monotonic_ticks
 from ..store.commit import Committer
 from ..store.ledger import Ledger
 from ..store.outcomes import AGAIN, ANSWERED, DONE, FAILED, NEVER_RAN
 from ..store.store import OUTCOMES, Store
 from ..web.wire import Broken, Call, Reply, answer_calls, dial
 from ..xds.tables import PROOF
-from .notes import ticks
 
 AT_ONCE, MOST_TRIES = 8, 3
 
@@ -40,9 +40,9 @@
     async def see_through(call: str) -> None:
         """Tries as long as that is safe, then tells."""
         for _ in range(MOST_TRIES):
-            if ledger.of(call).repeat(ticks()) != AGAIN:
+            if ledger.of(call).repeat(monotonic_ticks()) != AGAIN:
                 break
-            number = await ledger.out(call, ticks())
+            number = await ledger.out(call, monotonic_ticks())
             what = FAILED
             try:
                 caller = await dial("127.0.0.1", port, 1.0)
@@ -52,16 +52,16 @@
                 await caller.close()
             except Broken as fault:
                 what = FAILED if fault.sent else NEVER_RAN
-            await ledger.ended(call, number, what, ticks())
+            await ledger.ended(call, number, what, monotonic_ticks())
         out.write(f"told {call} {ledger.of(call).state()}\n".encode())
-        await ledger.told(call, ticks())
+        await ledger.told(call, monotonic_ticks())
 
     async def work(k: int) -> None:
         n = 0
         while True:
             n += 1
             call = f"c{life}.{k}.{n}"
-            await ledger.begin(call, "mutating", ticks())
+            await ledger.begin(call, "mutating", monotonic_ticks())
             await see_through(call)
 
     async def run() -> None:
--- a/willowhook/trial/takeover.py
+++ b/willowhook/trial/takeover.py
@@ -20,13 +20,15 @@
 import msgspec
 import trio
 
+from ..clock import monotonic_ticks
 from ..files.layout import DOWN
 from ..files.ops import DiskOps, remove
 from ..files.swap import CURRENT, read_group
+from ..ticks import TICKS_PER_SECOND
 from ..xds import forms, tables
 from ..xds.codec import encode, read_response, response
 from .day import ZONES, Day, Trouble, draw
-from .notes import SECOND, read_notes, ticks
+from .notes import read_notes
 from .stage import Outcome, Stage
 
 WAYS = ("kill", "kill", "stop", "both", "late")
@@ -59,7 +61,7 @@
         self.count: dict[str, int] = defaultdict(int)
 
     async def strike_directors(self) -> None:
-        await trio.sleep(max((self.zero - ticks()) / SECOND + 4.0, 0))
+        await trio.sleep(max((self.zero - monotonic_ticks()) / TICKS_PER_SECOND + 4.0, 0))
         for _ in range(self.kills):
             way = self.chance.choice(WAYS)
             self.nursery.start_soon(self.strike, way, self.chance.uniform(0.1, 2.2))
@@ -114,7 +116,7 @@
 
     def land(self, place: Path, old: dict[str, bytes]) -> None:
         """As a writer of before would have it, had it been stopped just before its last rename."""
-        ops, name = DiskOps(), f"vlate{ticks()}"
+        ops, name = DiskOps(), f"vlate{monotonic_ticks()}"
         files = dict(old)
         envelope = read_response(old["rds.json"], forms.ROUTES)
         routes = tables.read_routes(old["rds.json"])[1][0]
@@ -200,11 +202,13 @@
             applied[row["p"]].append(row["t"])
         elif row["kind"] in ("joined", "left"):
             joined[row["p"]].append((row["t"], row["d"] if row["kind"] == "joined" else ""))
-            seconds[row["t"] // SECOND] += row["kind"] == "joined"
+            seconds[row["t"] // TICKS_PER_SECOND] += row["kind"] == "joined"
     two = []
     for (proxy, term), by in rulers.items():
         if len(by) > 1:
-            told = ", ".join(f"{name} at {(t - stage.zero) / SECOND:.2f} s" for name, t in by.items())
+            told = ", ".join(
+                f"{name} at {(t - stage.zero) / TICKS_PER_SECOND:.2f} s" for name, t in by.items()
+            )
             two.append(f"{proxy} in term {term}: {told}")
     events = read_notes(str(folder / "stage.notes"))
     waits = []
@@ -216,7 +220,7 @@
             if held and held[-1] == row["d"]:
                 again = next((t for t in applied[proxy] if t > row["t"]), None)
                 if again is not None:
-                    waits.append((again - row["t"]) / SECOND)
+                    waits.append((again - row["t"]) / TICKS_PER_SECOND)
     return Takeover(
         outcome, dict(stage.count), sum(row["kind"] == "late" for row in events),
         sum(row["kind"] == "void" for row in notes), two, waits, sum(seconds.values()),
@@ -252,6 +256,6 @@
 
 class OrphanStage(TakeoverStage):
     async def strike_directors(self) -> None:
-        await trio.sleep(max((self.zero - ticks()) / SECOND + 10.0, 0))
+        await trio.sleep(max((self.zero - monotonic_ticks()) / TICKS_PER_SECOND + 10.0, 0))
         self.kill_director(0)
         self.count["kill"] += 1
--- a/willowhook/trial/versions.py
+++ b/willowhook/trial/versions.py
@@ -19,9 +19,10 @@
 
 from ..controlplane.service import Service
 from ..records.writer import read_records
+from ..ticks import TICKS_PER_SECOND
 from .beliefs import Beliefs, check
 from .day import Day, Trouble, draw, terms_of
-from .notes import SECOND, read_notes
+from .notes import read_notes
 from .stage import Outcome, Stage
 from .swaps import Churn
 
@@ -69,7 +70,7 @@
 
 
 ODD = 7.777  # the weight that some refuse
-STEP = SECOND  # between contents
+STEP = TICKS_PER_SECOND  # between contents
 
 
 class Steps(Churn):
@@ -164,7 +165,7 @@
 
 def _bad_report(folder: Path, proxies: int) -> BadReport:
     records = read_records(str(folder / "director-0.records"))
-    start = 100_000 * SECOND
+    start = 100_000 * TICKS_PER_SECOND
     notes = [row for path in folder.glob("proxies*.notes") for row in read_notes(str(path))]
     refusals: dict[str, int] = {}
     for row in notes:
--- a/willowhook/versions/rollout.py
+++ b/willowhook/versions/rollout.py
@@ -20,8 +20,8 @@
 import xxhash
 
 from ..decisions.model import Ring
+from ..ticks import TICKS_PER_SECOND
 
-SECOND = 10_000
 KEPT = 16  # contents of a unit that are remembered
 GO, BACK = "go", "back"
 Unit = Hashable
@@ -34,8 +34,8 @@
     refuse_share: float = 0.03  # of those who answered; more stops a content
     refuse_least: int = 2
     canary_share: float = 0.05
-    settle: int = 2 * SECOND  # canaries run a content for so long before the others get it
-    patience: int = 15 * SECOND  # with no answers from canaries the others get it then
+    settle: int = 2 * TICKS_PER_SECOND  # canaries run a content for so long before the others get it
+    patience: int = 15 * TICKS_PER_SECOND  # with no answers from canaries the others get it then
     worse: float = 0.05  # how much larger a share of calls may fail at canaries than at others
     least_tries: int = 20  # by fewer, calls tell nothing
 
@@ -196,7 +196,7 @@
         """Calls of this proxy, by its sums."""
         ring = self._met.get(proxy)
         if ring is None:
-            ring = self._met[proxy] = Ring(SECOND, 10, 2)
+            ring = self._met[proxy] = Ring(TICKS_PER_SECOND, 10, 2)
         ring.add(now, tries, errors)
 
     def left(self, proxy: int) -> None:
@@ -241,7 +241,7 @@
     def _worse(self, now: int, track: Track) -> str:
         """How much worse calls go at canaries than at others, if they do."""
         sums = {True: [0.0, 0.0], False: [0.0, 0.0]}
-        span = max(1, min(10, self._terms.settle // SECOND))
+        span = max(1, min(10, self._terms.settle // TICKS_PER_SECOND))
         for proxy in track.users:
             ring = self._met.get(proxy)
             if ring is not None:
--- a/willowhook/xds/codec.py
+++ b/willowhook/xds/codec.py
@@ -6,6 +6,7 @@
 
 import msgspec
 
+from ..ticks import NANOSECONDS_PER_TICK
 from . import forms
 
 T = TypeVar("T")
@@ -45,8 +46,8 @@
 
 
 def duration(ticks: int) -> str:
-    """Whole tenths of a millisecond as a proto3 duration."""
-    return nanos(ticks * 100_000)
+    """Ticks as a proto3 duration."""
+    return nanos(ticks * NANOSECONDS_PER_TICK)
 
 
 def nanos(count: int) -> str:
