--- a/tests/test_controlplane_parts.py
+++ b/tests/test_controlplane_parts.py
@@ -9,8 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from willowhook.config.deployment import deployment_settings
 from willowhook.config.example import EXAMPLE
-from willowhook.config.facts import facts
 from willowhook.controlplane.book import Message, OrderBook, View
 from willowhook.controlplane.channel import Channel
 from willowhook.controlplane.intake import Intake
@@ -23,7 +23,7 @@
 from willowhook.xds import forms, tables
 from willowhook.xds.codec import encode
 
-SETTINGS = facts(EXAMPLE)
+SETTINGS = deployment_settings(EXAMPLE)
 ALL_ROUTES = range(len(SETTINGS.routes))
 HEAD = int(SETTINGS.channel.message_overhead_entries)
 
--- a/willowhook/controlplane/render.py
+++ b/willowhook/controlplane/render.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from ..config.facts import SEMANTICS, paths
+from ..config.deployment import SEMANTICS, ordered_paths
 from ..config.terms import ClosedTerms, PathTerms, RouteTerms, Terms
 from ..membership.claim import safe_tries
 from ..versions.core import Resource
@@ -91,7 +91,7 @@
         self._prefix = f"{terms.name}.{epoch}"
         self._dial = round(terms.fleet.dial_ms * 10)
         self._rows: dict[object, bytes] = {}  # routes and clusters, by what is in them
-        self._paths = paths(terms)
+        self._paths = ordered_paths(terms)
         self._addresses: Mapping[str, Address] = {}
         self._generation = 0  # of the addresses
 
@@ -111,6 +111,7 @@
             if isinstance(path, ClosedTerms):
                 rows.append(self._closed(path))
                 continue
+            assert k is not None  # as every path but a closed one has a route
             route, state = self._terms.routes[k], view.bound.get(k)
             if state is not None:
                 name = f"{self._prefix}.t{state.number}"
--- a/willowhook/controlplane/service.py
+++ b/willowhook/controlplane/service.py
@@ -19,7 +19,7 @@
 import structlog
 import trio
 
-from ..config.facts import facts, ticks
+from ..config.deployment import deployment_settings
 from ..config.terms import Terms
 from ..decisions.controller import Controller
 from ..decisions.events import (
@@ -47,6 +47,7 @@
 from ..reports.sample import Whole
 from ..roster.forms import Host
 from ..store.store import StoreError
+from ..ticks import ticks_from_milliseconds as ticks
 from ..versions.core import Core, first_era
 from ..web.wire import Broken, Caller, dial
 from ..xds import forms, orca
@@ -127,7 +128,7 @@
         self, terms: Terms, ops: FileOps | None = None, log: Any = None,
         decider: Callable[..., Any] = Controller, shelf: type[Shelf] = Shelf,
     ) -> None:  # fmt: skip
-        self.terms, self.settings = terms, facts(terms)
+        self.terms, self.settings = terms, deployment_settings(terms)
         self.ops, self.clock = ops or DiskOps(), Clock()
         self._decider, self._shelf = decider, shelf
         self.log = (log or structlog.get_logger()).bind(director=terms.name)
--- a/willowhook/nginx/result.py
+++ b/willowhook/nginx/result.py
@@ -11,8 +11,8 @@
 import msgspec
 
 from ..config.check import read_terms
+from ..config.deployment import SEMANTICS, ordered_paths
 from ..config.example import EXAMPLE
-from ..config.facts import SEMANTICS, paths
 from ..config.terms import ClosedTerms, FileTerms, RecordTerms, Terms
 from ..membership.claim import safe_tries
 from ..ticks import ticks_from_milliseconds
@@ -87,11 +87,12 @@
             )
         later = {host: tier for host, _, tier, _ in group.rows if tier}
         assignments[name] = encode(tables.assignment(name, lines, later))
-    for k, path in paths(terms):
+    for index, path in ordered_paths(terms):
         if isinstance(path, ClosedTerms):
             rows.append(encode(tables.closed(tables.match(path.match, path.path), path.status)))
             continue
-        route = terms.routes[k]
+        assert index is not None  # as every path but a closed one has a route
+        route = terms.routes[index]
         group = by_name[plan.group_of[route.name]]
         to = f"{route.name}@{group.name}"
         pick = "ring" if route.hash_by else group.pick
