--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -2,24 +2,36 @@
 
 from __future__ import annotations
 
+from dataclasses import replace
+
 import pytest
 from builders import SECOND, SETTINGS, ControllerHarness, settings_with
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from willowhook.decisions.channel import UpdateChannel
 from willowhook.decisions.events import (
     EndpointListLost,
     EndpointState,
     HealthCheckCompleted,
     HealthCheckOutcome,
 )
-from willowhook.decisions.model import Channel
 from willowhook.decisions.settings import AdmissionUnit, LoadSource
+from willowhook.decisions.subsets import SubsetMode
 
 IN_SERVICE, DRAINING, REMOVED = EndpointState.IN_SERVICE, EndpointState.DRAINING, EndpointState.REMOVED
 READY = (IN_SERVICE, 0)
 
 
+def joined_channel(proxies: int) -> UpdateChannel:
+    """A channel that carries 0.16 entries a tick, with an overhead of 7, to so many proxies."""
+    parts = {"entries_per_second": 1600.0, "message_overhead_entries": 6.0, "max_delay_ticks": 4000}
+    channel = UpdateChannel(replace(SETTINGS.channel, **parts), 0)
+    for proxy in range(proxies):
+        channel.add_proxy(proxy)
+    return channel
+
+
 def started(harness: ControllerHarness, hosts: int = 8, proxies: int = 4) -> ControllerHarness:
     harness.receive_endpoint_list({f"h{k}": READY for k in range(hosts)})
     for proxy in range(proxies):
@@ -156,7 +168,8 @@
         harness.advance(SECOND)
     levels = harness.runtime.admission_limits
     assert levels[0, 0] < 0.9 and levels[0, 0] < levels[0, 1] <= 1
-    assert any(text.startswith("room 1.40 to") for text in harness.runtime.log_lines)
+    began = [text for text in harness.runtime.log_lines if text.startswith("load shedding began ")]
+    assert any(" before=1.40 " in text for text in began)
 
 
 def test_no_cold_host_is_used_while_hardly_a_try_is_answered() -> None:
@@ -210,8 +223,8 @@
     harness = started(ControllerHarness())
     harness.advance(SECOND)
     harness.receive_endpoint_list({f"h{k}": (IN_SERVICE, harness.now) for k in range(4)}, is_complete=False)
-    for up in list(harness.controller.hosts.values())[4:]:
-        up.sick, up.out_until = True, 100 * SECOND
+    for up in list(harness.controller.endpoints.values())[4:]:
+        up.is_ejected, up.ejected_until = True, 100 * SECOND
     harness.advance(3 * SECOND)
     assert set(harness.usable_weights()) == {"h4", "h5", "h6", "h7"}
 
@@ -323,7 +336,7 @@
     terms = settings_with(rules__drain_grace_ticks=4 * SECOND, fleet__proxy_count=100, **held)
     harness = started(ControllerHarness(terms), hosts=80, proxies=0)
     harness.advance(5 * SECOND)
-    wide = {table.number for table in harness.controller.wide}
+    wide = {table.number for table in harness.controller.fleet.default_tables}
     for k in range(40):  # what is withdrawn is more than can be told to each
         harness.receive_endpoint_list({f"h{k}": (DRAINING, 0)}, is_complete=False)
     harness.advance(4 * SECOND)
@@ -331,14 +344,16 @@
         harness.join_proxy(proxy, is_fresh=False)
         harness.flush()
     harness.advance(3 * SECOND)  # the grace less the way there
-    assert len(harness.runtime.bindings) == 100 and not harness.controller.joined
+    assert len(harness.runtime.bindings) == 100 and not harness.controller.pending_binds
     assert harness.runtime.queued_entries < 1600
     parts = [harness.runtime.bindings[proxy][0] for proxy in range(100)]
     assert len(set(parts) - wide) > 1
     assert all(harness.usable_weights(table) and "h0" not in harness.usable_weights(table) for table in parts)
     harness.advance(30 * SECOND)
     assert {table for book in harness.runtime.bindings.values() for table in book.values()} <= wide
-    assert not harness.controller.groups and len(harness.controller.tables) == len(wide)
+    assert harness.controller.subsets.mode is SubsetMode.OFF and len(harness.controller.fleet.tables) == len(
+        wide
+    )
 
 
 def test_a_crowd_that_joins_while_hosts_go_has_its_parts_before_the_withdrawals() -> None:
@@ -363,7 +378,7 @@
     harness.flush()
     harness.advance(2 * SECOND)
     assert (
-        not harness.controller.joined and harness.runtime.queued_entries < 7 * 3000
+        not harness.controller.pending_binds and harness.runtime.queued_entries < 7 * 3000
     )  # so all have it within the grace
     harness.advance(7 * SECOND)
     gone = {f"h{k}" for k in range(45)}
@@ -376,70 +391,66 @@
 
 
 def test_while_answers_come_however_late_nothing_in_the_channel_is_lost() -> None:
-    channel = Channel(0.16, 7, 4000, 0)
-    channel.waiting.update({0: [], 1: [], 2: []})
+    channel = joined_channel(3)
     for _ in range(2):
         channel.charge([0, 1, 2], 100)
-        channel.send(0)
-    channel.answered(70_000, 0, 1)
-    channel.look(80_000, 20_000)
+        channel.flush(0)
+    channel.acknowledge(70_000, 0, 1)
+    channel.update_overdue(80_000, 20_000)
     channel.drain(80_000)
-    assert channel.ceiling() == channel.unproven() == 5 * 107
-    channel.look(95_000, 20_000)  # nothing comes any more
+    assert channel.queue_ceiling() == channel.unproven_entries() == 5 * 107
+    channel.update_overdue(95_000, 20_000)  # nothing comes any more
     channel.drain(95_000)
-    assert channel.ceiling() == channel.unproven() == 0
+    assert channel.queue_ceiling() == channel.unproven_entries() == 0
 
 
 def test_what_may_wait_at_the_most_is_all_that_no_answer_proves_to_have_left() -> None:
-    channel = Channel(0.16, 7, 4000, 0)
-    channel.waiting.update({0: [], 1: []})
+    channel = joined_channel(2)
     channel.charge([0, 1], 300)
-    assert channel.ceiling() == 614
-    channel.send(0)
+    assert channel.queue_ceiling() == 614
+    channel.flush(0)
     channel.drain(3000)  # at the stated rate 480 have left: one that slowed down may hold them all
-    assert channel.load() == 134 and channel.ceiling() == 614
+    assert channel.queue_estimate() == 134 and channel.queue_ceiling() == 614
     channel.charge([0], 10)
-    assert channel.ceiling() == 631
-    channel.send(3000)
-    channel.answered(3000, 0, 1)
+    assert channel.queue_ceiling() == 631
+    channel.flush(3000)
+    channel.acknowledge(3000, 0, 1)
     channel.drain(3000)
-    assert channel.ceiling() == 307 + 17
+    assert channel.queue_ceiling() == 307 + 17
 
 
 def test_messages_leave_in_turn_and_what_is_long_overdue_is_lost() -> None:
-    channel = Channel(0.16, 7, 4000, 0)
-    channel.waiting.update({0: [], 1: []})
+    channel = joined_channel(2)
     for number in (1, 2):
         channel.charge([0, 1], 10)
-        assert channel.send(0) == number
-    channel.look(6000, 50_000)
+        assert channel.flush(0) == number
+    channel.update_overdue(6000, 50_000)
     assert channel.overdue == 68
-    channel.answered(6000, 1, 1)  # the rest of its moment may still wait, and the second message to both
-    channel.look(6000, 50_000)
-    assert channel.overdue == channel.unproven() == 51
-    channel.answered(6000, 1, 2)
-    channel.look(6000, 50_000)
+    channel.acknowledge(6000, 1, 1)  # the rest of its moment may still wait, and the second message to both
+    channel.update_overdue(6000, 50_000)
+    assert channel.overdue == channel.unproven_entries() == 51
+    channel.acknowledge(6000, 1, 2)
+    channel.update_overdue(6000, 50_000)
     assert channel.overdue == 17
-    channel.look(60_000, 50_000)
-    assert channel.overdue == channel.unproven() == 0
+    channel.update_overdue(60_000, 50_000)
+    assert channel.overdue == channel.unproven_entries() == 0
 
 
 def test_lines_that_no_answer_proves_to_have_left_count_as_waiting_but_for_those_on_their_way() -> None:
     """Guards against rule 5 while a channel stalls, which the estimate at the stated rate does not know."""
-    channel = Channel(0.16, 7, 4000, 0)
-    channel.waiting.update({proxy: [] for proxy in range(50)})
+    channel = joined_channel(50)
     channel.charge([*range(50)], 33)
-    channel.send(0)
+    channel.flush(0)
     channel.drain(10_000)
-    assert channel.queue == 400 and channel.load() == 2000 - 640
+    assert channel.queued == 400 and channel.queue_estimate() == 2000 - 640
     channel.drain(20_000)
-    assert channel.queue == 0 and channel.load() == 2000 - 640
+    assert channel.queued == 0 and channel.queue_estimate() == 2000 - 640
     channel.charge([0], 3)
-    assert channel.load() == 2010 - 640
-    channel.send(20_000)
-    channel.answered(20_000, 0, 2)
+    assert channel.queue_estimate() == 2010 - 640
+    channel.flush(20_000)
+    channel.acknowledge(20_000, 0, 2)
     channel.drain(20_000)
-    assert channel.load() == 10
+    assert channel.queue_estimate() == 10
 
 
 def test_a_cold_host_is_readmitted_when_nobody_waits_to_be_bound() -> None:
@@ -460,18 +471,18 @@
     harness.receive_endpoint_list({"h0": (IN_SERVICE, harness.now)}, is_complete=False)
     harness.flush()
     harness.advance(SECOND // 4)
-    assert harness.controller.joined and harness.runtime.excluded["h0"]
+    assert len(harness.controller.pending_binds) and harness.runtime.excluded["h0"]
     harness.advance(12 * SECOND)
-    assert not harness.controller.joined and not harness.runtime.excluded["h0"]
+    assert not harness.controller.pending_binds and not harness.runtime.excluded["h0"]
 
 
 def test_moved_lines_of_all_tables_go_by_how_far_they_moved() -> None:
     terms = settings_with(fleet__cross_zone_price=0.08, channel__entry_price=0.01)
     harness = started(ControllerHarness(terms), hosts=80, proxies=60)
     harness.advance(20 * SECOND)
-    for up in harness.controller.hosts.values():
-        up.factor = 0.5
-    harness.controller.news = True
+    for up in harness.controller.endpoints.values():
+        up.latency_factor = 0.5
+    harness.controller.updater.has_changes = True
     harness.advance(24 * SECOND)
     used = {table for book in harness.runtime.bindings.values() for table in book.values()}
     assert len(used) == 4 and all(max(harness.usable_weights(table).values()) < 0.6 for table in used)
@@ -494,7 +505,10 @@
             stuck = k == 1
             harness.report_endpoint(f"h{k}", 2 if stuck else 10 + 10 * (k % 2), 0, 200, 1.0 if stuck else 0.5)
         harness.advance(SECOND)
-    assert abs(harness.controller.hosts["h3"].size / harness.controller.hosts["h2"].size - 2) < 0.01
+    assert (
+        abs(harness.controller.endpoints["h3"].capacity / harness.controller.endpoints["h2"].capacity - 2)
+        < 0.01
+    )
 
 
 def test_who_brings_a_table_is_bound_after_the_first_solve_of_a_director_that_starts() -> None:
@@ -655,18 +669,18 @@
     harness = started(ControllerHarness(terms), hosts=20, proxies=40)
     harness.advance(20 * SECOND)
     before = {proxy: len(times) for proxy, times in harness.runtime.message_times.items()}
-    for up in harness.controller.hosts.values():
-        up.factor = 0.5
+    for up in harness.controller.endpoints.values():
+        up.latency_factor = 0.5
     harness.advance(SECOND)  # weights may have drifted: no message for that alone
     assert {proxy: len(times) for proxy, times in harness.runtime.message_times.items()} == before
-    harness.controller.news = True
+    harness.controller.updater.has_changes = True
     harness.advance(SECOND // 2)
     assert (
         sum(w == 0.5 for w in harness.usable_weights().values()) > 15
     )  # not three lines a message, as a head costs seven
     assert {len(times) - before[proxy] for proxy, times in harness.runtime.message_times.items()} == {1}
     left = terms.rules.drain_grace_ticks - terms.channel.max_delay_ticks - terms.rules.drain_grace_ticks // 8
-    assert harness.controller.channel.queue + 40 * 8 <= left * terms.channel.entries_per_second / SECOND + 40
+    assert harness.controller.channel.queued + 40 * 8 <= left * terms.channel.entries_per_second / SECOND + 40
 
 
 def test_waves_into_a_channel_that_stalls_wait_for_answers_of_the_last() -> None:
@@ -676,9 +690,9 @@
     harness.advance(20 * SECOND)
     highest = 0.0
     for step in range(8):
-        for k, up in enumerate(harness.controller.hosts.values()):
-            up.factor = 1.6 if (k + step) % 2 else 0.6
-        harness.controller.news = True
+        for k, up in enumerate(harness.controller.endpoints.values()):
+            up.latency_factor = 1.6 if (k + step) % 2 else 0.6
+        harness.controller.updater.has_changes = True
         harness.advance(SECOND // 2, 0.0)
         highest = max(highest, harness.runtime.queued_entries)
     assert 0.2 < highest / terms.channel.queue_limit_entries < 0.85
@@ -687,15 +701,15 @@
 def test_what_is_told_again_takes_a_twentieth_of_the_rate() -> None:
     harness = started(ControllerHarness(), hosts=40, proxies=40)
     harness.advance(15 * SECOND)
-    lines = harness.controller.channel.mark
+    lines = harness.controller.channel.last_marker
     for second in range(60):
         if second % 2 == 0:
             harness.remove_proxy(second % 7)
             harness.join_proxy(second % 7, is_fresh=False)
             harness.flush()
-        harness.controller.news = True
+        harness.controller.updater.has_changes = True
         harness.advance(SECOND)
-    assert harness.controller.channel.mark - lines < 30 + 60 * 0.05 * 1600 * 2 / (40 * 8)
+    assert harness.controller.channel.last_marker - lines < 30 + 60 * 0.05 * 1600 * 2 / (40 * 8)
 
 
 def test_hosts_that_are_gone_are_forgotten_and_may_come_back_cold() -> None:
@@ -708,8 +722,8 @@
         harness.report_endpoint(f"h{day + 7}", 10, 0, 100)
         harness.report_requests(0, "read", 10)
         harness.advance(6 * SECOND)
-        most = max(most, len(harness.controller.hosts), len(harness.runtime.excluded))
-    assert most < 16 and len(harness.controller.shifted) < 16
+        most = max(most, len(harness.controller.endpoints), len(harness.runtime.excluded))
+    assert most < 16 and len(harness.controller.exclusions._changed) < 16
     harness.receive_endpoint_list({"h0": (IN_SERVICE, harness.now)}, is_complete=False)
     harness.advance(4 * SECOND)
     assert 0 < harness.usable_weights()["h0"] < 1
@@ -723,13 +737,15 @@
         for proxy in range(8):
             harness.report_requests(proxy, "read", 10)
         harness.advance(SECOND)
-    near = next(table for table in harness.controller.tables if table.zone == "north" and 0 in table.routes)
-    before = near.far
+    near = next(
+        table for table in harness.controller.fleet.tables if table.zone == "north" and 0 in table.routes
+    )
+    before = near.remote_factor
     harness.receive_endpoint_list({f"h{k}": (DRAINING, 0) for k in (0, 2, 4, 6)}, is_complete=False)
     harness.flush()
     while not harness.runtime.excluded.get("h6"):
         harness.advance(SECOND // 10)
-    assert before < 0.2 and near.far > 2 * before
+    assert before < 0.2 and near.remote_factor > 2 * before
     assert harness.usable_weights(near.number)["h1"] > 2 * before  # in the same message
 
 
@@ -742,8 +758,10 @@
                 harness.report_endpoint(f"h{k}", 10, 0, 100, cpu_utilization=0.8)
             harness.report_requests(0, "read", 10)
             harness.advance(SECOND)
-        harness.controller.solve_at = harness.controller.news_at = harness.now + 9 * SECOND
-        harness.controller.room, harness.controller.news, start = room, False, harness.now
+        solver, start = harness.controller.solver, harness.now
+        solver._next_step_at = solver._next_changes_at = start + 9 * SECOND
+        harness.controller.admission.admitted_fraction = room
+        harness.controller.updater.has_changes = False
         harness.receive_endpoint_list({"h8": (IN_SERVICE, 0)}, is_complete=False)
         harness.flush()
         while "h8" not in harness.usable_weights():
