--- a/tests/test_platform_discovery_watch.py
+++ b/tests/test_platform_discovery_watch.py
@@ -5,6 +5,7 @@
 import json
 from collections.abc import Awaitable, Callable
 
+import pytest
 import trio
 
 from willowhook.platform.address import Address
@@ -47,7 +48,12 @@
 
 async def answer(stream: trio.SocketStream, version: int) -> None:
     body = json.dumps({"seq": version, "whole": False, "hosts": []}).encode()
-    await stream.send_all(b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n" % len(body) + body)
+    await respond(stream, b"200 OK", body)
+
+
+async def respond(stream: trio.SocketStream, status: bytes, body: bytes) -> None:
+    head = b"HTTP/1.1 %s\r\ncontent-length: %d\r\n\r\n" % (status, len(body))
+    await stream.send_all(head + body)
 
 
 class WatchRecorder:
@@ -189,3 +195,30 @@
         assert target == "/v1/servers"
 
     play(scenario)
+
+
+@pytest.mark.parametrize(
+    ("status", "body", "reason"),
+    [
+        (b"503 Service Unavailable", b"", "status 503"),
+        (b"200 OK", b"[]", "expected a JSON object, got list"),
+        (b"200 OK", b"{", "no JSON: "),
+    ],
+)
+def test_answer_without_a_list_is_a_loss_and_pauses_the_watch(
+    status: bytes, body: bytes, reason: str
+) -> None:
+    async def scenario(discovery: FakeDiscovery, recorder: WatchRecorder) -> None:
+        _, stream = await discovery.next_request()
+        await respond(stream, status, body)
+        with trio.fail_after(5):
+            while not recorder.losses:
+                await trio.sleep(0.01)
+        assert len(recorder.losses) == 1 and recorder.losses[0].startswith(reason)
+        with pytest.raises(trio.TooSlowError), trio.fail_after(0.3):
+            await discovery.next_request()
+        recorder.watch.resume()
+        target, _ = await discovery.next_request()
+        assert "after=7" in target and discovery.connection_count == 2
+
+    play(scenario)
--- a/willowhook/platform/discovery_watch.py
+++ b/willowhook/platform/discovery_watch.py
@@ -112,7 +112,7 @@
                 await self._disconnect()
             if address == self._address:
                 self._pause()
-                self._handle_loss(f"{type(error).__name__}: {error}".rstrip(": "))
+                self._handle_loss(_describe_loss(error))
         finally:
             if answer is None and is_complete:
                 self._wants_complete_list = True
@@ -157,3 +157,7 @@
             caller = self._caller
             self._caller = None
             await caller.close()
+
+
+def _describe_loss(error: Exception) -> str:
+    return "no answer in time" if isinstance(error, trio.TooSlowError) else str(error)
--- a/willowhook/platform/proxy_sessions.py
+++ b/willowhook/platform/proxy_sessions.py
@@ -5,7 +5,6 @@
 from collections.abc import Callable
 
 from ..decisions.events import Event, ProxyJoined, ProxyLeft
-from ..decisions.settings import DeploymentSettings
 from .configuration import ControllerConfiguration
 from .connection import Connection
 from .connection_server import ConnectionServer, IdentificationError
@@ -34,7 +33,6 @@
     def __init__(
         self,
         configuration: ControllerConfiguration,
-        settings: DeploymentSettings,
         submit: SubmitEvent,
         wake: Callable[[], None],
         write_log: WriteLog,
@@ -43,7 +41,6 @@
 
         Args:
             configuration: of the controller.
-            settings: of the deployment, as the controller has them.
             submit: takes the events that come from the messages.
             wake: is called when a collector joins, which is no event.
             write_log: writes a line of the log.
@@ -51,9 +48,9 @@
         self.connections = ConnectionServer(
             configuration.listen, configuration.max_descriptors, self._handle_message, self._handle_close
         )
-        self.updates = ProxyUpdates(settings, self._send_update)
+        self.updates = ProxyUpdates(configuration.settings, self._send_update)
         self.malformed_count = 0
-        self._decoder = MessageDecoder(settings)
+        self._decoder = MessageDecoder(configuration.settings)
         self._submit = submit
         self._wake = wake
         self._write_log = write_log
--- a/willowhook/platform/server.py
+++ b/willowhook/platform/server.py
@@ -42,10 +42,11 @@
         """
         # the protocol has no health checks, and exclusions outlive sessions there
         settings = replace(configuration.settings, health_checks=False, exclusions_outlive_sessions=True)
+        configuration = replace(configuration, settings=settings)
         self._list_on_request = settings.list_on_request
         self._write_log = write_log
         self._clock = Clock()
-        self._sessions = ProxySessions(configuration, settings, self._submit, self._wake, write_log)
+        self._sessions = ProxySessions(configuration, self._submit, self._wake, write_log)
         self._list_feed = EndpointListFeed(self._submit, write_log)
         self._discovery = DiscoveryWatch(
             configuration.discovery, self._list_feed.handle_answer, self._list_feed.handle_loss
