--- a/tests/test_platform_connections.py
+++ b/tests/test_platform_connections.py
@@ -7,7 +7,11 @@
 import trio
 
 from willowhook.platform.address import Address
+from willowhook.platform.connection import MAX_FIRST_MESSAGE_BYTES, Connection
 from willowhook.platform.connection_server import ConnectionServer
+from willowhook.platform.fields import Fields
+from willowhook.platform.framing import encode_frame
+from willowhook.platform.messages import REJECTION
 
 
 def test_connection_reset_before_it_is_accepted_ends_nothing_else() -> None:
@@ -35,3 +39,51 @@
 
     trio.run(scenario)
     peer.close()
+
+
+class ConnectionHarness:
+    """A server with one connection, whose handler identifies the peer if it is told to."""
+
+    def __init__(self, *, identifies: bool) -> None:
+        self.identifies = identifies
+        self.message_types: list[str] = []
+        self.server = ConnectionServer(Address("127.0.0.1", 0), 99, self.handle, lambda _: None)
+        accepted, self.peer = socket.socketpair()
+        self.connection = self.server.add_connection(accepted)
+
+    def handle(self, connection: Connection, fields: Fields) -> None:
+        self.message_types.append(fields["t"])
+        if self.identifies:
+            connection.zone = "north"
+            self.server.confirm_identity(connection)
+
+
+def receive_long_message_after_a_short_one(*, identifies: bool) -> ConnectionHarness:
+    harnesses: list[ConnectionHarness] = []
+
+    async def main() -> None:
+        harness = ConnectionHarness(identifies=identifies)
+        harnesses.append(harness)
+        short = encode_frame({"t": "short"})
+        long = encode_frame({"t": "long", "padding": "x" * MAX_FIRST_MESSAGE_BYTES})
+        harness.server.receive(harness.connection, short + long)
+
+    trio.run(main)
+    return harnesses[0]
+
+
+def test_identified_peer_may_send_long_messages() -> None:
+    harness = receive_long_message_after_a_short_one(identifies=True)
+    assert harness.message_types == ["short", "long"]
+    assert harness.connection.is_open and harness.server.rejected_count == 0
+    harness.connection.socket.close()
+    harness.peer.close()
+
+
+def test_unidentified_peer_is_rejected_for_a_long_message() -> None:
+    harness = receive_long_message_after_a_short_one(identifies=False)
+    assert harness.message_types == ["short"]
+    assert not harness.connection.is_open
+    assert harness.server.rejected_count == 1 and harness.server.open_count == 0
+    assert harness.peer.recv(99) == REJECTION and harness.peer.recv(1) == b""
+    harness.peer.close()
