--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -429,14 +429,17 @@
 
     class Eager:
         def __init__(self, host: Any, settings: Any, seed: int, now: int) -> None:
-            self.host, self.channel, self.hosts, self.joined = host, self, list[str](), list[int]()
+            self.host, self.hosts, self.joined = host, list[str](), list[int]()
             self.routes = range(len(settings.routes))
             host.watch_endpoints()
             host.schedule_evaluation(100)
 
-        def load(self) -> float:
+        def queue_estimate(self) -> float:
             return 0.0
 
+        def learnt_capacities(self) -> dict[str, float]:
+            return {}
+
         def handle(self, now: int, event: Any) -> None:
             """What is heard of anything else changes nothing here."""
             if isinstance(event, ProxyJoined):
--- /dev/null
+++ b/willowhook/controlplane/clock.py
@@ -0,0 +1,38 @@
+"""The clock of a controller process, in ticks."""
+
+from __future__ import annotations
+
+import time
+
+from ..roster.forms import Host
+from ..ticks import TICKS_PER_SECOND, ticks_from_seconds
+
+NANOSECONDS_PER_TICK = 100_000
+# Endpoints may have started before the machine booted: their start still has to be a positive time.
+CLOCK_ORIGIN_TICKS = 100_000 * TICKS_PER_SECOND
+
+
+class Clock:
+    """The machine's monotonic clock, to which the wall-clock start times of endpoints are converted."""
+
+    def __init__(self) -> None:
+        self._starts: dict[str, tuple[float, int]] = {}  # by endpoint: Unix seconds, ticks of this clock
+
+    def now(self) -> int:
+        """The current time in ticks."""
+        return CLOCK_ORIGIN_TICKS + time.monotonic_ns() // NANOSECONDS_PER_TICK
+
+    def start_of(self, endpoint: Host) -> int:
+        """When an endpoint's process started, in ticks of this clock; 0 if it is not known.
+
+        A start is converted once, so a later step of the wall clock does not move it.
+        """
+        known_seconds, known_ticks = self._starts.get(endpoint.id, (0.0, 0))
+        if known_seconds == endpoint.started:
+            return known_ticks
+        started_at = 0
+        if endpoint.started:
+            age_seconds = max(time.time() - endpoint.started, 0.0)
+            started_at = max(1, self.now() - ticks_from_seconds(age_seconds))
+        self._starts[endpoint.id] = (endpoint.started, started_at)
+        return started_at
--- a/willowhook/controlplane/service.py
+++ b/willowhook/controlplane/service.py
@@ -52,6 +52,8 @@
 from ..xds import forms, orca
 from ..xds.codec import FormError, encode
 from .book import Message, OrderBook
+from .clock import Clock
+from .condition_log import ConditionLog
 from .intake import Intake
 from .links import Post, listen, read, write
 from .list_feed import ListFeed
@@ -68,7 +70,6 @@
 MOST_PROBES = 500  # at once
 SLOW_US = 50_000  # of one check of the guard: longer is told of
 RESEND = 2 * SECOND  # files that are not answered by then are put in place again
-START = 100_000 * SECOND  # of this clock: hosts may have started before the machine's own clock did
 STATUS_OUTCOMES = {200: HealthCheckOutcome.HEALTHY, 503: HealthCheckOutcome.OVERLOADED}
 Event = Callable[[int], None]
 
@@ -101,25 +102,6 @@
             self._service.memory.withdrawn(host, on)
 
 
-class Clock:
-    """The machine's monotonic clock in tenths of a millisecond; times of hosts' starts are brought to it."""
-
-    def __init__(self) -> None:
-        self._starts: dict[str, tuple[float, int]] = {}
-
-    def now(self) -> int:
-        return START + time.monotonic_ns() // 100_000
-
-    def start_of(self, host: Host) -> int:
-        """The same figure for one start, whatever becomes of the machine's calendar later."""
-        told, at = self._starts.get(host.id, (0.0, 0))
-        if told != host.started:
-            age = time.time() - host.started
-            at = max(1, self.now() - round(max(age, 0.0) * SECOND)) if host.started else 0
-            self._starts[host.id] = (host.started, at)
-        return at
-
-
 class Service:
     """The director of one folder.  `run` ends when cancelled, or raises what broke."""
 
@@ -133,6 +115,7 @@
         self.log = (log or structlog.get_logger()).bind(director=terms.name)
         self.folder = Folder(terms.files.folder, self.ops)
         self.records = Records(terms.records.file, terms.records.most_waiting)
+        self.conditions = ConditionLog(self.log, self.records, self.clock.now)
         self._send, self._receive = trio.open_memory_channel[Event](10_000)
         self._timers: list[int] = []
         self._probes_out = 0
@@ -157,7 +140,6 @@
         self._tellers: list[Teller] = []
         self.link_port = self.front_port = 0
         self._known: dict[str, Address] = {}  # of all hosts ever listed
-        self._modes: dict[str, bool] = {}
         self._noted_at = 0
         self._nursery: trio.Nursery | None = None
 
@@ -178,7 +160,7 @@
                 lasts = ticks(terms.store.lasts_ms)
                 self.memory = Memory(terms.store.folder, terms.name, epoch, lasts, self.say)
             except (StoreError, OSError) as fault:  # it is advice: a director does without
-                self._mode("store", True, "no store", cause=str(fault))
+                self.conditions.report("store", True, "no store", cause=str(fault))
         self._recalled = False
         routes = tuple(route.name for route in terms.routes)
         self.book = OrderBook(self.settings, self._ordered)
@@ -208,7 +190,9 @@
                 self._send.send,
                 self.reports,
             )
-        self.lists = ListFeed(terms, self.folder.path, self.ops, self._mode, self._hand_list, self._hand_loss)
+        self.lists = ListFeed(
+            terms, self.folder.path, self.ops, self.conditions.report, self._hand_list, self._hand_loss
+        )
         now = self.clock.now()
         self.director = self._decider(Orders(self), self.settings, terms.seed * 1000 + epoch, now)
         self.log.info("started", epoch=epoch, folder=self.folder.path, process=os.getpid())
@@ -260,14 +244,6 @@
             p99_us=took[int(len(took) * 0.99)],
         )  # fmt: skip
 
-    def _mode(self, name: str, on: bool, text: str, **parts: Any) -> None:
-        """One line when a trouble begins, and one when it ends."""
-        if self._modes.get(name, False) != on:
-            self._modes[name] = on
-            (self.log.warning if on else self.log.info)(text, **parts)
-            shown = {key: str(value) for key, value in parts.items()}
-            self.records.note(self.clock.now(), "mode", name=name, on=on, **shown)
-
     # Draining this director: its proxies are handed over one by one.
 
     def _drain(self, now: int) -> None:
@@ -276,7 +252,7 @@
         if wanted != self._draining:
             self._draining = wanted
             text = "draining: proxies are sent to others" if wanted else "no longer draining"
-            self._mode("drain", wanted, text, proxies=len(self.book.members))
+            self.conditions.report("drain", wanted, text, proxies=len(self.book.members))
         if not wanted or self.channel.waiting > self.settings.channel.queue_limit_entries / 6:
             return
         here = self.book.members
@@ -337,18 +313,16 @@
 
     def _compare(self, now: int) -> None:
         """The module's estimate of its channel beside the true queue."""
-        believed, true = self.director.channel.load(), self.channel.waiting
+        believed, true = self.director.queue_estimate(), self.channel.waiting
         if now // SECOND != self._noted_at:
             self._noted_at = now // SECOND
-            if isinstance(self.director, Controller):
-                sizes = {name: up.size for name, up in self.director.hosts.items()}
-                self.publisher.tell_guard(self.watchman.learnt, sizes)
+            self.publisher.tell_guard(self.watchman.learnt, self.director.learnt_capacities())
             self.records.note(
                 now, "queue", believed=round(believed, 1), waiting=true, messages=len(self.channel)
             )
         apart = abs(believed - true) > max(self.settings.channel.queue_limit_entries / 4, 100)
-        self._mode("drift", apart, "queue and estimate apart" if apart else "queue and estimate agree",
-                   believed=round(believed), waiting=true)  # fmt: skip
+        text = "queue and estimate apart" if apart else "queue and estimate agree"
+        self.conditions.report("drift", apart, text, believed=round(believed), waiting=true)
 
     # Orders that are not for proxies.
 
@@ -377,7 +351,7 @@
         self.publisher.put(message)
 
     def mode(self, name: str, on: bool, text: str, **parts: Any) -> None:
-        self._mode(name, on, text, **parts)
+        self.conditions.report(name, on, text, **parts)
 
     def now(self) -> int:
         return self.clock.now()
@@ -519,7 +493,9 @@
         try:
             remove(self.ops, f"{self.folder.down}/{name}")
         except OSError as fault:
-            self._mode("disk", True, "a proxy's folder cannot be cleared", proxy=name, cause=str(fault))
+            self.conditions.report(
+                "disk", True, "a proxy's folder cannot be cleared", proxy=name, cause=str(fault)
+            )
         self.records.note(now, "left", proxy=name, why=why)
         self.log.info("proxy left", proxy=name, why=why)
         self.director.handle(now, ProxyLeft(proxy))
@@ -533,7 +509,7 @@
         try:
             shelf.open()
         except OSError as fault:
-            self._mode("disk", True, "files cannot be swapped", proxy=name, cause=str(fault))
+            self.conditions.report("disk", True, "files cannot be swapped", proxy=name, cause=str(fault))
         return FileOutlet(shelf, self.core, term, self.folder.epoch, durability != "none")
 
     def applied(self, proxy: int, number: int) -> None:
@@ -569,9 +545,9 @@
         try:
             packet = read(body, self._by_address)
         except FormError as fault:
-            self._mode("link", True, "a peer tells what cannot be read", cause=str(fault))
+            self.conditions.report("link", True, "a peer tells what cannot be read", cause=str(fault))
             return False
-        self._mode("link", False, "peers tell what can be read")
+        self.conditions.report("link", False, "peers tell what can be read")
         await self._send.send(lambda now: self._hints.take(now, packet))
         return True
 
@@ -631,9 +607,9 @@
         try:
             swap_file(self.ops, self.folder.path, PACE, said)
         except OSError as fault:
-            self._mode("pace", True, "the pace of reports cannot be told", cause=str(fault))
+            self.conditions.report("pace", True, "the pace of reports cannot be told", cause=str(fault))
         else:
-            self._mode("pace", False, "the pace of reports can be told again")
+            self.conditions.report("pace", False, "the pace of reports can be told again")
 
     def came(self, proxy: int, route: str, calls: int, dropped: int, window: int) -> None:
         self.director.handle(self.clock.now(), RequestReport(proxy, route, calls, window))
--- a/willowhook/decisions/controller.py
+++ b/willowhook/decisions/controller.py
@@ -133,6 +133,14 @@
         """Takes one event in; what follows from it is ordered by the next `flush`."""
         self._handlers[type(event)](now, event)
 
+    def queue_estimate(self) -> float:
+        """The entries that wait on the channel, as this controller estimates them."""
+        return self.channel.load()
+
+    def learnt_capacities(self) -> dict[str, float]:
+        """The capacity of each endpoint as learnt from its load, by the endpoint's name."""
+        return {name: up.size for name, up in self.hosts.items()}
+
     def proxy_joined(self, now: int, event: ProxyJoined) -> None:
         proxy, zone, rate, fresh = event.proxy, event.zone, event.usual_rate_per_second, event.is_fresh
         self.proxies[proxy], self.channel.waiting[proxy] = (zone, rate), []
--- a/willowhook/trial/swaps.py
+++ b/willowhook/trial/swaps.py
@@ -63,13 +63,17 @@
         self.known: dict[str, None] = {}
         self.joined: list[int] = []
         self.moment, self.mark = 0, 0
-        self.channel = self
         host.watch_endpoints()
         host.schedule_evaluation(EVERY)
 
-    def load(self) -> float:
+    def queue_estimate(self) -> float:
+        """Nothing is estimated: the comparison with the true queue is not of interest here."""
         return 0.0
 
+    def learnt_capacities(self) -> dict[str, float]:
+        """No capacities are learnt."""
+        return {}
+
     def handle(self, now: int, event: Event) -> None:
         match event:
             case EndpointListReceived():
