--- a/tests/test_controlplane_parts.py
+++ b/tests/test_controlplane_parts.py
@@ -13,8 +13,18 @@
 from willowhook.config.facts import facts
 from willowhook.controlplane.book import Message, OrderBook, View
 from willowhook.controlplane.channel import Channel
-from willowhook.controlplane.intake import Intake
+from willowhook.controlplane.intake import ProxyIntake
 from willowhook.controlplane.outlets import FileOutlet
+from willowhook.controlplane.proxy_events import (
+    AttemptsReported,
+    ProxyEvent,
+    ProxyInputRejected,
+    ProxySessionClosed,
+    ProxySessionOpened,
+    RequestsReported,
+    UpdateApplied,
+    UpdateRejected,
+)
 from willowhook.controlplane.render import Held, Renderer
 from willowhook.decisions.runtime import AdmissionLimit
 from willowhook.files.swap import Shelf
@@ -157,29 +167,26 @@
     assert channel.forget(1) == 1 and channel.waiting == 0
 
 
-class Listener:
-    def __init__(self) -> None:
-        self.told: list[tuple[Any, ...]] = []
-
-    def __getattr__(self, name: str) -> Any:
-        return lambda *args: self.told.append((name, *args))
-
-    def names(self) -> list[str]:
-        return [row[0] for row in self.told]
-
-
 NODE = forms.Node(
     "p1", "calls", forms.Locality(zone="north"), {"usual_calls_per_s": 5, "term": 2, "director": "d"}
 )
 STATUS = encode(forms.ClientConfig(NODE))
 
 
-def listening(now: int = 0) -> tuple[Listener, Intake]:
-    ear = Listener()
-    intake = Intake(ear, "d", 3, ("load",), 20_000, lambda: 50)
-    assert intake.appeared(now, "p1", {"status.json": STATUS})
-    ear.told.clear()
-    return ear, intake
+def make_intake() -> tuple[list[ProxyEvent], ProxyIntake]:
+    events: list[ProxyEvent] = []
+    return events, ProxyIntake(events.append, "d", 3, ("load",), 20_000, lambda: 50)
+
+
+def intake_with_a_session(now: int = 0) -> tuple[list[ProxyEvent], ProxyIntake]:
+    events, intake = make_intake()
+    assert intake.open_session(now, "p1", {"status.json": STATUS})
+    events.clear()
+    return events, intake
+
+
+def types_of(events: list[ProxyEvent]) -> list[type]:
+    return [type(event) for event in events]
 
 
 def answer(nonce: str, fault: str = "", node: forms.Node = NODE, type_url: str = forms.ASSIGNMENT) -> bytes:
@@ -188,12 +195,12 @@
 
 
 def test_answers_rise_and_refusals_are_told_once() -> None:
-    ear, intake = listening()
+    events, intake = intake_with_a_session()
     for nonce in ("2.3.7", "2.3.7", "2.3.5", "2.2.99", "1.3.40", "2.3.9"):
-        intake.swapped(1, "p1", "eds.json", answer(nonce))
-    intake.swapped(2, "p1", "eds.json", answer("2.3.12", "no such table"))
-    intake.swapped(2, "p1", "eds.json", answer("2.3.12", "no such table"))
-    assert ear.told == [("applied", 0, 7), ("applied", 0, 9), ("refused", 0, "eds", 12, "no such table")]
+        intake.process_file(1, "p1", "eds.json", answer(nonce))
+    intake.process_file(2, "p1", "eds.json", answer("2.3.12", "no such table"))
+    intake.process_file(2, "p1", "eds.json", answer("2.3.12", "no such table"))
+    assert events == [UpdateApplied(0, 7), UpdateApplied(0, 9), UpdateRejected(0, "eds", 12, "no such table")]
 
 
 @pytest.mark.parametrize(
@@ -214,14 +221,16 @@
     ],
 )
 def test_a_bad_file_is_told_once_and_a_good_one_ends_it(file: str, data: bytes, cause: str) -> None:
-    ear, intake = listening()
-    intake.swapped(1, "p1", file, data)
-    intake.swapped(2, "p1", file, data)
-    assert ear.names() == ["fault"] and cause in ear.told[0][2] and "p1" in intake.present
+    events, intake = intake_with_a_session()
+    intake.process_file(1, "p1", file, data)
+    intake.process_file(2, "p1", file, data)
+    (event,) = events
+    assert isinstance(event, ProxyInputRejected) and event.name == "p1"
+    assert cause in event.cause and "p1" in intake.proxies
     if file == "eds.json":
-        intake.swapped(3, "p1", file, answer("2.3.7"))
-        intake.swapped(4, "p1", file, data)
-        assert ear.names() == ["fault", "applied", "fault"]
+        intake.process_file(3, "p1", file, answer("2.3.7"))
+        intake.process_file(4, "p1", file, data)
+        assert types_of(events) == [ProxyInputRejected, UpdateApplied, ProxyInputRejected]
 
 
 def load(good: int, bad: int, spent: float = 1.0, dropped: int = 0, metric: float = 0.5) -> bytes:
@@ -237,16 +246,18 @@
 
 
 def test_sums_are_handed_on_whole_or_not_at_all() -> None:
-    ear, intake = listening()
-    intake.swapped(1, "p1", "load.json", load(4, 1, 2.0, 3))
-    assert ear.names() == ["met", "came"] and ear.told[1] == ("came", 0, "load", 8, 1, 5000)
-    whole = ear.told[0][2]
+    events, intake = intake_with_a_session()
+    intake.process_file(1, "p1", "load.json", load(4, 1, 2.0, 3))
+    attempts, requests = events
+    assert requests == RequestsReported(0, "load", 8, 1, 5000)
+    assert isinstance(attempts, AttemptsReported)
+    whole = attempts.sample
     assert whole.cells == {("127.0.0.1:81", "load"): (5, 1, 20_000, 0)} and whole.window == 5000
     assert whole.loads == {"127.0.0.1:81": {"busy": 0.5}}
-    ear.told.clear()
+    events.clear()
     for bad in (load(-1, 0), load(1, 0, spent=float("inf")), load(10**12, 0), load(1, 0, dropped=-2)):
-        intake.swapped(2, "p1", "load.json", bad)
-    assert ear.names() == ["fault"]
+        intake.process_file(2, "p1", "load.json", bad)
+    assert types_of(events) == [ProxyInputRejected]
 
 
 def node(term: int, director: str = "d") -> forms.Node:
@@ -256,18 +267,20 @@
 
 
 def test_a_director_rules_only_while_the_newest_file_names_it() -> None:
-    ear, intake = listening()
+    events, intake = intake_with_a_session()
     late = encode(forms.LoadStatsRequest(node(1)))  # of its last stay, put in place late
-    intake.swapped(1, "p1", "load.json", late)
-    intake.swapped(1, "p1", "eds.json", answer("2.3.7", node=node(1)))
-    assert ear.told == [] and intake.present["p1"].heard_at == 0
-    intake.swapped(2, "p1", "load.json", encode(forms.LoadStatsRequest(node(2, "other"))))
-    assert ear.told == [("left", 0, "p1", "follows other in term 2")]
-    assert not intake.appeared(3, "p1", {"status.json": encode(forms.ClientConfig(node(3, "other")))})
-    assert intake.appeared(4, "p1", {"status.json": encode(forms.ClientConfig(node(4)))})
-    assert ear.told[-1][0] == "joined" and ear.told[-1][7] == 4
-    intake.swapped(5, "p1", "load.json", encode(forms.LoadStatsRequest(node(5))))
-    assert ear.told[-1] == ("left", 0, "p1", "follows d in term 5")  # it came again: its folder tells how
+    intake.process_file(1, "p1", "load.json", late)
+    intake.process_file(1, "p1", "eds.json", answer("2.3.7", node=node(1)))
+    assert events == [] and intake.proxies["p1"].heard_at == 0
+    intake.process_file(2, "p1", "load.json", encode(forms.LoadStatsRequest(node(2, "other"))))
+    assert events == [ProxySessionClosed(0, "p1", "follows other in term 2")]
+    assert not intake.open_session(3, "p1", {"status.json": encode(forms.ClientConfig(node(3, "other")))})
+    assert intake.open_session(4, "p1", {"status.json": encode(forms.ClientConfig(node(4)))})
+    assert isinstance(events[-1], ProxySessionOpened) and events[-1].term == 4
+    intake.process_file(5, "p1", "load.json", encode(forms.LoadStatsRequest(node(5))))
+    assert events[-1] == ProxySessionClosed(
+        0, "p1", "follows d in term 5"
+    )  # it came again: its folder tells how
 
 
 def test_a_director_that_starts_again_takes_what_it_left_there_for_held() -> None:
@@ -280,38 +293,39 @@
     book.moment_over(0)
     lies = outlet(2, 2).files(9, renderer.rows(sent[-1].view, Held()))
     for term, hosts in ((2, {"a"}), (3, set())):
-        ear = Listener()
-        intake = Intake(ear, "d", 3, ("load",), 20_000, lambda: 50)
-        assert intake.appeared(0, "p1", {"status.json": encode(forms.ClientConfig(node(term)))}, lies)
-        held = ear.told[0][6]
-        assert set(held.hosts("load")) == hosts
+        events, intake = make_intake()
+        assert intake.open_session(0, "p1", {"status.json": encode(forms.ClientConfig(node(term)))}, lies)
+        (event,) = events
+        assert isinstance(event, ProxySessionOpened) and set(event.held.hosts("load")) == hosts
 
 
 def test_a_silent_proxy_has_left_and_a_foreign_or_broken_one_never_joins() -> None:
-    ear, intake = listening(now=0)
-    intake.swapped(15_000, "p1", "load.json", load(1, 0))
-    intake.look(30_000)
-    assert ear.names() == ["met", "came"]
-    intake.look(36_000)
-    assert ear.told[-1] == ("left", 0, "p1", "silent for 2.1 s") and not intake.present
-    assert not intake.appeared(0, "p2", {"status.json": STATUS})  # p1's status in p2's folder
-    assert not intake.appeared(0, "p3", {})
-    assert not intake.appeared(0, "p4", {"status.json": b"\x80"})
-    assert ear.names()[-2:] == ["fault", "fault"]
-    intake.swapped(0, "p4", "load.json", load(1, 0))  # unknown: nobody's news
-    assert intake.appeared(1, "p1", {"status.json": STATUS, "eds.json": answer("2.3.7")})
-    assert ear.told[-1][:2] == ("joined", 0) and ear.told[-1][5] is False  # the same number, and not fresh
+    events, intake = intake_with_a_session(now=0)
+    intake.process_file(15_000, "p1", "load.json", load(1, 0))
+    intake.close_silent_sessions(30_000)
+    assert types_of(events) == [AttemptsReported, RequestsReported]
+    intake.close_silent_sessions(36_000)
+    assert events[-1] == ProxySessionClosed(0, "p1", "silent for 2.1 s") and not intake.proxies
+    assert not intake.open_session(0, "p2", {"status.json": STATUS})  # p1's status in p2's folder
+    assert not intake.open_session(0, "p3", {})
+    assert not intake.open_session(0, "p4", {"status.json": b"\x80"})
+    assert types_of(events)[-2:] == [ProxyInputRejected, ProxyInputRejected]
+    intake.process_file(0, "p4", "load.json", load(1, 0))  # unknown: nobody's news
+    assert intake.open_session(1, "p1", {"status.json": STATUS, "eds.json": answer("2.3.7")})
+    event = events[-1]
+    assert isinstance(event, ProxySessionOpened)
+    assert event.proxy == 0 and event.is_fresh is False  # the same number as before
 
 
 @settings(derandomize=True, max_examples=150, deadline=None)
 @given(st.sampled_from(["eds.json", "load.json", "status.json"]), st.binary(max_size=80), st.integers(0, 300))
 def test_no_bytes_break_the_intake(file: str, noise: bytes, cut: int) -> None:
-    ear, intake = listening()
+    events, intake = intake_with_a_session()
     whole = load(4, 1)
     for data in (noise, whole[:cut] + noise + whole[cut:], whole[:cut]):
-        intake.swapped(1, "p1", file, data)
-        intake.appeared(1, "px", {"status.json": data})
-    assert "p1" in intake.present
+        intake.process_file(1, "p1", file, data)
+        intake.open_session(1, "px", {"status.json": data})
+    assert "p1" in intake.proxies
 
 
 def outlet(term: int, epoch: int) -> FileOutlet:
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -565,7 +565,7 @@
         two.node.metadata.update(term=2, director="another")
         assert (await two.whole("eds")).status == 400
         assert (await two.post(b"/v3/nothing", b"{}")).status == 404
-        assert "p2" not in service.intake.present and "p1" in service.intake.present
+        assert "p2" not in service.intake.proxies and "p1" in service.intake.proxies
         await one.close()
         await two.close()
 
@@ -577,7 +577,7 @@
         old, new = ByCalls(service, "p1", 1), ByCalls(service, "p1", 2)
         await old.settle()
         await new.settle()
-        assert service.intake.present["p1"].term == 2
+        assert service.intake.proxies["p1"].term == 2
         assert (await old.whole("eds")).status in (409, 503)  # on its old connection
         late = ByCalls(service, "p1", 1)
         assert (await late.whole("eds")).status == 409  # and on a new one
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -198,7 +198,7 @@
         await until(lambda: one.hosts() == {"a", "c"})
         one.load()
         os.rename(one.up, one.root / "away")
-        await until(lambda: not service.intake.present and not one.down.exists())
+        await until(lambda: not service.intake.proxies and not one.down.exists())
 
     log = serve(tmp_path, play, watch=watch, durability=durability, poll_every_ms=20)
     assert log.texts("warning") == [] and "proxy left" in log.texts()
@@ -212,10 +212,10 @@
     async def play(service: Service, roster: Roster, log: Log) -> None:
         one = ByHand(service, "p1")
         one.join()
-        await until(lambda: "p1" in service.intake.present)
-        await until(lambda: "p1" not in service.intake.present)
+        await until(lambda: "p1" in service.intake.proxies)
+        await until(lambda: "p1" not in service.intake.proxies)
         one.load()
-        await until(lambda: "p1" in service.intake.present and one.hosts() == {"a", "b", "c"})
+        await until(lambda: "p1" in service.intake.proxies and one.hosts() == {"a", "b", "c"})
 
     log = serve(tmp_path, play, proxy_lost_after_ms=1200)
     assert [row[2]["why"][:6] for row in log.rows if row[1] == "proxy left"] == ["silent"]
@@ -237,7 +237,7 @@
             shutil.rmtree(one.up)
             one.node.metadata["term"] = k
             one.join()
-            await until(lambda k=k: [p.term for p in service.intake.present.values()] == [k])  # type: ignore[misc]
+            await until(lambda k=k: [p.term for p in service.intake.proxies.values()] == [k])  # type: ignore[misc]
             one.load()
             await until(lambda: bool(one.hosts()))
 
@@ -281,7 +281,7 @@
         (bad.up / "rds.json").unlink()
         os.symlink("/dev/zero", bad.up / "rds.json")
         good.load()
-        assert {"p1", "bad"} <= set(service.intake.present)
+        assert {"p1", "bad"} <= set(service.intake.proxies)
 
     serve(tmp_path, play)
 
@@ -296,7 +296,7 @@
         one = ByHand(service, "p1")
         one.join()
         await until(lambda: bool(one.hosts()))
-        assert list(service.intake.present) == ["p1"]
+        assert list(service.intake.proxies) == ["p1"]
 
     log = serve(tmp_path, play)
     assert sorted(row[2]["proxy"] for row in log.rows if row[1] == "bad file of a proxy") == [
@@ -457,7 +457,7 @@
         one.join()
         await until(lambda: one.hosts() == {"a", "b", "c"})
         one.answer()  # taken before the list is news: what is in flight counts with the guard, and refuses
-        await until(lambda: service.intake.present["p1"].applied == service.book.count)
+        await until(lambda: service.intake.proxies["p1"].applied == service.book.count)
         roster.hosts["new"], roster.started["new"], roster.index = False, time.time() - 6.0, 2
         await until(lambda: "new" in one.hosts())
         first = one.weights()
@@ -529,7 +529,7 @@
         roster.hosts["b"], roster.index = True, 2
         await until(lambda: one.hosts() == {"a", "c"})
         shutil.rmtree(one.up)
-        await until(lambda: not service.intake.present)
+        await until(lambda: not service.intake.proxies)
 
     log = serve(tmp_path, play)
     assert log.texts("warning") == ["the guard broke and is off"]
--- a/willowhook/controlplane/intake.py
+++ b/willowhook/controlplane/intake.py
@@ -1,261 +1,328 @@
-"""What proxies say in their folders, as events: who is here, what they hold, applied, met and were asked.
+"""The sessions of proxies: turns the bytes that proxies write or send into typed events.
 
-Bytes come in, calls on the `Ear` go out.  A proxy whose file is bad is told of once, until a good one comes;
-it costs nobody else anything.  No I/O and no clock.
+Malformed input of one proxy costs no other proxy anything: it is reported once, until a well-formed file of
+the same kind comes. No I/O and no clock; only the decision task may call in here.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass, field
-from typing import Protocol
 
 import xxhash
 
-from ..files.layout import LOAD, PROXY_NAME, STATUS
-from ..membership.claim import VersionError, names_me, read_version
+from ..files.layout import LOAD, STATUS
+from ..membership.claim import names_me
 from ..membership.wheel import Wheel
 from ..reports.read import Report, read
-from ..reports.sample import Whole, whole
+from ..reports.sample import whole
 from ..reports.windows import Windows
+from ..ticks import TICKS_PER_SECOND
 from ..xds import forms
-from ..xds.codec import FormError, decode, read_response
-from .render import Held, read_held
+from ..xds.codec import FormError, decode
+from .proxy_events import (
+    AttemptsReported,
+    ProxyEvent,
+    ProxyInputRejected,
+    ProxySessionClosed,
+    ProxySessionOpened,
+    RequestsReported,
+    UpdateApplied,
+    UpdateRejected,
+)
+from .proxy_files import (
+    REQUEST_FILES,
+    ProxyStatus,
+    check_controller,
+    check_node,
+    check_proxy_name,
+    has_applied_any,
+    read_answered_version,
+    read_controller,
+    read_requests,
+    read_status,
+    read_term,
+)
 
-SECOND = 10_000
-REQUESTS = {name + ".json": name for name in forms.FILES}
-MOST_PROXIES = 65_535
+MAX_PROXIES = 65_535  # over the life of the process: numbers are not reused
+TIMEOUT_WHEEL_SLOTS = 64
+TIMEOUT_WHEEL_RESOLUTION = 20  # slots for one timeout
+MAX_CAUSE_CHARACTERS = 500
 
 
-class Ear(Protocol):
-    """Who is told.  Proxies go by number."""
-
-    def joined(
-        self, proxy: int, name: str, zone: str, rate: float, fresh: bool, held: Held, term: int, web: bool
-    ) -> None: ...
-    def left(self, proxy: int, name: str, why: str) -> None: ...
-    def applied(self, proxy: int, number: int) -> None: ...
-    def refused(self, proxy: int, kind: str, number: int, cause: str) -> None: ...
-    def met(self, proxy: int, whole: Whole) -> None: ...
-    def came(self, proxy: int, route: str, calls: int, dropped: int, window: int) -> None: ...
-    def fault(self, name: str, cause: str) -> None: ...
+@dataclass(slots=True)
+class ConnectedProxy:
+    """A proxy that has a session with this controller.
 
+    Attributes:
+        number: by which the control plane names it.
+        name: as in its folder or its calls.
+        term: the number of its session, counted over all controllers.
+        heard_at: the tick of its last sign of life.
+        uses_discovery: whether it calls the discovery server; otherwise it reads files.
+        applied: the newest update message that it is known to have applied.
+        rejected: the newest update message that it rejected, by the kind of file.
+    """
 
-@dataclass(slots=True)
-class Presence:
     number: int
     name: str
     term: int
     heard_at: int
-    web: bool = False  # it calls; otherwise it has a folder
-    applied: int = 0  # the newest message known to be applied
-    refused: dict[str, int] = field(default_factory=dict)
+    uses_discovery: bool = False
+    applied: int = 0
+    rejected: dict[str, int] = field(default_factory=dict)
+
 
+class ProxyIntake:
+    """Keeps the sessions of proxies and emits a `ProxyEvent` for all that is news.
 
-class Intake:
-    """`newest()`: the last message ordered; no proxy can have applied a later one."""
+    Attributes:
+        proxies: those that have a session, by name.
+        windows: the times that load reports covered.
+        last_fault: why the input that was rejected last was malformed.
+    """
 
     def __init__(
-        self, ear: Ear, director: str, epoch: int, routes: tuple[str, ...], lost_after: int,
-        newest: Callable[[], int],
-    ) -> None:  # fmt: skip
-        self._ear, self._director, self._epoch = ear, director, epoch
-        self._routes, self._lost_after = frozenset(routes), lost_after
+        self,
+        emit: Callable[[ProxyEvent], None],
+        controller: str,
+        epoch: int,
+        routes: Sequence[str],
+        session_timeout_ticks: int,
+        newest_message: Callable[[], int],
+    ) -> None:
+        """Creates an intake without sessions.
+
+        Args:
+            emit: receives the events.
+            controller: the name of this controller.
+            epoch: how often it has been started.
+            routes: their names, as in load reports.
+            session_timeout_ticks: after so long without a sign of life a session is closed.
+            newest_message: gives the number of the last update message; no later one can be applied.
+        """
+        self._emit = emit
+        self._controller = controller
+        self._epoch = epoch
+        self._routes = frozenset(routes)
+        self._session_timeout_ticks = session_timeout_ticks
+        self._newest_message = newest_message
         self._numbers: dict[str, int] = {}
-        self.present: dict[str, Presence] = {}
-        self._bad: dict[str, str] = {}  # by proxy: the file that was last found bad
-        self._overdue = Wheel(max(lost_after // 20, 1), 64, 0)
-        self._newest = newest
+        self._rejected_files: dict[str, str] = {}  # by proxy: the file that was found malformed last
+        slot_ticks = max(session_timeout_ticks // TIMEOUT_WHEEL_RESOLUTION, 1)
+        self._timeouts = Wheel(slot_ticks, TIMEOUT_WHEEL_SLOTS, 0)
+        self.proxies: dict[str, ConnectedProxy] = {}
         self.windows = Windows()
-        self.last_fault = ""  # why the last that was found bad was so
+        self.last_fault = ""
+
+    # Sessions.
+
+    def open_session(
+        self,
+        now: int,
+        name: str,
+        files: Mapping[str, bytes],
+        previous: Mapping[str, bytes] | None = None,
+        uses_discovery: bool = False,
+    ) -> bool:
+        """Opens a session for the proxy `name`, in place of one that it may have had.
 
-    def appeared(
-        self, now: int, name: str, files: Mapping[str, bytes], lies: Mapping[str, bytes] | None = None,
-        web: bool = False,
-    ) -> bool:  # fmt: skip
-        """A proxy's folder is there, with these files.  False if they do not make a proxy yet.
+        Args:
+            now: in ticks.
+            name: of the proxy.
+            files: what it has written so far, by file name.
+            previous: the files that a controller before this one left for it, if any.
+            uses_discovery: whether it calls the discovery server.
 
-        `lies`: the group that a director of before left for this proxy; if it is of this stay, the proxy
-        holds it, or will, rather than what its status told when it came.
+        Returns:
+            False if the files do not make a proxy, or not yet.
         """
-        if name in self.present:
-            self.gone(now, name, "came again")
+        if name in self.proxies:
+            self.close_session(name, "came again")
         try:
-            if not PROXY_NAME.match(name):
-                raise FormError("the folder's name is no name of a proxy")
+            check_proxy_name(name)
             if STATUS not in files:
                 return False
-            status = decode(files[STATUS], forms.ClientConfig)
-            self._check_node(name, status.node)
-            held = read_held([(row.type_url, bytes(row.xds_config)) for row in status.generic_xds_configs])
-            term = self._term(status.node)
-            if lies is not None and (told_here := self._told_before(lies, term)) is not None:
-                held = told_here
-            try:
-                rate = float(status.node.metadata.get("usual_calls_per_s", 0))
-            except (TypeError, ValueError) as fault:
-                raise FormError("node.metadata.usual_calls_per_s is no number") from fault
-            if not 0 <= rate < 1e7:
-                raise FormError(f"node.metadata.usual_calls_per_s is {rate:g}")
-            number = self._numbers.setdefault(name, len(self._numbers))
-            if number >= MOST_PROXIES:
-                del self._numbers[name]
-                raise FormError(f"more than {MOST_PROXIES} proxies have come")
-            told = status.node.metadata.get("director", self._director)
-            if told != self._director:
-                raise FormError(f"node.metadata.director is {told!r}, and this is {self._director!r}")
-            requests = [decode(files[file], forms.DiscoveryRequest) for file in REQUESTS if file in files]
-        except FormError as fault:
-            self._found_bad(name, STATUS, str(fault))
+            status = read_status(name, files[STATUS], previous)
+            number = self._assign_number(name)
+            check_controller(self._controller, status.node)
+            is_fresh = not has_applied_any(read_requests(files))
+        except FormError as error:
+            self._reject(name, STATUS, str(error))
             return False
-        self._bad.pop(name, None)
-        self.present[name] = Presence(number, name, term, now, web)
-        self._overdue.set(name, now + self._lost_after + 1)
-        fresh = not any(request.version_info for request in requests)
-        self._ear.joined(number, name, status.node.locality.zone, rate, fresh, held, term, web)
+        self._rejected_files.pop(name, None)
+        proxy = ConnectedProxy(number, name, status.term, now, uses_discovery)
+        self.proxies[name] = proxy
+        self._touch(now, proxy)
+        self._emit(_session_opened(proxy, status, is_fresh))
         return True
 
-    def gone(self, now: int, name: str, why: str) -> None:
-        presence = self.present.pop(name, None)
-        if presence is not None:
-            self._overdue.drop(name)
-            self._ear.left(presence.number, name, why)
-
-    def called(self, now: int, name: str) -> None:
-        """A proxy that is here has called: a sign of life."""
-        presence = self.present.get(name)
-        if presence is not None:
-            presence.heard_at = now
-            self._overdue.set(name, now + self._lost_after + 1)
-
-    def look(self, now: int) -> None:
-        """Proxies that have said nothing for too long have left."""
-        for name in self._overdue.overdue(now):
-            silent = now - self.present[name].heard_at
-            self.gone(now, name, f"silent for {silent / SECOND:.1f} s")
-
-    def swapped(self, now: int, name: str, file: str, data: bytes) -> None:
-        """A proxy that is here has put this file in place."""
-        presence = self.present.get(name)
-        if presence is None:
+    def _assign_number(self, name: str) -> int:
+        """The proxy's number, the same in all its sessions. Raises FormError if there are no more."""
+        number = self._numbers.setdefault(name, len(self._numbers))
+        if number >= MAX_PROXIES:
+            del self._numbers[name]
+            raise FormError(f"more than {MAX_PROXIES} proxies have come")
+        return number
+
+    def close_session(self, name: str, reason: str) -> None:
+        """Closes the proxy's session, if it has one."""
+        proxy = self.proxies.pop(name, None)
+        if proxy is not None:
+            self._timeouts.drop(name)
+            self._emit(ProxySessionClosed(proxy.number, name, reason))
+
+    def record_activity(self, now: int, name: str) -> None:
+        """Takes a call of a proxy for a sign of life."""
+        proxy = self.proxies.get(name)
+        if proxy is not None:
+            self._touch(now, proxy)
+
+    def _touch(self, now: int, proxy: ConnectedProxy) -> None:
+        proxy.heard_at = now
+        self._timeouts.set(proxy.name, now + self._session_timeout_ticks + 1)
+
+    def close_silent_sessions(self, now: int) -> None:
+        """Closes the sessions of proxies that gave no sign of life for too long."""
+        for name in self._timeouts.overdue(now):
+            silent_ticks = now - self.proxies[name].heard_at
+            self.close_session(name, f"silent for {silent_ticks / TICKS_PER_SECOND:.1f} s")
+
+    # Files.
+
+    def process_file(self, now: int, name: str, file: str, data: bytes) -> None:
+        """Takes in a file that a proxy has written; one of a proxy without a session is ignored."""
+        proxy = self.proxies.get(name)
+        if proxy is None:
+            return
+        if file == LOAD:
+            self.process_reports(now, name, [(now, data)], 1)
             return
         try:
-            if file in REQUESTS:
+            if file in REQUEST_FILES:
                 request = decode(data, forms.DiscoveryRequest)
-                if not self._mine(now, presence, request.node):
+                if not self._is_of_session(proxy, request.node):
                     return
-                self._request(presence, REQUESTS[file], request)
-            elif file == LOAD:
-                self.loads(now, name, [(now, data)], 1)
-                return
+                self._process_request(proxy, REQUEST_FILES[file], request)
             elif file != STATUS:
                 raise FormError("no file of this name is known")
-        except FormError as fault:
-            self._found_bad(name, file, str(fault))
+        except FormError as error:
+            self._reject(name, file, str(error))
             return
-        presence.heard_at = now
-        self._overdue.set(name, now + self._lost_after + 1)
-        if self._bad.get(name) == file:
-            del self._bad[name]
+        self._touch(now, proxy)
+        self._accept(name, file)
 
-    def unreadable(self, name: str, file: str, cause: str) -> None:
-        self._found_bad(name, file, cause)
+    def reject_unreadable(self, name: str, file: str, cause: str) -> None:
+        """Takes note of a file that could not be read."""
+        self._reject(name, file, cause)
 
-    def _found_bad(self, name: str, file: str, cause: str) -> None:
+    def _reject(self, name: str, file: str, cause: str) -> None:
+        """Reports malformed input; only once while the same file stays malformed."""
         self.last_fault = cause
-        if self._bad.get(name) != file:  # once, not at every report
-            self._bad[name] = file
-            self._ear.fault(name, f"{file}: {cause}")
-
-    @staticmethod
-    def _check_node(name: str, node: forms.Node) -> None:
-        if node.id != name:
-            raise FormError(f"node.id is {node.id[:80]!r}, in the folder of {name!r}")
-
-    @staticmethod
-    def _told_before(lies: Mapping[str, bytes], term: int) -> Held | None:
-        """None if the group is of another stay, or is no whole group."""
-        try:
-            envelopes = [read_response(lies[f"{kind}.json"], url) for kind, url in forms.FILES.items()]
-            if any(read_version(envelope.version_info).term != term for envelope in envelopes):
-                return None
-            return read_held([(row.type_url, bytes(raw)) for row in envelopes for raw in row.resources])
-        except (KeyError, FormError, VersionError):
-            return None
-
-    @staticmethod
-    def _term(node: forms.Node) -> int:
-        """The proxy's term, 0 from one that keeps none."""
-        term = node.metadata.get("term", 0)
-        if not isinstance(term, int | float) or not 0 <= term < 1e12 or term != int(term):
-            raise FormError(f"node.metadata.term is {str(term)[:40]}, no whole number")
-        return int(term)
-
-    def _mine(self, now: int, presence: Presence, node: forms.Node) -> bool:
-        """Whether this file is of the proxy's stay with this director, by what the proxy says itself."""
-        self._check_node(presence.name, node)
-        told = str(node.metadata.get("director", ""))
-        said = names_me(self._director, told, presence.term, self._term(node))
-        if said == "left":
-            self.gone(now, presence.name, f"follows {told or 'another'} in term {self._term(node)}")
-        return said == "mine"
-
-    def _request(self, presence: Presence, kind: str, request: forms.DiscoveryRequest) -> None:
-        if request.type_url != forms.FILES[kind]:
-            raise FormError(f"type_url is {request.type_url[:80]!r}, not {forms.FILES[kind]!r}")
-        if not request.response_nonce:
+        if self._rejected_files.get(name) != file:
+            self._rejected_files[name] = file
+            self._emit(ProxyInputRejected(name, f"{file}: {cause}"))
+
+    def _accept(self, name: str, file: str) -> None:
+        if self._rejected_files.get(name) == file:
+            del self._rejected_files[name]
+
+    def _is_of_session(self, proxy: ConnectedProxy, node: forms.Node) -> bool:
+        """Whether a file belongs to the proxy's session with this controller, as the file itself says.
+
+        A file that names another controller, or a later session, closes this one.
+        """
+        check_node(proxy.name, node)
+        named = read_controller(node)
+        term = read_term(node)
+        claim = names_me(self._controller, named, proxy.term, term)
+        if claim == "left":
+            self.close_session(proxy.name, f"follows {named or 'another'} in term {term}")
+        return claim == "mine"
+
+    def _process_request(self, proxy: ConnectedProxy, kind: str, request: forms.DiscoveryRequest) -> None:
+        """Takes in a proxy's answer to an update: applied or rejected."""
+        version = read_answered_version(kind, request)
+        if version is None:
             return
-        try:
-            version = read_version(request.response_nonce)
-        except VersionError as fault:
-            raise FormError(f"response_nonce: {fault}") from fault
-        if version.epoch > self._epoch or version.term > presence.term:
-            here = f"term {presence.term}, epoch {self._epoch}"
+        if version.epoch > self._epoch or version.term > proxy.term:
+            here = f"term {proxy.term}, epoch {self._epoch}"
             raise FormError(f"response_nonce is {version}, and this is {here}")
-        if (version.term, version.epoch) != (presence.term, self._epoch):
-            return  # what was sent in another stay, or by another before this one
-        number = version.number
-        if number > self._newest():
-            raise FormError(f"response_nonce is of message {number}, and {self._newest()} is the last")
+        if (version.term, version.epoch) != (proxy.term, self._epoch):
+            return  # an answer to what was sent in another session, or before this controller started
+        message = version.number
+        newest = self._newest_message()
+        if message > newest:
+            raise FormError(f"response_nonce is of message {message}, and {newest} is the last")
         if request.error_detail is not None:
-            if presence.refused.get(kind) != number:
-                presence.refused[kind] = number
-                self._ear.refused(presence.number, kind, number, request.error_detail.message[:500])
-        elif number > presence.applied:
-            presence.applied = number
-            self._ear.applied(presence.number, number)
-
-    def loads(
-        self, now: int, name: str, rows: Sequence[tuple[int, bytes]], came: int
+            if proxy.rejected.get(kind) != message:
+                proxy.rejected[kind] = message
+                cause = request.error_detail.message[:MAX_CAUSE_CHARACTERS]
+                self._emit(UpdateRejected(proxy.number, kind, message, cause))
+        elif message > proxy.applied:
+            proxy.applied = message
+            self._emit(UpdateApplied(proxy.number, message))
+
+    # Load reports.
+
+    def process_reports(
+        self, now: int, name: str, reports: Sequence[tuple[int, bytes]], arrived: int
     ) -> list[tuple[str, bytes]]:
-        """Reports of one proxy, and when each came: all `came` of them, or two drawn of these.  Gives what
-        was bad, with the cause.
+        """Takes in load reports of one proxy.
+
+        Args:
+            now: in ticks.
+            name: of the proxy.
+            reports: the tick at which each arrived, and its bytes; all that arrived, or a sample of two.
+            arrived: how many reports these stand for.
+
+        Returns:
+            The cause and the bytes of each malformed report.
         """
-        presence, good = self.present.get(name), list[tuple[int, int, Report]]()
-        bad: list[tuple[str, bytes]] = []
-        if presence is None:
+        proxy = self.proxies.get(name)
+        if proxy is None:
             return []
-        for at, data in rows:
+        accepted: list[tuple[int, int, Report]] = []
+        malformed: list[tuple[str, bytes]] = []
+        for arrived_at, data in reports:
             try:
                 report = decode(data, forms.LoadStatsRequest)
-                if not self._mine(now, presence, report.node):
-                    if name not in self.present:  # it has left, by its own word
-                        return bad
+                if not self._is_of_session(proxy, report.node):
+                    if name not in self.proxies:  # this report has closed the session
+                        return malformed
                     continue
-                good.append((at, xxhash.xxh64_intdigest(data), read(report, self._routes)))
-            except FormError as fault:
-                bad.append((str(fault), data))
-                self._found_bad(name, LOAD, str(fault))
-        if good and not bad and self._bad.get(name) == LOAD:
-            del self._bad[name]
-        if not good:
-            return bad
-        presence.heard_at = now
-        self._overdue.set(name, now + self._lost_after + 1)
-        made = whole(now, name, self.windows, good, came, not presence.web)
-        if made is not None:
-            if made.cells:
-                self._ear.met(presence.number, made)
-            for route, (calls, errors) in made.came.items():
-                self._ear.came(presence.number, route, round(calls), round(errors), made.window)
-        return bad
+                accepted.append((arrived_at, xxhash.xxh64_intdigest(data), read(report, self._routes)))
+            except FormError as error:
+                malformed.append((str(error), data))
+                self._reject(name, LOAD, str(error))
+        if accepted:
+            if not malformed:
+                self._accept(name, LOAD)
+            self._touch(now, proxy)
+            self._emit_reported(now, proxy, accepted, arrived)
+        return malformed
+
+    def _emit_reported(
+        self, now: int, proxy: ConnectedProxy, reports: Sequence[tuple[int, int, Report]], arrived: int
+    ) -> None:
+        sample = whole(now, proxy.name, self.windows, reports, arrived, not proxy.uses_discovery)
+        if sample is None:
+            return
+        if sample.cells:
+            self._emit(AttemptsReported(proxy.number, sample))
+        for route, (requests, failures) in sample.came.items():
+            event = RequestsReported(proxy.number, route, round(requests), round(failures), sample.window)
+            self._emit(event)
+
+
+def _session_opened(proxy: ConnectedProxy, status: ProxyStatus, is_fresh: bool) -> ProxySessionOpened:
+    return ProxySessionOpened(
+        proxy=proxy.number,
+        name=proxy.name,
+        zone=status.node.locality.zone,
+        usual_rate_per_second=status.usual_rate_per_second,
+        is_fresh=is_fresh,
+        held=status.held,
+        term=proxy.term,
+        uses_discovery=proxy.uses_discovery,
+    )
--- /dev/null
+++ b/willowhook/controlplane/proxy_events.py
@@ -0,0 +1,128 @@
+"""What proxies say to a controller, as typed events.
+
+`ProxyIntake` makes them from the files and calls of proxies; the decision task handles them. Proxies are
+named by their number, and by their name where a person reads it.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from ..reports.sample import Whole
+from .render import Held
+
+
+@dataclass(frozen=True, slots=True)
+class ProxySessionOpened:
+    """A proxy has joined this controller.
+
+    Attributes:
+        proxy: its number.
+        name: its name.
+        zone: its zone.
+        usual_rate_per_second: the requests that usually reach it.
+        is_fresh: whether no controller has sent it anything since it started.
+        held: the resources that it holds.
+        term: the number of the session, counted by the proxy over all controllers.
+        uses_discovery: whether it calls the discovery server; otherwise it reads files.
+    """
+
+    proxy: int
+    name: str
+    zone: str
+    usual_rate_per_second: float
+    is_fresh: bool
+    held: Held
+    term: int
+    uses_discovery: bool
+
+
+@dataclass(frozen=True, slots=True)
+class ProxySessionClosed:
+    """A proxy has left this controller, or was given up.
+
+    Attributes:
+        proxy: its number.
+        name: its name.
+        reason: for the log.
+    """
+
+    proxy: int
+    name: str
+    reason: str
+
+
+@dataclass(frozen=True, slots=True)
+class UpdateApplied:
+    """A proxy has applied the update message of this number, and all before it."""
+
+    proxy: int
+    message: int
+
+
+@dataclass(frozen=True, slots=True)
+class UpdateRejected:
+    """A proxy has rejected a file of an update message.
+
+    Attributes:
+        proxy: its number.
+        kind: of the resources in the file: `cds`, `eds` or `rds`.
+        message: the number of the message.
+        cause: as the proxy says, shortened.
+    """
+
+    proxy: int
+    kind: str
+    message: int
+    cause: str
+
+
+@dataclass(frozen=True, slots=True)
+class AttemptsReported:
+    """What a proxy met at endpoints, from all its load reports of a stretch of time."""
+
+    proxy: int
+    sample: Whole
+
+
+@dataclass(frozen=True, slots=True)
+class RequestsReported:
+    """The requests of one route that reached a proxy.
+
+    Attributes:
+        proxy: its number.
+        route: the route's name.
+        requests: that reached it.
+        failures: among them.
+        window_ticks: the time that this covers.
+    """
+
+    proxy: int
+    route: str
+    requests: int
+    failures: int
+    window_ticks: int
+
+
+@dataclass(frozen=True, slots=True)
+class ProxyInputRejected:
+    """A file or call of a proxy is malformed; reported once until a well-formed one comes.
+
+    Attributes:
+        name: of the proxy.
+        cause: the file and what is wrong with it.
+    """
+
+    name: str
+    cause: str
+
+
+ProxyEvent = (
+    ProxySessionOpened
+    | ProxySessionClosed
+    | UpdateApplied
+    | UpdateRejected
+    | AttemptsReported
+    | RequestsReported
+    | ProxyInputRejected
+)
--- a/willowhook/controlplane/proxy_feed.py
+++ b/willowhook/controlplane/proxy_feed.py
@@ -13,17 +13,16 @@
 from ..files.ops import FileOps
 from ..files.swap import read_at, read_group
 from ..files.watch import Watch
-from .intake import REQUESTS, Intake
+from .intake import ProxyIntake
+from .proxy_files import PROXY_FILES
 from .report_desk import ReportDesk
 
-UP_FILES = (STATUS, *REQUESTS, LOAD)
-
 
 class ProxyFeed:
     """`send` takes calls for the deciding task, in which alone the intake is called."""
 
     def __init__(
-        self, folder: Folder, ops: FileOps, watch: Watch, most: int, intake: Intake,
+        self, folder: Folder, ops: FileOps, watch: Watch, most: int, intake: ProxyIntake,
         send: trio.MemorySendChannel[Callable[[int], None]], reports: ReportDesk, clock: Callable[[], int],
     ) -> None:  # fmt: skip
         self._reports, self._clock = reports, clock
@@ -61,7 +60,7 @@
         if name not in self._stays:
             await self._came(name)  # it had been given up, or had not shown itself whole
             return
-        for each in [file] if file else UP_FILES:
+        for each in [file] if file else PROXY_FILES:
             if each == LOAD:
                 if self._reports.aside(name):
                     continue
@@ -78,7 +77,7 @@
                 await self._send.send(partial(self._swapped, name, each, data))
 
     def _swapped(self, name: str, file: str, data: bytes, now: int) -> None:
-        self._intake.swapped(now, name, file, data)
+        self._intake.process_file(now, name, file, data)
 
     async def _read(self, name: str, file: str) -> bytes | None:
         """A file that was not read yet; one that was is no news, however often it is looked at."""
@@ -96,7 +95,7 @@
             cause = str(fault)
             if file == LOAD:
                 self._reports.unreadable(self._clock(), name, cause)
-            await self._send.send(lambda now: self._intake.unreadable(name, file, cause))
+            await self._send.send(lambda now: self._intake.reject_unreadable(name, file, cause))
             return None
 
     @staticmethod
@@ -128,12 +127,12 @@
         if not stay:
             self._watch.drop(name)
             self.forget(name)
-            await self._send.send(lambda now: self._intake.gone(now, name, "its folder is gone"))
+            await self._send.send(lambda now: self._intake.close_session(name, "its folder is gone"))
         elif self._stays.get(name) == stay:
             await self._news(name, "")
         else:
             self.forget(name)
-            files = {file: await self._read(name, file) for file in UP_FILES}
+            files = {file: await self._read(name, file) for file in PROXY_FILES}
             found = {file: data for file, data in files.items() if data is not None}
             try:
                 lies: dict[str, bytes] | None = read_group(f"{self._down}/{name}")[1]
@@ -145,7 +144,7 @@
     def forget(self, name: str) -> None:
         """Its next file, or its next folder, is looked at as if it had just come."""
         self._stays.pop(name, None)
-        for file in UP_FILES:
+        for file in PROXY_FILES:
             self._read_marks.pop((name, file), None)
 
     def _appeared(
@@ -156,7 +155,7 @@
         lies: dict[str, bytes] | None,
         now: int,
     ) -> None:
-        if self._intake.appeared(now, name, found, lies):
+        if self._intake.open_session(now, name, found, lies):
             self._stays[name] = stay
         else:  # looked at again when it puts the next file in place
             self.forget(name)
--- a/willowhook/controlplane/report_desk.py
+++ b/willowhook/controlplane/report_desk.py
@@ -16,7 +16,7 @@
 from ..reports.quarantine import Quarantine
 from ..reports.queue import Queue
 from ..reports.sums import Heard, Sums
-from .intake import Intake
+from .intake import ProxyIntake
 
 SECOND = 10_000
 LOOK = SECOND  # between looks at the pace
@@ -35,7 +35,7 @@
     """
 
     def __init__(
-        self, terms: IntakeTerms, per_s: float, every: int, lost_after: int, ear: Ear, intake: Intake,
+        self, terms: IntakeTerms, per_s: float, every: int, lost_after: int, ear: Ear, intake: ProxyIntake,
         heard: Heard, records: Records, log: Any, draw: Callable[[int], int],
     ) -> None:  # fmt: skip
         self._ear, self._intake, self._records, self._log = ear, intake, records, log
@@ -56,9 +56,9 @@
     # What arrives.
 
     def offer(self, now: int, name: str, data: bytes) -> None:
-        if name not in self._intake.present or self.quarantine.rests(now, name):
+        if name not in self._intake.proxies or self.quarantine.rests(now, name):
             return
-        self._intake.called(now, name)
+        self._intake.record_activity(now, name)
         if not len(self.queue):
             self._ear.wake_up()
         self.queue.offer(now, name, data)
@@ -96,7 +96,7 @@
             if taken is None:
                 break
             self.looked_at += len(taken.rows)
-            bad = self._intake.loads(now, taken.proxy, taken.rows, taken.came)
+            bad = self._intake.process_reports(now, taken.proxy, taken.rows, taken.came)
             if bad:
                 self.quarantine.bad(now, taken.proxy, *bad[0])
             else:
--- a/willowhook/controlplane/service.py
+++ b/willowhook/controlplane/service.py
@@ -54,11 +54,21 @@
 from .book import Message, OrderBook
 from .clock import Clock
 from .condition_log import ConditionLog
-from .intake import Intake
+from .intake import ProxyIntake
 from .links import Post, listen, read, write
 from .list_feed import ListFeed
 from .memory import Memory
 from .outlets import FileOutlet, Outlet
+from .proxy_events import (
+    AttemptsReported,
+    ProxyEvent,
+    ProxyInputRejected,
+    ProxySessionClosed,
+    ProxySessionOpened,
+    RequestsReported,
+    UpdateApplied,
+    UpdateRejected,
+)
 from .proxy_feed import ProxyFeed
 from .publish import Publisher, Reader
 from .render import Address, Held, Renderer
@@ -169,8 +179,9 @@
             terms, self.settings, self, self.records, self.log, self.core, self.renderer, epoch, self.book
         )
         self.channel, self.watchman = self.publisher.channel, self.publisher.watchman
-        self.intake = Intake(
-            self, terms.name, epoch, routes, ticks(terms.files.proxy_lost_after_ms), lambda: self.book.count
+        lost_after = ticks(terms.files.proxy_lost_after_ms)
+        self.intake = ProxyIntake(
+            self._handle_proxy_event, terms.name, epoch, routes, lost_after, lambda: self.book.count
         )
         self.reports = ReportDesk(
             terms.intake, terms.fleet.reports_per_s, ticks(terms.fleet.report_every_ms),
@@ -304,7 +315,7 @@
             self.publisher.wake()
             if now - last_look >= SECOND // 10:
                 last_look = now
-                self.intake.look(now)
+                self.intake.close_silent_sessions(now)
                 self._drain(now)
                 for teller in self._tellers:
                     teller.look(now)
@@ -455,11 +466,35 @@
         event = HealthCheckCompleted(host.id, outcome, told.get("busy"))
         await self._send.send(lambda now: self.director.handle(now, event))
 
-    # The intake's ear.
-
-    def joined(
-        self, proxy: int, name: str, zone: str, rate: float, fresh: bool, held: Held, term: int, web: bool
-    ) -> None:
+    # What proxies say.
+
+    def _handle_proxy_event(self, event: ProxyEvent) -> None:
+        match event:
+            case ProxySessionOpened():
+                self._open_session(event)
+            case ProxySessionClosed():
+                self._close_session(event.proxy, event.name, event.reason)
+            case UpdateApplied():
+                self.publisher.applied(self.clock.now(), event.proxy, event.message)
+            case UpdateRejected():
+                now = self.clock.now()
+                self.publisher.refused_group(now, event.proxy, event.kind, event.message, event.cause)
+            case AttemptsReported():
+                self._record_attempts(event.proxy, event.sample)
+            case RequestsReported():
+                self._record_requests(event)
+            case ProxyInputRejected():
+                self.log.warning("bad file of a proxy", proxy=event.name, cause=event.cause)
+                self.records.note(self.clock.now(), "fault", proxy=event.name, cause=event.cause)
+
+    def _open_session(self, event: ProxySessionOpened) -> None:
+        proxy, name, zone, held = event.proxy, event.name, event.zone, event.held
+        rate, fresh, term, web = (
+            event.usual_rate_per_second,
+            event.is_fresh,
+            event.term,
+            event.uses_discovery,
+        )
         now = self.clock.now()
         self._terms_of[proxy] = term
         self._joins += 1
@@ -475,7 +510,7 @@
         self.publisher.tell_guard(self.watchman.joined, proxy, zone, rate, held)
         self.director.handle(now, ProxyJoined(proxy, zone, rate, fresh))
 
-    def left(self, proxy: int, name: str, why: str) -> None:
+    def _close_session(self, proxy: int, name: str, why: str) -> None:
         now = self.clock.now()
         self.reports.forget(name)
         self._tell_peers(now, proxy, name)
@@ -512,12 +547,6 @@
             self.conditions.report("disk", True, "files cannot be swapped", proxy=name, cause=str(fault))
         return FileOutlet(shelf, self.core, term, self.folder.epoch, durability != "none")
 
-    def applied(self, proxy: int, number: int) -> None:
-        self.publisher.applied(self.clock.now(), proxy, number)
-
-    def refused(self, proxy: int, kind: str, number: int, cause: str) -> None:
-        self.publisher.refused_group(self.clock.now(), proxy, kind, number, cause)
-
     # Handoff, where there are links.
 
     def _tell_peers(self, now: int, proxy: int, name: str) -> None:
@@ -560,7 +589,7 @@
             self.director.handle(now, EndpointReport(host, tries, errors, mean, None))
         self.records.note(now, "hint", proxy=name, term=hint.term, hosts=len(hint.hosts))
 
-    def met(self, proxy: int, whole: Whole) -> None:
+    def _record_attempts(self, proxy: int, whole: Whole) -> None:
         """What a proxy met with hosts, of all its reports of a stretch."""
         now, member = self.clock.now(), self.book.members.get(proxy)
         if member is None:
@@ -611,11 +640,11 @@
         else:
             self.conditions.report("pace", False, "the pace of reports can be told again")
 
-    def came(self, proxy: int, route: str, calls: int, dropped: int, window: int) -> None:
-        self.director.handle(self.clock.now(), RequestReport(proxy, route, calls, window))
-        self.reports.weigh(self._names[proxy], calls * SECOND / window * self._worth[route])
-        self.publisher.tell_guard(self.watchman.came, proxy, self._route_at[route], calls * SECOND / window)
-
-    def fault(self, name: str, cause: str) -> None:
-        self.log.warning("bad file of a proxy", proxy=name, cause=cause)
-        self.records.note(self.clock.now(), "fault", proxy=name, cause=cause)
+    def _record_requests(self, event: RequestsReported) -> None:
+        proxy, route = event.proxy, event.route
+        self.director.handle(
+            self.clock.now(), RequestReport(proxy, route, event.requests, event.window_ticks)
+        )
+        rate = event.requests * SECOND / event.window_ticks
+        self.reports.weigh(self._names[proxy], rate * self._worth[route])
+        self.publisher.tell_guard(self.watchman.came, proxy, self._route_at[route], rate)
--- a/willowhook/controlplane/web_feed.py
+++ b/willowhook/controlplane/web_feed.py
@@ -22,7 +22,7 @@
 from ..versions.desk import Desk
 from ..xds import forms
 from ..xds.codec import encode
-from .intake import Intake
+from .intake import ProxyIntake
 from .outlets import WebOutlet
 from .publish import Publisher
 from .render import Held, uses
@@ -44,9 +44,16 @@
 
 class WebFeed:
     def __init__(
-        self, name: str, terms: FrontTerms, report_s: float, core: Core, publisher: Publisher, intake: Intake,
-        send: Callable[[Event], Any], reports: ReportDesk,
-    ) -> None:  # fmt: skip
+        self,
+        name: str,
+        terms: FrontTerms,
+        report_s: float,
+        core: Core,
+        publisher: Publisher,
+        intake: ProxyIntake,
+        send: Callable[[Event], Any],
+        reports: ReportDesk,
+    ) -> None:
         self._reports = reports
         self._terms, self._core, self._publisher, self._intake = terms, core, publisher, intake
         self._send = send
@@ -88,22 +95,22 @@
     # The front's hall.
 
     def here(self, name: str) -> tuple[int, bool] | None:
-        presence = self._intake.present.get(name)
-        return (presence.term, presence.web) if presence is not None else None
+        presence = self._intake.proxies.get(name)
+        return (presence.term, presence.uses_discovery) if presence is not None else None
 
     def desk(self, name: str) -> Desk | None:
         return self._desks.get(name)
 
     def leaves(self, name: str) -> bool:
-        presence = self._intake.present.get(name)
+        presence = self._intake.proxies.get(name)
         reader = self._publisher.readers.get(presence.number) if presence is not None else None
         return reader is not None and isinstance(reader.outlet, WebOutlet) and reader.outlet.leaves
 
     def called(self, name: str) -> None:
-        self._events.append(lambda now: self._intake.called(now, name))
+        self._events.append(lambda now: self._intake.record_activity(now, name))
 
     def delivered(self, name: str) -> None:
-        presence = self._intake.present.get(name)
+        presence = self._intake.proxies.get(name)
         if presence is not None:
             self._publisher.delivered(presence.number)
 
@@ -116,10 +123,10 @@
 
         def appear(now: int) -> None:
             nonlocal fault
-            presence = self._intake.present.get(name)
+            presence = self._intake.proxies.get(name)
             term = node.metadata.get("term", 0)
-            here = presence is not None and presence.web and presence.term == term
-            if not here and not self._intake.appeared(now, name, files, None, True):
+            here = presence is not None and presence.uses_discovery and presence.term == term
+            if not here and not self._intake.open_session(now, name, files, None, True):
                 fault = self._intake.last_fault
             done.set()
 
