--- a/tests/test_controlplane_parts.py
+++ b/tests/test_controlplane_parts.py
@@ -226,7 +226,7 @@
     intake.process_file(2, "p1", file, data)
     (event,) = events
     assert isinstance(event, ProxyInputRejected) and event.name == "p1"
-    assert cause in event.cause and "p1" in intake.proxies
+    assert cause in event.cause and "p1" in intake.sessions
     if file == "eds.json":
         intake.process_file(3, "p1", file, answer("2.3.7"))
         intake.process_file(4, "p1", file, data)
@@ -271,7 +271,7 @@
     late = encode(forms.LoadStatsRequest(node(1)))  # of its last stay, put in place late
     intake.process_file(1, "p1", "load.json", late)
     intake.process_file(1, "p1", "eds.json", answer("2.3.7", node=node(1)))
-    assert events == [] and intake.proxies["p1"].heard_at == 0
+    assert events == [] and intake.sessions["p1"].heard_at == 0
     intake.process_file(2, "p1", "load.json", encode(forms.LoadStatsRequest(node(2, "other"))))
     assert events == [ProxySessionClosed(0, "p1", "follows other in term 2")]
     assert not intake.open_session(3, "p1", {"status.json": encode(forms.ClientConfig(node(3, "other")))})
@@ -305,7 +305,7 @@
     intake.close_silent_sessions(30_000)
     assert types_of(events) == [AttemptsReported, RequestsReported]
     intake.close_silent_sessions(36_000)
-    assert events[-1] == ProxySessionClosed(0, "p1", "silent for 2.1 s") and not intake.proxies
+    assert events[-1] == ProxySessionClosed(0, "p1", "silent for 2.1 s") and not intake.sessions
     assert not intake.open_session(0, "p2", {"status.json": STATUS})  # p1's status in p2's folder
     assert not intake.open_session(0, "p3", {})
     assert not intake.open_session(0, "p4", {"status.json": b"\x80"})
@@ -325,7 +325,7 @@
     for data in (noise, whole[:cut] + noise + whole[cut:], whole[:cut]):
         intake.process_file(1, "p1", file, data)
         intake.open_session(1, "px", {"status.json": data})
-    assert "p1" in intake.proxies
+    assert "p1" in intake.sessions
 
 
 def outlet(term: int, epoch: int) -> FileOutlet:
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -413,7 +413,7 @@
         assert set(got) == {"cds", "eds", "rds"} and hosts_of(got["eds"]) == {"a", "b", "c"}
         reader = service.publisher.readers[0]
         await until(lambda: reader.applied > 0)
-        assert not any(service.director.channel.waiting.values())
+        assert not any(service.controller.channel.waiting.values())
         roster.hosts["b"], roster.index = True, 2
         news: dict[str, forms.DiscoveryResponse] = {}
         while "eds" not in news or "b" in hosts_of(news["eds"]):
@@ -521,7 +521,7 @@
             for kind, word in (("cds", "Cluster"), ("eds", "Endpoint"), ("rds", "Route")):
                 nursery.start_soon(whole, kind)
                 nursery.start_soon(delta, kind, word)
-            decider: Any = service.director
+            decider: Any = service.controller
             await until(lambda: decider.left == -1, 20)
             with trio.fail_after(5):
                 same = False
@@ -565,7 +565,7 @@
         two.node.metadata.update(term=2, director="another")
         assert (await two.whole("eds")).status == 400
         assert (await two.post(b"/v3/nothing", b"{}")).status == 404
-        assert "p2" not in service.intake.proxies and "p1" in service.intake.proxies
+        assert "p2" not in service.intake.sessions and "p1" in service.intake.sessions
         await one.close()
         await two.close()
 
@@ -577,7 +577,7 @@
         old, new = ByCalls(service, "p1", 1), ByCalls(service, "p1", 2)
         await old.settle()
         await new.settle()
-        assert service.intake.proxies["p1"].term == 2
+        assert service.intake.sessions["p1"].term == 2
         assert (await old.whole("eds")).status in (409, 503)  # on its old connection
         late = ByCalls(service, "p1", 1)
         assert (await late.whole("eds")).status == 409  # and on a new one
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -11,7 +11,7 @@
 from test_service import ByHand, Log, Roster, until
 
 from willowhook.config.example import EXAMPLE
-from willowhook.controlplane.memory import Memory
+from willowhook.controlplane.memory import ControllerMemory, Sums
 from willowhook.controlplane.service import Service
 from willowhook.store.store import Op, Store
 from willowhook.web.wire import answer_calls
@@ -21,9 +21,9 @@
 
 def lived(folder: Path, rows: list[tuple[int, str, str, int, int, int]]) -> None:
     """One life in which this was met: when, host, zone, tries, errors, mean."""
-    memory = Memory(str(folder), "d", 1, 10 * SECOND, lambda text: None)
+    memory = ControllerMemory(str(folder), "d", 1, 10 * SECOND, lambda text: None)
     for row in rows:
-        memory.met(*row)
+        memory.record_attempts(*row)
     memory.close()
 
 
@@ -32,15 +32,13 @@
 ) -> None:
     rows = [(0, "a", "north", 30, 3, 50), (0, "b", "north", 9, 9, 0), (0, "c", "south", 5, 0, 7)]
     lived(tmp_path / "s", [*rows, (SECOND, "a", "north", 10, 1, 90)])
-    memory = Memory(str(tmp_path / "s"), "d", 2, 10 * SECOND, lambda text: None)
-    assert memory.last_life == 1
-    soon = memory.calendar() / SECOND + 5
+    memory = ControllerMemory(str(tmp_path / "s"), "d", 2, 10 * SECOND, lambda text: None)
+    assert memory.last_epoch == 1
+    soon = memory.wall_clock() / SECOND + 5
     # b started anew, c is not listed, z was never met
-    found = memory.recall({"a": 0.0, "b": soon, "z": 0.0})
-    assert [(host, s.zone, s.tries, s.errors, s.mean, s.window) for host, s, _ in found] == [
-        ("a", "north", 40, 4, 60, SECOND)
-    ]
-    assert 0 <= found[0][2] < 5 * SECOND
+    found = memory.recent_evidence({"a": 0.0, "b": soon, "z": 0.0})
+    assert [(each.endpoint, each.sums) for each in found] == [("a", Sums("north", 40, 4, 60, SECOND))]
+    assert 0 <= found[0].age_ticks < 5 * SECOND
     memory.close()
 
 
@@ -51,20 +49,20 @@
         store.write([Op("met", key, entry.at - 3600 * SECOND, entry.value)])
     store.flush()
     store.close()
-    memory = Memory(str(tmp_path / "s"), "d", 2, 10 * SECOND, lambda text: None)
-    assert memory.recall({"a": 0.0}) == []
+    memory = ControllerMemory(str(tmp_path / "s"), "d", 2, 10 * SECOND, lambda text: None)
+    assert memory.recent_evidence({"a": 0.0}) == []
     memory.close()
 
 
 def test_hosts_that_are_no_longer_listed_are_forgotten(tmp_path: Path) -> None:
-    memory = Memory(str(tmp_path / "s"), "d", 1, SECOND, lambda text: None)
-    memory.listed({"a": [False, 0.0], "b": [True, 1.0]})
-    memory.withdrawn("b", True)
+    memory = ControllerMemory(str(tmp_path / "s"), "d", 1, SECOND, lambda text: None)
+    memory.record_endpoints({"a": (False, 0.0), "b": (True, 1.0)})
+    memory.record_exclusion("b", True)
     memory.close()
-    memory = Memory(str(tmp_path / "s"), "d", 2, SECOND, lambda text: None)
+    memory = ControllerMemory(str(tmp_path / "s"), "d", 2, SECOND, lambda text: None)
     assert {key for key, _ in memory.store.by_key("hosts")} == {"a", "b"}
     assert [key for key, _ in memory.store.by_key("withdrawn")] == ["b"]
-    memory.listed({"a": [False, 0.0]})
+    memory.record_endpoints({"a": (False, 0.0)})
     memory.close()
     store = Store(str(tmp_path / "s"))
     assert [key for key, _ in store.by_key("hosts")] == ["a"] and not store.by_key("withdrawn")
@@ -106,19 +104,19 @@
                 if number == 1:
                     now = service.clock.now()
                     for k in range(3):
-                        service.memory.met(now + k * SECOND, "a", "north", 20, 15, 100)  # type: ignore[union-attr]
+                        service.memory.record_attempts(now + k * SECOND, "a", "north", 20, 15, 100)  # type: ignore[union-attr]
                     one.answer()
                     await trio.sleep(0.5)
                 elif not taken:
-                    await until(lambda: "recalls what it met" in log.texts())
-                    assert service.director.hosts["a"].heard.total(service.clock.now(), 10)[0] > 0
+                    await until(lambda: "stored evidence restored" in log.texts())
+                    assert service.controller.hosts["a"].heard.total(service.clock.now(), 10)[0] > 0
             nursery.cancel_scope.cancel()
 
     trio.run(life, 1)
     if taken:
         held.append(Store(str(tmp_path / "s")))
     trio.run(life, 2)
-    assert ("no store" in log.texts("warning")) == taken
+    assert ("store unavailable" in log.texts("warning")) == taken
     for store in held:
         store.close()
     store = Store(str(tmp_path / "s"))
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -193,12 +193,12 @@
         one.join()
         await until(lambda: one.hosts() == {"a", "b", "c"})
         one.answer()
-        await until(lambda: not any(service.director.channel.waiting.values()))
+        await until(lambda: not any(service.controller.channel.waiting.values()))
         roster.hosts["b"], roster.index = True, 2
         await until(lambda: one.hosts() == {"a", "c"})
         one.load()
         os.rename(one.up, one.root / "away")
-        await until(lambda: not service.intake.proxies and not one.down.exists())
+        await until(lambda: not service.intake.sessions and not one.down.exists())
 
     log = serve(tmp_path, play, watch=watch, durability=durability, poll_every_ms=20)
     assert log.texts("warning") == [] and "proxy left" in log.texts()
@@ -212,13 +212,13 @@
     async def play(service: Service, roster: Roster, log: Log) -> None:
         one = ByHand(service, "p1")
         one.join()
-        await until(lambda: "p1" in service.intake.proxies)
-        await until(lambda: "p1" not in service.intake.proxies)
+        await until(lambda: "p1" in service.intake.sessions)
+        await until(lambda: "p1" not in service.intake.sessions)
         one.load()
-        await until(lambda: "p1" in service.intake.proxies and one.hosts() == {"a", "b", "c"})
+        await until(lambda: "p1" in service.intake.sessions and one.hosts() == {"a", "b", "c"})
 
     log = serve(tmp_path, play, proxy_lost_after_ms=1200)
-    assert [row[2]["why"][:6] for row in log.rows if row[1] == "proxy left"] == ["silent"]
+    assert [row[2]["reason"][:6] for row in log.rows if row[1] == "proxy left"] == ["silent"]
 
 
 OF_BAD = forms.Node("bad", metadata={"term": 1})
@@ -237,7 +237,7 @@
             shutil.rmtree(one.up)
             one.node.metadata["term"] = k
             one.join()
-            await until(lambda k=k: [p.term for p in service.intake.proxies.values()] == [k])  # type: ignore[misc]
+            await until(lambda k=k: [p.term for p in service.intake.sessions.values()] == [k])  # type: ignore[misc]
             one.load()
             await until(lambda: bool(one.hosts()))
 
@@ -281,7 +281,7 @@
         (bad.up / "rds.json").unlink()
         os.symlink("/dev/zero", bad.up / "rds.json")
         good.load()
-        assert {"p1", "bad"} <= set(service.intake.proxies)
+        assert {"p1", "bad"} <= set(service.intake.sessions)
 
     serve(tmp_path, play)
 
@@ -296,10 +296,10 @@
         one = ByHand(service, "p1")
         one.join()
         await until(lambda: bool(one.hosts()))
-        assert list(service.intake.proxies) == ["p1"]
+        assert list(service.intake.sessions) == ["p1"]
 
     log = serve(tmp_path, play)
-    assert sorted(row[2]["proxy"] for row in log.rows if row[1] == "bad file of a proxy") == [
+    assert sorted(row[2]["proxy"] for row in log.rows if row[1] == "input of a proxy rejected") == [
         "empty",
         "noise",
     ]
@@ -311,16 +311,18 @@
         one.join()
         await until(lambda: len(one.hosts()) == 3)
         for how in ("lies", "stall"):
-            before = log.texts("warning").count("no list from the roster")
+            before = log.texts("warning").count("endpoint list unavailable")
             roster.how = how
             roster.index += 1
-            await until(lambda before=before: log.texts("warning").count("no list from the roster") > before)  # type: ignore[misc]
+            await until(
+                lambda before=before: log.texts("warning").count("endpoint list unavailable") > before
+            )  # type: ignore[misc]
             await trio.sleep(0.5)
             one.load()
-            assert log.texts("warning").count("no list from the roster") == before + 1
+            assert log.texts("warning").count("endpoint list unavailable") == before + 1
             assert len(one.hosts()) == 3
             roster.how = "good"
-            await until(lambda: log.texts()[-1] == "the roster answers again", 15)
+            await until(lambda: log.texts()[-1] == "endpoint list available again", 15)
 
     serve(tmp_path, play)
 
@@ -394,34 +396,34 @@
             zone = forms.UpstreamLocalityStats(upstream_endpoint_stats=[row])
             stats = forms.ClusterStats("load@t0", "", [zone], load_report_interval="1s")
             one.put("load.json", encode(forms.LoadStatsRequest(one.node, [stats])))
-            await until(lambda: bool(other._met))
+            await until(lambda: bool(other.handoff._evidence))
             shutil.rmtree(one.up)
-            await until(lambda: bool(service._hints._hints) and "b" in service.director.hosts)
+            await until(lambda: bool(service.handoff._hints._hints) and "b" in service.controller.hosts)
             now = service.clock.now()
-            assert service.director.hosts["b"].heard.total(now, 4) == [0, 0, 0]
+            assert service.controller.hosts["b"].heard.total(now, 4) == [0, 0, 0]
             moved = ByHand(service, "p1")
             moved.node.metadata["term"] = 2
             moved.join()
             await until(lambda: len(moved.hosts()) == 3)
-            heard = service.director.hosts["b"].heard.total(service.clock.now(), 4)
+            heard = service.controller.hosts["b"].heard.total(service.clock.now(), 4)
             assert heard == [10, 2, 8 * 5000]
-            await until(lambda: len(other._tellers[0]) == 0)
+            await until(lambda: len(other.handoff._senders[0]) == 0)
             nursery.cancel_scope.cancel()
 
     serve(tmp_path, play, listen="127.0.0.1:0")
 
 
 def test_a_link_that_talks_nonsense_is_told_once(tmp_path: Path) -> None:
-    from willowhook.controlplane.links import Post
+    from willowhook.controlplane.links import PeerClient
 
     async def play(service: Service, roster: Roster, log: Log) -> None:
-        post = Post(f"http://127.0.0.1:{service.link_port}", 1.0)
+        client = PeerClient(f"http://127.0.0.1:{service.link_port}", 1.0)
         for body in (b"", b"{}", b"\xff" * 300, b'{"node": {"id": "p", "metadata": {"director": 3}}}'):
-            assert not await post.send(body)
-        assert not await Post("http://127.0.0.1:1", 0.2).send(b"{}")
+            assert not await client.send(body)
+        assert not await PeerClient("http://127.0.0.1:1", 0.2).send(b"{}")
 
     log = serve(tmp_path, play, listen="127.0.0.1:0")
-    assert log.texts("warning") == ["a peer tells what cannot be read"]
+    assert log.texts("warning") == ["handoff packet of a peer rejected"]
 
 
 def test_a_table_that_the_guard_splits_goes_out_in_steps_under_rising_versions(tmp_path: Path) -> None:
@@ -457,7 +459,7 @@
         one.join()
         await until(lambda: one.hosts() == {"a", "b", "c"})
         one.answer()  # taken before the list is news: what is in flight counts with the guard, and refuses
-        await until(lambda: service.intake.proxies["p1"].applied == service.book.count)
+        await until(lambda: service.intake.sessions["p1"].applied == service.book.count)
         roster.hosts["new"], roster.started["new"], roster.index = False, time.time() - 6.0, 2
         await until(lambda: "new" in one.hosts())
         first = one.weights()
@@ -508,7 +510,7 @@
             assert len(told) < 4 or told[0] == "p3"  # the one of least traffic first
         assert all(len(one.hosts()) == 3 for one in fleet)  # and their tables stay as they are
         CliRunner().invoke(main, ["director", "drain", "--config", str(config), "--undo"])
-        await until(lambda: "no longer draining" in log.texts())
+        await until(lambda: "controller draining cancelled" in log.texts())
 
     serve(tmp_path, play)
 
@@ -529,7 +531,7 @@
         roster.hosts["b"], roster.index = True, 2
         await until(lambda: one.hosts() == {"a", "c"})
         shutil.rmtree(one.up)
-        await until(lambda: not service.intake.proxies)
+        await until(lambda: not service.intake.sessions)
 
     log = serve(tmp_path, play)
     assert log.texts("warning") == ["the guard broke and is off"]
--- a/willowhook/controlplane/clock.py
+++ b/willowhook/controlplane/clock.py
@@ -16,6 +16,7 @@
     """The machine's monotonic clock, to which the wall-clock start times of endpoints are converted."""
 
     def __init__(self) -> None:
+        """Creates a clock that has converted nothing yet."""
         self._starts: dict[str, tuple[float, int]] = {}  # by endpoint: Unix seconds, ticks of this clock
 
     def now(self) -> int:
--- a/willowhook/controlplane/condition_log.py
+++ b/willowhook/controlplane/condition_log.py
@@ -11,13 +11,20 @@
 class Logger(Protocol):
     """The part of a structlog logger that the control plane uses."""
 
-    def info(self, event: str, **fields: Any) -> Any:
+    def info(self, event: str, /, **fields: Any) -> Any:
         """Logs an ordinary event."""
 
-    def warning(self, event: str, **fields: Any) -> Any:
+    def warning(self, event: str, /, **fields: Any) -> Any:
         """Logs an event that an operator should look at."""
 
 
+class BindableLogger(Logger, Protocol):
+    """A logger to which fields can be bound that all its lines carry."""
+
+    def bind(self, **fields: Any) -> Logger:
+        """Gives a logger with these fields."""
+
+
 class ConditionLog:
     """Tracks named conditions, such as a full queue or a disk error, and reports only their changes."""
 
@@ -41,3 +48,8 @@
         log(event, **fields)
         shown = {key: str(value) for key, value in fields.items()}
         self._records.note(self._now(), "mode", name=name, on=active, **shown)
+
+    def announce(self, text: str) -> None:
+        """Logs a line for the operator and notes it in the records file."""
+        self._log.info(text)
+        self._records.note(self._now(), "said", text=text)
--- /dev/null
+++ b/willowhook/controlplane/decision_loop.py
@@ -0,0 +1,110 @@
+"""The loop that decides: the one task that calls the controller and the components that feed it."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Sequence
+
+import trio
+
+from ..decisions.events import EvaluationDue
+from ..files.layout import Folder
+from ..ticks import TICKS_PER_SECOND
+from .book import OrderBook
+from .clock import Clock
+from .controller_runtime import EvaluationTimers
+from .decider import Decider
+from .decision_queue import DecisionQueue, DeferredCall
+from .endpoint_directory import EndpointDirectory
+from .publish import Publisher
+from .report_processor import ReportProcessor
+
+MAX_WAIT_TICKS = TICKS_PER_SECOND
+REPORT_POLL_TICKS = TICKS_PER_SECOND // 100  # while reports wait for their budget
+MAINTENANCE_INTERVAL_TICKS = TICKS_PER_SECOND // 10
+MAX_STALL_TICKS = 10 * TICKS_PER_SECOND  # a controller that decides nothing for longer must look dead
+
+
+class DecisionLoop:
+    """Takes all events that are there, flushes the controller once, and hands its messages on."""
+
+    def __init__(
+        self,
+        queue: DecisionQueue,
+        timers: EvaluationTimers,
+        controller: Decider,
+        reports: ReportProcessor,
+        directory: EndpointDirectory,
+        book: OrderBook,
+        publisher: Publisher,
+        maintenance: Sequence[Callable[[int], None]],
+        clock: Clock,
+    ) -> None:
+        """Takes the components that are called.
+
+        Args:
+            queue: of what other tasks have learnt.
+            timers: of the controller's evaluations.
+            controller: that decides.
+            reports: that wait to be processed.
+            directory: of endpoints.
+            book: that collects the controller's commands to proxies.
+            publisher: that is woken for new messages.
+            maintenance: is called after a flush, ten times a second, with the current tick.
+            clock: of this process.
+        """
+        self._queue = queue
+        self._timers = timers
+        self._controller = controller
+        self._reports = reports
+        self._directory = directory
+        self._book = book
+        self._publisher = publisher
+        self._maintenance = maintenance
+        self._clock = clock
+        self._decided_at = 0
+        self._maintained_at = 0
+        self._has_budget_for_reports = False
+
+    async def run(self) -> None:
+        """Decides until cancelled."""
+        self._decided_at = self._clock.now()
+        self._controller.flush(self._decided_at)  # its first command may ask for the endpoint list
+        while True:
+            batch = await self._queue.receive_batch(self._wait_ticks() / TICKS_PER_SECOND)
+            self._decide(batch)
+            await trio.lowlevel.checkpoint()
+
+    async def run_heartbeat(self, folder: Folder, interval_seconds: float) -> None:
+        """Renews the folder's heartbeat for as long as decisions are made."""
+        while True:
+            if self._clock.now() - self._decided_at < MAX_STALL_TICKS:
+                folder.beat()
+            await trio.sleep(interval_seconds)
+
+    def _wait_ticks(self) -> int:
+        """How long the loop may wait for an event."""
+        now = self._clock.now()
+        due = self._timers.next_due(now + MAX_WAIT_TICKS)
+        if self._reports.has_waiting():
+            due = now if self._has_budget_for_reports else min(due, now + REPORT_POLL_TICKS)
+        return max(due - now, 0)
+
+    def _decide(self, batch: Sequence[DeferredCall]) -> None:
+        now = self._decided_at = self._clock.now()
+        for call in batch:
+            call(now)
+        self._has_budget_for_reports = self._reports.process_waiting()
+        self._reports.maintain(now, len(self._book.members))
+        is_maintenance_due = now - self._maintained_at >= MAINTENANCE_INTERVAL_TICKS
+        if is_maintenance_due:
+            self._directory.update_tiers(now)
+        self._directory.show_tier_changes(now)
+        while self._timers.pop_due(now):
+            self._controller.handle(now, EvaluationDue())
+        self._controller.flush(now)
+        self._book.moment_over(now)
+        self._publisher.wake()
+        if is_maintenance_due:
+            self._maintained_at = now
+            for maintain in self._maintenance:
+                maintain(now)
--- /dev/null
+++ b/willowhook/controlplane/discovery_feed.py
@@ -0,0 +1,226 @@
+"""The proxies that call the discovery server: the control plane's side of it.
+
+What the server learns goes to the decision task in the order in which it was learnt. The server's own state
+is kept by the tasks that serve calls, in the same thread.
+"""
+
+from __future__ import annotations
+
+from typing import Any
+
+import trio
+
+from ..config.terms import FrontTerms
+from ..files.layout import STATUS
+from ..front.bodies import Bodies
+from ..front.discovery import Discovery
+from ..front.identity import Bearer, CredentialError, Identity, Unproven
+from ..front.limits import Gate
+from ..front.serve import Server, Times
+from ..ticks import TICKS_PER_SECOND
+from ..versions.core import Core, Part, Resource
+from ..versions.desk import Desk
+from ..xds import forms
+from ..xds.codec import encode
+from .decision_queue import DecisionQueue, DeferredCall
+from .intake import ProxyIntake
+from .outlets import WebOutlet
+from .publish import Publisher
+from .render import Held, uses
+from .report_processor import ReportProcessor
+
+LISTEN_BACKLOG = 2048  # connections: a whole fleet may connect at once
+ENDPOINT_REQUEST_FILE = "eds.json"
+
+
+def identity_of(settings: FrontTerms) -> Identity:
+    """How callers prove who they are. Raises CredentialError, or OSError if the file cannot be read."""
+    if settings.identity == "none":
+        return Unproven()
+    if not settings.credentials:
+        raise CredentialError("front.credentials names no file")
+    with open(settings.credentials, "rb") as file:
+        return Bearer(file.read())
+
+
+class DiscoveryFeed:
+    """Runs the discovery server and hands what it learns to the decision task.
+
+    Attributes:
+        gate: the limits on connections and requests.
+        bodies: the cache of responses.
+        front: the discovery protocol.
+        server: the HTTP server.
+    """
+
+    def __init__(
+        self,
+        controller: str,
+        settings: FrontTerms,
+        report_interval_seconds: float,
+        core: Core,
+        publisher: Publisher,
+        intake: ProxyIntake,
+        queue: DecisionQueue,
+        reports: ReportProcessor,
+    ) -> None:
+        """Creates a server that listens once it runs.
+
+        Args:
+            controller: the name of this controller.
+            settings: of the server.
+            report_interval_seconds: between two load reports of a proxy, unless it is told otherwise.
+            core: the resources.
+            publisher: of updates.
+            intake: of what proxies say.
+            queue: to the decision task.
+            reports: takes load reports.
+
+        Raises:
+            CredentialError: the credentials are missing or malformed.
+            OSError: the file of credentials cannot be read.
+        """
+        self._settings = settings
+        self._core = core
+        self._publisher = publisher
+        self._intake = intake
+        self._queue = queue
+        self._reports = reports
+        self._desks: dict[str, Desk] = {}  # by the name of the proxy
+        self._pending: list[DeferredCall] = []  # what was learnt by the call that is being served
+        self.gate = Gate(
+            settings.connections_most,
+            settings.proxy_connections_most,
+            settings.asks_per_s / TICKS_PER_SECOND,
+            settings.asks_burst,
+        )
+        self.bodies = Bodies(settings.cache_bytes, settings.compress_from_bytes)
+        self.front = Discovery(
+            controller,
+            self,
+            identity_of(settings),
+            self.gate,
+            self.bodies,
+            settings.come_back_ms / 1000,
+            report_interval_seconds,
+        )
+        times = Times(
+            settings.header_ms / 1000,
+            settings.write_ms / 1000,
+            settings.idle_ms / 1000,
+            settings.wait_ms / 1000,
+        )
+        handle, ended = self.front.handle, self.front.ended
+        self.server = Server(self.gate, times, settings.largest_ask_bytes, handle, ended)
+
+    async def run(self, task_status: trio.TaskStatus[int] = trio.TASK_STATUS_IGNORED) -> None:
+        """Serves proxies until cancelled; the task's start value is the port.
+
+        Raises OSError if the address cannot be had.
+        """
+        address, _, port = self._settings.listen.rpartition(":")
+        listeners = await trio.open_tcp_listeners(int(port), host=address, backlog=LISTEN_BACKLOG)
+        async with trio.open_nursery() as nursery:
+            nursery.start_soon(self.front.run)
+            task_status.started(listeners[0].socket.getsockname()[1])
+            await trio.serve_listeners(self.server.serve, listeners)
+
+    def set_report_interval(self, interval_seconds: float) -> None:
+        """Tells proxies how often to send load reports."""
+        self.front.ask_every(interval_seconds)
+
+    # Sessions, in the decision task.
+
+    def outlet(self, proxy: int, name: str, held: Held) -> WebOutlet:
+        """Opens the outlet of a proxy that has joined, which holds these resources."""
+        desk = Desk(proxy, self._core, self, uses, self._publisher.renderer.drained, held.resources())
+        self._desks[name] = desk
+        return WebOutlet(desk, self._core, self.front.news)
+
+    def close_session(self, name: str) -> None:
+        """Ends the calls of a proxy that has left."""
+        desk = self._desks.pop(name, None)
+        if desk is not None:
+            self.front.forget(desk)
+
+    # What the discovery server asks and says, as its `Hall`.
+
+    def here(self, name: str) -> tuple[int, bool] | None:
+        """The term of a proxy's session, and whether it calls; None if it has none."""
+        session = self._intake.sessions.get(name)
+        return (session.term, session.uses_discovery) if session is not None else None
+
+    def desk(self, name: str) -> Desk | None:
+        """The resources as one proxy is offered them; None if it has no session."""
+        return self._desks.get(name)
+
+    def leaves(self, name: str) -> bool:
+        """Whether a proxy is to follow another controller, as this one drains."""
+        session = self._intake.sessions.get(name)
+        reader = self._publisher.readers.get(session.number) if session is not None else None
+        return reader is not None and isinstance(reader.outlet, WebOutlet) and reader.outlet.leaves
+
+    def called(self, name: str) -> None:
+        """A proxy has given a sign of life."""
+        self._pending.append(lambda now: self._intake.record_activity(now, name))
+
+    def delivered(self, name: str) -> None:
+        """An update has left on a proxy's connection."""
+        session = self._intake.sessions.get(name)
+        if session is not None:
+            self._publisher.delivered(session.number)
+
+    async def arrive(self, name: str, node: forms.Node, holds: list[Any], fresh: bool) -> str:
+        """Opens the session of a proxy that calls; what is malformed in what it says, or empty."""
+        done = trio.Event()
+        fault = ""
+        files = {STATUS: encode({"node": node, "generic_xds_configs": holds})}
+        if not fresh:
+            files[ENDPOINT_REQUEST_FILE] = encode(forms.DiscoveryRequest("held", node))
+
+        def open_session(now: int) -> None:
+            nonlocal fault
+            if not self._has_session(name, node) and not self._intake.open_session(
+                now, name, files, None, uses_discovery=True
+            ):
+                fault = self._intake.last_fault
+            done.set()
+
+        await self._queue.send(open_session)
+        await done.wait()
+        return fault
+
+    def _has_session(self, name: str, node: forms.Node) -> bool:
+        session = self._intake.sessions.get(name)
+        term = node.metadata.get("term", 0)
+        return session is not None and session.uses_discovery and session.term == term
+
+    async def report(self, name: str, body: bytes) -> None:
+        """Takes in a load report."""
+        self._reports.offer(self._publisher.now(), name, body)
+
+    async def settled(self) -> None:
+        """Hands on what was learnt by a call that has been answered."""
+        pending, self._pending = self._pending, []
+        for call in pending:
+            await self._queue.send(call)
+
+    # What desks say, as their listener.
+
+    def applied(self, proxy: int, number: int) -> None:
+        """A proxy has applied this update message."""
+        self._pending.append(lambda now: self._publisher.applied(now, proxy, number))
+
+    def refused(self, proxy: int, row: Resource, error: str) -> None:
+        """A proxy has rejected a resource."""
+        self._pending.append(lambda now: self._publisher.refused_row(now, proxy, row, error))
+
+    def taken(self, proxy: int, part: Part) -> None:
+        """A proxy has acknowledged a part of its resources."""
+        self._pending.append(lambda now: self._publisher.took(now, proxy, part))
+
+    def believes(self, proxy: int, kind: str, version: str, state: str) -> None:
+        """A proxy runs this version of a kind of resources."""
+        reader = self._publisher.readers.get(proxy)
+        if reader is not None:
+            self._publisher.believes(reader, kind, version, state)
--- /dev/null
+++ b/willowhook/controlplane/draining.py
@@ -0,0 +1,47 @@
+"""Drains this controller: its proxies are sent to other controllers, one by one."""
+
+from __future__ import annotations
+
+import os
+
+from ..files.layout import DRAIN, Folder
+from .book import OrderBook
+from .channel import Channel
+from .condition_log import ConditionLog
+
+QUEUE_PARTS = 6  # nobody is sent away while more than one of these parts of the queue is full
+
+
+class ControllerDrain:
+    """Sends proxies away while the operator's drain file exists in the controller's folder."""
+
+    def __init__(
+        self,
+        folder: Folder,
+        queue_limit_entries: float,
+        book: OrderBook,
+        channel: Channel,
+        conditions: ConditionLog,
+    ) -> None:
+        """Takes the folder to look in, and the proxies to send away."""
+        self._path = f"{folder.path}/{DRAIN}"
+        self._max_waiting_entries = queue_limit_entries / QUEUE_PARTS
+        self._book = book
+        self._channel = channel
+        self._conditions = conditions
+        self._is_draining = False
+
+    def step(self, now: int) -> None:
+        """Sends away at most one proxy, that of the lowest request rate, if the queue has room."""
+        is_wanted = os.path.exists(self._path)
+        if is_wanted != self._is_draining:
+            self._is_draining = is_wanted
+            event = "controller draining" if is_wanted else "controller draining cancelled"
+            self._conditions.report("drain", is_wanted, event, proxies=len(self._book.members))
+        if not is_wanted or self._channel.waiting > self._max_waiting_entries:
+            return
+        members = self._book.members.items()
+        candidates = [(member.rate, proxy) for proxy, member in members if not member.leave]
+        if candidates:
+            _, proxy = min(candidates)
+            self._book.send_away(proxy)
--- /dev/null
+++ b/willowhook/controlplane/endpoint_directory.py
@@ -0,0 +1,153 @@
+"""The endpoints that this controller knows: the list, their addresses and which tiers are in use.
+
+An endpoint of a later tier that is not needed is shown to the decisions as draining.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping, Sequence
+from dataclasses import replace
+
+from ..decisions.events import EndpointEntry, EndpointListReceived, EndpointState
+from ..decisions.settings import DeploymentSettings
+from ..membership.tiers import Tiers
+from ..records.writer import Records
+from ..roster.forms import Host
+from .clock import Clock
+from .condition_log import Logger
+from .memory import ControllerMemory
+from .render import Address, Renderer
+
+
+class EndpointDirectory:
+    """Holds the endpoint list and hands it on, with the endpoints of unused tiers as draining."""
+
+    def __init__(
+        self,
+        settings: DeploymentSettings,
+        slow_start_ticks: int,
+        renderer: Renderer,
+        memory: ControllerMemory | None,
+        clock: Clock,
+        records: Records,
+        log: Logger,
+        shown: Callable[[int, Sequence[Host]], None],
+    ) -> None:
+        """Creates an empty directory.
+
+        Args:
+            settings: of the deployment.
+            slow_start_ticks: how long an endpoint that starts is warming up.
+            renderer: is told all addresses.
+            memory: where the list is kept for the next start, if there is a store.
+            clock: of this process.
+            records: the records file.
+            log: for changes of tiers.
+            shown: receives the endpoints as the decisions are to see them, each time they change.
+        """
+        self._settings = settings
+        self._renderer = renderer
+        self._memory = memory
+        self._clock = clock
+        self._records = records
+        self._log = log
+        self._shown_to = shown
+        self._tiers = Tiers(self, slow_start_ticks)
+        self._listed: Sequence[Host] = ()  # as discovery gave them
+        self._shown: dict[str, Host] = {}  # as the decisions see them
+        self._has_tier_changes = False  # since the endpoints were shown
+        self._names_by_address: dict[str, str] = {}
+        self._pools_by_class: dict[str, tuple[str, ...]] = {}
+        self.addresses: dict[str, Address] = {}  # of all endpoints ever listed
+
+    # The list.
+
+    def update(self, now: int, endpoints: Sequence[Host]) -> None:
+        """Takes in a complete endpoint list and shows it."""
+        addresses = {each.id: (each.address, each.port, each.zone) for each in endpoints}
+        self._names_by_address.update({f"{each.address}:{each.port}": each.id for each in endpoints})
+        self._renderer.readdress({**self.addresses, **addresses})
+        self.addresses.update(addresses)
+        self._record(endpoints)
+        self._listed = endpoints
+        start_of = self._clock.start_of
+        rows = [(e.id, self._pools_of(e.kind), e.tier, e.draining, start_of(e)) for e in endpoints]
+        self._tiers.listed(now, rows)
+        self._show(now)
+
+    def _record(self, endpoints: Sequence[Host]) -> None:
+        rows = [[each.id, "draining" if each.draining else "open", each.started] for each in endpoints]
+        self._records.note(self._clock.now(), "list", hosts=rows)
+        if self._memory is not None:
+            self._memory.record_endpoints({each.id: (each.draining, each.started) for each in endpoints})
+
+    def _pools_of(self, endpoint_class: str) -> tuple[str, ...]:
+        """The pools that endpoints of this class are in.
+
+        Routes that may use the same classes share a pool; it is named by these.
+        """
+        if endpoint_class not in self._pools_by_class:
+            pools = [
+                " ".join(route.allowed_classes)
+                for route in self._settings.routes
+                if not route.allowed_classes or endpoint_class in route.allowed_classes
+            ]
+            self._pools_by_class[endpoint_class] = tuple(dict.fromkeys(pools))
+        return self._pools_by_class[endpoint_class]
+
+    def find(self, name: str) -> Host | None:
+        """A listed endpoint as the decisions see it; None if it is not listed."""
+        return self._shown.get(name)
+
+    def is_in_service(self, name: str) -> bool:
+        """Whether an endpoint is listed, not draining, and of a tier in use."""
+        endpoint = self._shown.get(name)
+        return endpoint is not None and not endpoint.draining
+
+    def name_at(self, address: str) -> str | None:
+        """The name of the endpoint that was listed last with this `ADDRESS:PORT`."""
+        return self._names_by_address.get(address)
+
+    @property
+    def names_by_address(self) -> Mapping[str, str]:
+        """The name of the endpoint that was listed last with each `ADDRESS:PORT`."""
+        return self._names_by_address
+
+    # Tiers.
+
+    def record_attempts(self, now: int, name: str, attempts: int, failures: int) -> None:
+        """Takes in what proxies met at an endpoint: tiers whose endpoints all fail are replaced."""
+        self._tiers.heard(now, name, attempts, failures)
+
+    def update_tiers(self, now: int) -> None:
+        """Activates and deactivates the tiers for which the time has come."""
+        self._tiers.look(now)
+
+    def let_in(self, host: str, on: bool, cause: str) -> None:
+        """Is called by `Tiers` when it activates or deactivates an endpoint."""
+        self._has_tier_changes = True
+        self._records.note(self._clock.now(), "tier", host=host, on=on, cause=cause)
+        event = "endpoint of a later tier activated" if on else "endpoint of a later tier deactivated"
+        self._log.info(event, endpoint=host, cause=cause)
+
+    def show_tier_changes(self, now: int) -> None:
+        """Shows the endpoints again if a tier has changed since they were shown."""
+        if self._has_tier_changes:
+            self._show(now)
+
+    def _show(self, now: int) -> None:
+        self._has_tier_changes = False
+        endpoints = [
+            replace(each, draining=True) if self._tiers.held(each.id) else each for each in self._listed
+        ]
+        self._shown = {each.id: each for each in endpoints}
+        self._shown_to(now, endpoints)
+
+    def list_event(self, endpoints: Sequence[Host]) -> EndpointListReceived:
+        """The event by which the controller learns of these endpoints."""
+        return EndpointListReceived(True, tuple(self._entry(each) for each in endpoints))
+
+    def _entry(self, endpoint: Host) -> EndpointEntry:
+        state = EndpointState.DRAINING if endpoint.draining else EndpointState.IN_SERVICE
+        started_at = self._clock.start_of(endpoint)
+        return EndpointEntry(endpoint.id, state, started_at, endpoint.size, endpoint.kind, endpoint.zone)
--- /dev/null
+++ b/willowhook/controlplane/endpoint_list_feed.py
@@ -0,0 +1,120 @@
+"""Follows the endpoint list of service discovery for the decision task."""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable, Callable
+
+import trio
+
+from ..config.terms import Terms
+from ..files.layout import LIST
+from ..files.ops import FileOps
+from ..files.swap import read_at, swap_file
+from ..roster.forms import Host, RosterError, read_hosts
+from ..roster.reader import Roster
+from .condition_log import ConditionLog
+
+MAX_LIST_BYTES = 1 << 26
+RETRY_SECONDS = 1.0  # after a failure, where the controller does not ask for the list itself
+
+
+class EndpointListFeed:
+    """Hands on every endpoint list that has changed, and every failure to get one."""
+
+    def __init__(
+        self,
+        terms: Terms,
+        folder: str,
+        ops: FileOps,
+        conditions: ConditionLog,
+        received: Callable[[list[Host]], Awaitable[None]],
+        lost: Callable[[], Awaitable[None]],
+    ) -> None:
+        """Creates a feed that asks nothing until one of its tasks runs.
+
+        Args:
+            terms: the configuration.
+            folder: of the controller, where the last list is saved.
+            ops: file operations.
+            conditions: is told when discovery or the disk fails and recovers.
+            received: receives each list.
+            lost: is called when discovery did not answer, or not with a list.
+        """
+        self._settings = terms.roster
+        self._controller = terms.name
+        self._folder = folder
+        self._ops = ops
+        self._conditions = conditions
+        self._received = received
+        self._lost = lost
+        self._watch_requested = trio.Event()
+        self._fetch_requested = trio.Event()
+        if not self._settings.subscribe:
+            self._watch_requested.set()
+
+    def last_saved(self) -> list[Host]:
+        """The list that this folder holds from before, maybe stale; empty if there is none."""
+        try:
+            return read_hosts(read_at(None, f"{self._folder}/{LIST}", MAX_LIST_BYTES))
+        except (OSError, RosterError):
+            return []
+
+    def watch(self) -> None:
+        """Asks for the list and, from then on, for its changes."""
+        self._watch_requested.set()
+
+    def fetch(self) -> None:
+        """Asks for the complete list once."""
+        self._fetch_requested.set()
+
+    async def run_watch(self) -> None:
+        """Follows the list for as long as it is asked for, until cancelled."""
+        client = self._client()
+        is_complete_wanted = True
+        while True:
+            await self._watch_requested.wait()
+            if await self._poll(client, is_complete_wanted):
+                is_complete_wanted = False
+                continue
+            is_complete_wanted = True
+            if self._settings.subscribe:  # the controller decides when to ask again
+                self._watch_requested = trio.Event()
+                await self._lost()
+            else:
+                await trio.sleep(RETRY_SECONDS)
+
+    async def run_fetches(self) -> None:
+        """Gets one complete list each time that one is asked for, until cancelled."""
+        client = self._client()
+        while True:
+            await self._fetch_requested.wait()
+            self._fetch_requested = trio.Event()
+            if not await self._poll(client, True):
+                await self._lost()
+
+    def _client(self) -> Roster:
+        settings = self._settings
+        wait_seconds = settings.wait_ms / 1000
+        timeout_seconds = settings.timeout_ms / 1000
+        return Roster(settings.url, settings.service, wait_seconds, timeout_seconds, agent=self._controller)
+
+    async def _poll(self, client: Roster, is_complete_wanted: bool) -> bool:
+        """Asks once; False if discovery failed."""
+        try:
+            endpoints = await client.ask(is_complete_wanted)
+        except RosterError as error:
+            self._conditions.report("roster", True, "endpoint list unavailable", cause=str(error))
+            return False
+        self._conditions.report("roster", False, "endpoint list available again")
+        if endpoints is not None:
+            await self._received(endpoints)
+            self._save(client.body)
+        return True
+
+    def _save(self, body: bytes) -> None:
+        try:
+            swap_file(self._ops, self._folder, LIST, body)
+        except OSError as error:
+            self._conditions.report("list", True, "endpoint list cannot be saved", cause=str(error))
+        else:
+            self._conditions.report("list", False, "endpoint list saved again")
--- /dev/null
+++ b/willowhook/controlplane/handoff_peers.py
@@ -0,0 +1,138 @@
+"""Hands evidence of proxies that leave to the controllers that may get them, and takes in theirs.
+
+A hint is evidence and nothing else: losing, doubling or reordering one does no harm.
+"""
+
+from __future__ import annotations
+
+from functools import partial
+
+import trio
+
+from ..config.facts import ticks
+from ..config.terms import LinkTerms
+from ..decisions.events import EndpointReport
+from ..decisions.model import Ring
+from ..membership.handoff import Hint, Listener, Packet, Teller
+from ..records.writer import Records
+from ..ticks import TICKS_PER_SECOND
+from ..xds.codec import FormError
+from .condition_log import ConditionLog
+from .decider import EventHandler
+from .decision_queue import DecisionQueue
+from .endpoint_directory import EndpointDirectory
+from .handoff_codec import decode_packet, encode_packet
+from .links import PeerClient, serve_peers
+
+EVIDENCE_BUCKETS = 5  # of a second each, that are handed on
+FIRST_RETRY_TICKS = TICKS_PER_SECOND // 5
+
+
+class HandoffPeers:
+    """Keeps recent evidence by proxy, sends it when the proxy leaves, and uses what peers sent.
+
+    All but `run`, `serve` and the tasks they own is called by the decision task.
+    """
+
+    def __init__(
+        self,
+        settings: LinkTerms,
+        controller: str,
+        epoch: int,
+        directory: EndpointDirectory,
+        queue: DecisionQueue,
+        handle: EventHandler,
+        records: Records,
+        conditions: ConditionLog,
+    ) -> None:
+        """Creates the senders to all configured peers; nothing is sent before `run`."""
+        self._settings = settings
+        self._directory = directory
+        self._queue = queue
+        self._handle = handle
+        self._records = records
+        self._conditions = conditions
+        lifetime_ticks = ticks(settings.lasts_ms)
+        self._hints = Listener(lifetime_ticks)
+        self._clients = [PeerClient(url, settings.timeout_ms / 1000) for url in settings.peers]
+        self._senders = [
+            Teller(controller, epoch, partial(self._start_sending, k), FIRST_RETRY_TICKS, lifetime_ticks)
+            for k in range(len(self._clients))
+        ]
+        # by proxy and endpoint: attempts, failures, sum of latency in ticks
+        self._evidence: dict[int, dict[str, Ring]] = {}
+        self._nursery: trio.Nursery | None = None
+
+    # Tasks.
+
+    async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
+        """Owns the tasks that send packets, until cancelled."""
+        async with trio.open_nursery() as nursery:
+            self._nursery = nursery
+            task_status.started()
+            await trio.sleep_forever()
+
+    async def serve(self, task_status: trio.TaskStatus[int] = trio.TASK_STATUS_IGNORED) -> None:
+        """Serves peers until cancelled; the task's start value is the port."""
+        await serve_peers(self._settings.listen, self._accept, task_status)
+
+    def _start_sending(self, peer: int, packet: Packet) -> None:
+        if self._nursery is not None:
+            body = encode_packet(packet, self._directory.addresses)
+            self._nursery.start_soon(self._send, peer, packet, body)
+
+    async def _send(self, peer: int, packet: Packet, body: bytes) -> None:
+        if await self._clients[peer].send(body):
+            sender = self._senders[peer]
+            await self._queue.send(lambda now: sender.answered(packet.epoch, packet.number))
+
+    async def _accept(self, body: bytes) -> bool:
+        """Takes in a packet of a peer; says whether it could be read."""
+        try:
+            packet = decode_packet(body, self._directory.names_by_address)
+        except FormError as error:
+            self._conditions.report("link", True, "handoff packet of a peer rejected", cause=str(error))
+            return False
+        self._conditions.report("link", False, "handoff packets of peers accepted again")
+        await self._queue.send(lambda now: self._hints.take(now, packet))
+        return True
+
+    # Evidence, in the decision task.
+
+    def record_attempts(
+        self, now: int, proxy: int, endpoint: str, attempts: float, failures: float, latency_sum_ticks: float
+    ) -> None:
+        """Keeps what a proxy met at an endpoint, where there are peers to hand it to."""
+        if not self._clients:
+            return
+        by_endpoint = self._evidence.setdefault(proxy, {})
+        if endpoint not in by_endpoint:
+            by_endpoint[endpoint] = Ring(TICKS_PER_SECOND, EVIDENCE_BUCKETS, 3)
+        by_endpoint[endpoint].add(now, attempts, failures, latency_sum_ticks)
+
+    def send_evidence(self, now: int, proxy: int, name: str, term: int) -> None:
+        """Sends what a proxy met of late, in the session of this term, to all peers, as it leaves."""
+        endpoints = {}
+        for endpoint, ring in self._evidence.pop(proxy, {}).items():
+            attempts, failures, latency_sum_ticks = ring.total(now, EVIDENCE_BUCKETS)
+            if attempts:
+                mean_latency_ticks = round(latency_sum_ticks / max(attempts - failures, 1))
+                endpoints[endpoint] = (int(attempts), int(failures), mean_latency_ticks)
+        if endpoints:
+            hint = Hint(name, term, EVIDENCE_BUCKETS * TICKS_PER_SECOND, endpoints)
+            for sender in self._senders:
+                sender.tell(now, hint)
+
+    def resend_unanswered(self, now: int) -> None:
+        """Sends packets that no peer has answered once more, with exponential backoff."""
+        for sender in self._senders:
+            sender.look(now)
+
+    def use_evidence(self, now: int, name: str, term: int) -> None:
+        """Hands the controller what a joining proxy met in its session with a peer, if one sent it."""
+        hint = self._hints.claim(now, name, term)
+        if hint is None:
+            return
+        for endpoint, (attempts, failures, mean_latency_ticks) in hint.hosts.items():
+            self._handle(now, EndpointReport(endpoint, attempts, failures, mean_latency_ticks, None))
+        self._records.note(now, "hint", proxy=name, term=hint.term, hosts=len(hint.hosts))
--- /dev/null
+++ b/willowhook/controlplane/health_checker.py
@@ -0,0 +1,76 @@
+"""Sends the health checks that the controller asks for."""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable, Callable
+
+import trio
+
+from ..decisions.events import HealthCheckCompleted, HealthCheckOutcome
+from ..roster.forms import Host
+from ..web.wire import Broken, Caller, dial
+from ..xds import orca
+
+MAX_CONCURRENT_CHECKS = 500
+MAX_RESPONSE_BYTES = 1 << 16
+OUTCOME_BY_STATUS = {200: HealthCheckOutcome.HEALTHY, 503: HealthCheckOutcome.OVERLOADED}
+
+
+class HealthChecker:
+    """Checks endpoints over HTTP, each in a task of its own."""
+
+    def __init__(
+        self,
+        path: str,
+        timeout_seconds: float,
+        find_endpoint: Callable[[str], Host | None],
+        completed: Callable[[HealthCheckCompleted], Awaitable[None]],
+    ) -> None:
+        """Creates a checker that checks nothing until it runs.
+
+        Args:
+            path: of the request.
+            timeout_seconds: for the whole check.
+            find_endpoint: gives a listed endpoint by its name; None if it is not listed.
+            completed: receives the result of each check.
+        """
+        self._path = path.encode()
+        self._timeout_seconds = timeout_seconds
+        self._find_endpoint = find_endpoint
+        self._completed = completed
+        self._nursery: trio.Nursery | None = None
+        self._running_checks = 0
+
+    async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
+        """Owns the tasks of the checks, until cancelled."""
+        async with trio.open_nursery() as nursery:
+            self._nursery = nursery
+            task_status.started()
+            await trio.sleep_forever()
+
+    def check(self, endpoint_name: str) -> None:
+        """Starts a check, unless the endpoint is not listed or too many checks are running."""
+        endpoint = self._find_endpoint(endpoint_name)
+        if endpoint is None or self._nursery is None or self._running_checks >= MAX_CONCURRENT_CHECKS:
+            return
+        self._running_checks += 1
+        self._nursery.start_soon(self._check, endpoint)
+
+    async def _check(self, endpoint: Host) -> None:
+        outcome = HealthCheckOutcome.TIMED_OUT
+        load: dict[str, float] = {}
+        caller: Caller | None = None
+        try:
+            with trio.move_on_after(self._timeout_seconds):
+                caller = await dial(endpoint.address, endpoint.port)
+                reply = await caller.call(b"GET", self._path, most=MAX_RESPONSE_BYTES)
+                outcome = OUTCOME_BY_STATUS.get(reply.status, HealthCheckOutcome.FAILED)
+                load = orca.load(orca.read(reply.header(orca.HEADER) or b""))
+        except Broken as error:
+            outcome = HealthCheckOutcome.ABORTED if error.sent else HealthCheckOutcome.UNREACHABLE
+        finally:
+            self._running_checks -= 1
+            if caller is not None:
+                with trio.CancelScope(shield=True):
+                    await caller.close()
+        await self._completed(HealthCheckCompleted(endpoint.id, outcome, load.get("busy")))
--- a/willowhook/controlplane/intake.py
+++ b/willowhook/controlplane/intake.py
@@ -51,8 +51,8 @@
 
 
 @dataclass(slots=True)
-class ConnectedProxy:
-    """A proxy that has a session with this controller.
+class SessionState:
+    """The session of a proxy with this controller.
 
     Attributes:
         number: by which the control plane names it.
@@ -77,7 +77,7 @@
     """Keeps the sessions of proxies and emits a `ProxyEvent` for all that is news.
 
     Attributes:
-        proxies: those that have a session, by name.
+        sessions: the open ones, by the name of the proxy.
         windows: the times that load reports covered.
         last_fault: why the input that was rejected last was malformed.
     """
@@ -111,7 +111,7 @@
         self._rejected_files: dict[str, str] = {}  # by proxy: the file that was found malformed last
         slot_ticks = max(session_timeout_ticks // TIMEOUT_WHEEL_RESOLUTION, 1)
         self._timeouts = Wheel(slot_ticks, TIMEOUT_WHEEL_SLOTS, 0)
-        self.proxies: dict[str, ConnectedProxy] = {}
+        self.sessions: dict[str, SessionState] = {}
         self.windows = Windows()
         self.last_fault = ""
 
@@ -137,7 +137,7 @@
         Returns:
             False if the files do not make a proxy, or not yet.
         """
-        if name in self.proxies:
+        if name in self.sessions:
             self.close_session(name, "came again")
         try:
             check_proxy_name(name)
@@ -151,8 +151,8 @@
             self._reject(name, STATUS, str(error))
             return False
         self._rejected_files.pop(name, None)
-        proxy = ConnectedProxy(number, name, status.term, now, uses_discovery)
-        self.proxies[name] = proxy
+        proxy = SessionState(number, name, status.term, now, uses_discovery)
+        self.sessions[name] = proxy
         self._touch(now, proxy)
         self._emit(_session_opened(proxy, status, is_fresh))
         return True
@@ -167,32 +167,32 @@
 
     def close_session(self, name: str, reason: str) -> None:
         """Closes the proxy's session, if it has one."""
-        proxy = self.proxies.pop(name, None)
+        proxy = self.sessions.pop(name, None)
         if proxy is not None:
             self._timeouts.drop(name)
             self._emit(ProxySessionClosed(proxy.number, name, reason))
 
     def record_activity(self, now: int, name: str) -> None:
         """Takes a call of a proxy for a sign of life."""
-        proxy = self.proxies.get(name)
+        proxy = self.sessions.get(name)
         if proxy is not None:
             self._touch(now, proxy)
 
-    def _touch(self, now: int, proxy: ConnectedProxy) -> None:
+    def _touch(self, now: int, proxy: SessionState) -> None:
         proxy.heard_at = now
         self._timeouts.set(proxy.name, now + self._session_timeout_ticks + 1)
 
     def close_silent_sessions(self, now: int) -> None:
         """Closes the sessions of proxies that gave no sign of life for too long."""
         for name in self._timeouts.overdue(now):
-            silent_ticks = now - self.proxies[name].heard_at
+            silent_ticks = now - self.sessions[name].heard_at
             self.close_session(name, f"silent for {silent_ticks / TICKS_PER_SECOND:.1f} s")
 
     # Files.
 
     def process_file(self, now: int, name: str, file: str, data: bytes) -> None:
         """Takes in a file that a proxy has written; one of a proxy without a session is ignored."""
-        proxy = self.proxies.get(name)
+        proxy = self.sessions.get(name)
         if proxy is None:
             return
         if file == LOAD:
@@ -227,7 +227,7 @@
         if self._rejected_files.get(name) == file:
             del self._rejected_files[name]
 
-    def _is_of_session(self, proxy: ConnectedProxy, node: forms.Node) -> bool:
+    def _is_of_session(self, proxy: SessionState, node: forms.Node) -> bool:
         """Whether a file belongs to the proxy's session with this controller, as the file itself says.
 
         A file that names another controller, or a later session, closes this one.
@@ -240,7 +240,7 @@
             self.close_session(proxy.name, f"follows {named or 'another'} in term {term}")
         return claim == "mine"
 
-    def _process_request(self, proxy: ConnectedProxy, kind: str, request: forms.DiscoveryRequest) -> None:
+    def _process_request(self, proxy: SessionState, kind: str, request: forms.DiscoveryRequest) -> None:
         """Takes in a proxy's answer to an update: applied or rejected."""
         version = read_answered_version(kind, request)
         if version is None:
@@ -279,7 +279,7 @@
         Returns:
             The cause and the bytes of each malformed report.
         """
-        proxy = self.proxies.get(name)
+        proxy = self.sessions.get(name)
         if proxy is None:
             return []
         accepted: list[tuple[int, int, Report]] = []
@@ -288,7 +288,7 @@
             try:
                 report = decode(data, forms.LoadStatsRequest)
                 if not self._is_of_session(proxy, report.node):
-                    if name not in self.proxies:  # this report has closed the session
+                    if name not in self.sessions:  # this report has closed the session
                         return malformed
                     continue
                 accepted.append((arrived_at, xxhash.xxh64_intdigest(data), read(report, self._routes)))
@@ -303,7 +303,7 @@
         return malformed
 
     def _emit_reported(
-        self, now: int, proxy: ConnectedProxy, reports: Sequence[tuple[int, int, Report]], arrived: int
+        self, now: int, proxy: SessionState, reports: Sequence[tuple[int, int, Report]], arrived: int
     ) -> None:
         sample = whole(now, proxy.name, self.windows, reports, arrived, not proxy.uses_discovery)
         if sample is None:
@@ -315,7 +315,7 @@
             self._emit(event)
 
 
-def _session_opened(proxy: ConnectedProxy, status: ProxyStatus, is_fresh: bool) -> ProxySessionOpened:
+def _session_opened(proxy: SessionState, status: ProxyStatus, is_fresh: bool) -> ProxySessionOpened:
     return ProxySessionOpened(
         proxy=proxy.number,
         name=proxy.name,
--- /dev/null
+++ b/willowhook/controlplane/load_recorder.py
@@ -0,0 +1,111 @@
+"""Spreads what proxies report, attempts and requests, to all that need it."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping, Sequence
+from dataclasses import dataclass
+
+from ..config.terms import RouteTerms
+from ..decisions.events import RequestReport
+from ..reports.sample import Whole
+from ..ticks import TICKS_PER_SECOND
+from .book import OrderBook
+from .clock import Clock
+from .decider import EventHandler
+from .endpoint_directory import EndpointDirectory
+from .handoff_peers import HandoffPeers
+from .memory import ControllerMemory
+from .proxy_events import AttemptsReported, RequestsReported
+from .publish import Publisher
+from .report_processor import ReportProcessor
+
+
+@dataclass(slots=True)
+class EndpointAttempts:
+    """Attempts at one endpoint, over all routes; estimates, so they need not be whole numbers."""
+
+    attempts: float = 0.0
+    failures: float = 0.0
+    latency_sum_ticks: float = 0.0
+
+    def mean_latency_ticks(self) -> int:
+        """The mean latency of the attempts that succeeded; 0 if none did."""
+        successes = self.attempts - self.failures
+        return round(self.latency_sum_ticks / successes) if successes > 0 else 0
+
+
+class LoadRecorder:
+    """Hands reported load to the aggregation, update validation, tiers, memory and peers."""
+
+    def __init__(
+        self,
+        routes: Sequence[RouteTerms],
+        book: OrderBook,
+        publisher: Publisher,
+        reports: ReportProcessor,
+        directory: EndpointDirectory,
+        memory: ControllerMemory | None,
+        handoff: HandoffPeers,
+        handle: EventHandler,
+        clock: Clock,
+    ) -> None:
+        """Takes the components that are told."""
+        self._priority_weights = {route.name: route.importance for route in routes}
+        self._route_indexes = {route.name: index for index, route in enumerate(routes)}
+        self._book = book
+        self._publisher = publisher
+        self._reports = reports
+        self._directory = directory
+        self._memory = memory
+        self._handoff = handoff
+        self._handle = handle
+        self._clock = clock
+
+    def record_attempts(self, event: AttemptsReported) -> None:
+        """Takes in what a proxy met at endpoints; those whose address is not known are left out."""
+        member = self._book.members.get(event.proxy)
+        if member is None:
+            return
+        now = self._clock.now()
+        by_endpoint = self._aggregate(now, member.zone, event.sample)
+        attempts = sum(each.attempts for each in by_endpoint.values())
+        failures = sum(each.failures for each in by_endpoint.values())
+        self._publisher.rollout.met(now, event.proxy, round(attempts), round(failures))
+        for endpoint, met in by_endpoint.items():
+            self._record_endpoint(now, event.proxy, member.zone, endpoint, met)
+
+    def _aggregate(self, now: int, zone: str, sample: Whole) -> Mapping[str, EndpointAttempts]:
+        """Adds a sample to the aggregation; the result is its sum over routes, by endpoint."""
+        name_at = self._directory.name_at
+        cells = {}
+        by_endpoint: dict[str, EndpointAttempts] = {}
+        for (address, route), row in sample.cells.items():
+            endpoint = name_at(address)
+            if endpoint is None:
+                continue
+            cells[endpoint, route] = row
+            met = by_endpoint.setdefault(endpoint, EndpointAttempts())
+            met.attempts += row[0]
+            met.failures += row[1]
+            met.latency_sum_ticks += row[2]
+        loads = {name: load for at, load in sample.loads.items() if (name := name_at(at)) is not None}
+        self._reports.sums.add(now, zone, sample.since, sample.until, cells, loads)
+        return by_endpoint
+
+    def _record_endpoint(self, now: int, proxy: int, zone: str, endpoint: str, met: EndpointAttempts) -> None:
+        attempts, failures = round(met.attempts), round(met.failures)
+        self._directory.record_attempts(now, endpoint, attempts, failures)
+        if self._memory is not None:
+            mean = met.mean_latency_ticks()
+            self._memory.record_attempts(now, endpoint, zone, attempts, failures, mean)
+        self._handoff.record_attempts(now, proxy, endpoint, met.attempts, met.failures, met.latency_sum_ticks)
+
+    def record_requests(self, event: RequestsReported) -> None:
+        """Takes in the requests of one route that reached a proxy."""
+        report = RequestReport(event.proxy, event.route, event.requests, event.window_ticks)
+        self._handle(self._clock.now(), report)
+        rate_per_second = event.requests * TICKS_PER_SECOND / event.window_ticks
+        name = self._publisher.readers[event.proxy].name
+        self._reports.update_share(name, rate_per_second * self._priority_weights[event.route])
+        route = self._route_indexes[event.route]
+        self._publisher.tell_guard(self._publisher.watchman.came, event.proxy, route, rate_per_second)
--- a/willowhook/controlplane/memory.py
+++ b/willowhook/controlplane/memory.py
@@ -1,31 +1,60 @@
-"""What a director keeps of its life, for its next: evidence, withdrawals, who ran what.
+"""What a controller stores for its next start: evidence of endpoints, exclusions, and who runs what.
 
-Decisions never wait for it: what is to be kept is gathered by key, and a task of its own commits it some
-times a second.  After a restart it is advice that ages: the list and the proxies say what is, and of what was
-met only what is recent counts, and only for hosts that are listed and have not started since.
+Decisions never wait for the store: changes are gathered by key, and a task of its own commits them some times
+a second. After a restart they are advice that ages. The endpoint list and the proxies say what is; of the
+evidence only what is recent counts, and only for endpoints that are listed and have not restarted since.
 """
 
 from __future__ import annotations
 
 import time
-from collections.abc import Callable
-from typing import Any
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
 
 import msgspec
 import trio
 
 from ..store.commit import Committer
 from ..store.store import APPLIED, DEBUG, ORDERS, Op, Store, StoreError
+from ..ticks import TICKS_PER_SECOND
+
+# The spaces of the store, and how dear their records are; these words are on disk.
+EVIDENCE = "met"
+ENDPOINTS = "hosts"
+EXCLUSIONS = "withdrawn"
+PROXIES = "proxies"
+STARTS = "lives"
+VERSIONS = "beliefs"
+RANKS = {
+    EVIDENCE: DEBUG,
+    VERSIONS: APPLIED,
+    PROXIES: APPLIED,
+    ENDPOINTS: ORDERS,
+    EXCLUSIONS: ORDERS,
+    STARTS: ORDERS,
+}
+
+NANOSECONDS_PER_TICK = 100_000
+COMMIT_INTERVAL_SECONDS = 0.2
+EVIDENCE_INTERVAL_TICKS = TICKS_PER_SECOND  # evidence is summed for so long before it is stored
+RECORD_OVERHEAD_BYTES = 40  # of one record in the log, estimated
+COMPACT_AFTER_BYTES = 4 << 20  # of the log since the last snapshot
+COMPACT_CHUNK_BYTES = 1 << 15
+COMPACT_PAUSE_SECONDS = 0.005  # between chunks, for the other tasks
 
-SECOND = 10_000
-MET, HOSTS, OUT, PROXIES, LIVES, BELIEFS = "met", "hosts", "withdrawn", "proxies", "lives", "beliefs"
-RANKS = {MET: DEBUG, BELIEFS: APPLIED, PROXIES: APPLIED, HOSTS: ORDERS, OUT: ORDERS, LIVES: ORDERS}
-COMPACT_FROM = 4 << 20  # bytes of the log since the last snapshot
 _encode = msgspec.msgpack.Encoder().encode
 
 
 class Sums(msgspec.Struct, array_like=True):
-    """What was met with one host from one zone, over a window in ticks; `at` is of the calendar."""
+    """A stored record of what was met at one endpoint from one zone.
+
+    Attributes:
+        zone: the zone.
+        tries: attempts that ended.
+        errors: failures among them.
+        mean: latency of the others, in ticks.
+        window: the time that this covers, in ticks.
+    """
 
     zone: str
     tries: int
@@ -34,147 +63,209 @@
     window: int
 
 
-class Memory:
-    """`say(text)` is told of what an operator is to know.  Raises StoreError or OSError at start."""
+@dataclass(frozen=True, slots=True)
+class StoredEvidence:
+    """Evidence of an endpoint from before this start.
+
+    Attributes:
+        endpoint: its name.
+        sums: what was met.
+        age_ticks: since it was stored.
+    """
+
+    endpoint: str
+    sums: Sums
+    age_ticks: int
+
+
+@dataclass(slots=True)
+class _Attempts:
+    """What was met at one endpoint from one zone since evidence was gathered last."""
+
+    attempts: float = 0.0
+    failures: float = 0.0
+    latency_sum_ticks: float = 0.0
+
+
+class ControllerMemory:
+    """Gathers what is to be stored, and commits it in a task of its own.
+
+    Attributes:
+        store: the store on disk.
+        last_epoch: the epoch of this controller's start before; 0: there was none.
+        failure: why the store cannot keep anything now; empty: it can.
+    """
+
+    def __init__(
+        self, folder: str, controller: str, epoch: int, max_age_ticks: int, announce: Callable[[str], None]
+    ) -> None:
+        """Opens the store and notes this start.
+
+        Args:
+            folder: of the store.
+            controller: the name of this controller.
+            epoch: of this start.
+            max_age_ticks: evidence that is older is of no use.
+            announce: receives what an operator should know.
 
-    def __init__(self, folder: str, name: str, epoch: int, lasts: int, say: Callable[[str], None]) -> None:
-        """`lasts`: for how many ticks what was met is of use."""
+        Raises:
+            StoreError: the folder holds no usable store, or another process holds it.
+            OSError: the folder cannot be used.
+        """
         self.store = Store(folder, ranks=RANKS)
-        self._lasts, self._say = lasts, say
-        self._committer = Committer(self.store, say)
-        self._gathered: dict[tuple[str, str], bytes | None] = {}
-        self._met: dict[tuple[str, str], list[float]] = {}  # by host and zone since the last look
-        self._met_at = -1
-        self.failing = ""
-        before = self.store.get(LIVES, name)
-        self.last_life = int(before.value) if before is not None else 0
-        self.keep(LIVES, name, b"%d" % epoch)
+        self._max_age_ticks = max_age_ticks
+        self._announce = announce
+        self._committer = Committer(self.store, announce)
+        self._changes: dict[tuple[str, str], bytes | None] = {}  # by space and key; None: to be removed
+        self._attempts: dict[tuple[str, str], _Attempts] = {}  # by endpoint and zone
+        self._gathered_since: int | None = None
+        self.failure = ""
+        last = self.store.get(STARTS, controller)
+        self.last_epoch = int(last.value) if last is not None else 0
+        self._change(STARTS, controller, b"%d" % epoch)
         if self.store.damaged:
-            say("the store has lost records: see willowhook store check")
+            announce("the store has lost records: see willowhook store check")
 
     @staticmethod
-    def calendar() -> int:
-        """Tenths of a millisecond since 1970: a store outlives the machine's own clock."""
-        return time.time_ns() // 100_000
+    def wall_clock() -> int:
+        """Ticks since 1970: records outlive the machine's monotonic clock."""
+        return time.time_ns() // NANOSECONDS_PER_TICK
+
+    # What is stored.
 
-    # What is kept.
+    def _change(self, space: str, key: str, value: bytes | None) -> None:
+        self._changes[space, key] = value
 
-    def keep(self, space: str, key: str, value: bytes | None) -> None:
-        self._gathered[space, key] = value
+    def record_endpoints(self, endpoints: Mapping[str, tuple[bool, float]]) -> None:
+        """Stores the endpoint list: by name whether it drains, and its start in seconds since 1970.
 
-    def listed(self, hosts: dict[str, list[Any]]) -> None:
-        """Hosts as listed: mode and start; only what has changed is written."""
-        for name, row in hosts.items():
+        Only what has changed is written. What is known of endpoints that are not listed is removed.
+        """
+        for name, row in endpoints.items():
             value = _encode(row)
-            held = self.store.get(HOSTS, name)
-            if held is None or held.value != value:
-                self.keep(HOSTS, name, value)
-        for name in [name for name in self.store.state.get(HOSTS, {}) if name not in hosts]:
-            self.keep(HOSTS, name, None)
-            self.keep(OUT, name, None)
-
-    def withdrawn(self, host: str, on: bool) -> None:
-        self.keep(OUT, host, b"1" if on else None)
-
-    def believes(self, proxy: str, part: str, version: str) -> None:
-        self.keep(BELIEFS, f"{proxy} {part}", version.encode())
-
-    def ordered(self, proxy: str, term: int, message: int) -> None:
-        self.keep(PROXIES, proxy, _encode([term, message]))
-
-    def met(self, now: int, host: str, zone: str, tries: int, errors: int, mean: int) -> None:
-        row = self._met.setdefault((host, zone), [0.0, 0.0, 0.0])
-        row[0] += tries
-        row[1] += errors
-        row[2] += mean * (tries - errors)
-        if self._met_at < 0:
-            self._met_at = now
-        if now - self._met_at >= SECOND:
-            self._write_met(now)
-
-    def _write_met(self, now: int) -> None:
-        window = now - self._met_at
-        for (host, zone), (tries, errors, spent) in self._met.items():
-            mean = round(spent / max(tries - errors, 1))
-            sums = Sums(zone, round(tries), round(errors), mean, window)
-            self.keep(MET, f"{host} {zone}", _encode(sums))
-        self._met.clear()
-        self._met_at = now
+            stored = self.store.get(ENDPOINTS, name)
+            if stored is None or stored.value != value:
+                self._change(ENDPOINTS, name, value)
+        for name in [name for name in self.store.state.get(ENDPOINTS, {}) if name not in endpoints]:
+            self._change(ENDPOINTS, name, None)
+            self._change(EXCLUSIONS, name, None)
+
+    def record_exclusion(self, endpoint: str, excluded: bool) -> None:
+        """Stores that an endpoint has been excluded, or removes that record."""
+        self._change(EXCLUSIONS, endpoint, b"1" if excluded else None)
+
+    def record_version(self, proxy: str, part: str, version: str) -> None:
+        """Stores which version of a part of its resources a proxy runs."""
+        self._change(VERSIONS, f"{proxy} {part}", version.encode())
+
+    def record_message(self, proxy: str, term: int, message: int) -> None:
+        """Stores the number of the last update message to a proxy, and of its session."""
+        self._change(PROXIES, proxy, _encode([term, message]))
+
+    def record_attempts(
+        self, now: int, endpoint: str, zone: str, attempts: int, failures: int, mean_latency_ticks: int
+    ) -> None:
+        """Adds what proxies of a zone met at an endpoint to the evidence."""
+        row = self._attempts.setdefault((endpoint, zone), _Attempts())
+        row.attempts += attempts
+        row.failures += failures
+        row.latency_sum_ticks += mean_latency_ticks * (attempts - failures)
+        if self._gathered_since is None:
+            self._gathered_since = now
+        if now - self._gathered_since >= EVIDENCE_INTERVAL_TICKS:
+            self._gather_evidence(now - self._gathered_since)
+            self._gathered_since = now
+
+    def _gather_evidence(self, window_ticks: int) -> None:
+        for (endpoint, zone), row in self._attempts.items():
+            mean = round(row.latency_sum_ticks / max(row.attempts - row.failures, 1))
+            sums = Sums(zone, round(row.attempts), round(row.failures), mean, window_ticks)
+            self._change(EVIDENCE, f"{endpoint} {zone}", _encode(sums))
+        self._attempts.clear()
 
     # What is of use after a restart.
 
-    def recall(self, listed: dict[str, float]) -> list[tuple[str, Sums, int]]:
-        """Of each listed host (by name, its start by the calendar in seconds) what was met of late, and how
-        many ticks ago; what is older than it lasts, or is of a start before, is not told.
+    def recent_evidence(self, started: Mapping[str, float]) -> list[StoredEvidence]:
+        """The evidence that still counts.
+
+        Args:
+            started: the start of each listed endpoint, in seconds since 1970.
+
+        Returns:
+            What is not too old and was met after the endpoint's start.
         """
         found = []
-        now = self.calendar()
-        for key, entry in self.store.by_key(MET):
-            host = key.partition(" ")[0]
-            age = now - entry.at
-            if host not in listed or not 0 <= age <= self._lasts:
+        now = self.wall_clock()
+        for key, entry in self.store.by_key(EVIDENCE):
+            endpoint = key.partition(" ")[0]
+            age_ticks = now - entry.at
+            if endpoint not in started or not 0 <= age_ticks <= self._max_age_ticks:
                 continue
-            if listed[host] * SECOND > entry.at:
+            if started[endpoint] * TICKS_PER_SECOND > entry.at:
                 continue
-            found.append((host, msgspec.msgpack.decode(entry.value, type=Sums), age))
+            found.append(StoredEvidence(endpoint, msgspec.msgpack.decode(entry.value, type=Sums), age_ticks))
         return found
 
     # The task.
 
     async def run(self) -> None:
+        """Commits what has been gathered, and compacts the store, until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._committer.run)
-            written = 0
             try:
-                while True:
-                    await trio.sleep(0.2)
-                    written += await self._commit()
-                    if written > COMPACT_FROM:
-                        written = 0
-                        await self._compact()
+                await self._run_commits()
             finally:
                 nursery.cancel_scope.cancel()
 
+    async def _run_commits(self) -> None:
+        written_bytes = 0
+        while True:
+            await trio.sleep(COMMIT_INTERVAL_SECONDS)
+            written_bytes += await self._commit()
+            if written_bytes > COMPACT_AFTER_BYTES:
+                written_bytes = 0
+                await self._compact()
+
     async def _commit(self) -> int:
-        if not self._gathered:
+        """Commits all changes, a rank at a time; the result is an estimate of the bytes written."""
+        if not self._changes:
             return 0
-        at = self.calendar()
+        now = self.wall_clock()
         by_rank: dict[int, list[Op]] = {}
-        for (space, key), value in self._gathered.items():
-            by_rank.setdefault(RANKS[space], []).append(Op(space, key, at, value))
-        self._gathered.clear()
-        size = 0
+        for (space, key), value in self._changes.items():
+            by_rank.setdefault(RANKS[space], []).append(Op(space, key, now, value))
+        self._changes.clear()
+        written_bytes = 0
         try:
-            for ops in by_rank.values():  # what is less dear may be dropped by itself
-                await self._committer.commit(ops)
-                size += sum(len(op.value or b"") + 40 for op in ops)
-            self._well("")
-        except StoreError as fault:
-            self._well(str(fault))
-            self.store.relieved()  # the next time it is tried anew; until then nothing is promised
-        return size
-
-    def _well(self, cause: str) -> None:
-        if bool(cause) != bool(self.failing):
-            self._say(f"the store cannot keep anything: {cause}" if cause else "the store keeps again")
-        self.failing = cause
+            for changes in by_rank.values():  # a full store may drop a rank and keep the others
+                await self._committer.commit(changes)
+                written_bytes += sum(len(each.value or b"") + RECORD_OVERHEAD_BYTES for each in changes)
+            self._set_failure("")
+        except StoreError as error:
+            self._set_failure(str(error))
+            self.store.relieved()  # the next commit tries again; until then nothing is promised
+        return written_bytes
+
+    def _set_failure(self, cause: str) -> None:
+        if bool(cause) != bool(self.failure):
+            self._announce(f"the store cannot keep anything: {cause}" if cause else "the store keeps again")
+        self.failure = cause
 
     async def _compact(self) -> None:
-        """A piece at a time, with the loop's other work in between."""
         try:
-            for _ in self.store.compact(1 << 15):
-                await trio.sleep(0.005)
-        except OSError as fault:
-            self._say(f"the store could not be compacted: {fault}")
+            for _ in self.store.compact(COMPACT_CHUNK_BYTES):
+                await trio.sleep(COMPACT_PAUSE_SECONDS)
+        except OSError as error:
+            self._announce(f"the store could not be compacted: {error}")
 
     def close(self) -> None:
-        """What was gathered last is written too."""
-        at = self.calendar()
+        """Writes what has been gathered and closes the store."""
+        now = self.wall_clock()
         try:
-            rows = [Op(space, key, at, value) for (space, key), value in self._gathered.items()]
-            if rows and not self.store.read_only and not self.store.take():
-                self.store.write(rows)
+            changes = [Op(space, key, now, value) for (space, key), value in self._changes.items()]
+            if changes and not self.store.read_only and not self.store.take():
+                self.store.write(changes)
                 self.store.flush()
-        except (OSError, StoreError) as fault:
-            self._say(f"the store could not keep its last records: {fault}")
+        except (OSError, StoreError) as error:
+            self._announce(f"the store could not keep its last records: {error}")
         self.store.close()
--- /dev/null
+++ b/willowhook/controlplane/outlet_factory.py
@@ -0,0 +1,54 @@
+"""Makes the outlet through which a proxy that joins gets its updates."""
+
+from __future__ import annotations
+
+from ..config.terms import FileTerms
+from ..files.layout import Folder
+from ..files.ops import FileOps
+from ..files.swap import Shelf
+from ..versions.core import Core
+from .condition_log import ConditionLog
+from .discovery_feed import DiscoveryFeed
+from .outlets import FileOutlet, Outlet
+from .proxy_events import ProxySessionOpened
+
+
+class OutletFactory:
+    """Makes a folder of files or, for a proxy that calls, an entry of the discovery server."""
+
+    def __init__(
+        self,
+        settings: FileTerms,
+        folder: Folder,
+        ops: FileOps,
+        shelf_type: type[Shelf],
+        core: Core,
+        discovery: DiscoveryFeed | None,
+        conditions: ConditionLog,
+    ) -> None:
+        """Takes the folder of this controller, and its discovery server if there is one."""
+        self._settings = settings
+        self._folder = folder
+        self._ops = ops
+        self._shelf_type = shelf_type
+        self._core = core
+        self._discovery = discovery
+        self._conditions = conditions
+        self._count = 0  # of sessions: no two may name their versions of files alike
+
+    def make(self, session: ProxySessionOpened) -> Outlet:
+        """The outlet of a session. A folder that cannot be used is reported, and is tried again later."""
+        self._count += 1
+        if session.uses_discovery and self._discovery is not None:
+            return self._discovery.outlet(session.proxy, session.name, session.held)
+        epoch = self._folder.epoch
+        durability = self._settings.durability
+        path = f"{self._folder.down}/{session.name}"
+        shelf = self._shelf_type(path, self._ops, durability, f"{epoch}-{self._count}-")
+        try:
+            shelf.open()
+        except OSError as error:
+            self._conditions.report(
+                "disk", True, "files cannot be swapped", proxy=session.name, cause=str(error)
+            )
+        return FileOutlet(shelf, self._core, session.term, epoch, durability != "none")
--- /dev/null
+++ b/willowhook/controlplane/proxy_folder_feed.py
@@ -0,0 +1,218 @@
+"""Reads what proxies write in their folders, each file once, and hands it to the decision task."""
+
+from __future__ import annotations
+
+import contextlib
+import os
+import stat
+from collections.abc import Callable
+from functools import partial
+
+import trio
+
+from ..files.layout import LOAD, PROXY_NAME, STATUS, Folder
+from ..files.ops import FileOps
+from ..files.swap import read_at, read_group
+from ..files.watch import Watch
+from .decision_queue import DecisionQueue
+from .intake import ProxyIntake
+from .proxy_files import PROXY_FILES
+from .report_processor import ReportProcessor
+
+REPORT_POLL_SECONDS = 0.05  # between two looks for load reports that may be read now
+
+FolderIdentity = tuple[int, ...]
+"""Tells one folder of a proxy from the next of the same name; empty if there is none."""
+
+FileIdentity = tuple[int, int]
+"""Inode and modification time of a file."""
+
+
+class ProxyFolderFeed:
+    """Watches the folders of proxies. The intake itself is called by the decision task only."""
+
+    def __init__(
+        self,
+        folder: Folder,
+        ops: FileOps,
+        watch: Watch,
+        max_file_bytes: int,
+        intake: ProxyIntake,
+        queue: DecisionQueue,
+        reports: ReportProcessor,
+        now: Callable[[], int],
+    ) -> None:
+        """Creates a feed that reads nothing until it runs.
+
+        Args:
+            folder: of the controller.
+            ops: file operations.
+            watch: tells which files have changed.
+            max_file_bytes: a larger file is malformed.
+            intake: takes in what proxies write.
+            queue: to the decision task.
+            reports: takes load reports.
+            now: gives the current tick.
+        """
+        self._up = folder.up
+        self._down = folder.down
+        self._ops = ops
+        self._watch = watch
+        self._max_file_bytes = max_file_bytes
+        self._intake = intake
+        self._queue = queue
+        self._reports = reports
+        self._now = now
+        self._folders: dict[str, FolderIdentity] = {}  # of the proxies that are here
+        self._files_read: dict[tuple[str, str], FileIdentity] = {}  # by proxy and file
+        self._deferred_reports: dict[str, int] = {}  # by proxy: the tick to read its report at
+
+    # Tasks.
+
+    async def run(self) -> None:
+        """Follows the folders of proxies until cancelled."""
+        self._watch.add(self._up, "")
+        for name in self._ops.listdir(self._up):
+            await self._folder_changed(name)
+        while True:
+            for name, file in await self._watch.changed():
+                if name:
+                    await self._file_changed(name, file)
+                elif file:
+                    await self._folder_changed(file)
+                else:  # the watch has lost changes
+                    for each in dict.fromkeys([*self._ops.listdir(self._up), *self._folders]):
+                        await self._folder_changed(each)
+
+    async def run_deferred_reads(self) -> None:
+        """Reads load reports that came sooner than they should, until cancelled."""
+        while True:
+            await trio.sleep(REPORT_POLL_SECONDS)
+            now = self._now()
+            for name in [name for name, due in self._deferred_reports.items() if due <= now]:
+                del self._deferred_reports[name]
+                await self._file_changed(name, LOAD)
+
+    # Folders.
+
+    async def _folder_changed(self, name: str) -> None:
+        """A proxy's folder has come, has gone or been replaced, or was there all the time."""
+        if not PROXY_NAME.match(name):
+            return
+        identity = self._watch_folder(name)
+        if not identity:
+            self._watch.drop(name)
+            self.forget(name)
+            await self._queue.send(lambda now: self._intake.close_session(name, "its folder is gone"))
+        elif self._folders.get(name) == identity:
+            await self._file_changed(name, "")
+        else:
+            await self._read_new_folder(name, identity)
+
+    def _watch_folder(self, name: str) -> FolderIdentity:
+        """Watches a folder, again if need be: a watch goes with a folder that was replaced."""
+        try:
+            identity = self._folder_identity(name)
+            if identity:
+                self._watch.add(f"{self._up}/{name}", name)
+        except OSError:
+            return ()
+        return identity
+
+    def _folder_identity(self, name: str) -> FolderIdentity:
+        """The status file counts too: inode numbers of folders are used again."""
+        path = f"{self._up}/{name}"
+        found = os.lstat(path)
+        if not stat.S_ISDIR(found.st_mode):
+            return ()
+        try:
+            return found.st_ino, *_file_identity(f"{path}/{STATUS}")
+        except OSError:
+            return (found.st_ino,)
+
+    async def _read_new_folder(self, name: str, identity: FolderIdentity) -> None:
+        self.forget(name)
+        read = {file: await self._read(name, file) for file in PROXY_FILES}
+        files = {file: data for file, data in read.items() if data is not None}
+        previous: dict[str, bytes] | None = None
+        with contextlib.suppress(OSError):  # no controller has sent it anything
+            previous = read_group(f"{self._down}/{name}")[1]
+        self._folders[name] = identity
+        await self._queue.send(partial(self._open_session, name, identity, files, previous))
+
+    def _open_session(
+        self,
+        name: str,
+        identity: FolderIdentity,
+        files: dict[str, bytes],
+        previous: dict[str, bytes] | None,
+        now: int,
+    ) -> None:
+        if self._intake.open_session(now, name, files, previous):
+            self._folders[name] = identity
+        else:  # read again when it writes the next file
+            self.forget(name)
+
+    def forget(self, name: str) -> None:
+        """Takes a proxy's next file, or its next folder, as if it had just come."""
+        self._folders.pop(name, None)
+        for file in PROXY_FILES:
+            self._files_read.pop((name, file), None)
+
+    # Files.
+
+    async def _file_changed(self, name: str, file: str) -> None:
+        """Reads one file of a proxy; all of them if `file` is empty, as the watch has lost changes."""
+        if name not in self._folders:
+            await self._folder_changed(name)  # its session was closed, or its folder was incomplete
+            return
+        for each in [file] if file else PROXY_FILES:
+            if each == LOAD:
+                await self._read_report(name)
+                continue
+            data = await self._read(name, each)
+            if data is not None:
+                await self._queue.send(partial(self._process_file, name, each, data))
+
+    def _process_file(self, name: str, file: str, data: bytes, now: int) -> None:
+        self._intake.process_file(now, name, file, data)
+
+    async def _read_report(self, name: str) -> None:
+        """Reads a load report, or defers it: a newer one may have replaced it by then."""
+        if self._reports.is_quarantined(name):
+            return
+        now = self._now()
+        readable_at = self._reports.readable_at(now, name)
+        if readable_at > now:
+            self._deferred_reports.setdefault(name, readable_at)
+            return
+        self._reports.record_read(now, name)
+        data = await self._read(name, LOAD)
+        if data is not None:
+            self._reports.offer(self._now(), name, data)
+            await trio.lowlevel.checkpoint()  # many reports must not hold up the decisions
+
+    async def _read(self, name: str, file: str) -> bytes | None:
+        """A file's bytes; None if it was read before, does not exist or cannot be read."""
+        path = f"{self._up}/{name}/{file}"
+        try:
+            identity = _file_identity(path)
+            if self._files_read.get((name, file)) == identity:
+                return None
+            data = read_at(None, path, self._max_file_bytes)
+            self._files_read[name, file] = identity
+            return data
+        except (FileNotFoundError, NotADirectoryError):
+            return None
+        except OSError as error:
+            cause = str(error)
+            if file == LOAD:
+                self._reports.reject_unreadable(self._now(), name, cause)
+            await self._queue.send(lambda now: self._intake.reject_unreadable(name, file, cause))
+            return None
+
+
+def _file_identity(path: str) -> FileIdentity:
+    """Raises OSError if there is no such file."""
+    found = os.lstat(path)
+    return found.st_ino, found.st_mtime_ns
--- /dev/null
+++ b/willowhook/controlplane/queue_monitor.py
@@ -0,0 +1,51 @@
+"""Compares the controller's estimate of its channel with the true queue."""
+
+from __future__ import annotations
+
+from ..decisions.settings import ChannelSettings
+from ..records.writer import Records
+from ..ticks import TICKS_PER_SECOND
+from .condition_log import ConditionLog
+from .decider import Decider
+from .publish import Publisher
+
+MIN_DIVERGENCE_ENTRIES = 100  # a smaller difference is not reported
+MAX_DIVERGENCE_FRACTION = 1 / 4  # of the queue's limit
+
+
+class QueueMonitor:
+    """Records the queue once a second, and reports when the controller's estimate is far from it."""
+
+    def __init__(
+        self,
+        settings: ChannelSettings,
+        controller: Decider,
+        publisher: Publisher,
+        records: Records,
+        conditions: ConditionLog,
+    ) -> None:
+        """Takes the two sides to compare, and where the result goes."""
+        self._controller = controller
+        self._publisher = publisher
+        self._records = records
+        self._conditions = conditions
+        limit = settings.queue_limit_entries * MAX_DIVERGENCE_FRACTION
+        self._max_divergence_entries = max(limit, MIN_DIVERGENCE_ENTRIES)
+        self._recorded_second = 0
+
+    def check(self, now: int) -> None:
+        """Compares; once a second also records, and tells update validation the learnt capacities."""
+        estimate = self._controller.queue_estimate()
+        channel = self._publisher.channel
+        waiting = channel.waiting
+        second = now // TICKS_PER_SECOND
+        if second != self._recorded_second:
+            self._recorded_second = second
+            capacities = self._controller.learnt_capacities()
+            self._publisher.tell_guard(self._publisher.watchman.learnt, capacities)
+            self._records.note(
+                now, "queue", believed=round(estimate, 1), waiting=waiting, messages=len(channel)
+            )
+        has_diverged = abs(estimate - waiting) > self._max_divergence_entries
+        event = "queue estimate diverged" if has_diverged else "queue estimate converged"
+        self._conditions.report("drift", has_diverged, event, believed=round(estimate), waiting=waiting)
--- /dev/null
+++ b/willowhook/controlplane/report_interval.py
@@ -0,0 +1,39 @@
+"""Publishes how often proxies are to send load reports."""
+
+from __future__ import annotations
+
+from ..files.layout import PACE, Folder
+from ..files.ops import FileOps
+from ..files.swap import swap_file
+from ..ticks import TICKS_PER_SECOND
+from ..xds import forms
+from ..xds.codec import encode
+from .condition_log import ConditionLog
+from .discovery_feed import DiscoveryFeed
+
+
+class ReportIntervalPublisher:
+    """Tells proxies that call through the discovery server, and all others by one file."""
+
+    def __init__(
+        self, folder: Folder, ops: FileOps, discovery: DiscoveryFeed | None, conditions: ConditionLog
+    ) -> None:
+        """Takes the controller's folder, and its discovery server if there is one."""
+        self._folder = folder
+        self._ops = ops
+        self._discovery = discovery
+        self._conditions = conditions
+
+    def publish(self, interval_ticks: int) -> None:
+        """Publishes an interval; a file that cannot be written is reported."""
+        interval_seconds = interval_ticks / TICKS_PER_SECOND
+        if self._discovery is not None:
+            self._discovery.set_report_interval(interval_seconds)
+        data = encode(forms.LoadStatsResponse(True, f"{interval_seconds:.3f}s"))
+        try:
+            swap_file(self._ops, self._folder.path, PACE, data)
+        except OSError as error:
+            event = "report interval cannot be published"
+            self._conditions.report("pace", True, event, cause=str(error))
+        else:
+            self._conditions.report("pace", False, "report interval published again")
--- /dev/null
+++ b/willowhook/controlplane/report_processor.py
@@ -0,0 +1,247 @@
+"""Processes load reports within a budget: what arrives waits here until there is room to read it.
+
+Reading tasks offer reports; the decision task processes them between its flushes, for a few milliseconds at a
+time. Nothing here waits.
+"""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Callable
+
+from ..config.terms import IntakeTerms
+from ..decisions.events import EndpointReport
+from ..records.writer import Records
+from ..reports.budget import Budget
+from ..reports.quarantine import Quarantine
+from ..reports.queue import Queue
+from ..reports.sums import Sums
+from ..ticks import TICKS_PER_MILLISECOND, TICKS_PER_SECOND, ticks_from_milliseconds
+from .clock import Clock
+from .condition_log import Logger
+from .decider import EventHandler
+from .intake import ProxyIntake
+
+NANOSECONDS_PER_TICK = 100_000
+NANOSECONDS_PER_MILLISECOND = 1e6
+NANOSECONDS_PER_MICROSECOND = 1000
+PACE_INTERVAL_TICKS = TICKS_PER_SECOND  # between two looks at the pace of reports
+MAX_HANDOVER_INTERVAL_TICKS = TICKS_PER_SECOND // 4
+MEAN_RATE_SMOOTHING = 0.01  # of the moving average of request rates
+
+
+class ReportProcessor:
+    """Queues load reports, reads them within a budget, and hands their sums to the controller.
+
+    Attributes:
+        queue: the reports that wait.
+        budget: how many may be read now.
+        quarantine: the proxies whose reports are not read for a while.
+        sums: what reports said, since the controller was told last.
+        processed: reports that have been read.
+        handed_over: events that the controller was handed.
+        spent_nanoseconds: the time that reading has taken.
+    """
+
+    def __init__(
+        self,
+        settings: IntakeTerms,
+        rate_per_second: float,
+        interval_ticks: int,
+        session_timeout_ticks: int,
+        intake: ProxyIntake,
+        handle: EventHandler,
+        set_interval: Callable[[int], None],
+        wake: Callable[[], None],
+        draw: Callable[[int], int],
+        clock: Clock,
+        records: Records,
+        log: Logger,
+    ) -> None:
+        """Creates a processor with an empty queue.
+
+        Args:
+            settings: of the budget.
+            rate_per_second: the reports that this controller should be able to read.
+            interval_ticks: between two reports of a proxy, unless it is told otherwise.
+            session_timeout_ticks: a proxy that is silent for longer is given up, which bounds the interval.
+            intake: reads the reports.
+            handle: hands events to the controller.
+            set_interval: receives another interval for proxies, in ticks.
+            wake: is called when there is something to process.
+            draw: gives a random whole number below its argument.
+            clock: of this process.
+            records: the records file.
+            log: for changes of pace and quarantine.
+        """
+        self._intake = intake
+        self._handle = handle
+        self._set_interval = set_interval
+        self._wake = wake
+        self._clock = clock
+        self._records = records
+        self._log = log
+        self._slice_nanoseconds = round(settings.slice_ms * NANOSECONDS_PER_MILLISECOND)
+        self._handover_interval_ticks = min(interval_ticks // 4, MAX_HANDOVER_INTERVAL_TICKS)
+        self._handed_over_at = 0
+        self._paced_at = 0
+        self._arrived_before = 0  # when the pace was looked at last
+        self._read_at: dict[str, int] = {}  # by proxy: when its file was read last
+        self._mean_rate_per_second = 1.0
+        # a proxy that reports less often would be taken for silent
+        max_interval_ticks = session_timeout_ticks * 2 // 5
+        self.queue = Queue(draw)
+        self.budget = Budget(
+            rate_per_second, settings.share, interval_ticks, max_interval_ticks, self._interval_changed
+        )
+        self.quarantine = Quarantine(self)
+        self.sums = Sums(ticks_from_milliseconds(settings.half_life_ms), self._hand_over)
+        self.processed = 0
+        self.handed_over = 0
+        self.spent_nanoseconds = 0
+
+    # What arrives.
+
+    def offer(self, now: int, name: str, data: bytes) -> None:
+        """Queues a report; one of a proxy that has no session or is in quarantine is dropped."""
+        if name not in self._intake.sessions or self.quarantine.rests(now, name):
+            return
+        self._intake.record_activity(now, name)
+        if not self.has_waiting():
+            self._wake()
+        self.queue.offer(now, name, data)
+
+    def is_quarantined(self, name: str) -> bool:
+        """Whether the reports of this proxy need not be read now."""
+        return self.quarantine.rests(self._clock.now(), name)
+
+    def readable_at(self, now: int, name: str) -> int:
+        """The tick from which a proxy's report file may be read: hardly more often than it should report."""
+        last = self._read_at.get(name)
+        return now if last is None else last + self.budget.interval * 3 // 4
+
+    def record_read(self, now: int, name: str) -> None:
+        """Takes note that a proxy's report file is read now."""
+        self._read_at[name] = now
+
+    def reject_unreadable(self, now: int, name: str, cause: str) -> None:
+        """Counts a report file that could not be read as malformed."""
+        self.quarantine.bad(now, name, cause, b"")
+
+    def drop_proxy(self, name: str) -> None:
+        """Drops what waits of a proxy that has left."""
+        self.queue.forget(name)
+        self.quarantine.forget(name)
+        self._read_at.pop(name, None)
+
+    # Processing, in the decision task.
+
+    def has_waiting(self) -> bool:
+        """Whether any report waits."""
+        return len(self.queue) > 0
+
+    def process_waiting(self) -> bool:
+        """Reads reports as the budget allows, for one slice of time at most.
+
+        Returns:
+            Whether some are left.
+        """
+        began = last = time.perf_counter_ns()
+        while self.has_waiting():
+            now = self._clock.now()
+            if not self.budget.spend(now, 1) or not self._process_next(now):
+                break
+            ended = time.perf_counter_ns()
+            self.budget.took((ended - last) / NANOSECONDS_PER_TICK)
+            last = ended
+            if ended - began > self._slice_nanoseconds:
+                break
+        self.spent_nanoseconds += last - began
+        return self.has_waiting()
+
+    def _process_next(self, now: int) -> bool:
+        """Reads the reports of the proxy whose turn it is; says whether there was one."""
+        taken = self.queue.take(now)
+        if taken is None:
+            return False
+        self.processed += len(taken.rows)
+        malformed = self._intake.process_reports(now, taken.proxy, taken.rows, taken.came)
+        if malformed:
+            cause, data = malformed[0]
+            self.quarantine.bad(now, taken.proxy, cause, data)
+        else:
+            self.quarantine.good(now, taken.proxy)
+        return True
+
+    def update_share(self, name: str, rate_per_second: float) -> None:
+        """Gives a proxy its share of the budget, by its weighted request rate beside the mean."""
+        self._mean_rate_per_second += (rate_per_second - self._mean_rate_per_second) * MEAN_RATE_SMOOTHING
+        self.queue.weigh(name, rate_per_second / max(self._mean_rate_per_second, 1e-9))
+
+    def maintain(self, now: int, proxies: int) -> None:
+        """Hands sums over to the controller, and adapts the pace of reports, when it is time."""
+        if now - self._handed_over_at >= self._handover_interval_ticks:
+            self._handed_over_at = now
+            self.handed_over += self.sums.flush()
+        if now - self._paced_at >= PACE_INTERVAL_TICKS:
+            elapsed_ticks = now - self._paced_at
+            self._paced_at = now
+            self._update_pace(now, elapsed_ticks, proxies)
+
+    def _update_pace(self, now: int, elapsed_ticks: int, proxies: int) -> None:
+        arrived = self.queue.came - self._arrived_before
+        self._arrived_before = self.queue.came
+        ticks_per_report = 0.0
+        if self.processed:
+            ticks_per_report = self.spent_nanoseconds / NANOSECONDS_PER_TICK / self.processed
+        self.budget.look(now, arrived * TICKS_PER_SECOND / elapsed_ticks, proxies, ticks_per_report)
+        self.quarantine.look(now)
+        self._intake.windows.look(now)
+        self._records.note(
+            now,
+            "intake",
+            came=self.queue.came,
+            dropped=self.queue.dropped,
+            looked_at=self.processed,
+            handed=self.handed_over,
+            repeats=self._intake.windows.repeats,
+            waiting=len(self.queue),
+            bytes=self.queue.bytes,
+            interval=self.budget.interval,
+            spent_us=self.spent_nanoseconds // NANOSECONDS_PER_MICROSECOND,
+            aside=self.quarantine.left_aside,
+        )
+
+    def _hand_over(
+        self,
+        endpoint: str,
+        zone: str,
+        attempts: int,
+        failures: int,
+        mean_latency_ticks: int,
+        window_ticks: int,
+        load: dict[str, float],
+    ) -> None:
+        event = EndpointReport(endpoint, attempts, failures, mean_latency_ticks, load.get("busy"))
+        self._handle(self._clock.now(), event)
+
+    # What the budget and the quarantine decide.
+
+    def _interval_changed(self, interval_ticks: int) -> None:
+        self._log.info("report interval changed", interval_ms=interval_ticks / TICKS_PER_MILLISECOND)
+        self._records.note(self._clock.now(), "pace", every=interval_ticks)
+        self._set_interval(interval_ticks)
+
+    def quarantined(self, proxy: str, rest: int, cause: str, evidence: bytes) -> None:
+        """Is called by the quarantine: the reports of a proxy are not read for `rest` ticks."""
+        seconds = rest / TICKS_PER_SECOND
+        self._log.warning("reports of a proxy quarantined", proxy=proxy, cause=cause, duration_s=seconds)
+        shown = evidence.decode("latin-1")
+        self._records.note(
+            self._clock.now(), "quarantined", proxy=proxy, rest=rest, cause=cause, evidence=shown
+        )
+
+    def released(self, proxy: str) -> None:
+        """Is called by the quarantine: the reports of a proxy are read again."""
+        self._log.info("reports of a proxy released from quarantine", proxy=proxy)
+        self._records.note(self._clock.now(), "released", proxy=proxy)
--- a/willowhook/controlplane/service.py
+++ b/willowhook/controlplane/service.py
@@ -1,19 +1,12 @@
-"""One running director: a nursery of concerns round the decision module, which one task alone calls.
-
-What happens comes as calls on one bounded channel of memory.  All that is there at one time is one moment:
-the module is told of it, asked once what it wants to order, and the orders go to the publisher's queue.
-"""
+"""A running controller: joins the components that decide, publish and take in, and runs their tasks."""
 
 from __future__ import annotations
 
 import contextlib
-import heapq
 import os
 import random
 import time
-from collections.abc import Callable
-from dataclasses import replace
-from functools import partial
+from collections.abc import Sequence
 from typing import Any
 
 import structlog
@@ -22,43 +15,33 @@
 from ..config.facts import facts, ticks
 from ..config.terms import Terms
 from ..decisions.controller import Controller
-from ..decisions.events import (
-    EndpointEntry,
-    EndpointListLost,
-    EndpointListReceived,
-    EndpointReport,
-    EndpointState,
-    EvaluationDue,
-    HealthCheckCompleted,
-    HealthCheckOutcome,
-    MessageAcknowledged,
-    ProxyJoined,
-    ProxyLeft,
-    RequestReport,
-)
-from ..decisions.model import Ring
-from ..files.layout import DRAIN, PACE, Folder
-from ..files.ops import DiskOps, FileOps, remove
-from ..files.swap import Shelf, swap_file
+from ..decisions.events import EndpointListLost, Event, HealthCheckCompleted
+from ..files.layout import PACE, Folder
+from ..files.ops import DiskOps, FileOps
+from ..files.swap import Shelf
 from ..files.watch import Watch, open_watch
-from ..membership.handoff import Hint, Listener, Packet, Teller
-from ..membership.tiers import Tiers
 from ..records.writer import Records
-from ..reports.sample import Whole
 from ..roster.forms import Host
 from ..store.store import StoreError
 from ..versions.core import Core, first_era
-from ..web.wire import Broken, Caller, dial
-from ..xds import forms, orca
-from ..xds.codec import FormError, encode
-from .book import Message, OrderBook
+from .book import OrderBook
 from .clock import Clock
-from .condition_log import ConditionLog
+from .condition_log import BindableLogger, ConditionLog, Logger
+from .controller_runtime import EvaluationTimers, FileControllerRuntime
+from .decider import Decider, DeciderFactory
+from .decision_loop import DecisionLoop
+from .decision_queue import DecisionQueue
+from .discovery_feed import DiscoveryFeed
+from .draining import ControllerDrain
+from .endpoint_directory import EndpointDirectory
+from .endpoint_list_feed import EndpointListFeed
+from .evidence_recovery import EvidenceRecovery
+from .handoff_peers import HandoffPeers
+from .health_checker import HealthChecker
 from .intake import ProxyIntake
-from .links import Post, listen, read, write
-from .list_feed import ListFeed
-from .memory import Memory
-from .outlets import FileOutlet, Outlet
+from .load_recorder import LoadRecorder
+from .memory import ControllerMemory
+from .outlet_factory import OutletFactory
 from .proxy_events import (
     AttemptsReported,
     ProxyEvent,
@@ -69,582 +52,400 @@
     UpdateApplied,
     UpdateRejected,
 )
-from .proxy_feed import ProxyFeed
-from .publish import Publisher, Reader
-from .render import Address, Held, Renderer
-from .report_desk import ReportDesk
-from .web_feed import WebFeed
-
-SECOND = 10_000
-MET_BUCKETS = 5  # seconds of what was met, that are handed on
-MOST_PROBES = 500  # at once
-SLOW_US = 50_000  # of one check of the guard: longer is told of
-RESEND = 2 * SECOND  # files that are not answered by then are put in place again
-STATUS_OUTCOMES = {200: HealthCheckOutcome.HEALTHY, 503: HealthCheckOutcome.OVERLOADED}
-Event = Callable[[int], None]
-
-
-class Orders:
-    """The decision module's host: orders to proxies go to the book, others to the service."""
-
-    def __init__(self, service: Service) -> None:
-        book = service.book
-        self.schedule_evaluation, self.log = service.wake, service.say
-        self.watch_endpoints, self.fetch_endpoint_list = service.follow, service.fetch
-        self.check_health = service.probe
-        self.set_weight, self.clear_table, self.bind = book.set_weight, book.clear_table, book.bind
-        self.exclude_for_proxy, self.readmit_for_proxy = book.exclude_for_proxy, book.readmit_for_proxy
-        self.forget_endpoint = book.forget_endpoint
-        self.set_admission, self.send_sync_marker = book.set_admission, book.send_sync_marker
-        self._service = service
-
-    def exclude_endpoint(self, endpoint: str) -> None:
-        self._service.book.exclude_endpoint(endpoint)
-        self._note(endpoint, True)
-
-    def readmit_endpoint(self, endpoint: str) -> None:
-        self._service.book.readmit_endpoint(endpoint)
-        self._note(endpoint, False)
-
-    def _note(self, host: str, on: bool) -> None:
-        self._service.records.note(self._service.clock.now(), "withdraw" if on else "readmit", host=host)
-        if self._service.memory is not None:
-            self._service.memory.withdrawn(host, on)
+from .proxy_folder_feed import ProxyFolderFeed
+from .proxy_sessions import ProxySessions
+from .publish import Publisher
+from .publisher_events import PublisherEvents
+from .queue_monitor import QueueMonitor
+from .render import Renderer
+from .report_interval import ReportIntervalPublisher
+from .report_processor import ReportProcessor
+
+RECORDS_FLUSH_SECONDS = 0.1
+SEED_STRIDE = 1000  # between the seeds of two controllers, for their starts
 
 
 class Service:
-    """The director of one folder.  `run` ends when cancelled, or raises what broke."""
+    """The controller of one folder.
+
+    The components are made when it runs, as the epoch of the start is known only then. Each of them owns its
+    state; this class holds none besides.
+
+    Attributes:
+        link_port: the port on which peers are served; 0: none.
+        front_port: the port of the discovery server; 0: none.
+    """
 
     def __init__(
-        self, terms: Terms, ops: FileOps | None = None, log: Any = None,
-        decider: Callable[..., Any] = Controller, shelf: type[Shelf] = Shelf,
-    ) -> None:  # fmt: skip
-        self.terms, self.settings = terms, facts(terms)
-        self.ops, self.clock = ops or DiskOps(), Clock()
-        self._decider, self._shelf = decider, shelf
-        self.log = (log or structlog.get_logger()).bind(director=terms.name)
+        self,
+        terms: Terms,
+        ops: FileOps | None = None,
+        log: BindableLogger | None = None,
+        decider: DeciderFactory = Controller,
+        shelf: type[Shelf] = Shelf,
+    ) -> None:
+        """Creates a service that has not touched anything yet.
+
+        Args:
+            terms: the configuration.
+            ops: file operations.
+            log: the logger.
+            decider: makes what decides.
+            shelf: writes the files of one proxy.
+        """
+        self.terms = terms
+        self.settings = facts(terms)
+        self.ops = ops or DiskOps()
+        self.clock = Clock()
+        self.log: Logger = (log or structlog.get_logger()).bind(controller=terms.name)
         self.folder = Folder(terms.files.folder, self.ops)
         self.records = Records(terms.records.file, terms.records.most_waiting)
-        self.conditions = ConditionLog(self.log, self.records, self.clock.now)
-        self._send, self._receive = trio.open_memory_channel[Event](10_000)
-        self._timers: list[int] = []
-        self._probes_out = 0
-        self._decided_at = 0
-        self._names: dict[int, str] = {}
-        self._hosts: dict[str, Host] = {}
-        self._list: list[Host] = []
-        self._pools_of: dict[str, tuple[str, ...]] = {}  # by kind
-        self.tiers = Tiers(self, ticks(terms.rules.cold_ms))
-        self._reshow = False  # a tier was let in or held: the list must be shown again
-        self._by_address: dict[str, str] = {}
-        self._joins = 0
-        self._worth = {route.name: route.importance for route in terms.routes}
-        self._route_at = {route.name: k for k, route in enumerate(terms.routes)}
-        self._terms_of: dict[int, int] = {}  # of each proxy's stay
-        self._draining = False
-        self._met: dict[int, dict[str, Ring]] = {}  # by proxy and host: tries, errors, time of the answered
-        links = terms.links
-        lasts = ticks(links.lasts_ms)
-        self._hints = Listener(lasts)
-        self._posts = [Post(url, links.timeout_ms / 1000) for url in links.peers]
-        self._tellers: list[Teller] = []
-        self.link_port = self.front_port = 0
-        self._known: dict[str, Address] = {}  # of all hosts ever listed
-        self._noted_at = 0
-        self._nursery: trio.Nursery | None = None
+        self.queue = DecisionQueue()
+        self.link_port = 0
+        self.front_port = 0
+        self._make_decider = decider
+        self._shelf_type = shelf
+
+    async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
+        """Serves until cancelled; has started once all ports are open.
+
+        Raises:
+            FolderTaken: another process holds the folder.
+            OSError: the folder, a port or the credentials cannot be used.
+            CredentialError: the credentials are malformed.
+        """
+        self._open()
+        self._make_publisher()
+        self._make_intake()
+        self._make_controller()
+        self._make_loop()
+        try:
+            async with trio.open_nursery() as nursery:
+                await self._start_tasks(nursery)
+                task_status.started()
+        finally:
+            self._close()
 
     # Start and end.
 
-    async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Raises FolderTaken or OSError if the folder cannot be had."""
-        terms = self.terms
+    def _open(self) -> None:
+        """Takes the folder, and opens what lies on disk."""
         self.folder.open()
-        with contextlib.suppress(FileNotFoundError):
-            self.ops.unlink(f"{self.folder.path}/{PACE}")  # of a life before
-        self._watch: Watch = open_watch(terms.files.watch, terms.files.poll_every_ms / 1000)
-        epoch = self.folder.epoch
-        self.renderer = Renderer(terms, epoch)
-        self.memory: Memory | None = None
-        if terms.store.folder:
-            try:
-                lasts = ticks(terms.store.lasts_ms)
-                self.memory = Memory(terms.store.folder, terms.name, epoch, lasts, self.say)
-            except (StoreError, OSError) as fault:  # it is advice: a director does without
-                self.conditions.report("store", True, "no store", cause=str(fault))
-        self._recalled = False
-        routes = tuple(route.name for route in terms.routes)
-        self.book = OrderBook(self.settings, self._ordered)
+        with contextlib.suppress(FileNotFoundError):  # of a start before
+            self.ops.unlink(f"{self.folder.path}/{PACE}")
+        files = self.terms.files
+        self._watch: Watch = open_watch(files.watch, files.poll_every_ms / 1000)
+        self.conditions = ConditionLog(self.log, self.records, self.clock.now)
+        self.memory = self._open_memory()
+
+    def _open_memory(self) -> ControllerMemory | None:
+        """The memory; None if there is none or it cannot be used, as a controller can do without."""
+        store = self.terms.store
+        if not store.folder:
+            return None
+        lifetime_ticks = ticks(store.lasts_ms)
+        announce = self.conditions.announce
+        try:
+            return ControllerMemory(
+                store.folder, self.terms.name, self.folder.epoch, lifetime_ticks, announce
+            )
+        except (StoreError, OSError) as error:
+            self.conditions.report("store", True, "store unavailable", cause=str(error))
+            return None
+
+    def _close(self) -> None:
+        self.log.info("controller stopped", queue_max_entries=self.channel.most, messages=self.book.count)
+        self._record_validation()
+        self.records.note(self.clock.now(), "ended")
+        self.records.flush()
+        self._watch.close()
+        self.folder.close()
+        if self.memory is not None:
+            self.memory.close()
+
+    def _record_validation(self) -> None:
+        """Records what update validation has found since the start, and what a check cost."""
+        durations_us = sorted(self.publisher.guard_us) or [0]
+        self.records.note(
+            self.clock.now(),
+            "guarded",
+            counts=self.watchman.counts,
+            median_us=durations_us[len(durations_us) // 2],
+            p99_us=durations_us[int(len(durations_us) * 0.99)],
+        )
+
+    # The components.
+
+    def _make_publisher(self) -> None:
+        """Makes what leads from the controller's commands to the proxies."""
+        terms, epoch = self.terms, self.folder.epoch
+        renderer = Renderer(terms, epoch)
+        self.book = OrderBook(self.settings, lambda message: self.publisher.put(message))
         self.core = Core(first_era(epoch, int.from_bytes(os.urandom(3), "big")))
+        self.directory = EndpointDirectory(
+            self.settings,
+            ticks(terms.rules.cold_ms),
+            renderer,
+            self.memory,
+            self.clock,
+            self.records,
+            self.log,
+            self._show_endpoints,
+        )
+        listener = PublisherEvents(
+            self.clock, self.conditions, self.directory, self.queue, self._handle, self.memory
+        )
         self.publisher = Publisher(
-            terms, self.settings, self, self.records, self.log, self.core, self.renderer, epoch, self.book
+            terms,
+            self.settings,
+            listener,
+            self.records,
+            self.log,
+            self.core,
+            renderer,
+            epoch,
+            self.book,
         )
-        self.channel, self.watchman = self.publisher.channel, self.publisher.watchman
-        lost_after = ticks(terms.files.proxy_lost_after_ms)
+        self.channel = self.publisher.channel
+        self.watchman = self.publisher.watchman
+
+    def _make_intake(self) -> None:
+        """Makes what takes in what proxies say."""
+        terms, epoch = self.terms, self.folder.epoch
+        session_timeout_ticks = ticks(terms.files.proxy_lost_after_ms)
         self.intake = ProxyIntake(
-            self._handle_proxy_event, terms.name, epoch, routes, lost_after, lambda: self.book.count
+            self._handle_proxy_event,
+            terms.name,
+            epoch,
+            [route.name for route in terms.routes],
+            session_timeout_ticks,
+            lambda: self.book.count,
+        )
+        self.reports = ReportProcessor(
+            terms.intake,
+            terms.fleet.reports_per_s,
+            ticks(terms.fleet.report_every_ms),
+            session_timeout_ticks,
+            self.intake,
+            self._handle,
+            self._publish_report_interval,
+            self.queue.wake,
+            random.Random(self._seed()).randrange,
+            self.clock,
+            self.records,
+            self.log,
         )
-        self.reports = ReportDesk(
-            terms.intake, terms.fleet.reports_per_s, ticks(terms.fleet.report_every_ms),
-            ticks(terms.files.proxy_lost_after_ms), self, self.intake,
-            self._hand_sums, self.records, self.log, random.Random(terms.seed * 1000 + epoch).randrange,
-        )  # fmt: skip
-        self.web: WebFeed | None = None
+        self.discovery: DiscoveryFeed | None = None
         if terms.front.listen:
-            report_s = terms.fleet.report_every_ms / 1000
-            self.web = WebFeed(
+            self.discovery = DiscoveryFeed(
                 terms.name,
                 terms.front,
-                report_s,
+                terms.fleet.report_every_ms / 1000,
                 self.core,
                 self.publisher,
                 self.intake,
-                self._send.send,
+                self.queue,
                 self.reports,
             )
-        self.lists = ListFeed(
-            terms, self.folder.path, self.ops, self.conditions.report, self._hand_list, self._hand_loss
+        self.report_interval = ReportIntervalPublisher(self.folder, self.ops, self.discovery, self.conditions)
+
+    def _make_controller(self) -> None:
+        """Makes the controller and what it commands, and hands it what is known from before."""
+        terms, epoch = self.terms, self.folder.epoch
+        self.endpoint_list = EndpointListFeed(
+            terms,
+            self.folder.path,
+            self.ops,
+            self.conditions,
+            self._receive_endpoint_list,
+            self._lose_endpoint_list,
+        )
+        self.health_checker = HealthChecker(
+            terms.fleet.probe_path,
+            terms.fleet.dial_ms / 1000,
+            self.directory.find,
+            self._complete_health_check,
+        )
+        self.timers = EvaluationTimers()
+        runtime = FileControllerRuntime(
+            self.book,
+            self.timers,
+            self.endpoint_list,
+            self.health_checker,
+            self.memory,
+            self.clock,
+            self.records,
+            self.conditions,
         )
         now = self.clock.now()
-        self.director = self._decider(Orders(self), self.settings, terms.seed * 1000 + epoch, now)
-        self.log.info("started", epoch=epoch, folder=self.folder.path, process=os.getpid())
+        self.controller: Decider = self._make_decider(runtime, self.settings, self._seed(), now)
+        self.log.info("controller started", epoch=epoch, folder=self.folder.path, process=os.getpid())
         self.records.note(now, "started", director=terms.name, epoch=epoch, wall=time.time())
-        self._listed(self.clock.now(), self.lists.last())
-        most = terms.files.largest_report_bytes
-        self.proxies = ProxyFeed(
-            self.folder, self.ops, self._watch, most, self.intake, self._send, self.reports, self.clock.now
-        )
-        try:
-            async with trio.open_nursery() as nursery:
-                self._nursery = nursery
-                nursery.start_soon(self.records.run, 0.1)
-                nursery.start_soon(self._beat)
-                nursery.start_soon(self.lists.follow)
-                nursery.start_soon(self.lists.fetch_whole)
-                nursery.start_soon(self.publisher.run)
-                if self.memory is not None:
-                    nursery.start_soon(self.memory.run)
-                nursery.start_soon(self.proxies.run)
-                nursery.start_soon(self.proxies.read_later)
-                nursery.start_soon(self._decide)
-                for k in range(len(self._posts)):
-                    first, lasts = SECOND // 5, ticks(terms.links.lasts_ms)
-                    self._tellers.append(Teller(terms.name, epoch, partial(self._hand_on, k), first, lasts))
-                if self.web is not None:
-                    front: Any = await nursery.start(self.web.run)
-                    self.front_port = int(front)
-                    self.log.info("answers calls", port=self.front_port)
-                if terms.links.listen:
-                    port: Any = await nursery.start(listen, terms.links, self._handed)
-                    self.link_port = int(port)
-                task_status.started()
-        finally:
-            self.log.info("ended", queue_most=self.channel.most, messages=self.book.count)
-            self._note_guard()
-            self.records.note(self.clock.now(), "ended")
-            self.records.flush()
-            self._watch.close()
-            self.folder.close()
-            if self.memory is not None:
-                self.memory.close()
-
-    def _note_guard(self) -> None:
-        """What the guard did in this life, and what a check cost."""
-        took = sorted(self.publisher.guard_us) or [0]
-        self.records.note(
-            self.clock.now(), "guarded", counts=self.watchman.counts, median_us=took[len(took) // 2],
-            p99_us=took[int(len(took) * 0.99)],
-        )  # fmt: skip
-
-    # Draining this director: its proxies are handed over one by one.
-
-    def _drain(self, now: int) -> None:
-        """One proxy a tenth of a second at most, of least traffic first, as the queue has room."""
-        wanted = os.path.exists(f"{self.folder.path}/{DRAIN}")
-        if wanted != self._draining:
-            self._draining = wanted
-            text = "draining: proxies are sent to others" if wanted else "no longer draining"
-            self.conditions.report("drain", wanted, text, proxies=len(self.book.members))
-        if not wanted or self.channel.waiting > self.settings.channel.queue_limit_entries / 6:
-            return
-        here = self.book.members
-        rows = sorted((member.rate, proxy) for proxy, member in here.items() if not member.leave)
-        if rows:
-            self.book.send_away(rows[0][1])
-
-    async def _beat(self) -> None:
-        """Signs of life, as long as decisions are made: a director that is stuck must look dead."""
-        patience = 10 * SECOND
-        while True:
-            if self.clock.now() - self._decided_at < patience:
-                self.folder.beat()
-            await trio.sleep(self.terms.files.beat_every_ms / 1000)
-
-    # Decisions: one task calls the module.
-
-    async def _decide(self) -> None:
-        last_look, more = 0, False
-        self._decided_at = self.clock.now()
-        self.director.flush(self._decided_at)  # the first moment: it may want the list
-        while True:
-            now = self.clock.now()
-            due = self._timers[0] if self._timers else now + SECOND
-            if len(self.reports.queue):  # what could not be looked at yet: as soon as there is room
-                due = now if more else min(due, now + SECOND // 100)
-            events: list[Event] = []
-            with trio.move_on_after(max(due - now, 0) / SECOND):
-                events.append(await self._receive.receive())
-            while len(events) < 5000:
-                try:
-                    events.append(self._receive.receive_nowait())
-                except trio.WouldBlock:
-                    break
-            now = self._decided_at = self.clock.now()
-            for event in events:
-                event(now)
-            more = self.reports.work()
-            self.reports.look(now, len(self.book.members))
-            if now - last_look >= SECOND // 10:
-                self.tiers.look(now)
-            if self._reshow:
-                self._show(now)
-            while self._timers and self._timers[0] <= now:
-                heapq.heappop(self._timers)
-                self.director.handle(now, EvaluationDue())
-            self.director.flush(now)
-            self.book.moment_over(now)
-            self.publisher.wake()
-            if now - last_look >= SECOND // 10:
-                last_look = now
-                self.intake.close_silent_sessions(now)
-                self._drain(now)
-                for teller in self._tellers:
-                    teller.look(now)
-                self._compare(now)
-            await trio.lowlevel.checkpoint()
-
-    def _compare(self, now: int) -> None:
-        """The module's estimate of its channel beside the true queue."""
-        believed, true = self.director.queue_estimate(), self.channel.waiting
-        if now // SECOND != self._noted_at:
-            self._noted_at = now // SECOND
-            self.publisher.tell_guard(self.watchman.learnt, self.director.learnt_capacities())
-            self.records.note(
-                now, "queue", believed=round(believed, 1), waiting=true, messages=len(self.channel)
-            )
-        apart = abs(believed - true) > max(self.settings.channel.queue_limit_entries / 4, 100)
-        text = "queue and estimate apart" if apart else "queue and estimate agree"
-        self.conditions.report("drift", apart, text, believed=round(believed), waiting=true)
+        self.recovery = EvidenceRecovery(self.memory, self._handle, self.records, self.log)
+        self._update_endpoints(self.clock.now(), self.endpoint_list.last_saved())
 
-    # Orders that are not for proxies.
-
-    def say(self, text: str) -> None:
-        self.log.info(text)
-        self.records.note(self.clock.now(), "said", text=text)
-
-    def follow(self) -> None:
-        self.lists.watch(True)
-
-    def fetch(self) -> None:
-        self.lists.fetch()
-
-    def wake(self, delay_ticks: int) -> None:
-        heapq.heappush(self._timers, self.clock.now() + max(delay_ticks, 1))
-
-    def probe(self, host: str) -> None:
-        entry = self._hosts.get(host)
-        if entry is not None and self._nursery is not None and self._probes_out < MOST_PROBES:
-            self._probes_out += 1
-            self._nursery.start_soon(self._probe, entry)
-
-    # The channel and the files.
+    def _make_loop(self) -> None:
+        """Makes what the decision task calls besides the controller."""
+        terms = self.terms
+        self.handoff = HandoffPeers(
+            terms.links,
+            terms.name,
+            self.folder.epoch,
+            self.directory,
+            self.queue,
+            self._handle,
+            self.records,
+            self.conditions,
+        )
+        self._make_proxy_components()
+        drain = ControllerDrain(
+            self.folder,
+            self.settings.channel.queue_limit_entries,
+            self.book,
+            self.channel,
+            self.conditions,
+        )
+        monitor = QueueMonitor(
+            self.settings.channel, self.controller, self.publisher, self.records, self.conditions
+        )
+        self.loop = DecisionLoop(
+            self.queue,
+            self.timers,
+            self.controller,
+            self.reports,
+            self.directory,
+            self.book,
+            self.publisher,
+            [
+                self.intake.close_silent_sessions,
+                drain.step,
+                self.handoff.resend_unanswered,
+                monitor.check,
+            ],
+            self.clock,
+        )
 
-    def _ordered(self, message: Message) -> None:
-        self.publisher.put(message)
+    def _make_proxy_components(self) -> None:
+        """Makes what handles the events of proxies."""
+        terms = self.terms
+        self.load_recorder = LoadRecorder(
+            terms.routes,
+            self.book,
+            self.publisher,
+            self.reports,
+            self.directory,
+            self.memory,
+            self.handoff,
+            self._handle,
+            self.clock,
+        )
+        self.folder_feed = ProxyFolderFeed(
+            self.folder,
+            self.ops,
+            self._watch,
+            terms.files.largest_report_bytes,
+            self.intake,
+            self.queue,
+            self.reports,
+            self.clock.now,
+        )
+        outlets = OutletFactory(
+            terms.files,
+            self.folder,
+            self.ops,
+            self._shelf_type,
+            self.core,
+            self.discovery,
+            self.conditions,
+        )
+        self.sessions = ProxySessions(
+            terms.routes,
+            self.folder,
+            self.ops,
+            self.book,
+            self.publisher,
+            outlets,
+            self.folder_feed,
+            self.discovery,
+            self.reports,
+            self.handoff,
+            self._handle,
+            self.clock,
+            self.records,
+            self.log,
+            self.conditions,
+        )
 
-    def mode(self, name: str, on: bool, text: str, **parts: Any) -> None:
-        self.conditions.report(name, on, text, **parts)
+    def _seed(self) -> int:
+        """The seed of random numbers: another one for each controller and each of its starts."""
+        return self.terms.seed * SEED_STRIDE + self.folder.epoch
+
+    async def _start_tasks(self, nursery: trio.Nursery) -> None:
+        await nursery.start(self.health_checker.run)
+        await nursery.start(self.handoff.run)
+        nursery.start_soon(self.records.run, RECORDS_FLUSH_SECONDS)
+        nursery.start_soon(self.loop.run_heartbeat, self.folder, self.terms.files.beat_every_ms / 1000)
+        nursery.start_soon(self.endpoint_list.run_watch)
+        nursery.start_soon(self.endpoint_list.run_fetches)
+        nursery.start_soon(self.publisher.run)
+        if self.memory is not None:
+            nursery.start_soon(self.memory.run)
+        nursery.start_soon(self.folder_feed.run)
+        nursery.start_soon(self.folder_feed.run_deferred_reads)
+        nursery.start_soon(self.loop.run)
+        if self.discovery is not None:
+            discovery_port: Any = await nursery.start(self.discovery.run)
+            self.front_port = int(discovery_port)
+            self.log.info("discovery server listening", port=self.front_port)
+        if self.terms.links.listen:
+            handoff_port: Any = await nursery.start(self.handoff.serve)
+            self.link_port = int(handoff_port)
 
-    def now(self) -> int:
-        return self.clock.now()
+    # What other tasks have learnt, on its way to the decision task.
 
-    def is_open(self, host: str) -> bool:
-        """Whether the last list showed it as open."""
-        entry = self._hosts.get(host)
-        return entry is not None and not entry.draining
+    async def _receive_endpoint_list(self, endpoints: list[Host]) -> None:
+        await self.queue.send(lambda now: self._update_endpoints(now, endpoints))
 
-    def answered(self, now: int, proxy: int, mark: int, took: int) -> None:
-        self.director.handle(now, MessageAcknowledged(proxy, mark))
+    async def _lose_endpoint_list(self) -> None:
+        await self.queue.send(lambda now: self._handle(now, EndpointListLost()))
 
-    def knows(self, proxy: str, part: str, version: str) -> None:
-        if self.memory is not None:
-            self.memory.believes(proxy, part, version)
+    async def _complete_health_check(self, result: HealthCheckCompleted) -> None:
+        await self.queue.send(lambda now: self._handle(now, result))
 
-    def sent(self, proxy: str, term: int, message: int) -> None:
-        if self.memory is not None:
-            self.memory.ordered(proxy, term, message)
+    # What the components tell each other, in the decision task.
 
-    async def soon(self, event: Event) -> None:
-        await self._send.send(event)
+    def _handle(self, now: int, event: Event) -> None:
+        self.controller.handle(now, event)
 
-    # The roster.
+    def _update_endpoints(self, now: int, endpoints: Sequence[Host]) -> None:
+        """Takes in an endpoint list; the first one also brings back what was known of its endpoints."""
+        self.reports.sums.keep(frozenset(each.id for each in endpoints))
+        self.directory.update(now, endpoints)
+        self.recovery.restore(now, endpoints)
 
-    async def _hand_list(self, hosts: list[Host]) -> None:
-        await self._send.send(lambda now: self._listed(now, hosts))
+    def _show_endpoints(self, now: int, endpoints: Sequence[Host]) -> None:
+        """Shows the endpoints to update validation and the controller."""
+        self.publisher.tell_guard(self.watchman.listed, now, endpoints, self.clock.start_of)
+        self._handle(now, self.directory.list_event(endpoints))
 
-    async def _hand_loss(self) -> None:
-        await self._send.send(lambda now: self.director.handle(now, EndpointListLost()))
-
-    def _listed(self, now: int, hosts: list[Host]) -> None:
-        self._by_address.update({f"{host.address}:{host.port}": host.id for host in hosts})
-        self.renderer.readdress({**self._known, **{h.id: (h.address, h.port, h.zone) for h in hosts}})
-        self._known.update({host.id: (host.address, host.port, host.zone) for host in hosts})
-        rows = [[h.id, "draining" if h.draining else "open", h.started] for h in hosts]
-        self.records.note(now, "list", hosts=rows)
-        if self.memory is not None:
-            self.memory.listed({host.id: [host.draining, host.started] for host in hosts})
-        self._list = hosts
-        self.reports.sums.keep(frozenset(host.id for host in hosts))
-        start = self.clock.start_of
-        self.tiers.listed(now, [(h.id, self._pools(h.kind), h.tier, h.draining, start(h)) for h in hosts])
-        self._show(now)
-        if self.memory is not None:
-            self._recall(now, hosts)
-
-    def _pools(self, kind: str) -> tuple[str, ...]:
-        """The sets of hosts, one of routes that may use the same kinds each, in which this kind is."""
-        return self._pools_of.setdefault(kind, tuple(dict.fromkeys(
-            " ".join(route.allowed_classes)
-            for route in self.settings.routes
-            if not route.allowed_classes or kind in route.allowed_classes
-        )))  # fmt: skip
-
-    def let_in(self, host: str, on: bool, cause: str) -> None:
-        self._reshow = True
-        self.records.note(self.clock.now(), "tier", host=host, on=on, cause=cause)
-        self.log.info("a later tier is let in" if on else "a later tier is held", host=host, cause=cause)
-
-    def _show(self, now: int) -> None:
-        """The list to the guard and the module; what is held drains."""
-        self._reshow = False
-        hosts = [replace(host, draining=True) if self.tiers.held(host.id) else host for host in self._list]
-        self._hosts = {host.id: host for host in hosts}
-        self.publisher.tell_guard(self.watchman.listed, now, hosts, self.clock.start_of)
-        self.director.handle(now, EndpointListReceived(True, tuple(map(self._entry, hosts))))
-
-    def _entry(self, host: Host) -> EndpointEntry:
-        state = EndpointState.DRAINING if host.draining else EndpointState.IN_SERVICE
-        return EndpointEntry(host.id, state, self.clock.start_of(host), host.size, host.kind, host.zone)
-
-    def _recall(self, now: int, hosts: list[Host]) -> None:
-        """Once, with the first list: what this director met with these hosts in its life before."""
-        if self._recalled or not hosts or self.memory is None:
-            return
-        self._recalled = True
-        rows = self.memory.recall({host.id: host.started for host in hosts if not host.draining})
-        for host, sums, _ in rows:
-            self.director.handle(now, EndpointReport(host, sums.tries, sums.errors, sums.mean, None))
-        self.records.note(now, "recalled", hosts=len(rows), life=self.memory.last_life)
-        if rows:
-            self.log.info("recalls what it met", hosts=len(rows), oldest_ms=max(row[2] for row in rows) // 10)
-
-    async def _probe(self, host: Host) -> None:
-        outcome, told = HealthCheckOutcome.TIMED_OUT, dict[str, float]()
-        caller: Caller | None = None
-        try:
-            with trio.move_on_after(self.terms.fleet.dial_ms / 1000):
-                caller = await dial(host.address, host.port)
-                reply = await caller.call(b"GET", self.terms.fleet.probe_path.encode(), most=1 << 16)
-                outcome = STATUS_OUTCOMES.get(reply.status, HealthCheckOutcome.FAILED)
-                told = orca.load(orca.read(reply.header(orca.HEADER) or b""))
-        except Broken as fault:
-            outcome = HealthCheckOutcome.ABORTED if fault.sent else HealthCheckOutcome.UNREACHABLE
-        finally:
-            self._probes_out -= 1
-            if caller is not None:
-                with trio.CancelScope(shield=True):
-                    await caller.close()
-        event = HealthCheckCompleted(host.id, outcome, told.get("busy"))
-        await self._send.send(lambda now: self.director.handle(now, event))
-
-    # What proxies say.
+    def _publish_report_interval(self, interval_ticks: int) -> None:
+        self.report_interval.publish(interval_ticks)
 
     def _handle_proxy_event(self, event: ProxyEvent) -> None:
+        now = self.clock.now()
         match event:
             case ProxySessionOpened():
-                self._open_session(event)
+                self.sessions.open(event)
             case ProxySessionClosed():
-                self._close_session(event.proxy, event.name, event.reason)
+                self.sessions.close(event)
             case UpdateApplied():
-                self.publisher.applied(self.clock.now(), event.proxy, event.message)
+                self.publisher.applied(now, event.proxy, event.message)
             case UpdateRejected():
-                now = self.clock.now()
                 self.publisher.refused_group(now, event.proxy, event.kind, event.message, event.cause)
             case AttemptsReported():
-                self._record_attempts(event.proxy, event.sample)
+                self.load_recorder.record_attempts(event)
             case RequestsReported():
-                self._record_requests(event)
+                self.load_recorder.record_requests(event)
             case ProxyInputRejected():
-                self.log.warning("bad file of a proxy", proxy=event.name, cause=event.cause)
-                self.records.note(self.clock.now(), "fault", proxy=event.name, cause=event.cause)
-
-    def _open_session(self, event: ProxySessionOpened) -> None:
-        proxy, name, zone, held = event.proxy, event.name, event.zone, event.held
-        rate, fresh, term, web = (
-            event.usual_rate_per_second,
-            event.is_fresh,
-            event.term,
-            event.uses_discovery,
-        )
-        now = self.clock.now()
-        self._terms_of[proxy] = term
-        self._joins += 1
-        self._names[proxy] = name
-        self.publisher.joined(
-            Reader(proxy, name, term, held, self._outlet(proxy, name, term, held, web), web)
-        )
-        hosts = {k: held.hosts(route.name) for k, route in enumerate(self.terms.routes)}
-        self.book.join(proxy, zone, hosts, rate)
-        self.records.note(now, "joined", proxy=name, zone=zone, rate=rate, fresh=fresh, term=term)
-        self.log.info("proxy joined", proxy=name, zone=zone, fresh=fresh, term=term)
-        self._use_hint(now, name, zone, term)
-        self.publisher.tell_guard(self.watchman.joined, proxy, zone, rate, held)
-        self.director.handle(now, ProxyJoined(proxy, zone, rate, fresh))
-
-    def _close_session(self, proxy: int, name: str, why: str) -> None:
-        now = self.clock.now()
-        self.reports.forget(name)
-        self._tell_peers(now, proxy, name)
-        web = self.publisher.readers[proxy].web
-        self.publisher.left(proxy)
-        self.book.leave(proxy)
-        if web:
-            if self.web is not None:
-                self.web.left(proxy, name)
-            self.records.note(now, "left", proxy=name, why=why)
-            self.log.info("proxy left", proxy=name, why=why)
-            self.director.handle(now, ProxyLeft(proxy))
-            return
-        self.proxies.forget(name)
-        try:
-            remove(self.ops, f"{self.folder.down}/{name}")
-        except OSError as fault:
-            self.conditions.report(
-                "disk", True, "a proxy's folder cannot be cleared", proxy=name, cause=str(fault)
-            )
-        self.records.note(now, "left", proxy=name, why=why)
-        self.log.info("proxy left", proxy=name, why=why)
-        self.director.handle(now, ProxyLeft(proxy))
-
-    def _outlet(self, proxy: int, name: str, term: int, held: Held, web: bool) -> Outlet:
-        if web and self.web is not None:
-            return self.web.outlet(proxy, name, held)
-        series = f"{self.folder.epoch}-{self._joins}-"
-        durability = self.terms.files.durability
-        shelf = self._shelf(f"{self.folder.down}/{name}", self.ops, durability, series)
-        try:
-            shelf.open()
-        except OSError as fault:
-            self.conditions.report("disk", True, "files cannot be swapped", proxy=name, cause=str(fault))
-        return FileOutlet(shelf, self.core, term, self.folder.epoch, durability != "none")
-
-    # Handoff, where there are links.
-
-    def _tell_peers(self, now: int, proxy: int, name: str) -> None:
-        """What was met with this proxy, to all who may get it."""
-        hosts = {}
-        for host, ring in self._met.pop(proxy, {}).items():
-            tries, errors, spent = ring.total(now, MET_BUCKETS)
-            if tries:
-                hosts[host] = (int(tries), int(errors), round(spent / max(tries - errors, 1)))
-        if hosts:
-            hint = Hint(name, self._terms_of[proxy], MET_BUCKETS * SECOND, hosts)
-            for teller in self._tellers:
-                teller.tell(now, hint)
-
-    def _hand_on(self, k: int, packet: Packet) -> None:
-        if self._nursery is not None:
-            self._nursery.start_soon(self._post, k, packet, write(packet, self._known))
-
-    async def _post(self, k: int, packet: Packet, body: bytes) -> None:
-        if await self._posts[k].send(body):
-            teller = self._tellers[k]
-            await self._send.send(lambda now: teller.answered(packet.epoch, packet.number))
-
-    async def _handed(self, body: bytes) -> bool:
-        try:
-            packet = read(body, self._by_address)
-        except FormError as fault:
-            self.conditions.report("link", True, "a peer tells what cannot be read", cause=str(fault))
-            return False
-        self.conditions.report("link", False, "peers tell what can be read")
-        await self._send.send(lambda now: self._hints.take(now, packet))
-        return True
-
-    def _use_hint(self, now: int, name: str, zone: str, term: int) -> None:
-        """Evidence of the proxy's stay with another, as if it had been heard here."""
-        hint = self._hints.claim(now, name, term)
-        if hint is None:
-            return
-        for host, (tries, errors, mean) in hint.hosts.items():
-            self.director.handle(now, EndpointReport(host, tries, errors, mean, None))
-        self.records.note(now, "hint", proxy=name, term=hint.term, hosts=len(hint.hosts))
-
-    def _record_attempts(self, proxy: int, whole: Whole) -> None:
-        """What a proxy met with hosts, of all its reports of a stretch."""
-        now, member = self.clock.now(), self.book.members.get(proxy)
-        if member is None:
-            return
-        zone, cells = member.zone, {}
-        by_host: dict[str, list[float]] = {}
-        for (address, route), row in whole.cells.items():
-            host = self._by_address.get(address)
-            if host is not None:
-                cells[host, route] = row
-                sums = by_host.setdefault(host, [0.0, 0.0, 0.0])
-                for k in range(3):
-                    sums[k] += row[k]
-        loads = {self._by_address[at]: told for at, told in whole.loads.items() if at in self._by_address}
-        self.reports.sums.add(now, zone, whole.since, whole.until, cells, loads)
-        tries, errors = (sum(sums[k] for sums in by_host.values()) for k in (0, 1))
-        self.publisher.rollout.met(now, proxy, round(tries), round(errors))
-        for host, (came, failed, spent) in by_host.items():
-            self.tiers.heard(now, host, round(came), round(failed))
-            if self.memory is not None:
-                mean = round(spent / (came - failed)) if came > failed else 0
-                self.memory.met(now, host, zone, round(came), round(failed), mean)
-            if self._posts:
-                ring = self._met.setdefault(proxy, {}).get(host)
-                if ring is None:
-                    ring = self._met[proxy][host] = Ring(SECOND, MET_BUCKETS, 3)
-                ring.add(now, came, failed, spent)
-
-    def _hand_sums(
-        self, host: str, zone: str, tries: int, errors: int, mean: int, window: int, load: dict[str, float]
-    ) -> None:
-        self.director.handle(self.clock.now(), EndpointReport(host, tries, errors, mean, load.get("busy")))
-
-    def wake_up(self) -> None:
-        """The deciding task has something to do, if it has nothing else."""
-        with contextlib.suppress(trio.WouldBlock):  # it has
-            self._send.send_nowait(lambda now: None)
-
-    def ask_every(self, interval: int) -> None:
-        """How often proxies are to report, where they read it: by calls, and in one file for all others."""
-        if self.web is not None:
-            self.web.ask_every(interval / SECOND)
-        said = encode(forms.LoadStatsResponse(True, f"{interval / SECOND:.3f}s"))
-        try:
-            swap_file(self.ops, self.folder.path, PACE, said)
-        except OSError as fault:
-            self.conditions.report("pace", True, "the pace of reports cannot be told", cause=str(fault))
-        else:
-            self.conditions.report("pace", False, "the pace of reports can be told again")
-
-    def _record_requests(self, event: RequestsReported) -> None:
-        proxy, route = event.proxy, event.route
-        self.director.handle(
-            self.clock.now(), RequestReport(proxy, route, event.requests, event.window_ticks)
-        )
-        rate = event.requests * SECOND / event.window_ticks
-        self.reports.weigh(self._names[proxy], rate * self._worth[route])
-        self.publisher.tell_guard(self.watchman.came, proxy, self._route_at[route], rate)
+                self.log.warning("input of a proxy rejected", proxy=event.name, cause=event.cause)
+                self.records.note(now, "fault", proxy=event.name, cause=event.cause)
--- a/willowhook/trial/herd.py
+++ b/willowhook/trial/herd.py
@@ -221,7 +221,7 @@
                 f"from willowhook.trial.herd import follow_all; follow_all({str(path)!r})",
             ]
             processes.append(subprocess.Popen(args))
-        web = service.web
+        web = service.discovery
         assert web is not None
         need = callers - len(slow)
         with trio.fail_after(120):
@@ -259,7 +259,7 @@
     def bind(self, **_: Any) -> Silent:
         return self
 
-    def info(self, text: str, **parts: Any) -> None:
+    def info(self, text: str, /, **parts: Any) -> None:
         """Nobody reads it."""
 
     warning = info
--- a/willowhook/trial/swaps.py
+++ b/willowhook/trial/swaps.py
@@ -262,7 +262,7 @@
                 nursery.start_soon(stage.play, nursery)
                 while not stage.crews:
                     await trio.sleep(0.05)
-                    if stage.open_hosts() and not hasattr(service, "director"):
+                    if stage.open_hosts() and not hasattr(service, "controller"):
                         await nursery.start(service.run)
                 began = time.perf_counter()
                 others = [
--- a/willowhook/trial/versions.py
+++ b/willowhook/trial/versions.py
@@ -145,11 +145,11 @@
             held.append(Service(terms, decider=partial(Steps, idle)))
             with trio.CancelScope() as playing:
                 nursery.start_soon(stage.play, nursery)
-                while not hasattr(held[0], "director"):
+                while not hasattr(held[0], "controller"):
                     await trio.sleep(0.05)
                     if len(stage.open_hosts()) == len(day.hosts):
                         await nursery.start(held[0].run)
-                decider: Any = held[0].director
+                decider: Any = held[0].controller
                 with trio.move_on_after(60):
                     while decider.moment < Steps.odd_at + 6:
                         await trio.sleep(0.1)
