--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -193,7 +193,7 @@
         one.join()
         await until(lambda: one.hosts() == {"a", "b", "c"})
         one.answer()
-        await until(lambda: not any(service.controller.channel.waiting.values()))
+        await until(lambda: not any(service.controller.channel.unacknowledged.values()))
         roster.hosts["b"], roster.index = True, 2
         await until(lambda: one.hosts() == {"a", "c"})
         one.load()
@@ -398,15 +398,15 @@
             one.put("load.json", encode(forms.LoadStatsRequest(one.node, [stats])))
             await until(lambda: bool(other.handoff._evidence))
             shutil.rmtree(one.up)
-            await until(lambda: bool(service.handoff._hints._hints) and "b" in service.controller.hosts)
+            await until(lambda: bool(service.handoff._hints._hints) and "b" in service.controller.endpoints)
             now = service.clock.now()
-            assert service.controller.hosts["b"].heard.total(now, 4) == [0, 0, 0]
+            assert service.controller.endpoints["b"].attempts(now) == (0, 0, 0)
             moved = ByHand(service, "p1")
             moved.node.metadata["term"] = 2
             moved.join()
             await until(lambda: len(moved.hosts()) == 3)
-            heard = service.controller.hosts["b"].heard.total(service.clock.now(), 4)
-            assert heard == [10, 2, 8 * 5000]
+            heard = service.controller.endpoints["b"].attempts(service.clock.now())
+            assert heard == (10, 2, 8 * 5000)
             await until(lambda: len(other.handoff._senders[0]) == 0)
             nursery.cancel_scope.cancel()
 
--- a/willowhook/controlplane/handoff_peers.py
+++ b/willowhook/controlplane/handoff_peers.py
@@ -12,7 +12,7 @@
 from ..config.facts import ticks
 from ..config.terms import LinkTerms
 from ..decisions.events import EndpointReport
-from ..decisions.model import Ring
+from ..decisions.windows import WindowedSums
 from ..membership.handoff import Hint, Listener, Packet, Teller
 from ..records.writer import Records
 from ..ticks import TICKS_PER_SECOND
@@ -60,7 +60,7 @@
             for k in range(len(self._clients))
         ]
         # by proxy and endpoint: attempts, failures, sum of latency in ticks
-        self._evidence: dict[int, dict[str, Ring]] = {}
+        self._evidence: dict[int, dict[str, WindowedSums]] = {}
         self._nursery: trio.Nursery | None = None
 
     # Tasks.
@@ -107,7 +107,7 @@
             return
         by_endpoint = self._evidence.setdefault(proxy, {})
         if endpoint not in by_endpoint:
-            by_endpoint[endpoint] = Ring(TICKS_PER_SECOND, EVIDENCE_BUCKETS, 3)
+            by_endpoint[endpoint] = WindowedSums(TICKS_PER_SECOND, EVIDENCE_BUCKETS, 3)
         by_endpoint[endpoint].add(now, attempts, failures, latency_sum_ticks)
 
     def send_evidence(self, now: int, proxy: int, name: str, term: int) -> None:
