--- a/willowhook/controlplane/controller_runtime.py
+++ b/willowhook/controlplane/controller_runtime.py
@@ -3,16 +3,13 @@
 from __future__ import annotations
 
 import heapq
-from collections.abc import Callable, Sequence
+from collections.abc import Sequence
 
 from ..decisions.runtime import AdmissionLimit
-from ..records.writer import Records
 from .book import OrderBook
-from .clock import Clock
-from .condition_log import ConditionLog
+from .context import ServiceContext
 from .endpoint_list_feed import EndpointListFeed
 from .health_checker import HealthChecker
-from .memory import ControllerMemory
 
 
 class EvaluationTimers:
@@ -47,34 +44,28 @@
 
     def __init__(
         self,
+        context: ServiceContext,
         book: OrderBook,
         timers: EvaluationTimers,
         endpoint_list: EndpointListFeed,
         health_checker: HealthChecker,
-        memory: ControllerMemory | None,
-        clock: Clock,
-        records: Records,
-        conditions: ConditionLog,
     ) -> None:
         """Takes the components that carry the commands out."""
+        self._context = context
         self._book = book
         self._timers = timers
         self._endpoint_list = endpoint_list
         self._health_checker = health_checker
-        self._memory = memory
-        self._now: Callable[[], int] = clock.now
-        self._records = records
-        self._conditions = conditions
 
     # Commands that concern the controller itself.
 
     def schedule_evaluation(self, delay_ticks: int) -> None:
         """Hands the controller an `EvaluationDue` after this delay, of a tick at least."""
-        self._timers.schedule(self._now() + max(delay_ticks, 1))
+        self._timers.schedule(self._context.now() + max(delay_ticks, 1))
 
     def log(self, text: str) -> None:
         """Writes one line to the log and the records file."""
-        self._conditions.announce(text)
+        self._context.conditions.announce(text)
 
     def watch_endpoints(self) -> None:
         """Asks for the endpoint list and, from then on, for its changes."""
@@ -133,6 +124,7 @@
         self._book.send_sync_marker(marker)
 
     def _record_exclusion(self, endpoint: str, excluded: bool) -> None:
-        self._records.note(self._now(), "withdraw" if excluded else "readmit", host=endpoint)
-        if self._memory is not None:
-            self._memory.record_exclusion(endpoint, excluded)
+        self._context.records.note(self._context.now(), "withdraw" if excluded else "readmit", host=endpoint)
+        memory = self._context.memory
+        if memory is not None:
+            memory.record_exclusion(endpoint, excluded)
--- a/willowhook/controlplane/decider.py
+++ b/willowhook/controlplane/decider.py
@@ -26,6 +26,23 @@
         """The capacities learnt from load reports, by the name of the endpoint."""
 
 
+class ControllerPort:
+    """Hands events to the controller, which is made last: its first commands need the other components."""
+
+    def __init__(self) -> None:
+        """Creates a port without a controller."""
+        self._controller: Decider | None = None
+
+    def attach(self, controller: Decider) -> None:
+        """Sets the controller that events go to."""
+        self._controller = controller
+
+    def handle(self, now: int, event: Event) -> None:
+        """Hands on an event."""
+        assert self._controller is not None, f"{type(event).__name__} before the controller was made"
+        self._controller.handle(now, event)
+
+
 DeciderFactory = Callable[[ControllerRuntime, DeploymentSettings, int, int], Decider]
 """Makes a decider from its runtime, its settings, the seed of its random numbers and the current tick."""
 
--- a/willowhook/controlplane/discovery_feed.py
+++ b/willowhook/controlplane/discovery_feed.py
@@ -22,7 +22,8 @@
 from ..versions.desk import Desk
 from ..xds import forms
 from ..xds.codec import encode
-from .decision_queue import DecisionQueue, DeferredCall
+from .context import ServiceContext
+from .decision_queue import DeferredCall
 from .intake import ProxyIntake
 from .outlets import WebOutlet
 from .publish import Publisher
@@ -43,6 +44,15 @@
         return Bearer(file.read())
 
 
+def _times(settings: FrontTerms) -> Times:
+    return Times(
+        settings.header_ms / 1000,
+        settings.write_ms / 1000,
+        settings.idle_ms / 1000,
+        settings.wait_ms / 1000,
+    )
+
+
 class DiscoveryFeed:
     """Runs the discovery server and hands what it learns to the decision task.
 
@@ -55,39 +65,33 @@
 
     def __init__(
         self,
-        controller: str,
-        settings: FrontTerms,
-        report_interval_seconds: float,
+        context: ServiceContext,
         core: Core,
         publisher: Publisher,
         intake: ProxyIntake,
-        queue: DecisionQueue,
         reports: ReportProcessor,
     ) -> None:
         """Creates a server that listens once it runs.
 
         Args:
-            controller: the name of this controller.
-            settings: of the server.
-            report_interval_seconds: between two load reports of a proxy, unless it is told otherwise.
+            context: the surroundings.
             core: the resources.
             publisher: of updates.
             intake: of what proxies say.
-            queue: to the decision task.
             reports: takes load reports.
 
         Raises:
             CredentialError: the credentials are missing or malformed.
             OSError: the file of credentials cannot be read.
         """
-        self._settings = settings
+        self._queue = context.queue
         self._core = core
         self._publisher = publisher
         self._intake = intake
-        self._queue = queue
         self._reports = reports
         self._desks: dict[str, Desk] = {}  # by the name of the proxy
         self._pending: list[DeferredCall] = []  # what was learnt by the call that is being served
+        settings = self._settings = context.terms.front
         self.gate = Gate(
             settings.connections_most,
             settings.proxy_connections_most,
@@ -96,22 +100,16 @@
         )
         self.bodies = Bodies(settings.cache_bytes, settings.compress_from_bytes)
         self.front = Discovery(
-            controller,
+            context.terms.name,
             self,
             identity_of(settings),
             self.gate,
             self.bodies,
             settings.come_back_ms / 1000,
-            report_interval_seconds,
-        )
-        times = Times(
-            settings.header_ms / 1000,
-            settings.write_ms / 1000,
-            settings.idle_ms / 1000,
-            settings.wait_ms / 1000,
+            context.terms.fleet.report_every_ms / 1000,
         )
         handle, ended = self.front.handle, self.front.ended
-        self.server = Server(self.gate, times, settings.largest_ask_bytes, handle, ended)
+        self.server = Server(self.gate, _times(settings), settings.largest_ask_bytes, handle, ended)
 
     async def run(self, task_status: trio.TaskStatus[int] = trio.TASK_STATUS_IGNORED) -> None:
         """Serves proxies until cancelled; the task's start value is the port.
--- a/willowhook/controlplane/draining.py
+++ b/willowhook/controlplane/draining.py
@@ -4,10 +4,10 @@
 
 import os
 
-from ..files.layout import DRAIN, Folder
+from ..files.layout import DRAIN
 from .book import OrderBook
 from .channel import Channel
-from .condition_log import ConditionLog
+from .context import ServiceContext
 
 QUEUE_PARTS = 6  # nobody is sent away while more than one of these parts of the queue is full
 
@@ -15,20 +15,13 @@
 class ControllerDrain:
     """Sends proxies away while the operator's drain file exists in the controller's folder."""
 
-    def __init__(
-        self,
-        folder: Folder,
-        queue_limit_entries: float,
-        book: OrderBook,
-        channel: Channel,
-        conditions: ConditionLog,
-    ) -> None:
-        """Takes the folder to look in, and the proxies to send away."""
-        self._path = f"{folder.path}/{DRAIN}"
-        self._max_waiting_entries = queue_limit_entries / QUEUE_PARTS
+    def __init__(self, context: ServiceContext, book: OrderBook, channel: Channel) -> None:
+        """Takes the surroundings, the proxies to send away, and the queue to them."""
+        self._path = f"{context.folder.path}/{DRAIN}"
+        self._max_waiting_entries = context.settings.channel.queue_limit_entries / QUEUE_PARTS
+        self._conditions = context.conditions
         self._book = book
         self._channel = channel
-        self._conditions = conditions
         self._is_draining = False
 
     def step(self, now: int) -> None:
--- a/willowhook/controlplane/endpoint_directory.py
+++ b/willowhook/controlplane/endpoint_directory.py
@@ -8,14 +8,11 @@
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import replace
 
+from ..config.facts import ticks
 from ..decisions.events import EndpointEntry, EndpointListReceived, EndpointState
-from ..decisions.settings import DeploymentSettings
 from ..membership.tiers import Tiers
-from ..records.writer import Records
 from ..roster.forms import Host
-from .clock import Clock
-from .condition_log import Logger
-from .memory import ControllerMemory
+from .context import ServiceContext
 from .render import Address, Renderer
 
 
@@ -24,34 +21,21 @@
 
     def __init__(
         self,
-        settings: DeploymentSettings,
-        slow_start_ticks: int,
+        context: ServiceContext,
         renderer: Renderer,
-        memory: ControllerMemory | None,
-        clock: Clock,
-        records: Records,
-        log: Logger,
         shown: Callable[[int, Sequence[Host]], None],
     ) -> None:
         """Creates an empty directory.
 
         Args:
-            settings: of the deployment.
-            slow_start_ticks: how long an endpoint that starts is warming up.
+            context: the surroundings.
             renderer: is told all addresses.
-            memory: where the list is kept for the next start, if there is a store.
-            clock: of this process.
-            records: the records file.
-            log: for changes of tiers.
             shown: receives the endpoints as the decisions are to see them, each time they change.
         """
-        self._settings = settings
+        self._context = context
         self._renderer = renderer
-        self._memory = memory
-        self._clock = clock
-        self._records = records
-        self._log = log
         self._shown_to = shown
+        slow_start_ticks = ticks(context.terms.rules.cold_ms)
         self._tiers = Tiers(self, slow_start_ticks)
         self._listed: Sequence[Host] = ()  # as discovery gave them
         self._shown: dict[str, Host] = {}  # as the decisions see them
@@ -70,16 +54,17 @@
         self.addresses.update(addresses)
         self._record(endpoints)
         self._listed = endpoints
-        start_of = self._clock.start_of
+        start_of = self._context.clock.start_of
         rows = [(e.id, self._pools_of(e.kind), e.tier, e.draining, start_of(e)) for e in endpoints]
         self._tiers.listed(now, rows)
         self._show(now)
 
     def _record(self, endpoints: Sequence[Host]) -> None:
         rows = [[each.id, "draining" if each.draining else "open", each.started] for each in endpoints]
-        self._records.note(self._clock.now(), "list", hosts=rows)
-        if self._memory is not None:
-            self._memory.record_endpoints({each.id: (each.draining, each.started) for each in endpoints})
+        self._context.records.note(self._context.now(), "list", hosts=rows)
+        memory = self._context.memory
+        if memory is not None:
+            memory.record_endpoints({each.id: (each.draining, each.started) for each in endpoints})
 
     def _pools_of(self, endpoint_class: str) -> tuple[str, ...]:
         """The pools that endpoints of this class are in.
@@ -89,7 +74,7 @@
         if endpoint_class not in self._pools_by_class:
             pools = [
                 " ".join(route.allowed_classes)
-                for route in self._settings.routes
+                for route in self._context.settings.routes
                 if not route.allowed_classes or endpoint_class in route.allowed_classes
             ]
             self._pools_by_class[endpoint_class] = tuple(dict.fromkeys(pools))
@@ -126,9 +111,9 @@
     def let_in(self, host: str, on: bool, cause: str) -> None:
         """Is called by `Tiers` when it activates or deactivates an endpoint."""
         self._has_tier_changes = True
-        self._records.note(self._clock.now(), "tier", host=host, on=on, cause=cause)
+        self._context.records.note(self._context.now(), "tier", host=host, on=on, cause=cause)
         event = "endpoint of a later tier activated" if on else "endpoint of a later tier deactivated"
-        self._log.info(event, endpoint=host, cause=cause)
+        self._context.log.info(event, endpoint=host, cause=cause)
 
     def show_tier_changes(self, now: int) -> None:
         """Shows the endpoints again if a tier has changed since they were shown."""
@@ -149,5 +134,5 @@
 
     def _entry(self, endpoint: Host) -> EndpointEntry:
         state = EndpointState.DRAINING if endpoint.draining else EndpointState.IN_SERVICE
-        started_at = self._clock.start_of(endpoint)
+        started_at = self._context.clock.start_of(endpoint)
         return EndpointEntry(endpoint.id, state, started_at, endpoint.size, endpoint.kind, endpoint.zone)
--- a/willowhook/controlplane/endpoint_list_feed.py
+++ b/willowhook/controlplane/endpoint_list_feed.py
@@ -2,17 +2,16 @@
 
 from __future__ import annotations
 
-from collections.abc import Awaitable, Callable
+from collections.abc import Callable
 
 import trio
 
-from ..config.terms import Terms
+from ..decisions.events import EndpointListLost
 from ..files.layout import LIST
-from ..files.ops import FileOps
 from ..files.swap import read_at, swap_file
 from ..roster.forms import Host, RosterError, read_hosts
 from ..roster.reader import Roster
-from .condition_log import ConditionLog
+from .context import ServiceContext
 
 MAX_LIST_BYTES = 1 << 26
 RETRY_SECONDS = 1.0  # after a failure, where the controller does not ask for the list itself
@@ -21,32 +20,17 @@
 class EndpointListFeed:
     """Hands on every endpoint list that has changed, and every failure to get one."""
 
-    def __init__(
-        self,
-        terms: Terms,
-        folder: str,
-        ops: FileOps,
-        conditions: ConditionLog,
-        received: Callable[[list[Host]], Awaitable[None]],
-        lost: Callable[[], Awaitable[None]],
-    ) -> None:
+    def __init__(self, context: ServiceContext, update: Callable[[int, list[Host]], None]) -> None:
         """Creates a feed that asks nothing until one of its tasks runs.
 
         Args:
-            terms: the configuration.
-            folder: of the controller, where the last list is saved.
-            ops: file operations.
-            conditions: is told when discovery or the disk fails and recovers.
-            received: receives each list.
-            lost: is called when discovery did not answer, or not with a list.
+            context: the surroundings.
+            update: takes in each list, in the decision task, with the current tick.
         """
-        self._settings = terms.roster
-        self._controller = terms.name
-        self._folder = folder
-        self._ops = ops
-        self._conditions = conditions
-        self._received = received
-        self._lost = lost
+        self._context = context
+        self._settings = context.terms.roster
+        self._conditions = context.conditions
+        self._update = update
         self._watch_requested = trio.Event()
         self._fetch_requested = trio.Event()
         if not self._settings.subscribe:
@@ -55,7 +39,7 @@
     def last_saved(self) -> list[Host]:
         """The list that this folder holds from before, maybe stale; empty if there is none."""
         try:
-            return read_hosts(read_at(None, f"{self._folder}/{LIST}", MAX_LIST_BYTES))
+            return read_hosts(read_at(None, f"{self._context.folder.path}/{LIST}", MAX_LIST_BYTES))
         except (OSError, RosterError):
             return []
 
@@ -92,11 +76,19 @@
             if not await self._poll(client, True):
                 await self._lost()
 
+    async def _receive(self, endpoints: list[Host]) -> None:
+        await self._context.queue.send(lambda now: self._update(now, endpoints))
+
+    async def _lost(self) -> None:
+        await self._context.queue.send(lambda now: self._context.handle(now, EndpointListLost()))
+
     def _client(self) -> Roster:
         settings = self._settings
         wait_seconds = settings.wait_ms / 1000
         timeout_seconds = settings.timeout_ms / 1000
-        return Roster(settings.url, settings.service, wait_seconds, timeout_seconds, agent=self._controller)
+        return Roster(
+            settings.url, settings.service, wait_seconds, timeout_seconds, agent=self._context.terms.name
+        )
 
     async def _poll(self, client: Roster, is_complete_wanted: bool) -> bool:
         """Asks once; False if discovery failed."""
@@ -107,13 +99,13 @@
             return False
         self._conditions.report("roster", False, "endpoint list available again")
         if endpoints is not None:
-            await self._received(endpoints)
+            await self._receive(endpoints)
             self._save(client.body)
         return True
 
     def _save(self, body: bytes) -> None:
         try:
-            swap_file(self._ops, self._folder, LIST, body)
+            swap_file(self._context.ops, self._context.folder.path, LIST, body)
         except OSError as error:
             self._conditions.report("list", True, "endpoint list cannot be saved", cause=str(error))
         else:
--- a/willowhook/controlplane/evidence_recovery.py
+++ b/willowhook/controlplane/evidence_recovery.py
@@ -5,36 +5,30 @@
 from collections.abc import Sequence
 
 from ..decisions.events import EndpointReport
-from ..records.writer import Records
 from ..roster.forms import Host
 from ..ticks import TICKS_PER_MILLISECOND
-from .condition_log import Logger
-from .decider import EventHandler
-from .memory import ControllerMemory
+from .context import ServiceContext
 
 
 class EvidenceRecovery:
     """Restores stored evidence once, with the first endpoint list that has any endpoints."""
 
-    def __init__(
-        self, memory: ControllerMemory | None, handle: EventHandler, records: Records, log: Logger
-    ) -> None:
-        """Takes the memory, if there is a store, and who is handed the evidence."""
-        self._memory = memory
-        self._handle = handle
-        self._records = records
-        self._log = log
+    def __init__(self, context: ServiceContext) -> None:
+        """Takes the surroundings."""
+        self._context = context
+        self._is_done = False
 
     def restore(self, now: int, endpoints: Sequence[Host]) -> None:
         """Reports the stored evidence of endpoints in service to the controller; later calls do nothing."""
-        if self._memory is None or not endpoints:
+        memory = self._context.memory
+        if memory is None or self._is_done or not endpoints:
             return
-        memory, self._memory = self._memory, None
+        self._is_done = True
         evidence = memory.recent_evidence({each.id: each.started for each in endpoints if not each.draining})
         for each in evidence:
             sums = each.sums
-            self._handle(now, EndpointReport(each.endpoint, sums.tries, sums.errors, sums.mean, None))
-        self._records.note(now, "recalled", hosts=len(evidence), life=memory.last_epoch)
+            self._context.handle(now, EndpointReport(each.endpoint, sums.tries, sums.errors, sums.mean, None))
+        self._context.records.note(now, "recalled", hosts=len(evidence), life=memory.last_epoch)
         if evidence:
             oldest_ms = max(each.age_ticks for each in evidence) // TICKS_PER_MILLISECOND
-            self._log.info("stored evidence restored", endpoints=len(evidence), oldest_ms=oldest_ms)
+            self._context.log.info("stored evidence restored", endpoints=len(evidence), oldest_ms=oldest_ms)
--- a/willowhook/controlplane/handoff_peers.py
+++ b/willowhook/controlplane/handoff_peers.py
@@ -10,16 +10,12 @@
 import trio
 
 from ..config.facts import ticks
-from ..config.terms import LinkTerms
 from ..decisions.events import EndpointReport
 from ..decisions.windows import WindowedSums
 from ..membership.handoff import Hint, Listener, Packet, Teller
-from ..records.writer import Records
 from ..ticks import TICKS_PER_SECOND
 from ..xds.codec import FormError
-from .condition_log import ConditionLog
-from .decider import EventHandler
-from .decision_queue import DecisionQueue
+from .context import ServiceContext
 from .endpoint_directory import EndpointDirectory
 from .handoff_codec import decode_packet, encode_packet
 from .links import PeerClient, serve_peers
@@ -34,24 +30,12 @@
     All but `run`, `serve` and the tasks they own is called by the decision task.
     """
 
-    def __init__(
-        self,
-        settings: LinkTerms,
-        controller: str,
-        epoch: int,
-        directory: EndpointDirectory,
-        queue: DecisionQueue,
-        handle: EventHandler,
-        records: Records,
-        conditions: ConditionLog,
-    ) -> None:
+    def __init__(self, context: ServiceContext, directory: EndpointDirectory) -> None:
         """Creates the senders to all configured peers; nothing is sent before `run`."""
-        self._settings = settings
+        self._context = context
         self._directory = directory
-        self._queue = queue
-        self._handle = handle
-        self._records = records
-        self._conditions = conditions
+        controller, epoch = context.terms.name, context.epoch
+        settings = context.terms.links
         lifetime_ticks = ticks(settings.lasts_ms)
         self._hints = Listener(lifetime_ticks)
         self._clients = [PeerClient(url, settings.timeout_ms / 1000) for url in settings.peers]
@@ -74,7 +58,7 @@
 
     async def serve(self, task_status: trio.TaskStatus[int] = trio.TASK_STATUS_IGNORED) -> None:
         """Serves peers until cancelled; the task's start value is the port."""
-        await serve_peers(self._settings.listen, self._accept, task_status)
+        await serve_peers(self._context.terms.links.listen, self._accept, task_status)
 
     def _start_sending(self, peer: int, packet: Packet) -> None:
         if self._nursery is not None:
@@ -84,17 +68,19 @@
     async def _send(self, peer: int, packet: Packet, body: bytes) -> None:
         if await self._clients[peer].send(body):
             sender = self._senders[peer]
-            await self._queue.send(lambda now: sender.answered(packet.epoch, packet.number))
+            await self._context.queue.send(lambda now: sender.answered(packet.epoch, packet.number))
 
     async def _accept(self, body: bytes) -> bool:
         """Takes in a packet of a peer; says whether it could be read."""
         try:
             packet = decode_packet(body, self._directory.names_by_address)
         except FormError as error:
-            self._conditions.report("link", True, "handoff packet of a peer rejected", cause=str(error))
+            self._context.conditions.report(
+                "link", True, "handoff packet of a peer rejected", cause=str(error)
+            )
             return False
-        self._conditions.report("link", False, "handoff packets of peers accepted again")
-        await self._queue.send(lambda now: self._hints.take(now, packet))
+        self._context.conditions.report("link", False, "handoff packets of peers accepted again")
+        await self._context.queue.send(lambda now: self._hints.take(now, packet))
         return True
 
     # Evidence, in the decision task.
@@ -134,5 +120,5 @@
         if hint is None:
             return
         for endpoint, (attempts, failures, mean_latency_ticks) in hint.hosts.items():
-            self._handle(now, EndpointReport(endpoint, attempts, failures, mean_latency_ticks, None))
-        self._records.note(now, "hint", proxy=name, term=hint.term, hosts=len(hint.hosts))
+            self._context.handle(now, EndpointReport(endpoint, attempts, failures, mean_latency_ticks, None))
+        self._context.records.note(now, "hint", proxy=name, term=hint.term, hosts=len(hint.hosts))
--- a/willowhook/controlplane/health_checker.py
+++ b/willowhook/controlplane/health_checker.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Awaitable, Callable
+from collections.abc import Callable
 
 import trio
 
@@ -10,6 +10,7 @@
 from ..roster.forms import Host
 from ..web.wire import Broken, Caller, dial
 from ..xds import orca
+from .context import ServiceContext
 
 MAX_CONCURRENT_CHECKS = 500
 MAX_RESPONSE_BYTES = 1 << 16
@@ -19,25 +20,17 @@
 class HealthChecker:
     """Checks endpoints over HTTP, each in a task of its own."""
 
-    def __init__(
-        self,
-        path: str,
-        timeout_seconds: float,
-        find_endpoint: Callable[[str], Host | None],
-        completed: Callable[[HealthCheckCompleted], Awaitable[None]],
-    ) -> None:
+    def __init__(self, context: ServiceContext, find_endpoint: Callable[[str], Host | None]) -> None:
         """Creates a checker that checks nothing until it runs.
 
         Args:
-            path: of the request.
-            timeout_seconds: for the whole check.
+            context: the surroundings.
             find_endpoint: gives a listed endpoint by its name; None if it is not listed.
-            completed: receives the result of each check.
         """
-        self._path = path.encode()
-        self._timeout_seconds = timeout_seconds
+        self._context = context
+        self._path = context.terms.fleet.probe_path.encode()
+        self._timeout_seconds = context.terms.fleet.dial_ms / 1000
         self._find_endpoint = find_endpoint
-        self._completed = completed
         self._nursery: trio.Nursery | None = None
         self._running_checks = 0
 
@@ -73,4 +66,5 @@
             if caller is not None:
                 with trio.CancelScope(shield=True):
                     await caller.close()
-        await self._completed(HealthCheckCompleted(endpoint.id, outcome, load.get("busy")))
+        event = HealthCheckCompleted(endpoint.id, outcome, load.get("busy"))
+        await self._context.queue.send(lambda now: self._context.handle(now, event))
--- a/willowhook/controlplane/load_recorder.py
+++ b/willowhook/controlplane/load_recorder.py
@@ -2,19 +2,16 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping, Sequence
+from collections.abc import Mapping
 from dataclasses import dataclass
 
-from ..config.terms import RouteTerms
 from ..decisions.events import RequestReport
 from ..reports.sample import Whole
 from ..ticks import TICKS_PER_SECOND
 from .book import OrderBook
-from .clock import Clock
-from .decider import EventHandler
+from .context import ServiceContext
 from .endpoint_directory import EndpointDirectory
 from .handoff_peers import HandoffPeers
-from .memory import ControllerMemory
 from .proxy_events import AttemptsReported, RequestsReported
 from .publish import Publisher
 from .report_processor import ReportProcessor
@@ -39,34 +36,30 @@
 
     def __init__(
         self,
-        routes: Sequence[RouteTerms],
+        context: ServiceContext,
         book: OrderBook,
         publisher: Publisher,
         reports: ReportProcessor,
         directory: EndpointDirectory,
-        memory: ControllerMemory | None,
         handoff: HandoffPeers,
-        handle: EventHandler,
-        clock: Clock,
     ) -> None:
         """Takes the components that are told."""
+        routes = context.terms.routes
         self._priority_weights = {route.name: route.importance for route in routes}
         self._route_indexes = {route.name: index for index, route in enumerate(routes)}
+        self._context = context
         self._book = book
         self._publisher = publisher
         self._reports = reports
         self._directory = directory
-        self._memory = memory
         self._handoff = handoff
-        self._handle = handle
-        self._clock = clock
 
     def record_attempts(self, event: AttemptsReported) -> None:
         """Takes in what a proxy met at endpoints; those whose address is not known are left out."""
         member = self._book.members.get(event.proxy)
         if member is None:
             return
-        now = self._clock.now()
+        now = self._context.now()
         by_endpoint = self._aggregate(now, member.zone, event.sample)
         attempts = sum(each.attempts for each in by_endpoint.values())
         failures = sum(each.failures for each in by_endpoint.values())
@@ -95,15 +88,16 @@
     def _record_endpoint(self, now: int, proxy: int, zone: str, endpoint: str, met: EndpointAttempts) -> None:
         attempts, failures = round(met.attempts), round(met.failures)
         self._directory.record_attempts(now, endpoint, attempts, failures)
-        if self._memory is not None:
+        memory = self._context.memory
+        if memory is not None:
             mean = met.mean_latency_ticks()
-            self._memory.record_attempts(now, endpoint, zone, attempts, failures, mean)
+            memory.record_attempts(now, endpoint, zone, attempts, failures, mean)
         self._handoff.record_attempts(now, proxy, endpoint, met.attempts, met.failures, met.latency_sum_ticks)
 
     def record_requests(self, event: RequestsReported) -> None:
         """Takes in the requests of one route that reached a proxy."""
         report = RequestReport(event.proxy, event.route, event.requests, event.window_ticks)
-        self._handle(self._clock.now(), report)
+        self._context.handle(self._context.now(), report)
         rate_per_second = event.requests * TICKS_PER_SECOND / event.window_ticks
         name = self._publisher.readers[event.proxy].name
         self._reports.update_share(name, rate_per_second * self._priority_weights[event.route])
--- a/willowhook/controlplane/main.py
+++ b/willowhook/controlplane/main.py
@@ -1,4 +1,4 @@
-"""Starts a director as a process: logging, signals, exit codes."""
+"""Runs a controller as a process: logging, signals, exit codes."""
 
 from __future__ import annotations
 
@@ -15,73 +15,82 @@
 from ..files.layout import FolderTaken
 from .service import Service
 
-TAKEN, BROKEN = 3, 4
+EXIT_FOLDER_UNUSABLE = 3
+EXIT_FAILED = 4
 
 
-class Lines:
-    """Writes log lines to standard error; a log that cannot be written must not end a director."""
+class StandardErrorLogger:
+    """Writes log lines to standard error. A log that cannot be written must not end a controller."""
 
     def __init__(self) -> None:
-        self._lost = 0
+        """Creates a logger that has lost no lines."""
+        self._lost_lines = 0
 
     def msg(self, text: str) -> None:
+        """Writes a line, and before it how many were lost since the last one, if any."""
         try:
-            lost = f"{self._lost} log lines were lost\n" if self._lost else ""
+            lost = f"{self._lost_lines} log lines were lost\n" if self._lost_lines else ""
             sys.stderr.write(f"{lost}{text}\n")
             sys.stderr.flush()
-            self._lost = 0
+            self._lost_lines = 0
         except (OSError, ValueError):
-            self._lost += 1
+            self._lost_lines += 1
 
     info = warning = error = critical = debug = msg
 
 
-def open_log(form: str) -> Any:
-    """Lines on standard error, as JSON objects or for people."""
-    if form == "json":
-        render: Any = structlog.processors.JSONRenderer()
+def open_log(log_format: str) -> Any:
+    """Makes a structlog logger that writes to standard error.
+
+    Args:
+        log_format: `json` for JSON objects, anything else for people.
+    """
+    renderer: Any
+    if log_format == "json":
+        renderer = structlog.processors.JSONRenderer()
     else:
-        render = structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
+        renderer = structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso"),
             structlog.processors.format_exc_info,
-            render,
+            renderer,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(logging.INFO),
-        logger_factory=Lines,
+        logger_factory=StandardErrorLogger,
     )
     return structlog.get_logger()
 
 
 def run(terms: Terms, log_format: str) -> int:
-    """Runs until SIGTERM or SIGINT; gives the exit code."""
-    log, code = open_log(log_format), 0
+    """Runs a controller until SIGTERM or SIGINT; the result is the exit code."""
+    log = open_log(log_format)
+    exit_code = 0
     try:
         trio.run(partial(_serve, terms, log))
-    except* FolderTaken as faults:
-        log.error("the folder is taken", cause=str(faults.exceptions[0]))
-        code = TAKEN
-    except* OSError as faults:
-        log.error("the folder cannot be used", cause=str(faults.exceptions[0]))
-        code = TAKEN
-    except* Exception as faults:
-        log.error("the director broke", exc_info=faults)
-        code = BROKEN
-    return code
+    except* FolderTaken as errors:
+        log.error("controller folder is locked by another process", cause=str(errors.exceptions[0]))
+        exit_code = EXIT_FOLDER_UNUSABLE
+    except* OSError as errors:
+        log.error("controller folder cannot be used", cause=str(errors.exceptions[0]))
+        exit_code = EXIT_FOLDER_UNUSABLE
+    except* Exception as errors:
+        log.error("controller failed", exc_info=errors)
+        exit_code = EXIT_FAILED
+    return exit_code
 
 
 async def _serve(terms: Terms, log: Any) -> None:
     service = Service(terms, log=log)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(_until_told, nursery.cancel_scope, log)
+        nursery.start_soon(_cancel_on_signal, nursery.cancel_scope, log)
         await service.run()
 
 
-async def _until_told(scope: trio.CancelScope, log: Any) -> None:
+async def _cancel_on_signal(scope: trio.CancelScope, log: Any) -> None:
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
-        async for each in signals:
-            log.info("told to end", signal=signal.Signals(each).name)
+        async for number in signals:
+            log.info("stopping on signal", signal=signal.Signals(number).name)
             scope.cancel()
             return
--- a/willowhook/controlplane/outlet_factory.py
+++ b/willowhook/controlplane/outlet_factory.py
@@ -2,12 +2,9 @@
 
 from __future__ import annotations
 
-from ..config.terms import FileTerms
-from ..files.layout import Folder
-from ..files.ops import FileOps
 from ..files.swap import Shelf
 from ..versions.core import Core
-from .condition_log import ConditionLog
+from .context import ServiceContext
 from .discovery_feed import DiscoveryFeed
 from .outlets import FileOutlet, Outlet
 from .proxy_events import ProxySessionOpened
@@ -18,22 +15,16 @@
 
     def __init__(
         self,
-        settings: FileTerms,
-        folder: Folder,
-        ops: FileOps,
+        context: ServiceContext,
         shelf_type: type[Shelf],
         core: Core,
         discovery: DiscoveryFeed | None,
-        conditions: ConditionLog,
     ) -> None:
-        """Takes the folder of this controller, and its discovery server if there is one."""
-        self._settings = settings
-        self._folder = folder
-        self._ops = ops
+        """Takes what writes files, the resources, and the discovery server if there is one."""
+        self._context = context
         self._shelf_type = shelf_type
         self._core = core
         self._discovery = discovery
-        self._conditions = conditions
         self._count = 0  # of sessions: no two may name their versions of files alike
 
     def make(self, session: ProxySessionOpened) -> Outlet:
@@ -41,14 +32,14 @@
         self._count += 1
         if session.uses_discovery and self._discovery is not None:
             return self._discovery.outlet(session.proxy, session.name, session.held)
-        epoch = self._folder.epoch
-        durability = self._settings.durability
-        path = f"{self._folder.down}/{session.name}"
-        shelf = self._shelf_type(path, self._ops, durability, f"{epoch}-{self._count}-")
+        epoch = self._context.epoch
+        durability = self._context.terms.files.durability
+        path = f"{self._context.folder.down}/{session.name}"
+        shelf = self._shelf_type(path, self._context.ops, durability, f"{epoch}-{self._count}-")
         try:
             shelf.open()
         except OSError as error:
-            self._conditions.report(
+            self._context.conditions.report(
                 "disk", True, "files cannot be swapped", proxy=session.name, cause=str(error)
             )
         return FileOutlet(shelf, self._core, session.term, epoch, durability != "none")
--- /dev/null
+++ b/willowhook/controlplane/proxy_event_handler.py
@@ -0,0 +1,55 @@
+"""Handles what proxies say, in the decision task."""
+
+from __future__ import annotations
+
+from .context import ServiceContext
+from .load_recorder import LoadRecorder
+from .proxy_events import (
+    AttemptsReported,
+    ProxyEvent,
+    ProxyInputRejected,
+    ProxySessionClosed,
+    ProxySessionOpened,
+    RequestsReported,
+    UpdateApplied,
+    UpdateRejected,
+)
+from .proxy_sessions import ProxySessions
+from .publish import Publisher
+
+
+class ProxyEventHandler:
+    """Gives each event of a proxy to the component that it concerns."""
+
+    def __init__(
+        self,
+        context: ServiceContext,
+        publisher: Publisher,
+        sessions: ProxySessions,
+        load_recorder: LoadRecorder,
+    ) -> None:
+        """Takes the components that handle the events."""
+        self._context = context
+        self._publisher = publisher
+        self._sessions = sessions
+        self._load_recorder = load_recorder
+
+    def handle(self, event: ProxyEvent) -> None:
+        """Handles one event."""
+        now = self._context.now()
+        match event:
+            case ProxySessionOpened():
+                self._sessions.open(event)
+            case ProxySessionClosed():
+                self._sessions.close(event)
+            case UpdateApplied():
+                self._publisher.applied(now, event.proxy, event.message)
+            case UpdateRejected():
+                self._publisher.refused_group(now, event.proxy, event.kind, event.message, event.cause)
+            case AttemptsReported():
+                self._load_recorder.record_attempts(event)
+            case RequestsReported():
+                self._load_recorder.record_requests(event)
+            case ProxyInputRejected():
+                self._context.log.warning("input of a proxy rejected", proxy=event.name, cause=event.cause)
+                self._context.records.note(now, "fault", proxy=event.name, cause=event.cause)
--- a/willowhook/controlplane/proxy_folder_feed.py
+++ b/willowhook/controlplane/proxy_folder_feed.py
@@ -5,16 +5,14 @@
 import contextlib
 import os
 import stat
-from collections.abc import Callable
 from functools import partial
 
 import trio
 
-from ..files.layout import LOAD, PROXY_NAME, STATUS, Folder
-from ..files.ops import FileOps
+from ..files.layout import LOAD, PROXY_NAME, STATUS
 from ..files.swap import read_at, read_group
 from ..files.watch import Watch
-from .decision_queue import DecisionQueue
+from .context import ServiceContext
 from .intake import ProxyIntake
 from .proxy_files import PROXY_FILES
 from .report_processor import ReportProcessor
@@ -33,36 +31,28 @@
 
     def __init__(
         self,
-        folder: Folder,
-        ops: FileOps,
+        context: ServiceContext,
         watch: Watch,
-        max_file_bytes: int,
         intake: ProxyIntake,
-        queue: DecisionQueue,
         reports: ReportProcessor,
-        now: Callable[[], int],
     ) -> None:
         """Creates a feed that reads nothing until it runs.
 
         Args:
-            folder: of the controller.
-            ops: file operations.
+            context: the surroundings.
             watch: tells which files have changed.
-            max_file_bytes: a larger file is malformed.
             intake: takes in what proxies write.
-            queue: to the decision task.
             reports: takes load reports.
-            now: gives the current tick.
         """
-        self._up = folder.up
-        self._down = folder.down
-        self._ops = ops
+        self._up = context.folder.up
+        self._down = context.folder.down
+        self._ops = context.ops
+        self._max_file_bytes = context.terms.files.largest_report_bytes
+        self._queue = context.queue
+        self._now = context.now
         self._watch = watch
-        self._max_file_bytes = max_file_bytes
         self._intake = intake
-        self._queue = queue
         self._reports = reports
-        self._now = now
         self._folders: dict[str, FolderIdentity] = {}  # of the proxies that are here
         self._files_read: dict[tuple[str, str], FileIdentity] = {}  # by proxy and file
         self._deferred_reports: dict[str, int] = {}  # by proxy: the tick to read its report at
--- a/willowhook/controlplane/proxy_sessions.py
+++ b/willowhook/controlplane/proxy_sessions.py
@@ -2,15 +2,10 @@
 
 from __future__ import annotations
 
-from ..config.terms import RouteTerms
 from ..decisions.events import ProxyJoined, ProxyLeft
-from ..files.layout import Folder
-from ..files.ops import FileOps, remove
-from ..records.writer import Records
+from ..files.ops import remove
 from .book import OrderBook
-from .clock import Clock
-from .condition_log import ConditionLog, Logger
-from .decider import EventHandler
+from .context import ServiceContext
 from .discovery_feed import DiscoveryFeed
 from .handoff_peers import HandoffPeers
 from .outlet_factory import OutletFactory
@@ -25,9 +20,7 @@
 
     def __init__(
         self,
-        routes: tuple[RouteTerms, ...],
-        folder: Folder,
-        ops: FileOps,
+        context: ServiceContext,
         book: OrderBook,
         publisher: Publisher,
         outlets: OutletFactory,
@@ -35,16 +28,9 @@
         discovery: DiscoveryFeed | None,
         reports: ReportProcessor,
         handoff: HandoffPeers,
-        handle: EventHandler,
-        clock: Clock,
-        records: Records,
-        log: Logger,
-        conditions: ConditionLog,
     ) -> None:
         """Takes the components that are told."""
-        self._routes = routes
-        self._folder = folder
-        self._ops = ops
+        self._context = context
         self._book = book
         self._publisher = publisher
         self._outlets = outlets
@@ -52,30 +38,25 @@
         self._discovery = discovery
         self._reports = reports
         self._handoff = handoff
-        self._handle = handle
-        self._clock = clock
-        self._records = records
-        self._log = log
-        self._conditions = conditions
 
     def open(self, session: ProxySessionOpened) -> None:
         """Takes in a proxy that has joined."""
-        now = self._clock.now()
+        now = self._context.now()
         proxy, name, zone, held = session.proxy, session.name, session.zone, session.held
         rate, is_fresh, term = session.usual_rate_per_second, session.is_fresh, session.term
         outlet = self._outlets.make(session)
         self._publisher.joined(Reader(proxy, name, term, held, outlet, session.uses_discovery))
-        endpoints = {index: held.hosts(route.name) for index, route in enumerate(self._routes)}
+        endpoints = {index: held.hosts(route.name) for index, route in enumerate(self._context.terms.routes)}
         self._book.join(proxy, zone, endpoints, rate)
-        self._records.note(now, "joined", proxy=name, zone=zone, rate=rate, fresh=is_fresh, term=term)
-        self._log.info("proxy joined", proxy=name, zone=zone, fresh=is_fresh, term=term)
+        self._context.records.note(now, "joined", proxy=name, zone=zone, rate=rate, fresh=is_fresh, term=term)
+        self._context.log.info("proxy joined", proxy=name, zone=zone, fresh=is_fresh, term=term)
         self._handoff.use_evidence(now, name, term)
         self._publisher.tell_guard(self._publisher.watchman.joined, proxy, zone, rate, held)
-        self._handle(now, ProxyJoined(proxy, zone, rate, is_fresh))
+        self._context.handle(now, ProxyJoined(proxy, zone, rate, is_fresh))
 
     def close(self, session: ProxySessionClosed) -> None:
         """Lets go of a proxy that has left."""
-        now = self._clock.now()
+        now = self._context.now()
         proxy, name = session.proxy, session.name
         reader = self._publisher.readers[proxy]
         self._reports.drop_proxy(name)
@@ -87,14 +68,14 @@
             self._remove_folder(name)
         elif self._discovery is not None:
             self._discovery.close_session(name)
-        self._records.note(now, "left", proxy=name, why=session.reason)
-        self._log.info("proxy left", proxy=name, reason=session.reason)
-        self._handle(now, ProxyLeft(proxy))
+        self._context.records.note(now, "left", proxy=name, why=session.reason)
+        self._context.log.info("proxy left", proxy=name, reason=session.reason)
+        self._context.handle(now, ProxyLeft(proxy))
 
     def _remove_folder(self, name: str) -> None:
         try:
-            remove(self._ops, f"{self._folder.down}/{name}")
+            remove(self._context.ops, f"{self._context.folder.down}/{name}")
         except OSError as error:
-            self._conditions.report(
+            self._context.conditions.report(
                 "disk", True, "folder of a proxy cannot be removed", proxy=name, cause=str(error)
             )
--- a/willowhook/controlplane/queue_monitor.py
+++ b/willowhook/controlplane/queue_monitor.py
@@ -2,10 +2,8 @@
 
 from __future__ import annotations
 
-from ..decisions.settings import ChannelSettings
-from ..records.writer import Records
 from ..ticks import TICKS_PER_SECOND
-from .condition_log import ConditionLog
+from .context import ServiceContext
 from .decider import Decider
 from .publish import Publisher
 
@@ -16,20 +14,13 @@
 class QueueMonitor:
     """Records the queue once a second, and reports when the controller's estimate is far from it."""
 
-    def __init__(
-        self,
-        settings: ChannelSettings,
-        controller: Decider,
-        publisher: Publisher,
-        records: Records,
-        conditions: ConditionLog,
-    ) -> None:
-        """Takes the two sides to compare, and where the result goes."""
+    def __init__(self, context: ServiceContext, controller: Decider, publisher: Publisher) -> None:
+        """Takes the surroundings and the two sides to compare."""
+        self._records = context.records
+        self._conditions = context.conditions
         self._controller = controller
         self._publisher = publisher
-        self._records = records
-        self._conditions = conditions
-        limit = settings.queue_limit_entries * MAX_DIVERGENCE_FRACTION
+        limit = context.settings.channel.queue_limit_entries * MAX_DIVERGENCE_FRACTION
         self._max_divergence_entries = max(limit, MIN_DIVERGENCE_ENTRIES)
         self._recorded_second = 0
 
--- a/willowhook/controlplane/report_interval.py
+++ b/willowhook/controlplane/report_interval.py
@@ -2,27 +2,24 @@
 
 from __future__ import annotations
 
-from ..files.layout import PACE, Folder
-from ..files.ops import FileOps
+from ..files.layout import PACE
 from ..files.swap import swap_file
 from ..ticks import TICKS_PER_SECOND
 from ..xds import forms
 from ..xds.codec import encode
-from .condition_log import ConditionLog
+from .context import ServiceContext
 from .discovery_feed import DiscoveryFeed
 
 
 class ReportIntervalPublisher:
     """Tells proxies that call through the discovery server, and all others by one file."""
 
-    def __init__(
-        self, folder: Folder, ops: FileOps, discovery: DiscoveryFeed | None, conditions: ConditionLog
-    ) -> None:
-        """Takes the controller's folder, and its discovery server if there is one."""
-        self._folder = folder
-        self._ops = ops
+    def __init__(self, context: ServiceContext, discovery: DiscoveryFeed | None) -> None:
+        """Takes the surroundings, and the discovery server if there is one."""
+        self._folder = context.folder
+        self._ops = context.ops
+        self._conditions = context.conditions
         self._discovery = discovery
-        self._conditions = conditions
 
     def publish(self, interval_ticks: int) -> None:
         """Publishes an interval; a file that cannot be written is reported."""
--- a/willowhook/controlplane/report_processor.py
+++ b/willowhook/controlplane/report_processor.py
@@ -6,20 +6,18 @@
 
 from __future__ import annotations
 
+import random
 import time
 from collections.abc import Callable
 
-from ..config.terms import IntakeTerms
+from ..config.facts import ticks
 from ..decisions.events import EndpointReport
-from ..records.writer import Records
 from ..reports.budget import Budget
 from ..reports.quarantine import Quarantine
 from ..reports.queue import Queue
 from ..reports.sums import Sums
 from ..ticks import TICKS_PER_MILLISECOND, TICKS_PER_SECOND, ticks_from_milliseconds
-from .clock import Clock
-from .condition_log import Logger
-from .decider import EventHandler
+from .context import ServiceContext
 from .intake import ProxyIntake
 
 NANOSECONDS_PER_TICK = 100_000
@@ -44,43 +42,20 @@
     """
 
     def __init__(
-        self,
-        settings: IntakeTerms,
-        rate_per_second: float,
-        interval_ticks: int,
-        session_timeout_ticks: int,
-        intake: ProxyIntake,
-        handle: EventHandler,
-        set_interval: Callable[[int], None],
-        wake: Callable[[], None],
-        draw: Callable[[int], int],
-        clock: Clock,
-        records: Records,
-        log: Logger,
+        self, context: ServiceContext, intake: ProxyIntake, set_interval: Callable[[int], None]
     ) -> None:
         """Creates a processor with an empty queue.
 
         Args:
-            settings: of the budget.
-            rate_per_second: the reports that this controller should be able to read.
-            interval_ticks: between two reports of a proxy, unless it is told otherwise.
-            session_timeout_ticks: a proxy that is silent for longer is given up, which bounds the interval.
+            context: the surroundings.
             intake: reads the reports.
-            handle: hands events to the controller.
             set_interval: receives another interval for proxies, in ticks.
-            wake: is called when there is something to process.
-            draw: gives a random whole number below its argument.
-            clock: of this process.
-            records: the records file.
-            log: for changes of pace and quarantine.
         """
+        self._context = context
         self._intake = intake
-        self._handle = handle
         self._set_interval = set_interval
-        self._wake = wake
-        self._clock = clock
-        self._records = records
-        self._log = log
+        settings, fleet = context.terms.intake, context.terms.fleet
+        interval_ticks = ticks(fleet.report_every_ms)
         self._slice_nanoseconds = round(settings.slice_ms * NANOSECONDS_PER_MILLISECOND)
         self._handover_interval_ticks = min(interval_ticks // 4, MAX_HANDOVER_INTERVAL_TICKS)
         self._handed_over_at = 0
@@ -89,10 +64,10 @@
         self._read_at: dict[str, int] = {}  # by proxy: when its file was read last
         self._mean_rate_per_second = 1.0
         # a proxy that reports less often would be taken for silent
-        max_interval_ticks = session_timeout_ticks * 2 // 5
-        self.queue = Queue(draw)
+        max_interval_ticks = ticks(context.terms.files.proxy_lost_after_ms) * 2 // 5
+        self.queue = Queue(random.Random(context.seed).randrange)
         self.budget = Budget(
-            rate_per_second, settings.share, interval_ticks, max_interval_ticks, self._interval_changed
+            fleet.reports_per_s, settings.share, interval_ticks, max_interval_ticks, self._interval_changed
         )
         self.quarantine = Quarantine(self)
         self.sums = Sums(ticks_from_milliseconds(settings.half_life_ms), self._hand_over)
@@ -108,12 +83,12 @@
             return
         self._intake.record_activity(now, name)
         if not self.has_waiting():
-            self._wake()
+            self._context.queue.wake()
         self.queue.offer(now, name, data)
 
     def is_quarantined(self, name: str) -> bool:
         """Whether the reports of this proxy need not be read now."""
-        return self.quarantine.rests(self._clock.now(), name)
+        return self.quarantine.rests(self._context.now(), name)
 
     def readable_at(self, now: int, name: str) -> int:
         """The tick from which a proxy's report file may be read: hardly more often than it should report."""
@@ -148,7 +123,7 @@
         """
         began = last = time.perf_counter_ns()
         while self.has_waiting():
-            now = self._clock.now()
+            now = self._context.now()
             if not self.budget.spend(now, 1) or not self._process_next(now):
                 break
             ended = time.perf_counter_ns()
@@ -197,7 +172,7 @@
         self.budget.look(now, arrived * TICKS_PER_SECOND / elapsed_ticks, proxies, ticks_per_report)
         self.quarantine.look(now)
         self._intake.windows.look(now)
-        self._records.note(
+        self._context.records.note(
             now,
             "intake",
             came=self.queue.came,
@@ -223,25 +198,27 @@
         load: dict[str, float],
     ) -> None:
         event = EndpointReport(endpoint, attempts, failures, mean_latency_ticks, load.get("busy"))
-        self._handle(self._clock.now(), event)
+        self._context.handle(self._context.now(), event)
 
     # What the budget and the quarantine decide.
 
     def _interval_changed(self, interval_ticks: int) -> None:
-        self._log.info("report interval changed", interval_ms=interval_ticks / TICKS_PER_MILLISECOND)
-        self._records.note(self._clock.now(), "pace", every=interval_ticks)
+        self._context.log.info("report interval changed", interval_ms=interval_ticks / TICKS_PER_MILLISECOND)
+        self._context.records.note(self._context.now(), "pace", every=interval_ticks)
         self._set_interval(interval_ticks)
 
     def quarantined(self, proxy: str, rest: int, cause: str, evidence: bytes) -> None:
         """Is called by the quarantine: the reports of a proxy are not read for `rest` ticks."""
         seconds = rest / TICKS_PER_SECOND
-        self._log.warning("reports of a proxy quarantined", proxy=proxy, cause=cause, duration_s=seconds)
+        self._context.log.warning(
+            "reports of a proxy quarantined", proxy=proxy, cause=cause, duration_s=seconds
+        )
         shown = evidence.decode("latin-1")
-        self._records.note(
-            self._clock.now(), "quarantined", proxy=proxy, rest=rest, cause=cause, evidence=shown
+        self._context.records.note(
+            self._context.now(), "quarantined", proxy=proxy, rest=rest, cause=cause, evidence=shown
         )
 
     def released(self, proxy: str) -> None:
         """Is called by the quarantine: the reports of a proxy are read again."""
-        self._log.info("reports of a proxy released from quarantine", proxy=proxy)
-        self._records.note(self._clock.now(), "released", proxy=proxy)
+        self._context.log.info("reports of a proxy released from quarantine", proxy=proxy)
+        self._context.records.note(self._context.now(), "released", proxy=proxy)
