--- a/tests/broken_director.py
+++ b/tests/broken_controller.py
@@ -1,4 +1,4 @@
-"""A director with one rule broken on purpose: `python broken_director.py RULE director --config ...`."""
+"""A controller with one rule broken on purpose; call: `broken_controller.py RULE controller --config ...`."""
 
 from __future__ import annotations
 
--- a/tests/test_controlplane_parts.py
+++ b/tests/test_controlplane_parts.py
@@ -194,7 +194,7 @@
     return encode(forms.DiscoveryRequest("3.1", node, [], type_url, nonce, detail))
 
 
-def test_answers_rise_and_refusals_are_told_once() -> None:
+def test_acknowledgements_rise_and_rejections_are_emitted_once() -> None:
     events, intake = intake_with_a_session()
     for nonce in ("2.3.7", "2.3.7", "2.3.5", "2.2.99", "1.3.40", "2.3.9"):
         intake.process_file(1, "p1", "eds.json", answer(nonce))
@@ -220,7 +220,7 @@
         ("other.json", b"{}", "no file of this name"),
     ],
 )
-def test_a_bad_file_is_told_once_and_a_good_one_ends_it(file: str, data: bytes, cause: str) -> None:
+def test_malformed_file_is_reported_once_until_a_well_formed_one(file: str, data: bytes, cause: str) -> None:
     events, intake = intake_with_a_session()
     intake.process_file(1, "p1", file, data)
     intake.process_file(2, "p1", file, data)
@@ -245,7 +245,7 @@
     return encode(forms.LoadStatsRequest(NODE, [stats]))
 
 
-def test_sums_are_handed_on_whole_or_not_at_all() -> None:
+def test_load_report_counts_completely_or_not_at_all() -> None:
     events, intake = intake_with_a_session()
     intake.process_file(1, "p1", "load.json", load(4, 1, 2.0, 3))
     attempts, requests = events
@@ -266,7 +266,7 @@
     )
 
 
-def test_a_director_rules_only_while_the_newest_file_names_it() -> None:
+def test_session_lasts_only_while_the_newest_file_names_the_controller() -> None:
     events, intake = intake_with_a_session()
     late = encode(forms.LoadStatsRequest(node(1)))  # of its last stay, put in place late
     intake.process_file(1, "p1", "load.json", late)
@@ -283,7 +283,7 @@
     )  # it came again: its folder tells how
 
 
-def test_a_director_that_starts_again_takes_what_it_left_there_for_held() -> None:
+def test_restarted_controller_takes_its_former_files_as_held() -> None:
     sent: list[Message] = []
     book, renderer = OrderBook(SETTINGS, sent.append), Renderer(EXAMPLE, 2)
     renderer.readdress({"a": ("127.0.0.1", 81, "north")})
@@ -299,7 +299,7 @@
         assert isinstance(event, ProxySessionOpened) and set(event.held.hosts("load")) == hosts
 
 
-def test_a_silent_proxy_has_left_and_a_foreign_or_broken_one_never_joins() -> None:
+def test_silent_session_is_closed_and_a_foreign_or_malformed_one_never_opens() -> None:
     events, intake = intake_with_a_session(now=0)
     intake.process_file(15_000, "p1", "load.json", load(1, 0))
     intake.close_silent_sessions(30_000)
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -1,4 +1,4 @@
-"""What a director keeps for its next life: aged, never trusted over the list, never in the way."""
+"""What a controller stores for its next start: aged, never trusted over the list, never in the way."""
 
 from __future__ import annotations
 
@@ -14,52 +14,53 @@
 from willowhook.controlplane.memory import ControllerMemory, Sums
 from willowhook.controlplane.service import Service
 from willowhook.store.store import Op, Store
+from willowhook.ticks import TICKS_PER_SECOND
 from willowhook.web.wire import answer_calls
 
-SECOND = 10_000
 
-
-def lived(folder: Path, rows: list[tuple[int, str, str, int, int, int]]) -> None:
-    """One life in which this was met: when, host, zone, tries, errors, mean."""
-    memory = ControllerMemory(str(folder), "d", 1, 10 * SECOND, lambda text: None)
+def store_evidence(folder: Path, rows: list[tuple[int, str, str, int, int, int]]) -> None:
+    """One start in which this was met: when, endpoint, zone, attempts, failures, mean latency."""
+    memory = ControllerMemory(str(folder), "d", 1, 10 * TICKS_PER_SECOND, lambda text: None)
     for row in rows:
         memory.record_attempts(*row)
     memory.close()
 
 
-def test_what_was_met_of_late_is_recalled_for_hosts_that_are_listed_and_did_not_start_anew(
+def test_recent_evidence_is_restored_for_listed_endpoints_that_did_not_restart(
     tmp_path: Path,
 ) -> None:
     rows = [(0, "a", "north", 30, 3, 50), (0, "b", "north", 9, 9, 0), (0, "c", "south", 5, 0, 7)]
-    lived(tmp_path / "s", [*rows, (SECOND, "a", "north", 10, 1, 90)])
-    memory = ControllerMemory(str(tmp_path / "s"), "d", 2, 10 * SECOND, lambda text: None)
+    store_evidence(tmp_path / "s", [*rows, (TICKS_PER_SECOND, "a", "north", 10, 1, 90)])
+    memory = ControllerMemory(str(tmp_path / "s"), "d", 2, 10 * TICKS_PER_SECOND, lambda text: None)
     assert memory.last_epoch == 1
-    soon = memory.wall_clock() / SECOND + 5
+    soon = memory.wall_clock() / TICKS_PER_SECOND + 5
     # b started anew, c is not listed, z was never met
     found = memory.recent_evidence({"a": 0.0, "b": soon, "z": 0.0})
-    assert [(each.endpoint, each.sums) for each in found] == [("a", Sums("north", 40, 4, 60, SECOND))]
-    assert 0 <= found[0].age_ticks < 5 * SECOND
+    assert [(each.endpoint, each.sums) for each in found] == [
+        ("a", Sums("north", 40, 4, 60, TICKS_PER_SECOND))
+    ]
+    assert 0 <= found[0].age_ticks < 5 * TICKS_PER_SECOND
     memory.close()
 
 
-def test_what_is_old_is_of_no_use(tmp_path: Path) -> None:
-    lived(tmp_path / "s", [(0, "a", "north", 30, 3, 50), (SECOND, "a", "north", 1, 0, 9)])
+def test_old_evidence_is_not_restored(tmp_path: Path) -> None:
+    store_evidence(tmp_path / "s", [(0, "a", "north", 30, 3, 50), (TICKS_PER_SECOND, "a", "north", 1, 0, 9)])
     store = Store(str(tmp_path / "s"))
     for key, entry in store.by_key("met"):
-        store.write([Op("met", key, entry.at - 3600 * SECOND, entry.value)])
+        store.write([Op("met", key, entry.at - 3600 * TICKS_PER_SECOND, entry.value)])
     store.flush()
     store.close()
-    memory = ControllerMemory(str(tmp_path / "s"), "d", 2, 10 * SECOND, lambda text: None)
+    memory = ControllerMemory(str(tmp_path / "s"), "d", 2, 10 * TICKS_PER_SECOND, lambda text: None)
     assert memory.recent_evidence({"a": 0.0}) == []
     memory.close()
 
 
-def test_hosts_that_are_no_longer_listed_are_forgotten(tmp_path: Path) -> None:
-    memory = ControllerMemory(str(tmp_path / "s"), "d", 1, SECOND, lambda text: None)
+def test_unlisted_endpoints_are_removed_from_the_store(tmp_path: Path) -> None:
+    memory = ControllerMemory(str(tmp_path / "s"), "d", 1, TICKS_PER_SECOND, lambda text: None)
     memory.record_endpoints({"a": (False, 0.0), "b": (True, 1.0)})
     memory.record_exclusion("b", True)
     memory.close()
-    memory = ControllerMemory(str(tmp_path / "s"), "d", 2, SECOND, lambda text: None)
+    memory = ControllerMemory(str(tmp_path / "s"), "d", 2, TICKS_PER_SECOND, lambda text: None)
     assert {key for key, _ in memory.store.by_key("hosts")} == {"a", "b"}
     assert [key for key, _ in memory.store.by_key("withdrawn")] == ["b"]
     memory.record_endpoints({"a": (False, 0.0)})
@@ -70,7 +71,7 @@
 
 
 @pytest.mark.parametrize("taken", [False, True])
-def test_a_director_recalls_its_last_life_and_does_without_a_store_that_it_cannot_have(
+def test_restarted_controller_restores_evidence_and_runs_without_a_locked_store(
     tmp_path: Path, taken: bool
 ) -> None:
     log = Log()
@@ -104,7 +105,7 @@
                 if number == 1:
                     now = service.clock.now()
                     for k in range(3):
-                        service.memory.record_attempts(now + k * SECOND, "a", "north", 20, 15, 100)  # type: ignore[union-attr]
+                        service.memory.record_attempts(now + k * TICKS_PER_SECOND, "a", "north", 20, 15, 100)  # type: ignore[union-attr]
                     one.answer()
                     await trio.sleep(0.5)
                 elif not taken:
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""One real director in this process, with proxies played by hand: who is bad costs nobody else anything."""
+"""One real controller in this process, with proxies played by hand."""
 
 from __future__ import annotations
 
@@ -137,7 +137,7 @@
 
 
 def serve(tmp_path: Path, play: Play, listen: str = "", decider: Any = Controller, **parts: Any) -> Log:
-    """Runs a director while `play` goes on."""
+    """Runs a controller while `play` goes on."""
     log = Log()
 
     async def run() -> None:
@@ -185,7 +185,7 @@
 
 @pytest.mark.parametrize("durability", ["none", "file_and_folder"])
 @pytest.mark.parametrize("watch", ["inotify", "poll"])
-def test_a_proxy_joins_is_bound_hears_of_a_drain_and_leaves(
+def test_proxy_joins_gets_its_tables_and_a_drain_and_leaves(
     tmp_path: Path, watch: str, durability: str
 ) -> None:
     async def play(service: Service, roster: Roster, log: Log) -> None:
@@ -208,7 +208,7 @@
     )
 
 
-def test_a_silent_proxy_is_given_up_and_comes_back(tmp_path: Path) -> None:
+def test_silent_proxy_session_is_closed_and_reopened(tmp_path: Path) -> None:
     async def play(service: Service, roster: Roster, log: Log) -> None:
         one = ByHand(service, "p1")
         one.join()
@@ -224,7 +224,7 @@
 OF_BAD = forms.Node("bad", metadata={"term": 1})
 
 
-def test_a_proxy_that_comes_again_in_a_folder_of_the_same_number_is_seen(tmp_path: Path) -> None:
+def test_proxy_folder_replaced_under_the_same_inode_opens_a_new_session(tmp_path: Path) -> None:
     """Found by a bad day: a folder was given the number of the one before, and the proxy was never bound
     again.
     """
@@ -255,7 +255,7 @@
 }
 
 
-def test_bad_files_of_one_proxy_cost_that_proxy_alone(tmp_path: Path) -> None:
+def test_malformed_files_affect_only_their_proxy(tmp_path: Path) -> None:
     async def play(service: Service, roster: Roster, log: Log) -> None:
         good, bad = ByHand(service, "p1"), ByHand(service, "bad")
         good.join()
@@ -266,7 +266,7 @@
             for _ in range(3):
                 bad.put("eds.json", data)
                 await trio.sleep(0.03)
-            wanted = 0 if what == "old version" else 1  # what another director sent before is no fault
+            wanted = 0 if what == "old version" else 1  # what another controller sent before is not malformed
             await until(lambda before=before, wanted=wanted: len(log.texts("warning")) == before + wanted)  # type: ignore[misc]
             bad.answer()  # a good one again
             good.answer()
@@ -286,7 +286,7 @@
     serve(tmp_path, play)
 
 
-def test_folders_that_are_no_proxies_are_left_alone(tmp_path: Path) -> None:
+def test_folders_that_are_not_proxies_are_ignored(tmp_path: Path) -> None:
     async def play(service: Service, roster: Roster, log: Log) -> None:
         up = Path(service.folder.up)
         (up / "a file").write_bytes(b"")
@@ -305,7 +305,7 @@
     ]
 
 
-def test_a_roster_that_lies_or_stalls_is_told_once_and_tables_stay(tmp_path: Path) -> None:
+def test_discovery_failure_is_reported_once_and_tables_stay(tmp_path: Path) -> None:
     async def play(service: Service, roster: Roster, log: Log) -> None:
         one = ByHand(service, "p1")
         one.join()
@@ -327,7 +327,7 @@
     serve(tmp_path, play)
 
 
-def test_a_full_disk_is_told_once_and_the_last_order_goes_out_when_it_is_well(tmp_path: Path) -> None:
+def test_full_disk_is_reported_once_and_the_last_update_is_written_after_it(tmp_path: Path) -> None:
     async def play(service: Service, roster: Roster, log: Log) -> None:
         one = ByHand(service, "p1")
         one.join()
@@ -349,7 +349,7 @@
     assert "files can be swapped again" in log.texts()
 
 
-def test_a_second_director_refuses_the_folder(tmp_path: Path) -> None:
+def test_second_controller_cannot_lock_the_folder(tmp_path: Path) -> None:
     async def play(service: Service, roster: Roster, log: Log) -> None:
         with pytest.raises(FolderTaken, match="one folder serves one director"):
             await Service(service.terms, log=Log()).run()
@@ -357,7 +357,7 @@
     serve(tmp_path, play)
 
 
-def test_records_are_kept_through_a_disk_fault_and_a_cut_line(tmp_path: Path) -> None:
+def test_records_survive_a_disk_error_and_a_truncated_line(tmp_path: Path) -> None:
     path = tmp_path / "records"
     records = Records(str(path), 3)
     for k in range(5):
@@ -376,7 +376,7 @@
     assert [row.get("n", row.get("records")) for row in rows] == [0, 1, 2, 2, None] and time.time() > 0
 
 
-def test_two_directors_with_a_link_hand_on_what_was_met(tmp_path: Path) -> None:
+def test_linked_controllers_hand_off_evidence_with_the_proxy(tmp_path: Path) -> None:
     """The proxy goes from one to the other; what it met is heard there, and only by who it comes to."""
 
     async def play(service: Service, roster: Roster, log: Log) -> None:
@@ -413,7 +413,7 @@
     serve(tmp_path, play, listen="127.0.0.1:0")
 
 
-def test_a_link_that_talks_nonsense_is_told_once(tmp_path: Path) -> None:
+def test_malformed_handoff_packets_are_reported_once(tmp_path: Path) -> None:
     from willowhook.controlplane.links import PeerClient
 
     async def play(service: Service, roster: Roster, log: Log) -> None:
@@ -426,7 +426,7 @@
     assert log.texts("warning") == ["handoff packet of a peer rejected"]
 
 
-def test_a_table_that_the_guard_splits_goes_out_in_steps_under_rising_versions(tmp_path: Path) -> None:
+def test_update_split_by_validation_goes_out_in_steps_under_rising_versions(tmp_path: Path) -> None:
     """A decider that gives a new host nearly everything: its share first, all of it when it is warm."""
 
     class Eager:
@@ -471,7 +471,7 @@
     serve(tmp_path, play, decider=Eager)
 
 
-def test_files_that_a_late_rename_covers_are_put_in_place_again(tmp_path: Path) -> None:
+def test_unanswered_files_are_written_again(tmp_path: Path) -> None:
     async def play(service: Service, roster: Roster, log: Log) -> None:
         one = ByHand(service, "p1")
         one.join()
@@ -490,7 +490,7 @@
     assert any(row["kind"] == "again" for row in read_records(str(tmp_path / "records")))
 
 
-def test_a_director_that_drains_sends_its_proxies_away_one_by_one(tmp_path: Path) -> None:
+def test_draining_controller_sends_its_proxies_away_one_by_one(tmp_path: Path) -> None:
     async def play(service: Service, roster: Roster, log: Log) -> None:
         fleet = [ByHand(service, f"p{k}") for k in range(4)]
         for k, one in enumerate(fleet):
@@ -500,7 +500,7 @@
         config = tmp_path / "d.json"
         config.write_bytes(msgspec.json.encode(service.terms))
         got = await trio.to_thread.run_sync(
-            lambda: CliRunner().invoke(main, ["director", "drain", "--config", str(config)])
+            lambda: CliRunner().invoke(main, ["controller", "drain", "--config", str(config)])
         )
         assert got.exit_code == 0 and "4 proxies are left" in got.output
         told: list[str] = []
@@ -509,14 +509,14 @@
             told += [one.name for one in fleet if one.name not in told and one.sent_away()]
             assert len(told) < 4 or told[0] == "p3"  # the one of least traffic first
         assert all(len(one.hosts()) == 3 for one in fleet)  # and their tables stay as they are
-        CliRunner().invoke(main, ["director", "drain", "--config", str(config), "--undo"])
+        CliRunner().invoke(main, ["controller", "drain", "--config", str(config), "--undo"])
         await until(lambda: "controller draining cancelled" in log.texts())
 
     serve(tmp_path, play)
 
 
 @pytest.mark.parametrize("where", ["judge", "sent", "listed", "joined", "applied", "came", "left"])
-def test_a_guard_that_breaks_is_off_and_service_goes_on(tmp_path: Path, where: str) -> None:
+def test_failed_validation_is_switched_off_and_updates_go_on(tmp_path: Path, where: str) -> None:
     def breaks(*_: Any, **__: Any) -> None:
         raise KeyError("on purpose")
 
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -29,13 +29,13 @@
 
 
 def broken(rule: int, folder: Path, guard: str) -> list[Verdict]:
-    """A day under a director that breaks this rule, with the guard or without."""
+    """A day under a controller that breaks this rule, with the guard or without."""
     day = draw(rule, 9.0, hosts=5, proxies=3, directors=1, calls_per_s=45.0, troubles=TROUBLE[rule], spare=0)
     if rule == 4:  # warm before the first director forgets its caution towards cold hosts
         day.length_s, day.calls_per_s = 14.0, 75.0
         day.rules = msgspec.structs.replace(day.rules, fall_multiple=2.0)
         day.troubles = [Trouble("host_crash", 5.0, 2.0, 0.2)]
-    command = [sys.executable, str(Path(__file__).parent / "broken_director.py"), str(rule)]
+    command = [sys.executable, str(Path(__file__).parent / "broken_controller.py"), str(rule)]
     return trio.run(Stage(day, folder, director=command, guard=guard).run).verdicts
 
 
@@ -56,7 +56,7 @@
         assert rule in told, f"the judge saw rule {rule} broken, the guard told of {told}"
 
 
-def test_the_guard_keeps_what_a_broken_director_would_break(tmp_path: Path) -> None:
+def test_update_validation_keeps_the_rules_of_a_broken_controller(tmp_path: Path) -> None:
     """Empty tables, orders to try again, a new host given nearly all: stopped on the way out."""
 
     def played(rule: int) -> list[Verdict]:
@@ -80,14 +80,23 @@
     assert arrivals(draw(5)) == arrivals(draw(5)) and arrivals(draw(5)) != arrivals(draw(6))
 
 
-def test_a_director_ends_cleanly_and_a_second_one_is_refused(tmp_path: Path) -> None:
+def test_controller_stops_on_sigterm_and_a_second_one_is_refused(tmp_path: Path) -> None:
     files = msgspec.structs.replace(EXAMPLE.files, folder=str(tmp_path / "d"))
     terms = msgspec.structs.replace(
         EXAMPLE, files=files, records=msgspec.structs.replace(EXAMPLE.records, file="")
     )
     path = tmp_path / "d.json"
     path.write_bytes(msgspec.json.encode(terms))
-    args = [sys.executable, "-m", "willowhook.cli", "director", "--config", str(path), "--log-format", "json"]
+    args = [
+        sys.executable,
+        "-m",
+        "willowhook.cli",
+        "controller",
+        "--config",
+        str(path),
+        "--log-format",
+        "json",
+    ]
     first = subprocess.Popen(args, stderr=subprocess.PIPE, text=True)
     assert first.stderr is not None
     assert '"event": "controller started"' in first.stderr.readline()
--- a/willowhook/cli/commands.py
+++ b/willowhook/cli/commands.py
@@ -1,13 +1,15 @@
 """The sub-commands.
 
-Exit codes: 0 done, 1 a trial or check failed, 2 wrong use or configuration, 3 the folder is taken, 4 the
-director broke.
+Exit codes: 0 done, 1 a trial or check failed, 2 wrong use or configuration, 3 the controller's folder cannot
+be used, 4 the controller failed.
 """
 
 from __future__ import annotations
 
+import copy
 import json
 import sys
+import time
 from pathlib import Path
 from typing import TYPE_CHECKING
 
@@ -17,10 +19,13 @@
     from ..config.terms import Terms
 
 
+DRAIN_POLL_SECONDS = 0.1
+
+
 @click.group()
 @click.version_option(package_name="willowhook", version="0.2.0")
 def main() -> None:
-    """A director of plain proxies: it publishes their tables as files that are swapped whole."""
+    """A controller of plain proxies: it publishes their tables as files that are swapped whole."""
 
 
 def load_terms(path: str) -> Terms:
@@ -37,11 +42,11 @@
 
 
 @main.group(invoke_without_command=True)
-@click.option("--config", "path", type=click.Path(), default="", help="The director's configuration, JSON.")
+@click.option("--config", "path", type=click.Path(), default="", help="The controller's configuration, JSON.")
 @click.option("--log-format", type=click.Choice(["console", "json"]), default="console", show_default=True)
 @click.pass_context
-def director(context: click.Context, path: str, log_format: str) -> None:
-    """Run one director until SIGTERM; or act on one that runs."""
+def controller(context: click.Context, path: str, log_format: str) -> None:
+    """Run one controller until SIGTERM; or act on one that runs."""
     if context.invoked_subcommand is not None:
         return
     if not path:
@@ -51,41 +56,51 @@
     sys.exit(run(load_terms(path), log_format))
 
 
-@director.command()
+@controller.command()
 @click.option("--config", "path", required=True, type=click.Path(), help="Its configuration.")
 @click.option("--undo", is_flag=True, help="Let proxies come again.")
 @click.option("--wait", "wait_s", type=click.FloatRange(0, 86_400), default=0.0, help="Seconds until empty.")
 def drain(path: str, undo: bool, wait_s: float) -> None:
-    """Hand a running director's proxies to others, one by one.  Exit code 1 if some are left after --wait."""
-    import time
-
+    """Hand a running controller's proxies to others, one by one.  Exit code 1 if any is left after --wait."""
     from ..files.layout import DRAIN, UP
     from ..files.ops import DiskOps, remove
     from ..files.swap import swap_file
 
     folder = Path(load_terms(path).files.folder).absolute()
-    if not (folder / UP).is_dir():
-        click.echo(f"{folder}: no director has run here", err=True)
+    proxies = folder / UP
+    if not proxies.is_dir():
+        click.echo(f"{folder}: no controller has run here", err=True)
         sys.exit(2)
     if undo:
         remove(DiskOps(), str(folder / DRAIN))
         click.echo("no longer draining")
         return
     swap_file(DiskOps(), str(folder), DRAIN, b"")
+    deadline = time.monotonic() + wait_s
+    while _count_proxies(proxies) and time.monotonic() < deadline:
+        time.sleep(DRAIN_POLL_SECONDS)
+    click.echo(f"draining; {_count_proxies(proxies)} proxies are left")
+    sys.exit(1 if _count_proxies(proxies) and wait_s else 0)
+
+
+def _count_proxies(folder: Path) -> int:
+    return sum(not entry.name.startswith(".") for entry in folder.iterdir())
+
+
+def _add_hidden_alias(group: click.Group, alias: str) -> None:
+    """Keeps a former name of a command group, with its options and sub-commands, out of the help."""
+    former = copy.copy(group)
+    former.name = alias
+    former.hidden = True
+    main.add_command(former)
 
-    def left() -> int:
-        return sum(not row.name.startswith(".") for row in (folder / UP).iterdir())
 
-    end = time.monotonic() + wait_s
-    while left() and time.monotonic() < end:
-        time.sleep(0.1)
-    click.echo(f"draining; {left()} proxies are left")
-    sys.exit(1 if left() and wait_s else 0)
+_add_hidden_alias(controller, "director")
 
 
 @main.group()
 def config() -> None:
-    """Configurations of a director."""
+    """Configurations of a controller."""
 
 
 @config.command()
@@ -94,7 +109,7 @@
     """Check a configuration; every fault is told with its place."""
     terms = load_terms(path)
     click.echo(
-        f"{path}: good: director {terms.name}, {len(terms.routes)} routes, {terms.fleet.proxies} proxies"
+        f"{path}: good: controller {terms.name}, {len(terms.routes)} routes, {terms.fleet.proxies} proxies"
     )
 
 
@@ -118,14 +133,14 @@
 
 @main.group()
 def tables() -> None:
-    """What lies in a director's folder."""
+    """What lies in a controller's folder."""
 
 
 @tables.command()
 @click.argument("folder", type=click.Path())
 @click.option("--proxy", "only", default="", help="Show this proxy alone.")
 def show(folder: str, only: str) -> None:
-    """Show what each proxy of a director's folder would read now."""
+    """Show what each proxy of a controller's folder would read now."""
     from ..controlplane.render import DIRECTORS
     from ..files.layout import DOWN
     from ..files.swap import read_group
@@ -134,7 +149,7 @@
 
     root = Path(folder) / DOWN
     if not root.is_dir():
-        click.echo(f"{folder}: no director's folder: {root} is not there", err=True)
+        click.echo(f"{folder}: no controller's folder: {root} is not there", err=True)
         sys.exit(2)
     bad = False
     for place in sorted(root.iterdir()):
@@ -161,7 +176,7 @@
             for table in rows:
                 click.echo(f"  table {table.cluster_name}")
                 if table.cluster_name == DIRECTORS:
-                    click.echo("    it is sent away: this director drains")
+                    click.echo("    it is sent away: this controller drains")
                     continue
                 for host, address, port, zone, weight, out in forms.lines(table):
                     word = "DRAINING" if out else "open"
@@ -178,7 +193,7 @@
 @click.argument("records", type=click.Path())
 @click.option("--proxy", default="", help="One proxy in full.")
 def versions(records: str, proxy: str) -> None:
-    """Who runs which version, what is refused and why, by a director's RECORDS, also of one that runs."""
+    """Who runs which version, what is refused and why, by a controller's RECORDS, also of one that runs."""
     from ..records.states import States
     from ..records.writer import read_records
 
