--- a/tests/test_controlplane_components.py
+++ b/tests/test_controlplane_components.py
@@ -17,7 +17,8 @@
 from willowhook.controlplane.decider import ControllerPort
 from willowhook.controlplane.decision_queue import DecisionQueue
 from willowhook.controlplane.handoff_codec import decode_packet, encode_packet
-from willowhook.decisions.events import EvaluationDue
+from willowhook.controlplane.inbound_events import ProxyFolderRemoved, WorkAvailable
+from willowhook.decisions.events import EndpointListLost, EvaluationDue
 from willowhook.membership.handoff import Hint, Packet
 from willowhook.records.writer import Records, read_records
 from willowhook.roster.forms import Host
@@ -78,17 +79,18 @@
     assert timers.next_due(99) == 30 and timers.pop_due(31) and timers.next_due(99) == 99
 
 
-def test_decision_queue_gives_all_waiting_calls_and_none_after_the_timeout() -> None:
+def test_decision_queue_gives_all_waiting_events_and_none_after_the_timeout() -> None:
     async def run() -> None:
-        queue, made = DecisionQueue(), list[int]()
+        queue = DecisionQueue()
         assert await queue.receive_batch(0.01) == []
         queue.wake()
-        await queue.send(made.append)
-        await queue.send(lambda now: made.append(-now))
-        batch = await queue.receive_batch(5.0)
-        for call in batch:
-            call(3)
-        assert len(batch) == 3 and made == [3, -3]
+        await queue.send(EndpointListLost())
+        await queue.send(ProxyFolderRemoved("p1"))
+        assert await queue.receive_batch(5.0) == [
+            WorkAvailable(),
+            EndpointListLost(),
+            ProxyFolderRemoved("p1"),
+        ]
 
     trio.run(run)
 
--- a/willowhook/controlplane/__init__.py
+++ b/willowhook/controlplane/__init__.py
@@ -1,1 +1,1 @@
-"""The running director: what happens is fed to the decision module, and what it orders is carried out."""
+"""The file and HTTP control plane: runs a controller, feeds it events and carries out its commands."""
--- a/willowhook/controlplane/context.py
+++ b/willowhook/controlplane/context.py
@@ -4,11 +4,13 @@
 
 from dataclasses import dataclass
 
+from ..config.facts import ticks
 from ..config.terms import Terms
 from ..decisions.settings import DeploymentSettings
 from ..files.layout import Folder
 from ..files.ops import FileOps
 from ..records.writer import Records
+from ..store.store import StoreError
 from .clock import Clock
 from .condition_log import ConditionLog, Logger
 from .decider import EventHandler
@@ -48,6 +50,24 @@
     handle: EventHandler
     memory: ControllerMemory | None
 
+    @classmethod
+    def open(
+        cls,
+        terms: Terms,
+        settings: DeploymentSettings,
+        folder: Folder,
+        ops: FileOps,
+        clock: Clock,
+        records: Records,
+        log: Logger,
+        handle: EventHandler,
+    ) -> ServiceContext:
+        """Makes the surroundings of a controller whose folder is open; also opens its store."""
+        conditions = ConditionLog(log, records, clock.now)
+        memory = _open_memory(terms, folder.epoch, conditions)
+        queue = DecisionQueue()
+        return cls(terms, settings, folder, ops, clock, records, log, conditions, queue, handle, memory)
+
     @property
     def epoch(self) -> int:
         """How often this controller has been started."""
@@ -61,3 +81,16 @@
     def now(self) -> int:
         """The current tick."""
         return self.clock.now()
+
+
+def _open_memory(terms: Terms, epoch: int, conditions: ConditionLog) -> ControllerMemory | None:
+    """The memory; None if there is none or it cannot be used, as a controller can do without."""
+    store = terms.store
+    if not store.folder:
+        return None
+    max_age_ticks = ticks(store.lasts_ms)
+    try:
+        return ControllerMemory(store.folder, terms.name, epoch, max_age_ticks, conditions.announce)
+    except (StoreError, OSError) as error:
+        conditions.report("store", True, "store unavailable", cause=str(error))
+        return None
--- a/willowhook/controlplane/decision_loop.py
+++ b/willowhook/controlplane/decision_loop.py
@@ -13,8 +13,9 @@
 from .clock import Clock
 from .controller_runtime import EvaluationTimers
 from .decider import Decider
-from .decision_queue import DecisionQueue, DeferredCall
+from .decision_queue import DecisionQueue
 from .endpoint_directory import EndpointDirectory
+from .inbound_events import InboundEvent
 from .publish import Publisher
 from .report_processor import ReportProcessor
 
@@ -30,6 +31,7 @@
     def __init__(
         self,
         queue: DecisionQueue,
+        dispatch: Callable[[int, InboundEvent], None],
         timers: EvaluationTimers,
         controller: Decider,
         reports: ReportProcessor,
@@ -43,6 +45,7 @@
 
         Args:
             queue: of what other tasks have learnt.
+            dispatch: handles an event of the queue.
             timers: of the controller's evaluations.
             controller: that decides.
             reports: that wait to be processed.
@@ -53,6 +56,7 @@
             clock: of this process.
         """
         self._queue = queue
+        self._dispatch = dispatch
         self._timers = timers
         self._controller = controller
         self._reports = reports
@@ -89,10 +93,10 @@
             due = now if self._has_budget_for_reports else min(due, now + REPORT_POLL_TICKS)
         return max(due - now, 0)
 
-    def _decide(self, batch: Sequence[DeferredCall]) -> None:
+    def _decide(self, batch: Sequence[InboundEvent]) -> None:
         now = self._decided_at = self._clock.now()
-        for call in batch:
-            call(now)
+        for event in batch:
+            self._dispatch(now, event)
         self._has_budget_for_reports = self._reports.process_waiting()
         self._reports.maintain(now, len(self._book.members))
         is_maintenance_due = now - self._maintained_at >= MAINTENANCE_INTERVAL_TICKS
--- a/willowhook/controlplane/decision_queue.py
+++ b/willowhook/controlplane/decision_queue.py
@@ -3,23 +3,17 @@
 from __future__ import annotations
 
 import contextlib
-from collections.abc import Callable
 
 import trio
 
-QUEUE_CAPACITY = 10_000  # calls; a sender waits while it is full
-MAX_BATCH = 5000  # calls that are made before the controller is flushed
+from .inbound_events import InboundEvent, WorkAvailable
 
-DeferredCall = Callable[[int], None]
-"""A call to be made in the decision task, with the current tick."""
-
-
-def _do_nothing(now: int) -> None:
-    """Ends the wait of a decision task that has nothing else in its queue."""
+QUEUE_CAPACITY = 10_000  # events; a sender waits while it is full
+MAX_BATCH = 5000  # events that are handled before the controller is flushed
 
 
 class DecisionQueue:
-    """Calls that the decision task makes, in the order in which they were sent.
+    """Events for the decision task, in the order in which they were sent.
 
     Controller, proxy intake and everything that they touch belong to that task alone; whatever another task
     has learnt gets there through this queue.
@@ -27,20 +21,20 @@
 
     def __init__(self) -> None:
         """Creates an empty queue."""
-        self._send, self._receive = trio.open_memory_channel[DeferredCall](QUEUE_CAPACITY)
+        self._send, self._receive = trio.open_memory_channel[InboundEvent](QUEUE_CAPACITY)
 
-    async def send(self, call: DeferredCall) -> None:
-        """Adds a call; waits while the queue is full."""
-        await self._send.send(call)
+    async def send(self, event: InboundEvent) -> None:
+        """Adds an event; waits while the queue is full."""
+        await self._send.send(event)
 
     def wake(self) -> None:
         """Makes the decision task look for work that is not in this queue."""
         with contextlib.suppress(trio.WouldBlock):  # a full queue wakes it anyway
-            self._send.send_nowait(_do_nothing)
+            self._send.send_nowait(WorkAvailable())
 
-    async def receive_batch(self, timeout_seconds: float) -> list[DeferredCall]:
-        """All calls that are waiting; none if the first one does not come in time."""
-        batch: list[DeferredCall] = []
+    async def receive_batch(self, timeout_seconds: float) -> list[InboundEvent]:
+        """All events that are waiting; none if the first one does not come in time."""
+        batch: list[InboundEvent] = []
         with trio.move_on_after(timeout_seconds):
             batch.append(await self._receive.receive())
         while len(batch) < MAX_BATCH:
--- a/willowhook/controlplane/discovery_feed.py
+++ b/willowhook/controlplane/discovery_feed.py
@@ -23,9 +23,17 @@
 from ..xds import forms
 from ..xds.codec import encode
 from .context import ServiceContext
-from .decision_queue import DeferredCall
+from .inbound_events import (
+    InboundEvent,
+    PartAcknowledged,
+    ProxyCalled,
+    ResourceRejected,
+    SessionReply,
+    SessionRequested,
+)
 from .intake import ProxyIntake
 from .outlets import WebOutlet
+from .proxy_events import UpdateApplied
 from .publish import Publisher
 from .render import Held, uses
 from .report_processor import ReportProcessor
@@ -44,6 +52,13 @@
         return Bearer(file.read())
 
 
+def _gate(settings: FrontTerms) -> Gate:
+    requests_per_tick = settings.asks_per_s / TICKS_PER_SECOND
+    return Gate(
+        settings.connections_most, settings.proxy_connections_most, requests_per_tick, settings.asks_burst
+    )
+
+
 def _times(settings: FrontTerms) -> Times:
     return Times(
         settings.header_ms / 1000,
@@ -90,14 +105,9 @@
         self._intake = intake
         self._reports = reports
         self._desks: dict[str, Desk] = {}  # by the name of the proxy
-        self._pending: list[DeferredCall] = []  # what was learnt by the call that is being served
+        self._pending: list[InboundEvent] = []  # what was learnt by the call that is being served
         settings = self._settings = context.terms.front
-        self.gate = Gate(
-            settings.connections_most,
-            settings.proxy_connections_most,
-            settings.asks_per_s / TICKS_PER_SECOND,
-            settings.asks_burst,
-        )
+        self.gate = _gate(settings)
         self.bodies = Bodies(settings.cache_bytes, settings.compress_from_bytes)
         self.front = Discovery(
             context.terms.name,
@@ -135,6 +145,16 @@
         self._desks[name] = desk
         return WebOutlet(desk, self._core, self.front.news)
 
+    def open_session(self, now: int, request: SessionRequested) -> None:
+        """Opens the session of a proxy that calls, unless it has this one already."""
+        session = self._intake.sessions.get(request.name)
+        has_session = session is not None and session.uses_discovery and session.term == request.term
+        if not has_session and not self._intake.open_session(
+            now, request.name, request.files, uses_discovery=True
+        ):
+            request.reply.fault = self._intake.last_fault
+        request.reply.is_ready.set()
+
     def close_session(self, name: str) -> None:
         """Ends the calls of a proxy that has left."""
         desk = self._desks.pop(name, None)
@@ -160,7 +180,7 @@
 
     def called(self, name: str) -> None:
         """A proxy has given a sign of life."""
-        self._pending.append(lambda now: self._intake.record_activity(now, name))
+        self._pending.append(ProxyCalled(name))
 
     def delivered(self, name: str) -> None:
         """An update has left on a proxy's connection."""
@@ -170,28 +190,13 @@
 
     async def arrive(self, name: str, node: forms.Node, holds: list[Any], fresh: bool) -> str:
         """Opens the session of a proxy that calls; what is malformed in what it says, or empty."""
-        done = trio.Event()
-        fault = ""
         files = {STATUS: encode({"node": node, "generic_xds_configs": holds})}
         if not fresh:
             files[ENDPOINT_REQUEST_FILE] = encode(forms.DiscoveryRequest("held", node))
-
-        def open_session(now: int) -> None:
-            nonlocal fault
-            if not self._has_session(name, node) and not self._intake.open_session(
-                now, name, files, None, uses_discovery=True
-            ):
-                fault = self._intake.last_fault
-            done.set()
-
-        await self._queue.send(open_session)
-        await done.wait()
-        return fault
-
-    def _has_session(self, name: str, node: forms.Node) -> bool:
-        session = self._intake.sessions.get(name)
-        term = node.metadata.get("term", 0)
-        return session is not None and session.uses_discovery and session.term == term
+        reply = SessionReply()
+        await self._queue.send(SessionRequested(name, node.metadata.get("term", 0), files, reply))
+        await reply.is_ready.wait()
+        return reply.fault
 
     async def report(self, name: str, body: bytes) -> None:
         """Takes in a load report."""
@@ -200,22 +205,22 @@
     async def settled(self) -> None:
         """Hands on what was learnt by a call that has been answered."""
         pending, self._pending = self._pending, []
-        for call in pending:
-            await self._queue.send(call)
+        for event in pending:
+            await self._queue.send(event)
 
     # What desks say, as their listener.
 
     def applied(self, proxy: int, number: int) -> None:
         """A proxy has applied this update message."""
-        self._pending.append(lambda now: self._publisher.applied(now, proxy, number))
+        self._pending.append(UpdateApplied(proxy, number))
 
     def refused(self, proxy: int, row: Resource, error: str) -> None:
         """A proxy has rejected a resource."""
-        self._pending.append(lambda now: self._publisher.refused_row(now, proxy, row, error))
+        self._pending.append(ResourceRejected(proxy, row, error))
 
     def taken(self, proxy: int, part: Part) -> None:
         """A proxy has acknowledged a part of its resources."""
-        self._pending.append(lambda now: self._publisher.took(now, proxy, part))
+        self._pending.append(PartAcknowledged(proxy, part))
 
     def believes(self, proxy: int, kind: str, version: str, state: str) -> None:
         """A proxy runs this version of a kind of resources."""
--- a/willowhook/controlplane/endpoint_list_feed.py
+++ b/willowhook/controlplane/endpoint_list_feed.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-
 import trio
 
 from ..decisions.events import EndpointListLost
@@ -12,6 +10,7 @@
 from ..roster.forms import Host, RosterError, read_hosts
 from ..roster.reader import Roster
 from .context import ServiceContext
+from .inbound_events import EndpointListFetched
 
 MAX_LIST_BYTES = 1 << 26
 RETRY_SECONDS = 1.0  # after a failure, where the controller does not ask for the list itself
@@ -20,17 +19,11 @@
 class EndpointListFeed:
     """Hands on every endpoint list that has changed, and every failure to get one."""
 
-    def __init__(self, context: ServiceContext, update: Callable[[int, list[Host]], None]) -> None:
-        """Creates a feed that asks nothing until one of its tasks runs.
-
-        Args:
-            context: the surroundings.
-            update: takes in each list, in the decision task, with the current tick.
-        """
+    def __init__(self, context: ServiceContext) -> None:
+        """Creates a feed that asks nothing until one of its tasks runs."""
         self._context = context
         self._settings = context.terms.roster
         self._conditions = context.conditions
-        self._update = update
         self._watch_requested = trio.Event()
         self._fetch_requested = trio.Event()
         if not self._settings.subscribe:
@@ -63,7 +56,7 @@
             is_complete_wanted = True
             if self._settings.subscribe:  # the controller decides when to ask again
                 self._watch_requested = trio.Event()
-                await self._lost()
+                await self._context.queue.send(EndpointListLost())
             else:
                 await trio.sleep(RETRY_SECONDS)
 
@@ -74,13 +67,7 @@
             await self._fetch_requested.wait()
             self._fetch_requested = trio.Event()
             if not await self._poll(client, True):
-                await self._lost()
-
-    async def _receive(self, endpoints: list[Host]) -> None:
-        await self._context.queue.send(lambda now: self._update(now, endpoints))
-
-    async def _lost(self) -> None:
-        await self._context.queue.send(lambda now: self._context.handle(now, EndpointListLost()))
+                await self._context.queue.send(EndpointListLost())
 
     def _client(self) -> Roster:
         settings = self._settings
@@ -99,7 +86,7 @@
             return False
         self._conditions.report("roster", False, "endpoint list available again")
         if endpoints is not None:
-            await self._receive(endpoints)
+            await self._context.queue.send(EndpointListFetched(endpoints))
             self._save(client.body)
         return True
 
--- a/willowhook/controlplane/handoff_peers.py
+++ b/willowhook/controlplane/handoff_peers.py
@@ -18,6 +18,7 @@
 from .context import ServiceContext
 from .endpoint_directory import EndpointDirectory
 from .handoff_codec import decode_packet, encode_packet
+from .inbound_events import HandoffAcknowledged, HandoffReceived
 from .links import PeerClient, serve_peers
 
 EVIDENCE_BUCKETS = 5  # of a second each, that are handed on
@@ -67,8 +68,7 @@
 
     async def _send(self, peer: int, packet: Packet, body: bytes) -> None:
         if await self._clients[peer].send(body):
-            sender = self._senders[peer]
-            await self._context.queue.send(lambda now: sender.answered(packet.epoch, packet.number))
+            await self._context.queue.send(HandoffAcknowledged(peer, packet.epoch, packet.number))
 
     async def _accept(self, body: bytes) -> bool:
         """Takes in a packet of a peer; says whether it could be read."""
@@ -80,11 +80,19 @@
             )
             return False
         self._context.conditions.report("link", False, "handoff packets of peers accepted again")
-        await self._context.queue.send(lambda now: self._hints.take(now, packet))
+        await self._context.queue.send(HandoffReceived(packet))
         return True
 
     # Evidence, in the decision task.
 
+    def take_packet(self, now: int, packet: Packet) -> None:
+        """Keeps a packet of a peer until its proxy joins, or it is too old."""
+        self._hints.take(now, packet)
+
+    def acknowledge(self, event: HandoffAcknowledged) -> None:
+        """Ends the sending of a packet that a peer has accepted."""
+        self._senders[event.peer].answered(event.epoch, event.number)
+
     def record_attempts(
         self, now: int, proxy: int, endpoint: str, attempts: float, failures: float, latency_sum_ticks: float
     ) -> None:
--- a/willowhook/controlplane/health_checker.py
+++ b/willowhook/controlplane/health_checker.py
@@ -66,5 +66,4 @@
             if caller is not None:
                 with trio.CancelScope(shield=True):
                     await caller.close()
-        event = HealthCheckCompleted(endpoint.id, outcome, load.get("busy"))
-        await self._context.queue.send(lambda now: self._context.handle(now, event))
+        await self._context.queue.send(HealthCheckCompleted(endpoint.id, outcome, load.get("busy")))
--- /dev/null
+++ b/willowhook/controlplane/inbound_events.py
@@ -0,0 +1,185 @@
+"""What the decision task learns from the tasks that do I/O, as typed events.
+
+Events of the controller itself, such as the result of a health check, go through the same queue.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping, Sequence
+from dataclasses import dataclass, field
+
+import trio
+
+from ..decisions.events import Event
+from ..membership.handoff import Packet
+from ..roster.forms import Host
+from ..versions.core import Part, Resource
+from .proxy_events import UpdateApplied
+
+FolderIdentity = tuple[int, ...]
+"""Tells one folder of a proxy from the next of the same name; empty if there is none."""
+
+
+@dataclass(frozen=True, slots=True)
+class WorkAvailable:
+    """There is work outside the queue, such as a load report that waits."""
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointListFetched:
+    """Discovery has given the complete endpoint list."""
+
+    endpoints: Sequence[Host]
+
+
+# From the folders of proxies.
+
+
+@dataclass(frozen=True, slots=True)
+class ProxyFolderFound:
+    """A proxy's folder has come, or was replaced.
+
+    Attributes:
+        name: of the proxy.
+        identity: of the folder.
+        files: that the proxy has written, by name.
+        previous: the files that a controller wrote for it before, if any.
+    """
+
+    name: str
+    identity: FolderIdentity
+    files: Mapping[str, bytes]
+    previous: Mapping[str, bytes] | None
+
+
+@dataclass(frozen=True, slots=True)
+class ProxyFolderRemoved:
+    """A proxy's folder is gone."""
+
+    name: str
+
+
+@dataclass(frozen=True, slots=True)
+class ProxyFileWritten:
+    """A proxy has written a file."""
+
+    name: str
+    file: str
+    data: bytes
+
+
+@dataclass(frozen=True, slots=True)
+class ProxyFileUnreadable:
+    """A file of a proxy could not be read."""
+
+    name: str
+    file: str
+    cause: str
+
+
+# From the discovery server.
+
+
+@dataclass(slots=True)
+class SessionReply:
+    """What became of a request for a session.
+
+    Attributes:
+        fault: what is malformed in the request; empty: nothing.
+        is_ready: is set once `fault` holds.
+    """
+
+    fault: str = ""
+    is_ready: trio.Event = field(default_factory=trio.Event)
+
+
+@dataclass(frozen=True, slots=True)
+class SessionRequested:
+    """A proxy that calls asks for a session.
+
+    Attributes:
+        name: of the proxy.
+        term: of the session, as the proxy states it; not checked yet.
+        files: what it says, as files.
+        reply: takes the answer.
+    """
+
+    name: str
+    term: object
+    files: Mapping[str, bytes]
+    reply: SessionReply
+
+
+@dataclass(frozen=True, slots=True)
+class ProxyCalled:
+    """A proxy has made a call."""
+
+    name: str
+
+
+@dataclass(frozen=True, slots=True)
+class ResourceRejected:
+    """A proxy that calls has rejected a resource."""
+
+    proxy: int
+    resource: Resource
+    cause: str
+
+
+@dataclass(frozen=True, slots=True)
+class PartAcknowledged:
+    """A proxy that calls has acknowledged a part of its resources."""
+
+    proxy: int
+    part: Part
+
+
+# From the link to other controllers.
+
+
+@dataclass(frozen=True, slots=True)
+class HandoffReceived:
+    """A peer has sent a packet."""
+
+    packet: Packet
+
+
+@dataclass(frozen=True, slots=True)
+class HandoffAcknowledged:
+    """A peer has accepted a packet.
+
+    Attributes:
+        peer: its index in the configuration.
+        epoch: of this controller when it sent the packet.
+        number: of the packet.
+    """
+
+    peer: int
+    epoch: int
+    number: int
+
+
+# From the publisher.
+
+
+@dataclass(frozen=True, slots=True)
+class PublisherCallDue:
+    """The publisher's task wants a call made in the decision task, with the current tick."""
+
+    call: Callable[[int], None]
+
+
+FolderEvent = ProxyFolderFound | ProxyFolderRemoved | ProxyFileWritten | ProxyFileUnreadable
+
+DiscoveryEvent = SessionRequested | ProxyCalled | UpdateApplied | ResourceRejected | PartAcknowledged
+
+InboundEvent = (
+    WorkAvailable
+    | EndpointListFetched
+    | FolderEvent
+    | DiscoveryEvent
+    | HandoffReceived
+    | HandoffAcknowledged
+    | PublisherCallDue
+    | Event
+)
--- a/willowhook/controlplane/proxy_folder_feed.py
+++ b/willowhook/controlplane/proxy_folder_feed.py
@@ -5,7 +5,6 @@
 import contextlib
 import os
 import stat
-from functools import partial
 
 import trio
 
@@ -13,15 +12,19 @@
 from ..files.swap import read_at, read_group
 from ..files.watch import Watch
 from .context import ServiceContext
+from .inbound_events import (
+    FolderIdentity,
+    ProxyFileUnreadable,
+    ProxyFileWritten,
+    ProxyFolderFound,
+    ProxyFolderRemoved,
+)
 from .intake import ProxyIntake
 from .proxy_files import PROXY_FILES
 from .report_processor import ReportProcessor
 
 REPORT_POLL_SECONDS = 0.05  # between two looks for load reports that may be read now
 
-FolderIdentity = tuple[int, ...]
-"""Tells one folder of a proxy from the next of the same name; empty if there is none."""
-
 FileIdentity = tuple[int, int]
 """Inode and modification time of a file."""
 
@@ -93,7 +96,7 @@
         if not identity:
             self._watch.drop(name)
             self.forget(name)
-            await self._queue.send(lambda now: self._intake.close_session(name, "its folder is gone"))
+            await self._queue.send(ProxyFolderRemoved(name))
         elif self._folders.get(name) == identity:
             await self._file_changed(name, "")
         else:
@@ -128,20 +131,14 @@
         with contextlib.suppress(OSError):  # no controller has sent it anything
             previous = read_group(f"{self._down}/{name}")[1]
         self._folders[name] = identity
-        await self._queue.send(partial(self._open_session, name, identity, files, previous))
+        await self._queue.send(ProxyFolderFound(name, identity, files, previous))
 
-    def _open_session(
-        self,
-        name: str,
-        identity: FolderIdentity,
-        files: dict[str, bytes],
-        previous: dict[str, bytes] | None,
-        now: int,
-    ) -> None:
-        if self._intake.open_session(now, name, files, previous):
-            self._folders[name] = identity
+    def open_session(self, now: int, found: ProxyFolderFound) -> None:
+        """Opens the session of a proxy whose folder has come; for the decision task."""
+        if self._intake.open_session(now, found.name, found.files, found.previous):
+            self._folders[found.name] = found.identity
         else:  # read again when it writes the next file
-            self.forget(name)
+            self.forget(found.name)
 
     def forget(self, name: str) -> None:
         """Takes a proxy's next file, or its next folder, as if it had just come."""
@@ -162,10 +159,7 @@
                 continue
             data = await self._read(name, each)
             if data is not None:
-                await self._queue.send(partial(self._process_file, name, each, data))
-
-    def _process_file(self, name: str, file: str, data: bytes, now: int) -> None:
-        self._intake.process_file(now, name, file, data)
+                await self._queue.send(ProxyFileWritten(name, each, data))
 
     async def _read_report(self, name: str) -> None:
         """Reads a load report, or defers it: a newer one may have replaced it by then."""
@@ -198,7 +192,7 @@
             cause = str(error)
             if file == LOAD:
                 self._reports.reject_unreadable(self._now(), name, cause)
-            await self._queue.send(lambda now: self._intake.reject_unreadable(name, file, cause))
+            await self._queue.send(ProxyFileUnreadable(name, file, cause))
             return None
 
 
--- a/willowhook/controlplane/publisher_events.py
+++ b/willowhook/controlplane/publisher_events.py
@@ -2,12 +2,13 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from typing import Any
 
 from ..decisions.events import MessageAcknowledged
 from .context import ServiceContext
-from .decision_queue import DeferredCall
 from .endpoint_directory import EndpointDirectory
+from .inbound_events import PublisherCallDue
 
 
 class PublisherEvents:
@@ -34,9 +35,9 @@
         """Hands the controller the sync marker that a proxy has acknowledged."""
         self._context.handle(now, MessageAcknowledged(proxy, mark))
 
-    async def soon(self, event: DeferredCall) -> None:
+    async def soon(self, event: Callable[[int], None]) -> None:
         """Has a call made by the decision task."""
-        await self._context.queue.send(event)
+        await self._context.queue.send(PublisherCallDue(event))
 
     def knows(self, proxy: str, part: str, version: str) -> None:
         """Stores which version of a part of its resources a proxy runs."""
--- a/willowhook/controlplane/service.py
+++ b/willowhook/controlplane/service.py
@@ -20,16 +20,14 @@
 from ..files.watch import Watch, open_watch
 from ..records.writer import Records
 from ..roster.forms import Host
-from ..store.store import StoreError
 from ..versions.core import Core, first_era
 from .book import OrderBook
 from .clock import Clock
-from .condition_log import BindableLogger, ConditionLog, Logger
+from .condition_log import BindableLogger, Logger
 from .context import ServiceContext
 from .controller_runtime import EvaluationTimers, FileControllerRuntime
 from .decider import ControllerPort, Decider, DeciderFactory
 from .decision_loop import DecisionLoop
-from .decision_queue import DecisionQueue
 from .discovery_feed import DiscoveryFeed
 from .draining import ControllerDrain
 from .endpoint_directory import EndpointDirectory
@@ -37,9 +35,9 @@
 from .evidence_recovery import EvidenceRecovery
 from .handoff_peers import HandoffPeers
 from .health_checker import HealthChecker
+from .inbound_dispatcher import InboundDispatcher
 from .intake import ProxyIntake
 from .load_recorder import LoadRecorder
-from .memory import ControllerMemory
 from .outlet_factory import OutletFactory
 from .proxy_event_handler import ProxyEventHandler
 from .proxy_folder_feed import ProxyFolderFeed
@@ -173,10 +171,8 @@
     # The components, in the order in which they need each other.
 
     def _make_context(self) -> None:
-        self.conditions = ConditionLog(self.log, self.records, self.clock.now)
-        self.memory = self._open_memory()
         self._port = ControllerPort()
-        self.context = ServiceContext(
+        self.context = ServiceContext.open(
             self.terms,
             self.settings,
             self.folder,
@@ -184,24 +180,9 @@
             self.clock,
             self.records,
             self.log,
-            self.conditions,
-            DecisionQueue(),
             self._port.handle,
-            self.memory,
         )
-
-    def _open_memory(self) -> ControllerMemory | None:
-        """The memory; None if there is none or it cannot be used, as a controller can do without."""
-        store, epoch = self.terms.store, self.folder.epoch
-        if not store.folder:
-            return None
-        max_age_ticks = ticks(store.lasts_ms)
-        announce = self.conditions.announce
-        try:
-            return ControllerMemory(store.folder, self.terms.name, epoch, max_age_ticks, announce)
-        except (StoreError, OSError) as error:
-            self.conditions.report("store", True, "store unavailable", cause=str(error))
-            return None
+        self.memory = self.context.memory
 
     def _make_publisher(self) -> None:
         """Makes what leads from the controller's commands to the proxies."""
@@ -247,7 +228,7 @@
     def _make_controller(self) -> None:
         """Makes the controller and what it commands, and hands it what is known from before."""
         context = self.context
-        self.endpoint_list = EndpointListFeed(context, self._update_endpoints)
+        self.endpoint_list = EndpointListFeed(context)
         self.health_checker = HealthChecker(context, self.directory.find)
         self.timers = EvaluationTimers()
         runtime = FileControllerRuntime(
@@ -285,8 +266,18 @@
             self.handoff.resend_unanswered,
             monitor.check,
         ]
+        dispatcher = InboundDispatcher(
+            context,
+            self.intake,
+            self.publisher,
+            self.folder_feed,
+            self.discovery,
+            self.handoff,
+            self._update_endpoints,
+        )
         self.loop = DecisionLoop(
             context.queue,
+            dispatcher.handle,
             self.timers,
             self.controller,
             self.reports,
