--- a/willowhook/cli/commands.py
+++ b/willowhook/cli/commands.py
@@ -141,52 +141,26 @@
 @click.option("--proxy", "only", default="", help="Show this proxy alone.")
 def show(folder: str, only: str) -> None:
     """Show what each proxy of a controller's folder would read now."""
-    from ..controlplane.render import DIRECTORS
     from ..files.layout import DOWN
-    from ..files.swap import read_group
-    from ..xds import tables as forms
     from ..xds.codec import FormError
+    from .tables import print_proxy
 
     root = Path(folder) / DOWN
     if not root.is_dir():
         click.echo(f"{folder}: no controller's folder: {root} is not there", err=True)
         sys.exit(2)
-    bad = False
+    has_malformed = False
     for place in sorted(root.iterdir()):
         if only and place.name != only:
             continue
         try:
-            version, files = read_group(str(place))
-            clusters = {}
-            if "cds.json" in files:
-                clusters = {row.name: row for row in forms.read_clusters(files["cds.json"])[1]}
-            envelope, rows = forms.read_tables(files["eds.json"])
-            click.echo(f"{place.name}: {version}, version {envelope.version_info}")
-            if "rds.json" in files:
-                for route in forms.read_routes(files["rds.json"])[1][0].virtual_hosts[0].routes:
-                    path = " ".join(forms.match_of(route.match)).removeprefix("below ")
-                    if route.direct_response is not None:
-                        click.echo(f"  {path} -> {route.direct_response.status}")
-                        continue
-                    to = clusters[route.route.cluster].eds_cluster_config.service_name
-                    share, rate = forms.level_of(route.typed_per_filter_config)
-                    tries = forms.tries_of(route.route.retry_policy)
-                    told = f"share {share:g}" + ("" if rate == float("inf") else f", {rate:.2f} calls/s")
-                    click.echo(f"  {path} -> {to}: {told}, tries {tries}")
-            for table in rows:
-                click.echo(f"  table {table.cluster_name}")
-                if table.cluster_name == DIRECTORS:
-                    click.echo("    it is sent away: this controller drains")
-                    continue
-                for host, address, port, zone, weight, out in forms.lines(table):
-                    word = "DRAINING" if out else "open"
-                    click.echo(f"    {host:24} {address}:{port:<6} {zone:10} {weight:8.4f} {word}")
+            print_proxy(place)
         except FileNotFoundError:
             click.echo(f"{place.name}: nothing has been sent")
         except (FormError, OSError, KeyError) as fault:
             click.echo(f"{place.name}: cannot be read: {fault}", err=True)
-            bad = True
-    sys.exit(1 if bad else 0)
+            has_malformed = True
+    sys.exit(1 if has_malformed else 0)
 
 
 @main.command()
