--- a/tests/broken_director.py
+++ b/tests/broken_director.py
@@ -9,7 +9,7 @@
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
 from willowhook.cli.main import main
-from willowhook.controlplane import book, render
+from willowhook.controlplane import proxy_state, resource_renderer
 from willowhook.decisions.controller import Controller
 from willowhook.decisions.events import EvaluationDue, Event
 from willowhook.decisions.runtime import AdmissionLimit
@@ -17,31 +17,31 @@
 
 def rule_1() -> None:
     """No line is ever written: proxies are bound to empty tables."""
-    book.OrderBook.set_weight = lambda self, table, endpoint, weight: None  # type: ignore[method-assign]
+    proxy_state.ProxyStateBook.set_weight = lambda self, table, endpoint, weight: None  # type: ignore[method-assign]
 
 
 def rule_2() -> None:
     """Everything is tried again after any failure."""
-    render.safe_tries = lambda semantics, tries: tries
-    set_admission = book.OrderBook.set_admission
+    resource_renderer.safe_tries = lambda semantics, tries: tries
+    set_admission = proxy_state.ProxyStateBook.set_admission
 
     def three_retries(self: Any, table: int, route: int, admission: AdmissionLimit) -> None:
         set_admission(self, table, route, AdmissionLimit(3, admission.limit))
 
-    book.OrderBook.set_admission = three_retries  # type: ignore[method-assign]
+    proxy_state.ProxyStateBook.set_admission = three_retries  # type: ignore[method-assign]
 
 
 def rule_3() -> None:
     """Nothing is withdrawn, and no line taken out."""
-    line = book.OrderBook.set_weight
+    line = proxy_state.ProxyStateBook.set_weight
 
     def kept(self: Any, table: int, endpoint: str, weight: float) -> None:
         if weight > 0:
             line(self, table, endpoint, weight)
 
-    book.OrderBook.set_weight = kept  # type: ignore[method-assign]
-    book.OrderBook.exclude_endpoint = lambda self, endpoint: None  # type: ignore[method-assign]
-    book.OrderBook.readmit_endpoint = lambda self, endpoint: None  # type: ignore[method-assign]
+    proxy_state.ProxyStateBook.set_weight = kept  # type: ignore[method-assign]
+    proxy_state.ProxyStateBook.exclude_endpoint = lambda self, endpoint: None  # type: ignore[method-assign]
+    proxy_state.ProxyStateBook.readmit_endpoint = lambda self, endpoint: None  # type: ignore[method-assign]
     handle = Controller.handle
 
     def again(self: Any, now: int, event: Event) -> None:
--- a/tests/test_controlplane_parts.py
+++ b/tests/test_controlplane_parts.py
@@ -11,11 +11,12 @@
 
 from willowhook.config.example import EXAMPLE
 from willowhook.config.facts import facts
-from willowhook.controlplane.book import Message, OrderBook, View
-from willowhook.controlplane.channel import Channel
+from willowhook.controlplane.channel import UpdateChannel
 from willowhook.controlplane.intake import Intake
-from willowhook.controlplane.outlets import FileOutlet
-from willowhook.controlplane.render import Held, Renderer
+from willowhook.controlplane.proxy_resources import ProxyResources
+from willowhook.controlplane.proxy_state import ProxyStateBook, ProxyView, UpdateMessage
+from willowhook.controlplane.resource_renderer import ResourceRenderer
+from willowhook.controlplane.update_sinks import FileUpdateSink
 from willowhook.decisions.runtime import AdmissionLimit
 from willowhook.files.swap import Shelf
 from willowhook.versions.core import Core, first_era
@@ -42,10 +43,10 @@
         }
 
 
-def shown(message: Message) -> dict[int, dict[str, tuple[float, bool]]]:
+def shown(message: UpdateMessage) -> dict[int, dict[str, tuple[float, bool]]]:
     view = message.view
     return {
-        route: {h: (w, h in view.withdrawn) for h, w in state.lines.items()}
+        route: {h: (w, h in view.excluded) for h, w in state.lines.items()}
         for route, state in view.bound.items()
     }
 
@@ -63,9 +64,9 @@
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(st.lists(step, max_size=60))
 def test_every_message_shows_what_its_proxy_is_to_hold_at_its_own_moment(steps: list[Any]) -> None:
-    sent: list[tuple[Message, dict[int, dict[str, tuple[float, bool]]]]] = []
+    sent: list[tuple[UpdateMessage, dict[int, dict[str, tuple[float, bool]]]]] = []
     model = Rebuilt()
-    book = OrderBook(SETTINGS, lambda message: sent.append((message, model.holds(message.proxy))))
+    book = ProxyStateBook(SETTINGS, lambda message: sent.append((message, model.holds(message.proxy))))
     for what, *rest in steps:
         if what == "line":
             table, host, weight = rest
@@ -77,17 +78,17 @@
         elif what == "withdraw":
             (book.exclude_endpoint if rest[1] else book.readmit_endpoint)(rest[0])
             (model.out.add if rest[1] else model.out.discard)(rest[0])
-        elif what == "bind" and rest[0] in book.members:
+        elif what == "bind" and rest[0] in book.proxies:
             routes = [k for k in range(3) if rest[2] == 0 or rest[2] >> k & 1]
             book.bind(rest[0], rest[1], routes)
             model.bound[rest[0]].update(dict.fromkeys(routes, rest[1]))
         elif what == "join":
-            book.join(rest[0], "north", {})
+            book.add_proxy(rest[0], "north", {})
             model.bound[rest[0]] = {}
         elif what == "leave":
-            book.leave(rest[0])
+            book.remove_proxy(rest[0])
         elif what == "over":
-            book.moment_over(0)
+            book.flush(0)
     numbers = [message.number for message, _ in sent]
     assert numbers == sorted(set(numbers))
     for message, held in sent:  # looked at after all that came later: what was sent did not change
@@ -95,45 +96,45 @@
 
 
 def test_a_moment_is_one_message_a_proxy_and_its_lines_are_those_of_the_wire_page() -> None:
-    sent: list[Message] = []
-    book = OrderBook(SETTINGS, sent.append)
+    sent: list[UpdateMessage] = []
+    book = ProxyStateBook(SETTINGS, sent.append)
     for proxy in (0, 1, 2):
-        book.join(proxy, "north", {0: frozenset({"a"} if proxy == 2 else ())})
+        book.add_proxy(proxy, "north", {0: frozenset({"a"} if proxy == 2 else ())})
     book.set_weight(0, "a", 1.0)
     book.set_weight(0, "b", 1.0)
     book.set_admission(0, 0, AdmissionLimit(1, 5.0))
     book.exclude_endpoint("a")  # only proxy 2 holds it, in its standing table
     book.bind(0, 0, ALL_ROUTES)
     book.send_sync_marker(7)
-    book.moment_over(5)
+    book.flush(5)
     # a line, two lines, a level, one withdrawn; the head and the mark
     assert [(m.proxy, m.lines, m.mark) for m in sent] == [(2, 1 + HEAD + 1, 7), (0, 5 + HEAD + 1, 7)]
     sent.clear()
     book.set_weight(0, "b", 0.5)
-    book.moment_over(6)
+    book.flush(6)
     assert [(m.proxy, m.lines, m.mark) for m in sent] == [(0, 1 + HEAD, -1)]
 
 
-def message(number: int, proxy: int, lines: int, ordered: int) -> Message:
-    return Message(number, -1, proxy, lines, ordered, View({}, {}, {}))
+def message(number: int, proxy: int, lines: int, ordered: int) -> UpdateMessage:
+    return UpdateMessage(number, -1, proxy, lines, ordered, ProxyView({}, {}, {}))
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 4000), st.integers(1, 300), st.integers(0, 3)), max_size=40))
 def test_the_channel_keeps_its_rate_and_its_order(rows: list[tuple[int, int, int]]) -> None:
-    channel, now, left = Channel(SETTINGS.channel), 100_000, list[tuple[int, Message]]()
+    channel, now, left = UpdateChannel(SETTINGS.channel), 100_000, list[tuple[int, UpdateMessage]]()
     rate = SETTINGS.channel.entries_per_second / 10_000
     for k, (pause, lines, proxy) in enumerate(rows):
         now += pause
         while (taken := channel.take(now)) is not None:
             left.append((now, taken[0]))
         channel.put(message(k, proxy, lines, now))
-    while (due := channel.due()) is not None:
+    while (due := channel.next_departure()) is not None:
         now = max(now, int(due) + 1)
         taken = channel.take(now)
         assert taken is not None
         left.append((now, taken[0]))
-    assert channel.waiting == 0 and [m.number for _, m in left] == list(range(len(rows)))
+    assert channel.waiting_entries == 0 and [m.number for _, m in left] == list(range(len(rows)))
     for t, m in left:
         assert t >= m.ordered + m.lines / rate - 1
     total = sum(lines for _, lines, _ in rows)
@@ -142,7 +143,7 @@
 
 
 def test_the_channel_tells_of_a_full_queue_and_of_too_many_messages() -> None:
-    channel = Channel(
+    channel = UpdateChannel(
         replace(SETTINGS.channel, queue_limit_entries=100, message_cap=2, message_cap_window_ticks=10_000)
     )
     assert channel.put(message(1, 0, 90, 0)) and not channel.put(message(2, 0, 20, 0))
@@ -152,9 +153,13 @@
         taken = channel.take(now)
         assert taken is not None
         kept.append(taken[1])
-    assert kept == [True, True, False] and channel.most == 111 and channel.most_messages == 3
+    assert (
+        kept == [True, True, False]
+        and channel.most_waiting_entries == 111
+        and channel.most_messages_in_window == 3
+    )
     channel.put(message(4, 1, 5, 0))
-    assert channel.forget(1) == 1 and channel.waiting == 0
+    assert channel.drop_proxy(1) == 1 and channel.waiting_entries == 0
 
 
 class Listener:
@@ -271,20 +276,20 @@
 
 
 def test_a_director_that_starts_again_takes_what_it_left_there_for_held() -> None:
-    sent: list[Message] = []
-    book, renderer = OrderBook(SETTINGS, sent.append), Renderer(EXAMPLE, 2)
-    renderer.readdress({"a": ("127.0.0.1", 81, "north")})
-    book.join(0, "north", {})
+    sent: list[UpdateMessage] = []
+    book, renderer = ProxyStateBook(SETTINGS, sent.append), ResourceRenderer(EXAMPLE, 2)
+    renderer.set_addresses({"a": ("127.0.0.1", 81, "north")})
+    book.add_proxy(0, "north", {})
     book.set_weight(0, "a", 1.0)
     book.bind(0, 0, ALL_ROUTES)
-    book.moment_over(0)
-    lies = outlet(2, 2).files(9, renderer.rows(sent[-1].view, Held()))
+    book.flush(0)
+    lies = outlet(2, 2).files(9, renderer.render(sent[-1].view, ProxyResources()))
     for term, hosts in ((2, {"a"}), (3, set())):
         ear = Listener()
         intake = Intake(ear, "d", 3, ("load",), 20_000, lambda: 50)
         assert intake.appeared(0, "p1", {"status.json": encode(forms.ClientConfig(node(term)))}, lies)
         held = ear.told[0][6]
-        assert set(held.hosts("load")) == hosts
+        assert set(held.endpoints_of("load")) == hosts
 
 
 def test_a_silent_proxy_has_left_and_a_foreign_or_broken_one_never_joins() -> None:
@@ -314,36 +319,36 @@
     assert "p1" in intake.present
 
 
-def outlet(term: int, epoch: int) -> FileOutlet:
-    return FileOutlet(Shelf("nowhere"), Core(first_era(epoch, 5)), term, epoch, False)
+def outlet(term: int, epoch: int) -> FileUpdateSink:
+    return FileUpdateSink(Shelf("nowhere"), Core(first_era(epoch, 5)), term, epoch, False)
 
 
 def test_only_the_file_that_changed_gets_a_new_version_and_unbound_proxies_keep_their_tables() -> None:
-    sent: list[Message] = []
-    book, renderer, files = OrderBook(SETTINGS, sent.append), Renderer(EXAMPLE, 4), outlet(6, 4)
-    renderer.readdress({"a": ("127.0.0.1", 81, "north"), "b": ("127.0.0.1", 82, "south")})
+    sent: list[UpdateMessage] = []
+    book, renderer, files = ProxyStateBook(SETTINGS, sent.append), ResourceRenderer(EXAMPLE, 4), outlet(6, 4)
+    renderer.set_addresses({"a": ("127.0.0.1", 81, "north"), "b": ("127.0.0.1", 82, "south")})
     standing = tables.assignment("standing", [("a", "127.0.0.1", 81, "north", 1.0, False)])
     row = tables.route("load", "/load-task", "load@standing", 1, tables.retry(1, 0), {})
     cluster = tables.cluster("load@standing", "standing", "", "pair", 1, 0)
-    held = Held({"load": ([row], encode(cluster), "standing")}, {"standing": standing})
-    book.join(0, "north", {0: held.hosts("load")})
+    held = ProxyResources({"load": ([row], encode(cluster), "standing")}, {"standing": standing})
+    book.add_proxy(0, "north", {0: held.endpoints_of("load")})
     book.exclude_endpoint("a")
-    book.moment_over(0)
-    first = files.files(1, renderer.rows(sent[-1].view, held))
+    book.flush(0)
+    first = files.files(1, renderer.render(sent[-1].view, held))
     assert set(first) == {"eds.json"}
     assert tables.lines(tables.read_tables(first["eds.json"])[1][0])[0][5]  # draining in the standing table
     book.set_weight(0, "b", 1.0)
     book.bind(0, 0, ALL_ROUTES)
     book.set_admission(0, 0, AdmissionLimit(0, 2.0))
-    book.moment_over(1)
-    second = files.files(2, renderer.rows(sent[-1].view, held))
+    book.flush(1)
+    second = files.files(2, renderer.render(sent[-1].view, held))
     assert set(second) == {"cds.json", "eds.json", "rds.json"}
     routes = tables.read_routes(second["rds.json"])[1][0].virtual_hosts[0].routes
     by_name = {route.name: route for route in routes}
     assert tables.tries_of(by_name["load"].route.retry_policy) == 0
     assert abs(tables.level_of(by_name["load"].typed_per_filter_config)[1] - 2.0) < 1e-6
     book.set_weight(0, "b", 0.5)
-    book.moment_over(2)
-    third = files.files(3, renderer.rows(sent[-1].view, held))
+    book.flush(2)
+    third = files.files(3, renderer.render(sent[-1].view, held))
     assert third["cds.json"] == second["cds.json"] and third["rds.json"] == second["rds.json"]
     assert tables.read_tables(third["eds.json"])[0].nonce == "6.4.3"
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -411,7 +411,7 @@
         one = ByCalls(service, "p1")
         got = await one.settle()
         assert set(got) == {"cds", "eds", "rds"} and hosts_of(got["eds"]) == {"a", "b", "c"}
-        reader = service.publisher.readers[0]
+        reader = service.publisher.sessions[0]
         await until(lambda: reader.applied > 0)
         assert not any(service.director.channel.waiting.values())
         roster.hosts["b"], roster.index = True, 2
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -454,14 +454,14 @@
         one.join()
         await until(lambda: one.hosts() == {"a", "b", "c"})
         one.answer()  # taken before the list is news: what is in flight counts with the guard, and refuses
-        await until(lambda: service.intake.present["p1"].applied == service.book.count)
+        await until(lambda: service.intake.present["p1"].applied == service.proxy_states.message_count)
         roster.hosts["new"], roster.started["new"], roster.index = False, time.time() - 6.0, 2
         await until(lambda: "new" in one.hosts())
         first = one.weights()
         assert first["new"] < 12 and "held by the guard" in log.texts("warning")
         one.answer()
         await until(lambda: one.weights()["new"] == 12, 12)
-        assert one.number() > 0 and service.watchman.counts["split"] >= 1
+        assert one.number() > 0 and service.validation.counts["split"] >= 1
 
     serve(tmp_path, play, decider=Eager)
 
@@ -479,7 +479,7 @@
         assert one.hosts() == set()
         await until(lambda: len(one.hosts()) == 3)  # nobody ordered anything
         one.answer()
-        await until(lambda: all(r.resend is None for r in service.publisher.readers.values()))
+        await until(lambda: all(r.resend is None for r in service.publisher.sessions.values()))
 
     serve(tmp_path, play)
     assert any(row["kind"] == "again" for row in read_records(str(tmp_path / "records")))
@@ -510,13 +510,24 @@
     serve(tmp_path, play)
 
 
-@pytest.mark.parametrize("where", ["judge", "sent", "listed", "joined", "applied", "came", "left"])
+@pytest.mark.parametrize(
+    "where",
+    [
+        "judge",
+        "record_sent",
+        "update_endpoints",
+        "add_proxy",
+        "record_acknowledged",
+        "update_rate",
+        "remove_proxy",
+    ],
+)
 def test_a_guard_that_breaks_is_off_and_service_goes_on(tmp_path: Path, where: str) -> None:
     def breaks(*_: Any, **__: Any) -> None:
         raise KeyError("on purpose")
 
     async def play(service: Service, roster: Roster, log: Log) -> None:
-        setattr(service.watchman, where, breaks)
+        setattr(service.validation, where, breaks)
         one = ByHand(service, "p1")
         one.join()
         await until(lambda: len(one.hosts()) == 3)
--- a/willowhook/cli/commands.py
+++ b/willowhook/cli/commands.py
@@ -126,7 +126,7 @@
 @click.option("--proxy", "only", default="", help="Show this proxy alone.")
 def show(folder: str, only: str) -> None:
     """Show what each proxy of a director's folder would read now."""
-    from ..controlplane.render import DIRECTORS
+    from ..controlplane.proxy_resources import CONTROLLERS_RESOURCE
     from ..files.layout import DOWN
     from ..files.swap import read_group
     from ..xds import tables as forms
@@ -160,7 +160,7 @@
                     click.echo(f"  {path} -> {to}: {told}, tries {tries}")
             for table in rows:
                 click.echo(f"  table {table.cluster_name}")
-                if table.cluster_name == DIRECTORS:
+                if table.cluster_name == CONTROLLERS_RESOURCE:
                     click.echo("    it is sent away: this director drains")
                     continue
                 for host, address, port, zone, weight, out in forms.lines(table):
--- a/willowhook/controlplane/intake.py
+++ b/willowhook/controlplane/intake.py
@@ -20,7 +20,7 @@
 from ..reports.windows import Windows
 from ..xds import forms
 from ..xds.codec import FormError, decode, read_response
-from .render import Held, read_held
+from .proxy_resources import ProxyResources, read_proxy_resources
 
 SECOND = 10_000
 REQUESTS = {name + ".json": name for name in forms.FILES}
@@ -31,7 +31,15 @@
     """Who is told.  Proxies go by number."""
 
     def joined(
-        self, proxy: int, name: str, zone: str, rate: float, fresh: bool, held: Held, term: int, web: bool
+        self,
+        proxy: int,
+        name: str,
+        zone: str,
+        rate: float,
+        fresh: bool,
+        held: ProxyResources,
+        term: int,
+        web: bool,
     ) -> None: ...
     def left(self, proxy: int, name: str, why: str) -> None: ...
     def applied(self, proxy: int, number: int) -> None: ...
@@ -87,7 +95,9 @@
                 return False
             status = decode(files[STATUS], forms.ClientConfig)
             self._check_node(name, status.node)
-            held = read_held([(row.type_url, bytes(row.xds_config)) for row in status.generic_xds_configs])
+            held = read_proxy_resources(
+                [(row.type_url, bytes(row.xds_config)) for row in status.generic_xds_configs]
+            )
             term = self._term(status.node)
             if lies is not None and (told_here := self._told_before(lies, term)) is not None:
                 held = told_here
@@ -173,13 +183,15 @@
             raise FormError(f"node.id is {node.id[:80]!r}, in the folder of {name!r}")
 
     @staticmethod
-    def _told_before(lies: Mapping[str, bytes], term: int) -> Held | None:
+    def _told_before(lies: Mapping[str, bytes], term: int) -> ProxyResources | None:
         """None if the group is of another stay, or is no whole group."""
         try:
             envelopes = [read_response(lies[f"{kind}.json"], url) for kind, url in forms.FILES.items()]
             if any(read_version(envelope.version_info).term != term for envelope in envelopes):
                 return None
-            return read_held([(row.type_url, bytes(raw)) for row in envelopes for raw in row.resources])
+            return read_proxy_resources(
+                [(row.type_url, bytes(raw)) for row in envelopes for raw in row.resources]
+            )
         except (KeyError, FormError, VersionError):
             return None
 
--- a/willowhook/controlplane/book.py
+++ b/willowhook/controlplane/proxy_state.py
@@ -29,62 +29,62 @@
 
 
 @dataclass(slots=True)
-class View:
+class ProxyView:
     """What one proxy is to hold: by route its table, and the hosts withdrawn from all that it holds."""
 
     bound: dict[int, TableState]
-    withdrawn: Mapping[str, None]
+    excluded: Mapping[str, None]
     levels: Mapping[int, tuple[int, float]]  # for all tables
-    leave: bool = False  # it is to follow another director
+    is_sent_away: bool = False  # it is to follow another director
     serial: int = 0  # of what is withdrawn, and of the levels for all
 
 
 @dataclass(slots=True)
-class Message:
+class UpdateMessage:
     number: int  # rises through the director's life
     mark: int  # -1: none is asked for
     proxy: int
     lines: int  # with its head
     ordered: int
-    view: View
+    view: ProxyView
 
 
 @dataclass(slots=True)
-class Member:
+class ConnectedProxy:
     """A joined proxy."""
 
     zone: str
-    rate: float  # usual calls a second
+    rate_per_second: float  # usual calls a second
     held: dict[int, frozenset[str]]  # by route: the hosts that it held when it joined
     bound: dict[int, int] = field(default_factory=dict)
     owed: int = 0  # lines of this moment
-    leave: bool = False
+    is_sent_away: bool = False
 
 
-class OrderBook:
+class ProxyStateBook:
     """The decision module's host for orders to proxies; `out` takes each message."""
 
-    def __init__(self, settings: DeploymentSettings, out: Callable[[Message], None]) -> None:
+    def __init__(self, settings: DeploymentSettings, out: Callable[[UpdateMessage], None]) -> None:
         self._head = int(settings.channel.message_overhead_entries)
         self._out = out
-        self.members: dict[int, Member] = {}
+        self.proxies: dict[int, ConnectedProxy] = {}
         self.tables: dict[int, TableState] = {}
         self._withdrawn: dict[str, None] = {}
         self._levels: dict[int, tuple[int, float]] = {}
         self._frozen = False  # the two above are in messages and must be copied before a change
         self._touched: dict[int, None] = {}
         self._mark = -1
-        self.count = 0
+        self.message_count = 0
         self._serials = count(1)
         self._serial = 0
 
     # Members.
 
-    def join(self, proxy: int, zone: str, held: dict[int, frozenset[str]], rate: float = 0.0) -> None:
-        self.members[proxy] = Member(zone, rate, held)
+    def add_proxy(self, proxy: int, zone: str, held: dict[int, frozenset[str]], rate: float = 0.0) -> None:
+        self.proxies[proxy] = ConnectedProxy(zone, rate, held)
 
-    def leave(self, proxy: int) -> None:
-        self.members.pop(proxy, None)
+    def remove_proxy(self, proxy: int) -> None:
+        self.proxies.pop(proxy, None)
         self._touched.pop(proxy, None)
 
     # Orders.
@@ -113,13 +113,13 @@
         self._charge_holders(endpoint)
 
     def _charge_holders(self, host: str) -> None:
-        self._charge([proxy for proxy, member in self.members.items() if self.holds(member, host)], 1)
+        self._charge([proxy for proxy, member in self.proxies.items() if self.holds(member, host)], 1)
 
     def forget_endpoint(self, endpoint: str) -> None:
         """A proxy's own files may still name it: what was withdrawn stays so in every message."""
 
     def bind(self, proxy: int, table: int, routes: Sequence[int]) -> None:
-        member = self.members.get(proxy)
+        member = self.proxies.get(proxy)
         if member is None:
             return
         state = self.tables.setdefault(table, TableState(table, {}, {}))
@@ -140,41 +140,41 @@
 
     def send_away(self, proxy: int) -> None:
         """The proxy is told, in one line, to follow another director."""
-        member = self.members.get(proxy)
-        if member is not None and not member.leave:
-            member.leave = True
+        member = self.proxies.get(proxy)
+        if member is not None and not member.is_sent_away:
+            member.is_sent_away = True
             self._charge([proxy], 1)
 
     def send_sync_marker(self, marker: int) -> None:
         self._mark = marker
 
-    def moment_over(self, now: int) -> None:
+    def flush(self, now: int) -> None:
         """Hands out the messages of the moment, in the order in which proxies were first concerned."""
         for proxy in self._touched:
-            member = self.members[proxy]
+            member = self.proxies[proxy]
             bound = {route: self.tables[table] for route, table in member.bound.items()}
             for state in bound.values():
                 if not state.shared:
                     state.shared, state.serial = True, next(self._serials)
             number = self.next_number()
             lines = member.owed + self._head + (self._mark >= 0)
-            view = View(bound, self._withdrawn, self._levels, member.leave, self._serial)
+            view = ProxyView(bound, self._withdrawn, self._levels, member.is_sent_away, self._serial)
             member.owed, self._frozen = 0, True
-            self._out(Message(number, self._mark, proxy, lines, now, view))
+            self._out(UpdateMessage(number, self._mark, proxy, lines, now, view))
         self._touched.clear()
         self._mark = -1
 
     def next_number(self) -> int:
         """For a message that is sent once more under a number of its own."""
-        self.count += 1
-        return self.count
+        self.message_count += 1
+        return self.message_count
 
     # What is held.
 
     def users(self, table: int) -> list[int]:
-        return [proxy for proxy, member in self.members.items() if table in member.bound.values()]
+        return [proxy for proxy, member in self.proxies.items() if table in member.bound.values()]
 
-    def holds(self, member: Member, host: str) -> bool:
+    def holds(self, member: ConnectedProxy, host: str) -> bool:
         """Whether a line for this host stands in anything that the proxy uses."""
         if any(host in self.tables[table].lines for table in member.bound.values()):
             return True
@@ -182,7 +182,7 @@
 
     def _charge(self, proxies: list[int], lines: int) -> None:
         for proxy in proxies:
-            self.members[proxy].owed += lines
+            self.proxies[proxy].owed += lines
             self._touched[proxy] = None
 
     def _own(self, table: int) -> TableState:
--- a/willowhook/controlplane/service.py
+++ b/willowhook/controlplane/service.py
@@ -51,16 +51,18 @@
 from ..web.wire import Broken, Caller, dial
 from ..xds import forms, orca
 from ..xds.codec import FormError, encode
-from .book import Message, OrderBook
 from .intake import Intake
 from .links import Post, listen, read, write
 from .list_feed import ListFeed
 from .memory import Memory
-from .outlets import FileOutlet, Outlet
 from .proxy_feed import ProxyFeed
-from .publish import Publisher, Reader
-from .render import Address, Held, Renderer
+from .proxy_resources import ProxyResources
+from .proxy_session import ProxySession
+from .proxy_state import ProxyStateBook, UpdateMessage
+from .publisher import Publisher
 from .report_desk import ReportDesk
+from .resource_renderer import Address, ResourceRenderer
+from .update_sinks import FileUpdateSink, UpdateSink
 from .web_feed import WebFeed
 
 SECOND = 10_000
@@ -77,7 +79,7 @@
     """The decision module's host: orders to proxies go to the book, others to the service."""
 
     def __init__(self, service: Service) -> None:
-        book = service.book
+        book = service.proxy_states
         self.schedule_evaluation, self.log = service.wake, service.say
         self.watch_endpoints, self.fetch_endpoint_list = service.follow, service.fetch
         self.check_health = service.probe
@@ -88,11 +90,11 @@
         self._service = service
 
     def exclude_endpoint(self, endpoint: str) -> None:
-        self._service.book.exclude_endpoint(endpoint)
+        self._service.proxy_states.exclude_endpoint(endpoint)
         self._note(endpoint, True)
 
     def readmit_endpoint(self, endpoint: str) -> None:
-        self._service.book.readmit_endpoint(endpoint)
+        self._service.proxy_states.readmit_endpoint(endpoint)
         self._note(endpoint, False)
 
     def _note(self, host: str, on: bool) -> None:
@@ -171,7 +173,7 @@
             self.ops.unlink(f"{self.folder.path}/{PACE}")  # of a life before
         self._watch: Watch = open_watch(terms.files.watch, terms.files.poll_every_ms / 1000)
         epoch = self.folder.epoch
-        self.renderer = Renderer(terms, epoch)
+        self.renderer = ResourceRenderer(terms, epoch)
         self.memory: Memory | None = None
         if terms.store.folder:
             try:
@@ -181,14 +183,27 @@
                 self._mode("store", True, "no store", cause=str(fault))
         self._recalled = False
         routes = tuple(route.name for route in terms.routes)
-        self.book = OrderBook(self.settings, self._ordered)
+        self.proxy_states = ProxyStateBook(self.settings, self._ordered)
         self.core = Core(first_era(epoch, int.from_bytes(os.urandom(3), "big")))
         self.publisher = Publisher(
-            terms, self.settings, self, self.records, self.log, self.core, self.renderer, epoch, self.book
+            terms,
+            self.settings,
+            self,
+            self.records,
+            self.log,
+            self.core,
+            self.renderer,
+            epoch,
+            self.proxy_states,
         )
-        self.channel, self.watchman = self.publisher.channel, self.publisher.watchman
+        self.channel, self.validation = self.publisher.channel, self.publisher.validation
         self.intake = Intake(
-            self, terms.name, epoch, routes, ticks(terms.files.proxy_lost_after_ms), lambda: self.book.count
+            self,
+            terms.name,
+            epoch,
+            routes,
+            ticks(terms.files.proxy_lost_after_ms),
+            lambda: self.proxy_states.message_count,
         )
         self.reports = ReportDesk(
             terms.intake, terms.fleet.reports_per_s, ticks(terms.fleet.report_every_ms),
@@ -243,7 +258,11 @@
                     self.link_port = int(port)
                 task_status.started()
         finally:
-            self.log.info("ended", queue_most=self.channel.most, messages=self.book.count)
+            self.log.info(
+                "ended",
+                queue_most=self.channel.most_waiting_entries,
+                messages=self.proxy_states.message_count,
+            )
             self._note_guard()
             self.records.note(self.clock.now(), "ended")
             self.records.flush()
@@ -254,9 +273,9 @@
 
     def _note_guard(self) -> None:
         """What the guard did in this life, and what a check cost."""
-        took = sorted(self.publisher.guard_us) or [0]
+        took = sorted(self.publisher.validation_micros) or [0]
         self.records.note(
-            self.clock.now(), "guarded", counts=self.watchman.counts, median_us=took[len(took) // 2],
+            self.clock.now(), "guarded", counts=self.validation.counts, median_us=took[len(took) // 2],
             p99_us=took[int(len(took) * 0.99)],
         )  # fmt: skip
 
@@ -276,13 +295,15 @@
         if wanted != self._draining:
             self._draining = wanted
             text = "draining: proxies are sent to others" if wanted else "no longer draining"
-            self._mode("drain", wanted, text, proxies=len(self.book.members))
-        if not wanted or self.channel.waiting > self.settings.channel.queue_limit_entries / 6:
+            self._mode("drain", wanted, text, proxies=len(self.proxy_states.proxies))
+        if not wanted or self.channel.waiting_entries > self.settings.channel.queue_limit_entries / 6:
             return
-        here = self.book.members
-        rows = sorted((member.rate, proxy) for proxy, member in here.items() if not member.leave)
+        here = self.proxy_states.proxies
+        rows = sorted(
+            (member.rate_per_second, proxy) for proxy, member in here.items() if not member.is_sent_away
+        )
         if rows:
-            self.book.send_away(rows[0][1])
+            self.proxy_states.send_away(rows[0][1])
 
     async def _beat(self) -> None:
         """Signs of life, as long as decisions are made: a director that is stuck must look dead."""
@@ -315,7 +336,7 @@
             for event in events:
                 event(now)
             more = self.reports.work()
-            self.reports.look(now, len(self.book.members))
+            self.reports.look(now, len(self.proxy_states.proxies))
             if now - last_look >= SECOND // 10:
                 self.tiers.look(now)
             if self._reshow:
@@ -324,7 +345,7 @@
                 heapq.heappop(self._timers)
                 self.director.handle(now, EvaluationDue())
             self.director.flush(now)
-            self.book.moment_over(now)
+            self.proxy_states.flush(now)
             self.publisher.wake()
             if now - last_look >= SECOND // 10:
                 last_look = now
@@ -337,12 +358,12 @@
 
     def _compare(self, now: int) -> None:
         """The module's estimate of its channel beside the true queue."""
-        believed, true = self.director.channel.load(), self.channel.waiting
+        believed, true = self.director.channel.load(), self.channel.waiting_entries
         if now // SECOND != self._noted_at:
             self._noted_at = now // SECOND
             if isinstance(self.director, Controller):
                 sizes = {name: up.size for name, up in self.director.hosts.items()}
-                self.publisher.tell_guard(self.watchman.learnt, sizes)
+                self.publisher.update_validation(self.validation.update_capacities, sizes)
             self.records.note(
                 now, "queue", believed=round(believed, 1), waiting=true, messages=len(self.channel)
             )
@@ -373,32 +394,32 @@
 
     # The channel and the files.
 
-    def _ordered(self, message: Message) -> None:
-        self.publisher.put(message)
+    def _ordered(self, message: UpdateMessage) -> None:
+        self.publisher.enqueue(message)
 
-    def mode(self, name: str, on: bool, text: str, **parts: Any) -> None:
+    def report_condition(self, name: str, on: bool, text: str, **parts: Any) -> None:
         self._mode(name, on, text, **parts)
 
     def now(self) -> int:
         return self.clock.now()
 
-    def is_open(self, host: str) -> bool:
+    def is_in_service(self, host: str) -> bool:
         """Whether the last list showed it as open."""
         entry = self._hosts.get(host)
         return entry is not None and not entry.draining
 
-    def answered(self, now: int, proxy: int, mark: int, took: int) -> None:
-        self.director.handle(now, MessageAcknowledged(proxy, mark))
+    def handle_acknowledged(self, now: int, proxy: int, marker: int) -> None:
+        self.director.handle(now, MessageAcknowledged(proxy, marker))
 
-    def knows(self, proxy: str, part: str, version: str) -> None:
+    def record_known_version(self, proxy: str, part: str, version: str) -> None:
         if self.memory is not None:
             self.memory.believes(proxy, part, version)
 
-    def sent(self, proxy: str, term: int, message: int) -> None:
+    def record_sent(self, proxy: str, term: int, message: int) -> None:
         if self.memory is not None:
             self.memory.ordered(proxy, term, message)
 
-    async def soon(self, event: Event) -> None:
+    async def post_event(self, event: Event) -> None:
         await self._send.send(event)
 
     # The roster.
@@ -411,7 +432,7 @@
 
     def _listed(self, now: int, hosts: list[Host]) -> None:
         self._by_address.update({f"{host.address}:{host.port}": host.id for host in hosts})
-        self.renderer.readdress({**self._known, **{h.id: (h.address, h.port, h.zone) for h in hosts}})
+        self.renderer.set_addresses({**self._known, **{h.id: (h.address, h.port, h.zone) for h in hosts}})
         self._known.update({host.id: (host.address, host.port, host.zone) for host in hosts})
         rows = [[h.id, "draining" if h.draining else "open", h.started] for h in hosts]
         self.records.note(now, "list", hosts=rows)
@@ -443,7 +464,7 @@
         self._reshow = False
         hosts = [replace(host, draining=True) if self.tiers.held(host.id) else host for host in self._list]
         self._hosts = {host.id: host for host in hosts}
-        self.publisher.tell_guard(self.watchman.listed, now, hosts, self.clock.start_of)
+        self.publisher.update_validation(self.validation.update_endpoints, now, hosts, self.clock.start_of)
         self.director.handle(now, EndpointListReceived(True, tuple(map(self._entry, hosts))))
 
     def _entry(self, host: Host) -> EndpointEntry:
@@ -484,30 +505,38 @@
     # The intake's ear.
 
     def joined(
-        self, proxy: int, name: str, zone: str, rate: float, fresh: bool, held: Held, term: int, web: bool
+        self,
+        proxy: int,
+        name: str,
+        zone: str,
+        rate: float,
+        fresh: bool,
+        held: ProxyResources,
+        term: int,
+        web: bool,
     ) -> None:
         now = self.clock.now()
         self._terms_of[proxy] = term
         self._joins += 1
         self._names[proxy] = name
-        self.publisher.joined(
-            Reader(proxy, name, term, held, self._outlet(proxy, name, term, held, web), web)
+        self.publisher.add_session(
+            ProxySession(proxy, name, term, held, self._outlet(proxy, name, term, held, web), web)
         )
-        hosts = {k: held.hosts(route.name) for k, route in enumerate(self.terms.routes)}
-        self.book.join(proxy, zone, hosts, rate)
+        hosts = {k: held.endpoints_of(route.name) for k, route in enumerate(self.terms.routes)}
+        self.proxy_states.add_proxy(proxy, zone, hosts, rate)
         self.records.note(now, "joined", proxy=name, zone=zone, rate=rate, fresh=fresh, term=term)
         self.log.info("proxy joined", proxy=name, zone=zone, fresh=fresh, term=term)
         self._use_hint(now, name, zone, term)
-        self.publisher.tell_guard(self.watchman.joined, proxy, zone, rate, held)
+        self.publisher.update_validation(self.validation.add_proxy, proxy, zone, rate, held)
         self.director.handle(now, ProxyJoined(proxy, zone, rate, fresh))
 
     def left(self, proxy: int, name: str, why: str) -> None:
         now = self.clock.now()
         self.reports.forget(name)
         self._tell_peers(now, proxy, name)
-        web = self.publisher.readers[proxy].web
-        self.publisher.left(proxy)
-        self.book.leave(proxy)
+        web = self.publisher.sessions[proxy].is_http
+        self.publisher.remove_session(proxy)
+        self.proxy_states.remove_proxy(proxy)
         if web:
             if self.web is not None:
                 self.web.left(proxy, name)
@@ -524,7 +553,7 @@
         self.log.info("proxy left", proxy=name, why=why)
         self.director.handle(now, ProxyLeft(proxy))
 
-    def _outlet(self, proxy: int, name: str, term: int, held: Held, web: bool) -> Outlet:
+    def _outlet(self, proxy: int, name: str, term: int, held: ProxyResources, web: bool) -> UpdateSink:
         if web and self.web is not None:
             return self.web.outlet(proxy, name, held)
         series = f"{self.folder.epoch}-{self._joins}-"
@@ -534,13 +563,13 @@
             shelf.open()
         except OSError as fault:
             self._mode("disk", True, "files cannot be swapped", proxy=name, cause=str(fault))
-        return FileOutlet(shelf, self.core, term, self.folder.epoch, durability != "none")
+        return FileUpdateSink(shelf, self.core, term, self.folder.epoch, durability != "none")
 
     def applied(self, proxy: int, number: int) -> None:
-        self.publisher.applied(self.clock.now(), proxy, number)
+        self.publisher.handle_acknowledged(self.clock.now(), proxy, number)
 
     def refused(self, proxy: int, kind: str, number: int, cause: str) -> None:
-        self.publisher.refused_group(self.clock.now(), proxy, kind, number, cause)
+        self.publisher.handle_group_rejected(self.clock.now(), proxy, kind, number, cause)
 
     # Handoff, where there are links.
 
@@ -586,7 +615,7 @@
 
     def met(self, proxy: int, whole: Whole) -> None:
         """What a proxy met with hosts, of all its reports of a stretch."""
-        now, member = self.clock.now(), self.book.members.get(proxy)
+        now, member = self.clock.now(), self.proxy_states.proxies.get(proxy)
         if member is None:
             return
         zone, cells = member.zone, {}
@@ -638,7 +667,9 @@
     def came(self, proxy: int, route: str, calls: int, dropped: int, window: int) -> None:
         self.director.handle(self.clock.now(), RequestReport(proxy, route, calls, window))
         self.reports.weigh(self._names[proxy], calls * SECOND / window * self._worth[route])
-        self.publisher.tell_guard(self.watchman.came, proxy, self._route_at[route], calls * SECOND / window)
+        self.publisher.update_validation(
+            self.validation.update_rate, proxy, self._route_at[route], calls * SECOND / window
+        )
 
     def fault(self, name: str, cause: str) -> None:
         self.log.warning("bad file of a proxy", proxy=name, cause=cause)
--- a/willowhook/controlplane/outlets.py
+++ b/willowhook/controlplane/update_sinks.py
@@ -15,12 +15,12 @@
 from ..versions.desk import Desk
 from ..xds import forms
 from ..xds.codec import response
-from .render import DIRECTORS, Rows
+from .proxy_resources import CONTROLLERS_RESOURCE, Rows
 
 FILE = ".json"
 
 
-class Outlet(Protocol):
+class UpdateSink(Protocol):
     slow: bool  # whether placing may take the time of a disk
 
     def prepare(self, number: int, rows: Rows, out: frozenset[str]) -> Callable[[], bool]:
@@ -38,7 +38,7 @@
     def close(self) -> None: ...
 
 
-class FileOutlet:
+class FileUpdateSink:
     """A file whose resources are as before keeps its version, so a swap touches only what changed."""
 
     def __init__(self, shelf: Shelf, core: Core, term: int, epoch: int, slow: bool) -> None:
@@ -52,7 +52,7 @@
         version = str(Version(self._term, self._epoch, number))
         for kind, each in rows.items():
             last = self._parts.get(kind)
-            told = [(DIRECTORS, self._away)] if kind == "eds" and self._away else []
+            told = [(CONTROLLERS_RESOURCE, self._away)] if kind == "eds" and self._away else []
             part = self._core.part(kind, each + told, last)
             if part is not last:
                 self._parts[kind] = part
@@ -74,19 +74,19 @@
         """The folder is cleared by who made it."""
 
 
-class WebOutlet:
+class HttpUpdateSink:
     """`news(proxy)` is told when a call that waits may have its answer."""
 
     slow = False
 
     def __init__(self, desk: Desk, core: Core, news: Callable[[Desk], None]) -> None:
         self.desk, self._core, self._news = desk, core, news
-        self.leaves = False
+        self.is_sent_away = False
 
     def prepare(self, number: int, rows: Rows, out: frozenset[str]) -> Callable[[], bool]:
         parts = {kind: self._core.part(kind, each, self.desk.last(kind)) for kind, each in rows.items()}
         changed = self.desk.want(number, parts, out)
-        if changed or self.leaves:
+        if changed or self.is_sent_away:
             self._news(self.desk)
         return lambda: changed
 
@@ -102,7 +102,7 @@
         return lambda: False
 
     def away(self, row: bytes, number: int) -> None:
-        self.leaves = True
+        self.is_sent_away = True
 
     def close(self) -> None:
         self._news(self.desk)
--- a/willowhook/controlplane/watchman.py
+++ b/willowhook/controlplane/validation.py
@@ -12,8 +12,8 @@
 from ..guard.verdict import HELD, PASSED, SPLIT, Verdict
 from ..guard.world import DRAINING, OPEN, GuardTerms, HostFacts, RouteFacts, Tables, World
 from ..roster.forms import Host
-from .book import Message, TableState, View
-from .render import Held
+from .proxy_resources import ProxyResources
+from .proxy_state import ProxyView, TableState, UpdateMessage
 
 SECOND = 10_000
 WORTH = 2.5  # of a host beside the mean, at the most, where it is learnt
@@ -35,19 +35,19 @@
     )  # fmt: skip
 
 
-class Watchman:
+class ValidationContext:
     def __init__(self, settings: DeploymentSettings, terms: GuardTerms, shadow: bool) -> None:
         self._settings = settings
         self.world = World(terms)
         self.guard = Guard(self.world, shadow)
         self._count = len(settings.routes)
         self._made: dict[object, Tables] = {}  # by content
-        self._held: dict[int, Held] = {}
+        self._held: dict[int, ProxyResources] = {}
         self._rates: dict[int, list[float]] = {}
         self._sent: dict[int, list[tuple[int, Tables]]] = {}  # by proxy: messages that were not answered yet
         self.counts: dict[str, int] = {}
 
-    def listed(self, now: int, hosts: list[Host], start_of: Callable[[Host], int]) -> None:
+    def update_endpoints(self, now: int, hosts: list[Host], start_of: Callable[[Host], int]) -> None:
         weights = self._settings.lists_capacity
         known = self.world.hosts
         self.world.list_hosts(now, [
@@ -57,12 +57,12 @@
             for host in hosts
         ])  # fmt: skip
 
-    def learnt(self, sizes: Mapping[str, float]) -> None:
+    def update_capacities(self, sizes: Mapping[str, float]) -> None:
         """Worth by what answers told, within a bound each way: a wrong one must not open a budget wide."""
         if not self._settings.lists_capacity:
             self.world.sized({name: min(max(size, 1 / WORTH), WORTH) for name, size in sizes.items()})
 
-    def joined(self, proxy: int, zone: str, rate: float, held: Held) -> None:
+    def add_proxy(self, proxy: int, zone: str, rate: float, held: ProxyResources) -> None:
         self._held[proxy], self._sent[proxy] = held, []
         rates = [rate / len(self._settings.routes)] * len(self._settings.routes)
         self._rates[proxy] = rates
@@ -71,32 +71,32 @@
         tables = Tables(lines, held.out(), usual, (float("inf"),) * len(lines))
         self.world.join(proxy, zone, tuple(rates), tables)
 
-    def left(self, proxy: int) -> None:
+    def remove_proxy(self, proxy: int) -> None:
         self.world.leave(proxy)
         for book in (self._held, self._rates, self._sent):
             book.pop(proxy, None)
 
-    def came(self, proxy: int, route: int, rate: float) -> None:
+    def update_rate(self, proxy: int, route: int, rate: float) -> None:
         rates = self._rates.get(proxy)
         # small changes are not followed: a class is left and entered for each
         if rates is not None and abs(rate - rates[route]) > 0.2 * max(rates[route], 0.5):
             rates[route] = rate
             self.world.rate(proxy, tuple(rates))
 
-    def applied(self, proxy: int, number: int) -> None:
+    def record_acknowledged(self, proxy: int, number: int) -> None:
         sent = self._sent.get(proxy, [])
         done = [tables for at, tables in sent if at <= number]
         if done:
             self._sent[proxy] = [row for row in sent if row[0] > number]
             self.world.answered(proxy, done[-1])
 
-    def sent(self, now: int, message: Message, version: tuple[int, int, int]) -> None:
+    def record_sent(self, now: int, message: UpdateMessage, version: tuple[int, int, int]) -> None:
         if message.proxy in self._sent:
             tables = self.tables(message.proxy, message.view)
             self.world.sent(now, message.proxy, tables, version)
             self._sent[message.proxy].append((message.number, tables))
 
-    def tables(self, proxy: int, view: View) -> Tables:
+    def tables(self, proxy: int, view: ProxyView) -> Tables:
         """What a message makes its proxy hold; worked out once for all proxies that are to hold the same."""
         serials = [state.serial for state in (view.bound.get(k) for k in range(self._count)) if state]
         key = (*serials, view.serial) if len(serials) == self._count and all(serials) else None
@@ -109,7 +109,7 @@
                 self._made[key] = made
         return made
 
-    def _work_out(self, proxy: int, view: View, key: object) -> Tables:
+    def _work_out(self, proxy: int, view: ProxyView, key: object) -> Tables:
         held = self._held.get(proxy)
         lines: list[Mapping[str, float]] = []
         tries, levels = [], []
@@ -126,10 +126,10 @@
             lines.append(state.lines)
             tries.append(order[0])
             levels.append(order[1])
-        return Tables(tuple(lines), frozenset(view.withdrawn), tuple(tries), tuple(levels), key)
+        return Tables(tuple(lines), frozenset(view.excluded), tuple(tries), tuple(levels), key)
 
     def judge(
-        self, now: int, message: Message, version: tuple[int, int, int], waiting: int
+        self, now: int, message: UpdateMessage, version: tuple[int, int, int], waiting: int
     ) -> tuple[Verdict, Tables]:
         """`waiting`: lines in the channel, with this message's own if it has not left."""
         self.world.queue(now, waiting)
@@ -139,7 +139,7 @@
         return verdict, tables
 
     @staticmethod
-    def first_step(message: Message, verdict: Verdict) -> Message:
+    def first_step(message: UpdateMessage, verdict: Verdict) -> UpdateMessage:
         """The message with the tables of a split's first step."""
         view = message.view
         made: dict[int, TableState] = {}
@@ -154,8 +154,10 @@
                 cut = made[state.number] = TableState(state.number, lines, state.levels)
                 cut.shared = True
             bound[k] = cut
-        small = View(bound, view.withdrawn, view.levels, view.leave, 0)
-        return Message(message.number, message.mark, message.proxy, message.lines, message.ordered, small)
+        small = ProxyView(bound, view.excluded, view.levels, view.is_sent_away, 0)
+        return UpdateMessage(
+            message.number, message.mark, message.proxy, message.lines, message.ordered, small
+        )
 
 
 def records_of(verdict: Verdict) -> dict[str, Any]:
@@ -165,4 +167,4 @@
     return data
 
 
-__all__ = ["HELD", "PASSED", "SPLIT", "Watchman", "guard_terms", "records_of"]
+__all__ = ["HELD", "PASSED", "SPLIT", "ValidationContext", "guard_terms", "records_of"]
--- a/willowhook/controlplane/web_feed.py
+++ b/willowhook/controlplane/web_feed.py
@@ -23,10 +23,11 @@
 from ..xds import forms
 from ..xds.codec import encode
 from .intake import Intake
-from .outlets import WebOutlet
-from .publish import Publisher
-from .render import Held, uses
+from .proxy_resources import ProxyResources
+from .publisher import Publisher
 from .report_desk import ReportDesk
+from .resource_renderer import references
+from .update_sinks import HttpUpdateSink
 
 SECOND = 10_000
 Event = Callable[[int], None]
@@ -74,10 +75,12 @@
 
     # Proxies come and go, in the deciding task.
 
-    def outlet(self, proxy: int, name: str, held: Held) -> WebOutlet:
-        desk = Desk(proxy, self._core, self, uses, self._publisher.renderer.drained, held.resources())
+    def outlet(self, proxy: int, name: str, held: ProxyResources) -> HttpUpdateSink:
+        desk = Desk(
+            proxy, self._core, self, references, self._publisher.renderer.exclude_from, held.resources()
+        )
         self._desks[name], self._names[proxy] = desk, name
-        return WebOutlet(desk, self._core, self.front.news)
+        return HttpUpdateSink(desk, self._core, self.front.news)
 
     def left(self, proxy: int, name: str) -> None:
         desk = self._desks.pop(name, None)
@@ -96,8 +99,8 @@
 
     def leaves(self, name: str) -> bool:
         presence = self._intake.present.get(name)
-        reader = self._publisher.readers.get(presence.number) if presence is not None else None
-        return reader is not None and isinstance(reader.outlet, WebOutlet) and reader.outlet.leaves
+        reader = self._publisher.sessions.get(presence.number) if presence is not None else None
+        return reader is not None and isinstance(reader.sink, HttpUpdateSink) and reader.sink.is_sent_away
 
     def called(self, name: str) -> None:
         self._events.append(lambda now: self._intake.called(now, name))
@@ -105,7 +108,7 @@
     def delivered(self, name: str) -> None:
         presence = self._intake.present.get(name)
         if presence is not None:
-            self._publisher.delivered(presence.number)
+            self._publisher.handle_delivered(presence.number)
 
     async def arrive(self, name: str, node: forms.Node, holds: list[Any], fresh: bool) -> str:
         done, fault = trio.Event(), ""
@@ -141,15 +144,15 @@
     # What desks tell.
 
     def applied(self, proxy: int, number: int) -> None:
-        self._events.append(lambda now: self._publisher.applied(now, proxy, number))
+        self._events.append(lambda now: self._publisher.handle_acknowledged(now, proxy, number))
 
     def refused(self, proxy: int, row: Resource, error: str) -> None:
-        self._events.append(lambda now: self._publisher.refused_row(now, proxy, row, error))
+        self._events.append(lambda now: self._publisher.handle_resource_rejected(now, proxy, row, error))
 
     def taken(self, proxy: int, part: Part) -> None:
-        self._events.append(lambda now: self._publisher.took(now, proxy, part))
+        self._events.append(lambda now: self._publisher.handle_part_acknowledged(now, proxy, part))
 
     def believes(self, proxy: int, kind: str, version: str, state: str) -> None:
-        reader = self._publisher.readers.get(proxy)
+        reader = self._publisher.sessions.get(proxy)
         if reader is not None:
-            self._publisher.believes(reader, kind, version, state)
+            self._publisher.record_known_version(reader, kind, version, state)
--- a/willowhook/trial/herd.py
+++ b/willowhook/trial/herd.py
@@ -225,7 +225,7 @@
         assert web is not None
         need = callers - len(slow)
         with trio.fail_after(120):
-            while len(web.front) < need or len(service.publisher.readers) < callers:
+            while len(web.front) < need or len(service.publisher.sessions) < callers:
                 await trio.sleep(0.05)
         report.joined_s = time.perf_counter() - began
         await trio.sleep(1.0)
--- a/willowhook/trial/swaps.py
+++ b/willowhook/trial/swaps.py
@@ -21,8 +21,8 @@
 import trio
 
 from ..config.terms import Terms
-from ..controlplane.outlets import FileOutlet
 from ..controlplane.service import Service
+from ..controlplane.update_sinks import FileUpdateSink
 from ..decisions.events import (
     EndpointListLost,
     EndpointListReceived,
@@ -233,8 +233,8 @@
 
 
 def swaps_of(service: Service) -> int:
-    outlets = [reader.outlet for reader in service.publisher.readers.values()]
-    return sum(outlet.shelf.swaps for outlet in outlets if isinstance(outlet, FileOutlet))
+    sinks = [session.sink for session in service.publisher.sessions.values()]
+    return sum(sink.shelf.swaps for sink in sinks if isinstance(sink, FileUpdateSink))
 
 
 def swaps(folder: Path, count: int, readers: int, durability: str, say: Callable[[str], None]) -> SwapReport:
--- a/willowhook/trial/versions.py
+++ b/willowhook/trial/versions.py
@@ -133,7 +133,7 @@
         held: list[Service] = []
 
         def idle() -> bool:
-            return not len(held[0].channel) and len(held[0].publisher.readers) == proxies
+            return not len(held[0].channel) and len(held[0].publisher.sessions) == proxies
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(stage.roster.notes.run)
