--- a/tests/test_controlplane_parts.py
+++ b/tests/test_controlplane_parts.py
@@ -1,166 +1,22 @@
-"""The order book, the channel, what proxies say, and how their files are made: no I/O, no clock."""
+"""What proxies say, as the intake reads it: no I/O, no clock."""
 
 from __future__ import annotations
 
-from dataclasses import replace
 from typing import Any
 
 import pytest
+from controlplane_fixtures import ALL_ROUTES, SETTINGS, file_sink
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from willowhook.config.example import EXAMPLE
-from willowhook.config.facts import facts
-from willowhook.controlplane.channel import UpdateChannel
 from willowhook.controlplane.intake import Intake
 from willowhook.controlplane.proxy_resources import ProxyResources
-from willowhook.controlplane.proxy_state import ProxyStateBook, ProxyView, UpdateMessage
+from willowhook.controlplane.proxy_state import ProxyStateBook, UpdateMessage
 from willowhook.controlplane.resource_renderer import ResourceRenderer
-from willowhook.controlplane.update_sinks import FileUpdateSink
-from willowhook.decisions.runtime import AdmissionLimit
-from willowhook.files.swap import Shelf
-from willowhook.versions.core import Core, first_era
-from willowhook.xds import forms, tables
+from willowhook.xds import forms
 from willowhook.xds.codec import encode
 
-SETTINGS = facts(EXAMPLE)
-ALL_ROUTES = range(len(SETTINGS.routes))
-HEAD = int(SETTINGS.channel.message_overhead_entries)
-
-
-class Rebuilt:
-    """A plain model: each proxy's own copy, changed order by order as the bench's wire page says."""
-
-    def __init__(self) -> None:
-        self.lines: dict[int, dict[str, float]] = {}
-        self.bound: dict[int, dict[int, int]] = {}
-        self.out: set[str] = set()
-
-    def holds(self, proxy: int) -> dict[int, dict[str, tuple[float, bool]]]:
-        return {
-            route: {h: (w, h in self.out) for h, w in self.lines.get(table, {}).items()}
-            for route, table in self.bound[proxy].items()
-        }
-
-
-def shown(message: UpdateMessage) -> dict[int, dict[str, tuple[float, bool]]]:
-    view = message.view
-    return {
-        route: {h: (w, h in view.excluded) for h, w in state.lines.items()}
-        for route, state in view.bound.items()
-    }
-
-
-step = st.one_of(
-    st.tuples(st.just("line"), st.integers(0, 2), st.sampled_from("abcd"), st.sampled_from([0.0, 0.5, 1.0])),
-    st.tuples(st.just("withdraw"), st.sampled_from("abcd"), st.booleans()),
-    st.tuples(st.just("bind"), st.integers(0, 2), st.integers(0, 2), st.integers(0, 7)),
-    st.tuples(st.just("join"), st.integers(0, 2)),
-    st.tuples(st.just("leave"), st.integers(0, 2)),
-    st.tuples(st.just("over")),
-)
-
-
-@settings(derandomize=True, max_examples=300, deadline=None)
-@given(st.lists(step, max_size=60))
-def test_every_message_shows_what_its_proxy_is_to_hold_at_its_own_moment(steps: list[Any]) -> None:
-    sent: list[tuple[UpdateMessage, dict[int, dict[str, tuple[float, bool]]]]] = []
-    model = Rebuilt()
-    book = ProxyStateBook(SETTINGS, lambda message: sent.append((message, model.holds(message.proxy))))
-    for what, *rest in steps:
-        if what == "line":
-            table, host, weight = rest
-            book.set_weight(table, host, weight)
-            rows = model.lines.setdefault(table, {})
-            rows.pop(host, None)
-            if weight:
-                rows[host] = weight
-        elif what == "withdraw":
-            (book.exclude_endpoint if rest[1] else book.readmit_endpoint)(rest[0])
-            (model.out.add if rest[1] else model.out.discard)(rest[0])
-        elif what == "bind" and rest[0] in book.proxies:
-            routes = [k for k in range(3) if rest[2] == 0 or rest[2] >> k & 1]
-            book.bind(rest[0], rest[1], routes)
-            model.bound[rest[0]].update(dict.fromkeys(routes, rest[1]))
-        elif what == "join":
-            book.add_proxy(rest[0], "north", {})
-            model.bound[rest[0]] = {}
-        elif what == "leave":
-            book.remove_proxy(rest[0])
-        elif what == "over":
-            book.flush(0)
-    numbers = [message.number for message, _ in sent]
-    assert numbers == sorted(set(numbers))
-    for message, held in sent:  # looked at after all that came later: what was sent did not change
-        assert shown(message) == held
-
-
-def test_a_moment_is_one_message_a_proxy_and_its_lines_are_those_of_the_wire_page() -> None:
-    sent: list[UpdateMessage] = []
-    book = ProxyStateBook(SETTINGS, sent.append)
-    for proxy in (0, 1, 2):
-        book.add_proxy(proxy, "north", {0: frozenset({"a"} if proxy == 2 else ())})
-    book.set_weight(0, "a", 1.0)
-    book.set_weight(0, "b", 1.0)
-    book.set_admission(0, 0, AdmissionLimit(1, 5.0))
-    book.exclude_endpoint("a")  # only proxy 2 holds it, in its standing table
-    book.bind(0, 0, ALL_ROUTES)
-    book.send_sync_marker(7)
-    book.flush(5)
-    # a line, two lines, a level, one withdrawn; the head and the mark
-    assert [(m.proxy, m.lines, m.mark) for m in sent] == [(2, 1 + HEAD + 1, 7), (0, 5 + HEAD + 1, 7)]
-    sent.clear()
-    book.set_weight(0, "b", 0.5)
-    book.flush(6)
-    assert [(m.proxy, m.lines, m.mark) for m in sent] == [(0, 1 + HEAD, -1)]
-
-
-def message(number: int, proxy: int, lines: int, ordered: int) -> UpdateMessage:
-    return UpdateMessage(number, -1, proxy, lines, ordered, ProxyView({}, {}, {}))
-
-
-@settings(derandomize=True, max_examples=200, deadline=None)
-@given(st.lists(st.tuples(st.integers(0, 4000), st.integers(1, 300), st.integers(0, 3)), max_size=40))
-def test_the_channel_keeps_its_rate_and_its_order(rows: list[tuple[int, int, int]]) -> None:
-    channel, now, left = UpdateChannel(SETTINGS.channel), 100_000, list[tuple[int, UpdateMessage]]()
-    rate = SETTINGS.channel.entries_per_second / 10_000
-    for k, (pause, lines, proxy) in enumerate(rows):
-        now += pause
-        while (taken := channel.take(now)) is not None:
-            left.append((now, taken[0]))
-        channel.put(message(k, proxy, lines, now))
-    while (due := channel.next_departure()) is not None:
-        now = max(now, int(due) + 1)
-        taken = channel.take(now)
-        assert taken is not None
-        left.append((now, taken[0]))
-    assert channel.waiting_entries == 0 and [m.number for _, m in left] == list(range(len(rows)))
-    for t, m in left:
-        assert t >= m.ordered + m.lines / rate - 1
-    total = sum(lines for _, lines, _ in rows)
-    if left:  # never faster than its rate, over any stretch from the start
-        assert left[-1][0] - left[0][1].ordered >= total / rate - 1 or any(pause for pause, _, _ in rows)
-
-
-def test_the_channel_tells_of_a_full_queue_and_of_too_many_messages() -> None:
-    channel = UpdateChannel(
-        replace(SETTINGS.channel, queue_limit_entries=100, message_cap=2, message_cap_window_ticks=10_000)
-    )
-    assert channel.put(message(1, 0, 90, 0)) and not channel.put(message(2, 0, 20, 0))
-    channel.put(message(3, 0, 1, 0))
-    kept = []
-    for now in (5000, 6000, 7000):
-        taken = channel.take(now)
-        assert taken is not None
-        kept.append(taken[1])
-    assert (
-        kept == [True, True, False]
-        and channel.most_waiting_entries == 111
-        and channel.most_messages_in_window == 3
-    )
-    channel.put(message(4, 1, 5, 0))
-    assert channel.drop_proxy(1) == 1 and channel.waiting_entries == 0
-
 
 class Listener:
     def __init__(self) -> None:
@@ -283,7 +139,7 @@
     book.set_weight(0, "a", 1.0)
     book.bind(0, 0, ALL_ROUTES)
     book.flush(0)
-    lies = outlet(2, 2).files(9, renderer.render(sent[-1].view, ProxyResources()))
+    lies = file_sink(2, 2).files(9, renderer.render(sent[-1].view, ProxyResources()))
     for term, hosts in ((2, {"a"}), (3, set())):
         ear = Listener()
         intake = Intake(ear, "d", 3, ("load",), 20_000, lambda: 50)
@@ -317,38 +173,3 @@
         intake.swapped(1, "p1", file, data)
         intake.appeared(1, "px", {"status.json": data})
     assert "p1" in intake.present
-
-
-def outlet(term: int, epoch: int) -> FileUpdateSink:
-    return FileUpdateSink(Shelf("nowhere"), Core(first_era(epoch, 5)), term, epoch, False)
-
-
-def test_only_the_file_that_changed_gets_a_new_version_and_unbound_proxies_keep_their_tables() -> None:
-    sent: list[UpdateMessage] = []
-    book, renderer, files = ProxyStateBook(SETTINGS, sent.append), ResourceRenderer(EXAMPLE, 4), outlet(6, 4)
-    renderer.set_addresses({"a": ("127.0.0.1", 81, "north"), "b": ("127.0.0.1", 82, "south")})
-    standing = tables.assignment("standing", [("a", "127.0.0.1", 81, "north", 1.0, False)])
-    row = tables.route("load", "/load-task", "load@standing", 1, tables.retry(1, 0), {})
-    cluster = tables.cluster("load@standing", "standing", "", "pair", 1, 0)
-    held = ProxyResources({"load": ([row], encode(cluster), "standing")}, {"standing": standing})
-    book.add_proxy(0, "north", {0: held.endpoints_of("load")})
-    book.exclude_endpoint("a")
-    book.flush(0)
-    first = files.files(1, renderer.render(sent[-1].view, held))
-    assert set(first) == {"eds.json"}
-    assert tables.lines(tables.read_tables(first["eds.json"])[1][0])[0][5]  # draining in the standing table
-    book.set_weight(0, "b", 1.0)
-    book.bind(0, 0, ALL_ROUTES)
-    book.set_admission(0, 0, AdmissionLimit(0, 2.0))
-    book.flush(1)
-    second = files.files(2, renderer.render(sent[-1].view, held))
-    assert set(second) == {"cds.json", "eds.json", "rds.json"}
-    routes = tables.read_routes(second["rds.json"])[1][0].virtual_hosts[0].routes
-    by_name = {route.name: route for route in routes}
-    assert tables.tries_of(by_name["load"].route.retry_policy) == 0
-    assert abs(tables.level_of(by_name["load"].typed_per_filter_config)[1] - 2.0) < 1e-6
-    book.set_weight(0, "b", 0.5)
-    book.flush(2)
-    third = files.files(3, renderer.render(sent[-1].view, held))
-    assert third["cds.json"] == second["cds.json"] and third["rds.json"] == second["rds.json"]
-    assert tables.read_tables(third["eds.json"])[0].nonce == "6.4.3"
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -412,7 +412,7 @@
         got = await one.settle()
         assert set(got) == {"cds", "eds", "rds"} and hosts_of(got["eds"]) == {"a", "b", "c"}
         reader = service.publisher.sessions[0]
-        await until(lambda: reader.applied > 0)
+        await until(lambda: reader.acknowledged > 0)
         assert not any(service.director.channel.waiting.values())
         roster.hosts["b"], roster.index = True, 2
         news: dict[str, forms.DiscoveryResponse] = {}
@@ -624,7 +624,7 @@
             if reply.status == 200:
                 now = decode(reply.body, forms.DiscoveryResponse)
                 assert now.resources != bad.resources  # never the same content again
-        assert "refused by a proxy" in log.texts("warning")
+        assert "update rejected by proxy" in log.texts("warning")
         roster.hosts["b"], roster.hosts["c"], roster.index = False, True, 3
         while reply.status != 200 or "c" in hosts_of(decode(reply.body, forms.DiscoveryResponse)):
             reply = await one.whole("eds", got["eds"].version_info)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -458,7 +458,7 @@
         roster.hosts["new"], roster.started["new"], roster.index = False, time.time() - 6.0, 2
         await until(lambda: "new" in one.hosts())
         first = one.weights()
-        assert first["new"] < 12 and "held by the guard" in log.texts("warning")
+        assert first["new"] < 12 and "update held by validation" in log.texts("warning")
         one.answer()
         await until(lambda: one.weights()["new"] == 12, 12)
         assert one.number() > 0 and service.validation.counts["split"] >= 1
@@ -479,7 +479,7 @@
         assert one.hosts() == set()
         await until(lambda: len(one.hosts()) == 3)  # nobody ordered anything
         one.answer()
-        await until(lambda: all(r.resend is None for r in service.publisher.sessions.values()))
+        await until(lambda: all(r.rewrite is None for r in service.publisher.sessions.values()))
 
     serve(tmp_path, play)
     assert any(row["kind"] == "again" for row in read_records(str(tmp_path / "records")))
@@ -540,4 +540,4 @@
         await until(lambda: not service.intake.present)
 
     log = serve(tmp_path, play)
-    assert log.texts("warning") == ["the guard broke and is off"]
+    assert log.texts("warning") == ["validation failed and is disabled"]
--- a/willowhook/controlplane/channel.py
+++ b/willowhook/controlplane/channel.py
@@ -1,88 +1,107 @@
-"""The channel of one director: messages leave one after the other, at the stated rate of lines.  No I/O.
+"""The update channel of one controller: messages leave one after the other, at a limited rate. No I/O.
 
-What waits is measured here, against the limit of lines and the cap of messages to one proxy; the decision
-module keeps both, and a breach is told, never hidden.
+The decisions keep the queue limit and the message cap by estimates. Here both are measured, so that a breach
+is reported and not hidden. Costs and rates are in endpoint entries, times in ticks.
 """
 
 from __future__ import annotations
 
 from collections import deque
+from typing import NamedTuple
 
 from ..decisions.settings import ChannelSettings
+from ..ticks import TICKS_PER_SECOND
 from .proxy_state import UpdateMessage
 
-SECOND = 10_000
+
+class Departure(NamedTuple):
+    """A message that has left the channel, and whether its proxy stayed within the message cap."""
+
+    message: UpdateMessage
+    is_within_cap: bool
 
 
 class UpdateChannel:
-    def __init__(self, terms: ChannelSettings) -> None:
-        self._rate = terms.entries_per_second / SECOND
-        self._terms = terms
+    """The queue of messages that wait to leave, and the entries that left but were not fetched yet."""
+
+    def __init__(self, settings: ChannelSettings) -> None:
+        """Starts empty and idle."""
+        self._settings = settings
+        self._entries_per_tick = settings.entries_per_second / TICKS_PER_SECOND
         self._queue: deque[UpdateMessage] = deque()
-        self._gone = 0  # messages to proxies that left, which still stand in the queue
-        self._lines = 0  # in the queue
-        self._held: dict[int, int] = {}  # by proxy: lines that left, and that its next call is still to fetch
-        self._held_lines = 0
-        self.most_waiting_entries, self.most_messages_in_window = 0, 0  # ever
-        self._free_at = 0.0  # when the line is free for the next message
-        self._sent: dict[int, deque[int]] = {}  # by proxy, when its last messages left
+        self._queued_entries = 0
+        self._unfetched: dict[int, int] = {}  # by proxy: entries that left and wait for its next call
+        self._unfetched_entries = 0
+        self._idle_at = 0.0  # when the last departure ended
+        self._departures: dict[int, deque[int]] = {}  # by proxy, within the window of the cap
+        self.most_waiting_entries = 0
+        self.most_messages_in_window = 0
 
     @property
     def waiting_entries(self) -> int:
-        """Lines that wait to leave, or to be fetched."""
-        return self._lines + self._held_lines
+        """Entries that wait to leave, or to be fetched."""
+        return self._queued_entries + self._unfetched_entries
 
-    def hold(self, proxy: int, lines: int) -> None:
-        """These left, and wait for the proxy's call; the newest message holds all."""
-        self.release(proxy)
-        self._held[proxy] = lines
-        self._held_lines += lines
+    def hold_until_fetched(self, proxy: int, entries: int) -> None:
+        """Counts entries that left until the proxy fetches them; they replace any that it did not fetch."""
+        self.release_fetched(proxy)
+        self._unfetched[proxy] = entries
+        self._unfetched_entries += entries
 
-    def release(self, proxy: int) -> None:
-        self._held_lines -= self._held.pop(proxy, 0)
+    def release_fetched(self, proxy: int) -> None:
+        """Stops counting what the proxy has fetched."""
+        self._unfetched_entries -= self._unfetched.pop(proxy, 0)
 
     def put(self, message: UpdateMessage) -> bool:
-        """False if more lines wait now than may."""
+        """Queues a message. Returns whether the entries that wait are within the queue limit."""
         if not self._queue:
-            self._free_at = max(self._free_at, message.ordered)
+            self._idle_at = max(self._idle_at, message.ordered_at)
         self._queue.append(message)
-        self._lines += message.lines
+        self._queued_entries += message.cost_entries
         self.most_waiting_entries = max(self.most_waiting_entries, self.waiting_entries)
-        return self.waiting_entries <= self._terms.queue_limit_entries
+        return self.waiting_entries <= self._settings.queue_limit_entries
 
     def next_departure(self) -> float | None:
-        """When the first message has gone through; None if nothing waits."""
-        return self._free_at + self._queue[0].lines / self._rate if self._queue else None
+        """Returns the tick at which the first message has left; None if nothing waits."""
+        if not self._queue:
+            return None
+        return self._idle_at + self._queue[0].cost_entries / self._entries_per_tick
 
-    def take(self, now: int) -> tuple[UpdateMessage, bool] | None:
-        """The message that has gone through by now, and whether it kept the cap; None if there is none."""
-        due = self.next_departure()
-        if due is None or due > now:
+    def take(self, now: int) -> Departure | None:
+        """Takes out the first message if it has left by now; returns None if none has."""
+        departed_at = self.next_departure()
+        if departed_at is None or departed_at > now:
             return None
         message = self._queue.popleft()
-        self._lines -= message.lines
-        self._free_at = due
-        kept = True
-        if self._terms.message_cap:
-            times = self._sent.setdefault(message.proxy, deque())
-            times.append(now)
-            while times[0] <= now - self._terms.message_cap_window_ticks:
-                times.popleft()
-            self.most_messages_in_window = max(self.most_messages_in_window, len(times))
-            kept = len(times) <= self._terms.message_cap
-        return message, kept
+        self._queued_entries -= message.cost_entries
+        self._idle_at = departed_at
+        return Departure(message, self._count_departure(message.proxy, now))
 
     def drop_proxy(self, proxy: int) -> int:
-        """What waits for a proxy that left is lost; gives its messages' number."""
+        """Drops what waits for a proxy that left. Returns the number of its messages."""
         before = len(self._queue)
         self._queue = deque(message for message in self._queue if message.proxy != proxy)
-        self._lines = sum(message.lines for message in self._queue)
-        self.release(proxy)
-        self._sent.pop(proxy, None)
+        self._queued_entries = sum(message.cost_entries for message in self._queue)
+        self.release_fetched(proxy)
+        self._departures.pop(proxy, None)
         return before - len(self._queue)
 
-    def has(self, proxy: int) -> bool:
+    def has_message_for(self, proxy: int) -> bool:
+        """Whether a message to this proxy waits to leave."""
         return any(message.proxy == proxy for message in self._queue)
 
     def __len__(self) -> int:
+        """The number of messages that wait to leave."""
         return len(self._queue)
+
+    def _count_departure(self, proxy: int, now: int) -> bool:
+        """Returns whether the proxy stays within the message cap, with one more message now."""
+        settings = self._settings
+        if not settings.message_cap:
+            return True
+        departures = self._departures.setdefault(proxy, deque())
+        departures.append(now)
+        while departures[0] <= now - settings.message_cap_window_ticks:
+            departures.popleft()
+        self.most_messages_in_window = max(self.most_messages_in_window, len(departures))
+        return len(departures) <= settings.message_cap
--- a/willowhook/controlplane/proxy_resources.py
+++ b/willowhook/controlplane/proxy_resources.py
@@ -1,76 +1,120 @@
-"""What a proxy held when it joined, read from the resources that it shows itself."""
+"""What a proxy held when it joined, read from the xDS resources in its own status."""
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
+from ..versions.desk import CLUSTERS, ROUTES, TABLES
 from ..xds import forms, tables
 from ..xds.codec import FormError, decode, encode
 
-CONTROLLERS_RESOURCE = "directors"  # the table of controllers, whose only line is this one, draining
-ROUTE_SET_NAME = "calls"  # the one set of routes
-Rows = dict[str, list[tuple[str, bytes]]]  # by type: names and bodies
-Row = tuple[list[forms.Route], bytes, str]  # what a proxy held for a route: paths, cluster, table's name
+CONTROLLERS_RESOURCE = "directors"  # a table of controllers, whose only entry is this one, draining
+ROUTE_SET_NAME = "calls"  # the one route configuration of a proxy
+
+ResourcesByType = dict[str, list[tuple[str, bytes]]]  # names and JSON bodies
+
+
+@dataclass(frozen=True, slots=True)
+class InitialRoute:
+    """What a proxy held for one route.
+
+    Attributes:
+        entries: of its route configuration, in their order; all lead to one cluster.
+        cluster: the JSON body of that cluster.
+        table: the name of the cluster's endpoint table.
+    """
+
+    entries: list[forms.Route]
+    cluster: bytes
+    table: str
+
+    @property
+    def cluster_name(self) -> str:
+        """The cluster to which the entries lead."""
+        return self.entries[0].route.cluster
 
 
 @dataclass(slots=True)
 class ProxyResources:
-    """What a proxy held when it joined, from its own status."""
+    """What a proxy held when it joined.
+
+    Attributes:
+        routes: by name.
+        assignments: endpoint tables by name.
+        entries: of all routes, in the order of the route configuration.
+    """
 
-    rows: dict[str, Row] = field(default_factory=dict)  # by route
+    routes: dict[str, InitialRoute] = field(default_factory=dict)
     assignments: dict[str, forms.ClusterLoadAssignment] = field(default_factory=dict)
-    routes: list[forms.Route] = field(default_factory=list)  # all, in their order
+    entries: list[forms.Route] = field(default_factory=list)
 
     def weights(self, route: str) -> dict[str, float]:
-        row = self.rows.get(route)
-        table = self.assignments.get(row[2]) if row else None
-        return {line[0]: line[4] for line in tables.lines(table)} if table else {}
-
-    def out(self) -> frozenset[str]:
-        """What is withdrawn from all that is held."""
-        rows = [line for table in self.assignments.values() for line in tables.lines(table)]
-        return frozenset(line[0] for line in rows if line[5])
-
-    def resources(self) -> Rows:
-        """All of it, by type."""
-        clusters = {rows[0].route.cluster: body for rows, body, _ in self.rows.values()}
-        routes = tables.in_order(ROUTE_SET_NAME, self.routes)
-        made = {"eds": [(name, encode(table)) for name, table in self.assignments.items()]}
-        return made | {
-            "cds": list(clusters.items()),
-            "rds": [(ROUTE_SET_NAME, encode(routes))] if self.rows else [],
-        }
+        """Returns the weights of the route's endpoints; empty if it held no table for it."""
+        return {endpoint: weight for endpoint, _, _, _, weight, _ in self._lines(route)}
 
     def endpoints_of(self, route: str) -> frozenset[str]:
-        row = self.rows.get(route)
-        table = self.assignments.get(row[2]) if row else None
-        return frozenset(line[0] for line in tables.lines(table)) if table else frozenset()
+        """Returns the endpoints of the route's table; empty if it held none for it."""
+        return frozenset(endpoint for endpoint, *_ in self._lines(route))
 
+    def excluded(self) -> frozenset[str]:
+        """Returns the endpoints that stand as draining in any table."""
+        lines = [line for table in self.assignments.values() for line in tables.lines(table)]
+        return frozenset(endpoint for endpoint, _, _, _, _, is_draining in lines if is_draining)
 
-def read_proxy_resources(resources: list[tuple[str, bytes]]) -> ProxyResources:
-    """What these resources, each with its type, make; FormError where one is no proper resource."""
-    held, clusters = ProxyResources(), dict[str, tuple[bytes, str]]()
-    rows: list[forms.Route] = []
+    def resources(self) -> ResourcesByType:
+        """Returns all of it as resources again."""
+        clusters = {route.cluster_name: route.cluster for route in self.routes.values()}
+        route_set = tables.in_order(ROUTE_SET_NAME, self.entries)
+        return {
+            TABLES: [(name, encode(table)) for name, table in self.assignments.items()],
+            CLUSTERS: list(clusters.items()),
+            ROUTES: [(ROUTE_SET_NAME, encode(route_set))] if self.routes else [],
+        }
+
+    def _lines(self, route: str) -> list[tables.Line]:
+        initial = self.routes.get(route)
+        table = self.assignments.get(initial.table) if initial is not None else None
+        return tables.lines(table) if table is not None else []
+
+
+class _Cluster(NamedTuple):
+    body: bytes
+    table: str
+
+
+def read_proxy_resources(resources: Iterable[tuple[str, bytes]]) -> ProxyResources:
+    """Reads resources, given as pairs of type URL and JSON body.
+
+    Raises FormError where one is no proper resource, or a route leads to a cluster that is missing.
+    """
+    found = ProxyResources()
+    clusters: dict[str, _Cluster] = {}
     for type_url, body in resources:
         if type_url == forms.ASSIGNMENT:
             table = decode(body, forms.ClusterLoadAssignment)
-            if table.cluster_name == CONTROLLERS_RESOURCE:
-                continue
-            tables.lines(table)
-            held.assignments[table.cluster_name] = table
+            if table.cluster_name != CONTROLLERS_RESOURCE:
+                tables.lines(table)  # raises if an entry could not be used
+                found.assignments[table.cluster_name] = table
         elif type_url == forms.CLUSTER:
             cluster = decode(body, forms.Cluster)
-            clusters[cluster.name] = (body, cluster.eds_cluster_config.service_name or cluster.name)
+            clusters[cluster.name] = _Cluster(body, cluster.eds_cluster_config.service_name or cluster.name)
         elif type_url == forms.ROUTES:
             for host in decode(body, forms.RouteConfiguration).virtual_hosts:
-                rows += host.routes
-    held.routes = rows
-    for row in tables.leading(rows):
-        if row.route.cluster not in clusters:
-            raise FormError(f"route {row.name!r} names cluster {row.route.cluster!r}, which is not held")
-        body, name = clusters[row.route.cluster]
-        if row.name in held.rows and held.rows[row.name][0][0].route.cluster == row.route.cluster:
-            held.rows[row.name][0].append(row)
+                found.entries += host.routes
+    _group_entries(found, clusters)
+    return found
+
+
+def _group_entries(found: ProxyResources, clusters: dict[str, _Cluster]) -> None:
+    """Collects entries by route; where a route's entries change cluster, the later cluster stands."""
+    for entry in tables.leading(found.entries):
+        cluster = clusters.get(entry.route.cluster)
+        if cluster is None:
+            raise FormError(f"route {entry.name!r} names cluster {entry.route.cluster!r}, which is not held")
+        before = found.routes.get(entry.name)
+        if before is not None and before.cluster_name == entry.route.cluster:
+            before.entries.append(entry)
         else:
-            held.rows[row.name] = ([row], body, name)
-    return held
+            found.routes[entry.name] = InitialRoute([entry], cluster.body, cluster.table)
--- a/willowhook/controlplane/proxy_session.py
+++ b/willowhook/controlplane/proxy_session.py
@@ -1,31 +1,124 @@
-"""The publisher's view of one joined proxy."""
+"""What the publisher keeps of each joined proxy."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from ..versions.rollout import Content, Unit
 from .proxy_resources import ProxyResources
 from .proxy_state import UpdateMessage
 from .update_sinks import UpdateSink
 
+MAX_REMEMBERED_MESSAGES = 200  # of one proxy, whose contents are kept until they are acknowledged
+
+
+class RolloutContent(NamedTuple):
+    """One content of one rollout unit, as a message carries it."""
+
+    unit: Unit
+    content: Content
+
+
+Contents = tuple[RolloutContent, ...]
+
+
+class PendingAcknowledgement(NamedTuple):
+    """A message that its proxy has not acknowledged yet; `marker` is None without a sync marker."""
+
+    message: int
+    marker: int | None
+    ordered_at: int
+
+
+class HeldMessage(NamedTuple):
+    """A message that validation holds back until a tick."""
+
+    until: int
+    message: UpdateMessage
+
+
+class RewriteTimer(NamedTuple):
+    """When files that are not acknowledged are written again, and the pause in ticks that led there."""
+
+    due_at: int
+    pause_ticks: int
+
 
 @dataclass(slots=True)
 class ProxySession:
-    """A joined proxy, as one to whom orders go out."""
+    """A joined proxy, as one to which updates go out.
+
+    Attributes:
+        number: by which events and commands name it.
+        name: as in its own status.
+        term: counts its stays with controllers.
+        initial: what it held when it joined.
+        sink: where its updates go.
+        is_http: whether it calls; otherwise it reads files.
+        pending: messages that it has not acknowledged.
+        written: the number of the message that it can read now.
+        acknowledged: the number of the newest message that it has applied.
+        unwritten: the newest message, if writing it failed.
+        held: a message that validation holds back, if any.
+        rewrite: when its files are written again, if they wait to be acknowledged.
+        newest: the last message that left the channel, as it was ordered.
+        contents: by message, what the rollout let it carry.
+        is_substituted: whether the last message carried another content than was ordered.
+    """
 
     number: int
     name: str
     term: int
-    held: ProxyResources  # when it joined
+    initial: ProxyResources
     sink: UpdateSink
     is_http: bool = False
-    marks: list[tuple[int, int, int]] = field(default_factory=list)  # message, mark, when ordered
-    lies: int = 0  # the message that it reads now
-    applied: int = 0
-    unsent: UpdateMessage | None = None  # whose swap failed: the newest, which holds all
-    later: tuple[int, UpdateMessage] | None = None  # held by the guard until then
-    resend: tuple[int, int] | None = None  # when to look for its answer, and the wait
-    newest: UpdateMessage | None = None  # as it was ordered
-    contents: dict[int, tuple[tuple[Unit, Content], ...]] = field(default_factory=dict)  # by message
-    replaced: bool = False  # something went out in place of what was ordered
+    pending: list[PendingAcknowledgement] = field(default_factory=list)
+    written: int = 0
+    acknowledged: int = 0
+    unwritten: UpdateMessage | None = None
+    held: HeldMessage | None = None
+    rewrite: RewriteTimer | None = None
+    newest: UpdateMessage | None = None
+    contents: dict[int, Contents] = field(default_factory=dict)
+    is_substituted: bool = False
+
+    @property
+    def is_open(self) -> bool:
+        """Whether something of it is unwritten, held back, or waits to be acknowledged."""
+        return self.unwritten is not None or self.held is not None or self.rewrite is not None
+
+    @property
+    def newest_contents(self) -> Contents:
+        """What the newest message that went out carries."""
+        return next(reversed(self.contents.values()), ())
+
+    def remember_contents(self, message: int, contents: Contents) -> None:
+        """Keeps what a message carries; the oldest is dropped if there are too many."""
+        self.contents[message] = contents
+        if len(self.contents) > MAX_REMEMBERED_MESSAGES:
+            del self.contents[next(iter(self.contents))]
+
+
+class SessionRegistry:
+    """All sessions, and which of them the publisher's loop has to look at."""
+
+    def __init__(self) -> None:
+        """Starts empty."""
+        self.by_number: dict[int, ProxySession] = {}
+        self._open: dict[int, None] = {}
+
+    def mark_open(self, session: ProxySession) -> None:
+        """Makes `open_sessions` return the session, as long as it is open."""
+        self._open[session.number] = None
+
+    def open_sessions(self) -> list[ProxySession]:
+        """Returns the open sessions. They are few: a healthy fleet costs the loop nothing."""
+        found = []
+        for proxy in list(self._open):
+            session = self.by_number.get(proxy)
+            if session is not None and session.is_open:
+                found.append(session)
+            else:
+                del self._open[proxy]
+        return found
--- a/willowhook/controlplane/proxy_state.py
+++ b/willowhook/controlplane/proxy_state.py
@@ -1,199 +1,277 @@
-"""The orders of the decision module as state: what each joined proxy is to hold, message by message.
+"""The desired state of each proxy: the controller's commands collected into one update message a proxy.
 
-Here the orders of one moment become one message for each proxy concerned.  A message carries the whole of
-what its proxy is to hold as of that moment, not later: what is ordered afterwards has a turn of its own.
-Tables are copied when they change, so that all messages of a moment share them.  No I/O and no clock.
+Commands given between two flushes reach each proxy concerned as one message. A message carries the complete
+state that its proxy is to hold as of that flush; later commands go into later messages. Tables are copied
+when they change after a message has taken them up, so all messages of a flush share them. No I/O, no clock.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable, Mapping, Sequence
+from collections.abc import Callable, Iterable, Mapping, Sequence
 from dataclasses import dataclass, field
 from itertools import count
 
 from ..decisions.runtime import AdmissionLimit
 from ..decisions.settings import DeploymentSettings
+from ..decisions.update_cost import SYNC_MARKER_ENTRIES, UPDATE_ENTRIES, bind_cost, message_overhead
 
+UNVERSIONED = 0  # the version of a table that no message has taken up yet
 
-class TableState:
-    """A table as of one moment.  It is not changed once a message has taken it up."""
 
-    def __init__(self, number: int, lines: dict[str, float], levels: dict[int, tuple[int, float]]) -> None:
-        self.number, self.lines, self.levels = number, lines, levels
-        self.shared = False
-        self.serial = 0  # the same for the same content; set when a message takes it up
-        self.bodies: dict[object, bytes] = {}  # as encoded, by what else shows in it
+class TableState:
+    """The content of one endpoint table. It does not change once a message has taken it up.
+
+    Attributes:
+        number: by which commands name the table.
+        weights: of the endpoints that have an entry.
+        limits: admission limits by route index.
+        is_shared: whether a message has taken it up.
+        version: the same for the same content; `UNVERSIONED` until a message takes it up.
+        encoded: a cache of its encoded forms, by whatever else shows in them.
+    """
+
+    __slots__ = ("encoded", "is_shared", "limits", "number", "version", "weights")
+
+    def __init__(self, number: int, weights: dict[str, float], limits: dict[int, AdmissionLimit]) -> None:
+        """Takes over both dictionaries; they are not copied."""
+        self.number = number
+        self.weights = weights
+        self.limits = limits
+        self.is_shared = False
+        self.version = UNVERSIONED
+        self.encoded: dict[object, bytes] = {}
 
     def copy(self) -> TableState:
-        return TableState(self.number, dict(self.lines), dict(self.levels))
+        """Returns the same content as a table that may be changed."""
+        return TableState(self.number, dict(self.weights), dict(self.limits))
 
 
-@dataclass(slots=True)
+@dataclass(frozen=True, slots=True)
 class ProxyView:
-    """What one proxy is to hold: by route its table, and the hosts withdrawn from all that it holds."""
+    """The complete state that one proxy is to hold.
+
+    Attributes:
+        bound: its table by route index; routes that are missing keep what the proxy joined with.
+        excluded: endpoints that it may not use, whatever its tables say.
+        is_sent_away: whether it is told to join another controller.
+        exclusions_version: the same for the same `excluded`.
+    """
 
-    bound: dict[int, TableState]
+    bound: Mapping[int, TableState]
     excluded: Mapping[str, None]
-    levels: Mapping[int, tuple[int, float]]  # for all tables
-    is_sent_away: bool = False  # it is to follow another director
-    serial: int = 0  # of what is withdrawn, and of the levels for all
+    is_sent_away: bool = False
+    exclusions_version: int = 0
 
 
-@dataclass(slots=True)
+@dataclass(frozen=True, slots=True)
 class UpdateMessage:
-    number: int  # rises through the director's life
-    mark: int  # -1: none is asked for
+    """One update on its way to one proxy.
+
+    Attributes:
+        number: rises through the controller's life.
+        marker: the sync marker whose acknowledgement the controller waits for, if any.
+        proxy: the proxy's number.
+        cost_entries: what it costs in the channel, with the message overhead.
+        ordered_at: when the controller ordered it, in ticks.
+        view: what the proxy is to hold.
+    """
+
+    number: int
+    marker: int | None
     proxy: int
-    lines: int  # with its head
-    ordered: int
+    cost_entries: int
+    ordered_at: int
     view: ProxyView
 
 
 @dataclass(slots=True)
 class ConnectedProxy:
-    """A joined proxy."""
+    """A proxy that has joined, and what it is to hold.
+
+    Attributes:
+        zone: its zone.
+        rate_per_second: the requests that usually reach it.
+        initial_endpoints: by route index, the endpoints that it held when it joined.
+        bound: by route index, the table that it is to use.
+        pending_entries: the cost of what was ordered since the last flush.
+        is_sent_away: whether it is told to join another controller.
+    """
 
     zone: str
-    rate_per_second: float  # usual calls a second
-    held: dict[int, frozenset[str]]  # by route: the hosts that it held when it joined
+    rate_per_second: float
+    initial_endpoints: dict[int, frozenset[str]]
     bound: dict[int, int] = field(default_factory=dict)
-    owed: int = 0  # lines of this moment
+    pending_entries: int = 0
     is_sent_away: bool = False
 
 
 class ProxyStateBook:
-    """The decision module's host for orders to proxies; `out` takes each message."""
+    """Keeps the desired state of all joined proxies; the part of `ControllerRuntime` that concerns them."""
 
-    def __init__(self, settings: DeploymentSettings, out: Callable[[UpdateMessage], None]) -> None:
-        self._head = int(settings.channel.message_overhead_entries)
-        self._out = out
+    def __init__(self, settings: DeploymentSettings, send: Callable[[UpdateMessage], None]) -> None:
+        """`send` takes each message of a flush."""
+        self._message_overhead = message_overhead(settings.channel)
+        self._send = send
         self.proxies: dict[int, ConnectedProxy] = {}
         self.tables: dict[int, TableState] = {}
-        self._withdrawn: dict[str, None] = {}
-        self._levels: dict[int, tuple[int, float]] = {}
-        self._frozen = False  # the two above are in messages and must be copied before a change
-        self._touched: dict[int, None] = {}
-        self._mark = -1
+        self._excluded: dict[str, None] = {}
+        self._is_excluded_shared = False  # messages hold `_excluded`: it is copied before a change
+        self._exclusions_version = 0
+        self._changed_proxies: dict[int, None] = {}
+        self._marker: int | None = None
         self.message_count = 0
-        self._serials = count(1)
-        self._serial = 0
+        self._versions = count(UNVERSIONED + 1)
 
-    # Members.
+    # Proxies.
 
-    def add_proxy(self, proxy: int, zone: str, held: dict[int, frozenset[str]], rate: float = 0.0) -> None:
-        self.proxies[proxy] = ConnectedProxy(zone, rate, held)
+    def add_proxy(
+        self,
+        proxy: int,
+        zone: str,
+        initial_endpoints: dict[int, frozenset[str]],
+        rate_per_second: float = 0.0,
+    ) -> None:
+        """Registers a proxy that has joined; see `ConnectedProxy` for the arguments."""
+        self.proxies[proxy] = ConnectedProxy(zone, rate_per_second, initial_endpoints)
 
     def remove_proxy(self, proxy: int) -> None:
+        """Forgets a proxy that has left, and what was ordered for it since the last flush."""
         self.proxies.pop(proxy, None)
-        self._touched.pop(proxy, None)
+        self._changed_proxies.pop(proxy, None)
 
-    # Orders.
+    # Commands.
 
-    def set_weight(self, table: int, host: str, weight: float) -> None:
-        state = self._own(table)
-        state.lines.pop(host, None)
+    def set_weight(self, table: int, endpoint: str, weight: float) -> None:
+        """Sets the weight of an endpoint in a table; 0 takes its entry out."""
+        state = self._table_for_change(table)
+        state.weights.pop(endpoint, None)
         if weight > 0:
-            state.lines[host] = weight
-        self._charge(self.users(table), 1)
+            state.weights[endpoint] = weight
+        self._charge(self._proxies_using(table), UPDATE_ENTRIES)
 
     def clear_table(self, table: int) -> None:
-        state = self._own(table)
-        state.lines.clear()
-        state.levels.clear()
-        self._charge(self.users(table), 1)
+        """Takes out all entries and limits of a table."""
+        state = self._table_for_change(table)
+        state.weights.clear()
+        state.limits.clear()
+        self._charge(self._proxies_using(table), UPDATE_ENTRIES)
 
     def exclude_endpoint(self, endpoint: str) -> None:
-        self._thaw()
-        self._withdrawn[endpoint] = None
-        self._charge_holders(endpoint)
+        """Tells all proxies that may hold an entry for an endpoint not to use it, whatever the table says."""
+        self._prepare_exclusion_change()
+        self._excluded[endpoint] = None
+        self._charge(self._proxies_holding(endpoint), UPDATE_ENTRIES)
 
     def readmit_endpoint(self, endpoint: str) -> None:
-        self._thaw()
-        self._withdrawn.pop(endpoint, None)
-        self._charge_holders(endpoint)
-
-    def _charge_holders(self, host: str) -> None:
-        self._charge([proxy for proxy, member in self.proxies.items() if self.holds(member, host)], 1)
+        """Takes `exclude_endpoint` back."""
+        self._prepare_exclusion_change()
+        self._excluded.pop(endpoint, None)
+        self._charge(self._proxies_holding(endpoint), UPDATE_ENTRIES)
 
     def forget_endpoint(self, endpoint: str) -> None:
-        """A proxy's own files may still name it: what was withdrawn stays so in every message."""
+        """Does nothing: a proxy's own files may still name the endpoint, so its exclusion stays."""
 
     def bind(self, proxy: int, table: int, routes: Sequence[int]) -> None:
-        member = self.proxies.get(proxy)
-        if member is None:
+        """Makes a proxy use a table for these routes; does nothing for a proxy that has left."""
+        connected = self.proxies.get(proxy)
+        if connected is None:
             return
         state = self.tables.setdefault(table, TableState(table, {}, {}))
         for route in routes:
-            member.bound[route] = table
-        out = sum(host in self._withdrawn for host in state.lines)
-        self._charge([proxy], 1 + len(state.lines) + len(state.levels) + len(self._levels) + out)
+            connected.bound[route] = table
+        excluded = sum(endpoint in self._excluded for endpoint in state.weights)
+        self._charge([proxy], bind_cost(len(state.weights), len(state.limits), excluded))
 
     def exclude_for_proxy(self, proxy: int, endpoints: Sequence[str]) -> None:
-        """Never ordered, nor is the next: a message here holds the whole of what its proxy is to do."""
+        """Does nothing: each message here carries the complete state of its proxy."""
 
-    def readmit_for_proxy(self, proxy: int, endpoints: Sequence[str]) -> None: ...
+    def readmit_for_proxy(self, proxy: int, endpoints: Sequence[str]) -> None:
+        """Does nothing: each message here carries the complete state of its proxy."""
 
     def set_admission(self, table: int, route: int, admission: AdmissionLimit) -> None:
-        state = self._own(table)
-        state.levels[route] = (admission.retries, admission.limit)
-        self._charge(self.users(table), 1)
+        """Sets what the proxies that use a table admit of a route."""
+        state = self._table_for_change(table)
+        state.limits[route] = admission
+        self._charge(self._proxies_using(table), UPDATE_ENTRIES)
 
     def send_away(self, proxy: int) -> None:
-        """The proxy is told, in one line, to follow another director."""
-        member = self.proxies.get(proxy)
-        if member is not None and not member.is_sent_away:
-            member.is_sent_away = True
-            self._charge([proxy], 1)
+        """Tells a proxy, at the cost of one entry, to join another controller."""
+        connected = self.proxies.get(proxy)
+        if connected is not None and not connected.is_sent_away:
+            connected.is_sent_away = True
+            self._charge([proxy], UPDATE_ENTRIES)
 
     def send_sync_marker(self, marker: int) -> None:
-        self._mark = marker
+        """Adds a marker to each message of this flush."""
+        self._marker = marker
 
     def flush(self, now: int) -> None:
-        """Hands out the messages of the moment, in the order in which proxies were first concerned."""
-        for proxy in self._touched:
-            member = self.proxies[proxy]
-            bound = {route: self.tables[table] for route, table in member.bound.items()}
-            for state in bound.values():
-                if not state.shared:
-                    state.shared, state.serial = True, next(self._serials)
-            number = self.next_number()
-            lines = member.owed + self._head + (self._mark >= 0)
-            view = ProxyView(bound, self._withdrawn, self._levels, member.is_sent_away, self._serial)
-            member.owed, self._frozen = 0, True
-            self._out(UpdateMessage(number, self._mark, proxy, lines, now, view))
-        self._touched.clear()
-        self._mark = -1
-
-    def next_number(self) -> int:
-        """For a message that is sent once more under a number of its own."""
+        """Sends one message to each proxy concerned, in the order in which they were first concerned."""
+        for proxy in self._changed_proxies:
+            self._send(self._make_message(proxy, now))
+        self._changed_proxies.clear()
+        self._marker = None
+
+    def next_message_number(self) -> int:
+        """Returns a number for a message that is sent once more under a number of its own."""
         self.message_count += 1
         return self.message_count
 
-    # What is held.
+    # Message building.
+
+    def _make_message(self, proxy: int, now: int) -> UpdateMessage:
+        connected = self.proxies[proxy]
+        bound = {route: self.tables[table] for route, table in connected.bound.items()}
+        for state in bound.values():
+            self._share_table(state)
+        self._is_excluded_shared = True
+        cost = connected.pending_entries + self._message_overhead
+        if self._marker is not None:
+            cost += SYNC_MARKER_ENTRIES
+        connected.pending_entries = 0
+        view = ProxyView(bound, self._excluded, connected.is_sent_away, self._exclusions_version)
+        return UpdateMessage(self.next_message_number(), self._marker, proxy, cost, now, view)
+
+    def _share_table(self, state: TableState) -> None:
+        if not state.is_shared:
+            state.is_shared = True
+            state.version = next(self._versions)
+
+    def _table_for_change(self, table: int) -> TableState:
+        """Returns the table, copied first if a message has taken it up, created if it is new."""
+        state = self.tables.get(table)
+        if state is None:
+            state = self.tables[table] = TableState(table, {}, {})
+        elif state.is_shared:
+            state = self.tables[table] = state.copy()
+        state.encoded.clear()
+        return state
 
-    def users(self, table: int) -> list[int]:
-        return [proxy for proxy, member in self.proxies.items() if table in member.bound.values()]
+    def _prepare_exclusion_change(self) -> None:
+        self._exclusions_version = next(self._versions)
+        if self._is_excluded_shared:
+            self._excluded = dict(self._excluded)
+            self._is_excluded_shared = False
 
-    def holds(self, member: ConnectedProxy, host: str) -> bool:
-        """Whether a line for this host stands in anything that the proxy uses."""
-        if any(host in self.tables[table].lines for table in member.bound.values()):
-            return True
-        return any(host in hosts for route, hosts in member.held.items() if route not in member.bound)
+    # Cost.
 
-    def _charge(self, proxies: list[int], lines: int) -> None:
+    def _charge(self, proxies: Iterable[int], entries: int) -> None:
         for proxy in proxies:
-            self.proxies[proxy].owed += lines
-            self._touched[proxy] = None
+            self.proxies[proxy].pending_entries += entries
+            self._changed_proxies[proxy] = None
 
-    def _own(self, table: int) -> TableState:
-        """The table, as one that may be changed."""
-        state = self.tables.get(table)
-        if state is None or state.shared:
-            state = self.tables[table] = state.copy() if state else TableState(table, {}, {})
-        state.bodies.clear()
-        return state
+    def _proxies_using(self, table: int) -> list[int]:
+        return [proxy for proxy, connected in self.proxies.items() if table in connected.bound.values()]
+
+    def _proxies_holding(self, endpoint: str) -> list[int]:
+        return [proxy for proxy, connected in self.proxies.items() if self._may_hold(connected, endpoint)]
 
-    def _thaw(self) -> None:
-        self._serial = next(self._serials)
-        if self._frozen:
-            self._withdrawn, self._levels, self._frozen = dict(self._withdrawn), dict(self._levels), False
+    def _may_hold(self, connected: ConnectedProxy, endpoint: str) -> bool:
+        """Whether an entry for this endpoint stands in anything that the proxy uses."""
+        if any(endpoint in self.tables[table].weights for table in connected.bound.values()):
+            return True
+        return any(
+            endpoint in endpoints
+            for route, endpoints in connected.initial_endpoints.items()
+            if route not in connected.bound
+        )
--- /dev/null
+++ b/willowhook/controlplane/publisher_listener.py
@@ -0,0 +1,31 @@
+"""What the publisher tells the service that runs it."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any, Protocol
+
+
+class PublisherListener(Protocol):
+    """The service, as the publisher needs it."""
+
+    def now(self) -> int:
+        """Returns the current tick."""
+
+    def report_condition(self, name: str, on: bool, text: str, **parts: Any) -> None:
+        """Reports that a persisting condition has begun or ended; only changes are logged."""
+
+    def is_in_service(self, host: str) -> bool:
+        """Whether the last endpoint list shows this endpoint as in service."""
+
+    def handle_acknowledged(self, now: int, proxy: int, marker: int) -> None:
+        """Called when a proxy has applied a message with a sync marker."""
+
+    async def post_event(self, event: Callable[[int], None]) -> None:
+        """Has the deciding task call `event` with the current tick."""
+
+    def record_known_version(self, proxy: str, part: str, version: str) -> None:
+        """Stores the version that a proxy is known to run; empty if it is not certain."""
+
+    def record_sent(self, proxy: str, term: int, message: int) -> None:
+        """Stores the number of the last message that was sent to a proxy."""
--- a/willowhook/controlplane/resource_renderer.py
+++ b/willowhook/controlplane/resource_renderer.py
@@ -1,4 +1,4 @@
-"""What a proxy is to hold, as resources of the published types; a table is encoded once for all who use it.
+"""Renders what a proxy is to hold as xDS resources. A table is encoded once for all proxies that use it.
 
 No I/O.
 """
@@ -6,163 +6,228 @@
 from __future__ import annotations
 
 from collections.abc import Collection, Mapping
+from dataclasses import dataclass, field
+from math import inf
 
 import msgspec
 
 from ..config.facts import SEMANTICS, paths
 from ..config.terms import ClosedTerms, PathTerms, RouteTerms, Terms
+from ..decisions.runtime import AdmissionLimit
 from ..membership.claim import safe_tries
+from ..ticks import ticks_from_milliseconds
 from ..versions.core import Resource
+from ..versions.desk import CLUSTERS, ROUTES, TABLES
 from ..xds import forms, tables
 from ..xds.codec import decode, encode
-from .proxy_resources import CONTROLLERS_RESOURCE, ROUTE_SET_NAME, ProxyResources, Rows
+from .proxy_resources import CONTROLLERS_RESOURCE, ROUTE_SET_NAME, ProxyResources, ResourcesByType
 from .proxy_state import ProxyView, TableState
 
+MAX_CACHED_BODIES = 5000  # routes and clusters; those of earlier admission limits pile up
+TABLE_FILE = "eds.json"  # where a cluster tells its proxy to read its table
+
 Address = tuple[str, int, str]  # address, port, zone
 
 
+@dataclass(slots=True)
+class _Rendering:
+    """The resources of one proxy as far as they are rendered."""
+
+    assignments: dict[str, bytes] = field(default_factory=dict)
+    clusters: dict[str, bytes] = field(default_factory=dict)
+    entries: list[bytes] = field(default_factory=list)
+    initial_routes: set[str] = field(default_factory=set)  # taken over from what the proxy joined with
+
+
 class ResourceRenderer:
+    """Renders views as resources and keeps the encoded bodies for the next proxy that needs the same."""
+
     def __init__(self, terms: Terms, epoch: int) -> None:
-        self._terms, self._epoch = terms, epoch
+        """`epoch` tells the resource names of this run from those of earlier ones."""
+        self._terms = terms
         self._prefix = f"{terms.name}.{epoch}"
-        self._dial = round(terms.fleet.dial_ms * 10)
-        self._rows: dict[object, bytes] = {}  # routes and clusters, by what is in them
+        self._connect_timeout_ticks = ticks_from_milliseconds(terms.fleet.dial_ms)
+        self._bodies: dict[object, bytes] = {}  # of routes and clusters, by what is in them
         self._paths = paths(terms)
         self._addresses: Mapping[str, Address] = {}
-        self._generation = 0  # of the addresses
+        self._addresses_version = 0
 
     def set_addresses(self, addresses: Mapping[str, Address]) -> None:
-        """Where hosts are from now on; a host that is not named has no line in any file."""
+        """Sets where endpoints are from now on; one that is missing has no entry in any table."""
         if addresses != self._addresses:
             self._addresses = addresses
-            self._generation += 1
+            self._addresses_version += 1
 
-    def render(self, view: ProxyView, held: ProxyResources) -> Rows:
-        """By type its resources, name and JSON; types that a proxy keeps as they are, unbound as it is, are
-        left out.
+    def table_name(self, number: int) -> str:
+        """Returns the name of the resource that carries the controller's table of this number."""
+        return f"{self._prefix}.t{number}"
+
+    def render(self, view: ProxyView, initial: ProxyResources) -> ResourcesByType:
+        """Renders a view for a proxy that joined with `initial`.
+
+        Types that the proxy keeps as they are, since it is bound to no table yet, are left out.
         """
-        assignments, clusters, rows = dict[str, bytes](), dict[str, bytes](), list[bytes]()
-        kept = set[str]()
-        for k, path in self._paths:
+        made = _Rendering()
+        for index, path in self._paths:
             if isinstance(path, ClosedTerms):
-                rows.append(self._closed(path))
-                continue
-            route, state = self._terms.routes[k], view.bound.get(k)
-            if state is not None:
-                name = f"{self._prefix}.t{state.number}"
-                if name not in assignments:
-                    assignments[name] = self._table(name, state, view)
-                to = f"{route.name}@{name}"
-                clusters[to] = self._cluster(to, name, "ring" if route.hash_by else self._terms.fleet.pick)
-                rows.append(self._route(k, path, to, state, view))
-            elif route.name in held.rows and route.name not in kept:
-                kept.add(route.name)  # all it held of this route, where the first of its paths stands
-                mine, body, name = held.rows[route.name]
-                if name not in assignments and name in held.assignments:
-                    assignments[name] = self._drained(held.assignments[name], view.excluded)
-                clusters[mine[0].route.cluster] = body
-                rows += [encode(row) for row in mine]
-        made = {"eds": list(assignments.items())}
+                made.entries.append(self._closed_entry(path))
+            elif (table := view.bound.get(index)) is not None:
+                self._add_bound_route(made, index, path, table, view)
+            else:
+                self._add_initial_route(made, self._terms.routes[index].name, initial, view)
+        resources = {TABLES: list(made.assignments.items())}
         if view.bound:
-            made["cds"] = list(clusters.items())
-            made["rds"] = [(ROUTE_SET_NAME, self._route_set(rows))]
-        return made
-
-    def table_name(self, number: int) -> str:
-        """The resource under which the module's table of this number goes out."""
-        return f"{self._prefix}.t{number}"
+            resources[CLUSTERS] = list(made.clusters.items())
+            resources[ROUTES] = [(ROUTE_SET_NAME, self._route_set(made.entries))]
+        return resources
 
     def render_send_away(self) -> bytes:
-        """This director as a table of one that drains: the proxy is to follow another."""
-        at = forms.Address(pipe=forms.Pipe(self._terms.files.folder))
-        row = forms.LbEndpoint(forms.Endpoint(at, self._terms.name), forms.DRAINING)
-        return encode(
-            forms.ClusterLoadAssignment(CONTROLLERS_RESOURCE, [forms.LocalityLbEndpoints(lb_endpoints=[row])])
-        )
+        """Renders this controller as an entry that drains: the proxy is to join another."""
+        address = forms.Address(pipe=forms.Pipe(self._terms.files.folder))
+        entry = forms.LbEndpoint(forms.Endpoint(address, self._terms.name), forms.DRAINING)
+        locality = forms.LocalityLbEndpoints(lb_endpoints=[entry])
+        return encode(forms.ClusterLoadAssignment(CONTROLLERS_RESOURCE, [locality]))
+
+    def exclude_from(self, resource: Resource, excluded: frozenset[str]) -> bytes:
+        """Returns a table's body with these endpoints draining; the body as it is if that changes nothing."""
+        table = decode(resource.body, forms.ClusterLoadAssignment)
+        lines = tables.lines(table)
+        if not any(endpoint in excluded and not is_draining for endpoint, _, _, _, _, is_draining in lines):
+            return resource.body
+        return self._with_exclusions(table, excluded)
+
+    # One route.
+
+    def _add_bound_route(
+        self,
+        made: _Rendering,
+        index: int,
+        path: PathTerms | RouteTerms,
+        table: TableState,
+        view: ProxyView,
+    ) -> None:
+        route = self._terms.routes[index]
+        name = self.table_name(table.number)
+        if name not in made.assignments:
+            made.assignments[name] = self._assignment(name, table, view)
+        cluster = f"{route.name}@{name}"
+        pick = "ring" if route.hash_by else self._terms.fleet.pick
+        made.clusters[cluster] = self._cluster(cluster, name, pick)
+        limit = self._admission(index, table)
+        made.entries.append(self._route_entry(route, path, cluster, limit))
+
+    def _add_initial_route(
+        self, made: _Rendering, name: str, initial: ProxyResources, view: ProxyView
+    ) -> None:
+        """Keeps all that the proxy held of a route, where the first of the route's paths stands."""
+        route = initial.routes.get(name)
+        if route is None or name in made.initial_routes:
+            return
+        made.initial_routes.add(name)
+        if route.table not in made.assignments and route.table in initial.assignments:
+            table = initial.assignments[route.table]
+            made.assignments[route.table] = self._with_exclusions(table, view.excluded)
+        made.clusters[route.cluster_name] = route.cluster
+        made.entries += [encode(entry) for entry in route.entries]
+
+    def _admission(self, index: int, table: TableState) -> AdmissionLimit:
+        """The ordered limit, within the caps of the configuration."""
+        route = self._terms.routes[index]
+        fleet = self._terms.fleet
+        ordered = table.limits.get(index, AdmissionLimit(fleet.usual_tries, inf))
+        limit = ordered.limit
+        if route.most_per_s and fleet.admit == "rps":
+            limit = min(limit, route.most_per_s)
+        return AdmissionLimit(min(ordered.retries, route.tries), limit)
+
+    # Bodies.
 
-    def _table(self, name: str, state: TableState, view: ProxyView) -> bytes:
-        out = tuple(host for host in state.lines if host in view.excluded)
-        key = (out, self._generation)
-        body = state.bodies.get(key)
+    def _assignment(self, name: str, table: TableState, view: ProxyView) -> bytes:
+        excluded = tuple(endpoint for endpoint in table.weights if endpoint in view.excluded)
+        key = (excluded, self._addresses_version)
+        body = table.encoded.get(key)
         if body is None:
-            known = [(host, weight, self._addresses.get(host)) for host, weight in state.lines.items()]
-            rows = [(host, *at, weight, host in view.excluded) for host, weight, at in known if at]
-            body = state.bodies[key] = encode(tables.assignment(name, rows))
+            lines: list[tables.Line] = []
+            for endpoint, weight in table.weights.items():
+                located = self._addresses.get(endpoint)
+                if located is not None:
+                    address, port, zone = located
+                    lines.append((endpoint, address, port, zone, weight, endpoint in view.excluded))
+            body = table.encoded[key] = encode(tables.assignment(name, lines))
         return body
 
     @staticmethod
-    def _drained(table: forms.ClusterLoadAssignment, withdrawn: Collection[str]) -> bytes:
-        """A table of before, with what is withdrawn now: the proxy has heard of nothing else from here."""
-        rows = [(*line[:5], line[0] in withdrawn or line[5]) for line in tables.lines(table)]
-        return encode(tables.assignment(table.cluster_name, rows))
-
-    def exclude_from(self, row: Resource, withdrawn: frozenset[str]) -> bytes:
-        """The same of a resource; as it is if that takes nothing out."""
-        table = decode(row.body, forms.ClusterLoadAssignment)
-        if not any(line[0] in withdrawn and not line[5] for line in tables.lines(table)):
-            return row.body
-        return self._drained(table, withdrawn)
-
-    def _closed(self, path: ClosedTerms) -> bytes:
-        body = self._rows.get(path)
+    def _with_exclusions(table: forms.ClusterLoadAssignment, excluded: Collection[str]) -> bytes:
+        """A table that the proxy joined with: this controller has told it of nothing but exclusions."""
+        lines = [
+            (endpoint, address, port, zone, weight, endpoint in excluded or is_draining)
+            for endpoint, address, port, zone, weight, is_draining in tables.lines(table)
+        ]
+        return encode(tables.assignment(table.cluster_name, lines))
+
+    def _closed_entry(self, path: ClosedTerms) -> bytes:
+        body = self._bodies.get(path)
         if body is None:
-            made = tables.closed(tables.match(path.match, path.path), path.status)
-            body = self._rows[path] = encode(made)
+            entry = tables.closed(tables.match(path.match, path.path), path.status)
+            body = self._bodies[path] = encode(entry)
         return body
 
     def _cluster(self, name: str, table: str, pick: str) -> bytes:
-        body = self._rows.get(name)
+        body = self._bodies.get(name)
         if body is None:
-            fleet = self._terms.fleet
-            made = tables.cluster(name, table, "eds.json", pick, self._dial, fleet.strikes)
-            body = self._rows[name] = encode(made)
+            strikes = self._terms.fleet.strikes
+            cluster = tables.cluster(name, table, TABLE_FILE, pick, self._connect_timeout_ticks, strikes)
+            body = self._bodies[name] = encode(cluster)
         return body
 
-    def _route(
-        self, k: int, path: PathTerms | RouteTerms, to: str, state: TableState, view: ProxyView
+    def _route_entry(
+        self, route: RouteTerms, path: PathTerms | RouteTerms, cluster: str, limit: AdmissionLimit
     ) -> bytes:
-        route, fleet = self._terms.routes[k], self._terms.fleet
-        tries, level = state.levels.get(k, (fleet.usual_tries, float("inf")))
-        if k in view.levels:
-            wide_tries, wide = view.levels[k]
-            tries, level = (tries if k in state.levels else wide_tries), min(level, wide)
-        tries = min(tries, route.tries)
-        if route.most_per_s and fleet.admit == "rps":
-            level = min(level, route.most_per_s)
-        key = (to, path, tries, level)
-        body = self._rows.get(key)
+        key = (cluster, path, limit.retries, limit.limit)
+        body = self._bodies.get(key)
         if body is None:
-            if len(self._rows) > 5000:  # levels of long ago
-                self._rows.clear()
-            policy = tables.retry(
-                safe_tries(SEMANTICS[route.semantics], tries),
-                round(fleet.try_factor * route.slo_time_ms * 10),
-            )
-            filters = tables.level(fleet.admit, level, fleet.come_back_s)
-            row = tables.route(
-                route.name, tables.match(path.match, path.path), to, round(route.time_limit_ms * 10),
-                policy, filters, path.rewrite, route.hash_by,
-            )  # fmt: skip
-            body = self._rows[key] = encode(row)
+            if len(self._bodies) > MAX_CACHED_BODIES:
+                self._bodies.clear()
+            body = self._bodies[key] = encode(self._make_route(route, path, cluster, limit))
         return body
 
+    def _make_route(
+        self, route: RouteTerms, path: PathTerms | RouteTerms, cluster: str, limit: AdmissionLimit
+    ) -> forms.Route:
+        fleet = self._terms.fleet
+        attempt_timeout_ticks = ticks_from_milliseconds(fleet.try_factor * route.slo_time_ms)
+        retries = safe_tries(SEMANTICS[route.semantics], limit.retries)
+        return tables.route(
+            route.name,
+            tables.match(path.match, path.path),
+            cluster,
+            ticks_from_milliseconds(route.time_limit_ms),
+            tables.retry(retries, attempt_timeout_ticks),
+            tables.level(fleet.admit, limit.limit, fleet.come_back_s),
+            path.rewrite,
+            route.hash_by,
+        )
+
     @staticmethod
-    def _route_set(rows: list[bytes]) -> bytes:
-        routes = [msgspec.Raw(row) for row in rows]
+    def _route_set(entries: list[bytes]) -> bytes:
+        routes = [msgspec.Raw(entry) for entry in entries]
         host = {"name": "all", "domains": ["*"], "routes": routes}
         return encode({"@type": forms.ROUTES, "name": ROUTE_SET_NAME, "virtual_hosts": [host]})
 
 
-def references(row: Resource) -> tuple[str, ...]:
-    """The clusters that routes lead to, or a cluster's table."""
-    if row.uses is None:
-        row.uses = ()
-        if row.kind == "rds":
-            hosts = decode(row.body, forms.RouteConfiguration).virtual_hosts
-            row.uses = tuple(
-                dict.fromkeys(r.route.cluster for host in hosts for r in tables.leading(host.routes))
-            )
-        elif row.kind == "cds":
-            cluster = decode(row.body, forms.Cluster)
-            row.uses = (cluster.eds_cluster_config.service_name or cluster.name,)
-    return row.uses
+def references(resource: Resource) -> tuple[str, ...]:
+    """Returns the names that a resource refers to: a route set's clusters, or a cluster's table."""
+    if resource.uses is None:
+        resource.uses = _find_references(resource)
+    return resource.uses
+
+
+def _find_references(resource: Resource) -> tuple[str, ...]:
+    if resource.kind == ROUTES:
+        hosts = decode(resource.body, forms.RouteConfiguration).virtual_hosts
+        clusters = [entry.route.cluster for host in hosts for entry in tables.leading(host.routes)]
+        return tuple(dict.fromkeys(clusters))
+    if resource.kind == CLUSTERS:
+        cluster = decode(resource.body, forms.Cluster)
+        return (cluster.eds_cluster_config.service_name or cluster.name,)
+    return ()
--- /dev/null
+++ b/willowhook/controlplane/update_queue.py
@@ -0,0 +1,90 @@
+"""The queue before the channel: messages go in, leave at the channel's pace, and some go in again."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+from ..decisions.settings import ChannelSettings
+from ..records.writer import Records
+from .channel import UpdateChannel
+from .proxy_session import ProxySession, SessionRegistry
+from .proxy_state import ProxyStateBook, UpdateMessage
+from .publisher_listener import PublisherListener
+
+RESEND_QUEUE_DIVISOR = 6  # resends wait until the queue is below this part of its limit
+NO_MARKER_IN_RECORDS = -1
+
+
+class UpdateQueue:
+    """Puts messages into the channel, takes them out when they have left, and reports breached limits."""
+
+    def __init__(
+        self,
+        settings: ChannelSettings,
+        proxy_states: ProxyStateBook,
+        sessions: SessionRegistry,
+        listener: PublisherListener,
+        records: Records,
+    ) -> None:
+        """`proxy_states` numbers the messages that are sent once more."""
+        self.channel = UpdateChannel(settings)
+        self._settings = settings
+        self._proxy_states = proxy_states
+        self._sessions = sessions
+        self._listener = listener
+        self._records = records
+
+    @property
+    def has_room_for_resends(self) -> bool:
+        """Whether so little waits that messages may be sent once more."""
+        return self.channel.waiting_entries <= self._settings.queue_limit_entries / RESEND_QUEUE_DIVISOR
+
+    def put(self, message: UpdateMessage) -> None:
+        """Queues a message, and records it."""
+        is_within_limit = self.channel.put(message)
+        self._listener.report_condition(
+            "queue",
+            not is_within_limit,
+            "update queue within limit" if is_within_limit else "update queue over limit",
+            waiting=self.channel.waiting_entries,
+            most=self._settings.queue_limit_entries,
+        )
+        session = self._sessions.by_number.get(message.proxy)
+        self._records.note(
+            message.ordered_at,
+            "order",
+            message=message.number,
+            mark=NO_MARKER_IN_RECORDS if message.marker is None else message.marker,
+            proxy=session.name if session is not None else "",
+            lines=message.cost_entries,
+        )
+
+    def put_again(self, now: int, message: UpdateMessage, cost_entries: int) -> None:
+        """Queues a message once more, under a number of its own and without its sync marker."""
+        number = self._proxy_states.next_message_number()
+        self.put(replace(message, number=number, marker=None, ordered_at=now, cost_entries=cost_entries))
+
+    def take(self, now: int) -> UpdateMessage | None:
+        """Takes out the first message if it has left by now; returns None if none has."""
+        departure = self.channel.take(now)
+        if departure is None:
+            return None
+        message = departure.message
+        if not departure.is_within_cap:
+            self._listener.report_condition("cap", True, "message cap exceeded", proxy=message.proxy)
+        return message
+
+    def put_held_messages(self, now: int) -> None:
+        """Queues what validation held back until now, unless a later message, which holds all, waits."""
+        for session in self._sessions.open_sessions():
+            if session.held is None or now < session.held.until:
+                continue
+            message = session.held.message
+            session.held = None
+            if not self.channel.has_message_for(session.number):
+                self.put_again(now, message, message.cost_entries)
+
+    def put_newest_again(self, now: int, session: ProxySession, cost_entries: int) -> None:
+        """Queues what a proxy is to hold once more, unless a later message waits."""
+        if session.newest is not None and not self.channel.has_message_for(session.number):
+            self.put_again(now, session.newest, cost_entries)
--- a/willowhook/controlplane/update_sinks.py
+++ b/willowhook/controlplane/update_sinks.py
@@ -1,6 +1,6 @@
-"""Where the orders for one proxy go out: a folder of swapped files, or a desk that answers its calls.
+"""Where the updates of one proxy go: a folder of atomically swapped files, or a session answering its calls.
 
-Both publish parts of the one versioned core, and hold nothing that it does not.
+Both publish parts of the one versioned core, and hold nothing that the core does not.
 """
 
 from __future__ import annotations
@@ -12,97 +12,136 @@
 from ..files.swap import Shelf
 from ..membership.claim import Version
 from ..versions.core import Core, Part, Resource
-from ..versions.desk import Desk
+from ..versions.desk import TABLES, Desk
 from ..xds import forms
 from ..xds.codec import response
-from .proxy_resources import CONTROLLERS_RESOURCE, Rows
+from .proxy_resources import CONTROLLERS_RESOURCE, ResourcesByType
 
-FILE = ".json"
+FILE_SUFFIX = ".json"
 
 
 class UpdateSink(Protocol):
-    slow: bool  # whether placing may take the time of a disk
+    """Takes the updates of one proxy.
 
-    def prepare(self, number: int, rows: Rows, out: frozenset[str]) -> Callable[[], bool]:
-        """What, when called, makes this the proxy's newest message, whatever thread it is called in.
+    Attributes:
+        may_block: whether what `prepare` and `prepare_rewrite` return may wait for a disk.
+    """
 
-        It gives False if nothing that shows has changed, and may raise OSError.
-        """
+    may_block: bool
+
+    def prepare(
+        self, number: int, resources: ResourcesByType, excluded: frozenset[str]
+    ) -> Callable[[], bool]:
+        """Returns what makes this the proxy's newest message when it is called, in whatever thread.
 
-    def again(self) -> Callable[[], bool]:
-        """What, when called, puts in place once more what lies there, where it may have been lost."""
+        The call returns False if nothing that the proxy can see has changed, and may raise OSError.
+        """
 
-    def away(self, row: bytes, number: int) -> None:
-        """The proxy is to follow another director."""
+    def prepare_rewrite(self) -> Callable[[], bool]:
+        """Returns what, when called, puts the newest message in place again, where it may have been lost.
 
-    def close(self) -> None: ...
+        The call returns whether it wrote anything, and may raise OSError.
+        """
 
+    def send_away(self, resource: bytes) -> None:
+        """Makes the proxy join another controller; `resource` says so in the next message."""
 
-class FileUpdateSink:
-    """A file whose resources are as before keeps its version, so a swap touches only what changed."""
+    def close(self) -> None:
+        """Called when the proxy has left."""
 
-    def __init__(self, shelf: Shelf, core: Core, term: int, epoch: int, slow: bool) -> None:
-        self.shelf, self.slow = shelf, slow
-        self._core, self._term, self._epoch = core, term, epoch
-        self._parts: dict[str, Part] = {}
-        self._bodies: dict[str, bytes] = {}
-        self._away: bytes | None = None
 
-    def files(self, number: int, rows: Rows) -> dict[str, bytes]:
+class FileUpdateSink:
+    """A folder of files. A file whose resources are as before keeps its version, so it is not swapped."""
+
+    def __init__(self, shelf: Shelf, core: Core, term: int, epoch: int, may_block: bool) -> None:
+        """`term` and `epoch` are the first two parts of the versions in its files."""
+        self.shelf = shelf
+        self.may_block = may_block
+        self._core = core
+        self._term = term
+        self._epoch = epoch
+        self._parts: dict[str, Part] = {}  # by type, as last written
+        self._files: dict[str, bytes] = {}
+        self._send_away_resource: bytes | None = None
+
+    def files(self, number: int, resources: ResourcesByType) -> dict[str, bytes]:
+        """Returns the files of a message by name; the unchanged ones as they were."""
         version = str(Version(self._term, self._epoch, number))
-        for kind, each in rows.items():
+        for kind, rows in resources.items():
             last = self._parts.get(kind)
-            told = [(CONTROLLERS_RESOURCE, self._away)] if kind == "eds" and self._away else []
-            part = self._core.part(kind, each + told, last)
+            part = self._core.part(kind, self._with_send_away(kind, rows), last)
             if part is not last:
                 self._parts[kind] = part
                 bodies = [row.body for row in part.rows.values()]
-                self._bodies[kind + FILE] = response(version, forms.FILES[kind], version, bodies)
-        return {kind + FILE: self._bodies[kind + FILE] for kind in rows}
+                self._files[kind + FILE_SUFFIX] = response(version, forms.FILES[kind], version, bodies)
+        return {kind + FILE_SUFFIX: self._files[kind + FILE_SUFFIX] for kind in resources}
 
-    def prepare(self, number: int, rows: Rows, out: frozenset[str]) -> Callable[[], bool]:
-        return partial(self.shelf.put, self.files(number, rows))
+    def prepare(
+        self, number: int, resources: ResourcesByType, excluded: frozenset[str]
+    ) -> Callable[[], bool]:
+        """See `UpdateSink.prepare`."""
+        return partial(self.shelf.put, self.files(number, resources))
 
-    def again(self) -> Callable[[], bool]:
-        files, self.shelf.held = self.shelf.held, {}
-        return partial(self.shelf.put, files) if files else lambda: False
+    def prepare_rewrite(self) -> Callable[[], bool]:
+        """See `UpdateSink.prepare_rewrite`; the files are written whole."""
+        files = self.shelf.held
+        self.shelf.held = {}
+        return partial(self.shelf.put, files) if files else _write_nothing
 
-    def away(self, row: bytes, number: int) -> None:
-        self._away = row
+    def send_away(self, resource: bytes) -> None:
+        """See `UpdateSink.send_away`."""
+        self._send_away_resource = resource
 
     def close(self) -> None:
-        """The folder is cleared by who made it."""
+        """Does nothing: whoever made the folder clears it."""
+
+    def _with_send_away(self, kind: str, rows: list[tuple[str, bytes]]) -> list[tuple[str, bytes]]:
+        if kind != TABLES or not self._send_away_resource:
+            return rows
+        return [*rows, (CONTROLLERS_RESOURCE, self._send_away_resource)]
 
 
 class HttpUpdateSink:
-    """`news(proxy)` is told when a call that waits may have its answer."""
+    """A session that answers a proxy's calls."""
 
-    slow = False
+    may_block = False
 
-    def __init__(self, desk: Desk, core: Core, news: Callable[[Desk], None]) -> None:
-        self.desk, self._core, self._news = desk, core, news
+    def __init__(self, desk: Desk, core: Core, notify: Callable[[Desk], None]) -> None:
+        """`notify` is called when a waiting call may have its answer."""
+        self.desk = desk
         self.is_sent_away = False
-
-    def prepare(self, number: int, rows: Rows, out: frozenset[str]) -> Callable[[], bool]:
-        parts = {kind: self._core.part(kind, each, self.desk.last(kind)) for kind, each in rows.items()}
-        changed = self.desk.want(number, parts, out)
-        if changed or self.is_sent_away:
-            self._news(self.desk)
-        return lambda: changed
-
-    def ban(self, row: Resource) -> bool:
-        """The desk is to offer what it ran before; whether it could."""
-        if self.desk.ban(row):
-            self._news(self.desk)
+        self._core = core
+        self._notify = notify
+
+    def prepare(
+        self, number: int, resources: ResourcesByType, excluded: frozenset[str]
+    ) -> Callable[[], bool]:
+        """See `UpdateSink.prepare`; the message is offered at once."""
+        parts = {kind: self._core.part(kind, rows, self.desk.last(kind)) for kind, rows in resources.items()}
+        has_changed = self.desk.want(number, parts, excluded)
+        if has_changed or self.is_sent_away:
+            self._notify(self.desk)
+        return lambda: has_changed
+
+    def ban(self, resource: Resource) -> bool:
+        """Offers what the proxy ran before in place of this version. Returns whether it can."""
+        if self.desk.ban(resource):
+            self._notify(self.desk)
             return True
         return False
 
-    def again(self) -> Callable[[], bool]:
-        """A call that had no answer is made again by its proxy."""
-        return lambda: False
+    def prepare_rewrite(self) -> Callable[[], bool]:
+        """Nothing is written: a proxy repeats a call that had no answer."""
+        return _write_nothing
 
-    def away(self, row: bytes, number: int) -> None:
+    def send_away(self, resource: bytes) -> None:
+        """See `UpdateSink.send_away`; the answer to the proxy's next call says so."""
         self.is_sent_away = True
 
     def close(self) -> None:
-        self._news(self.desk)
+        """Ends the call that waits."""
+        self._notify(self.desk)
+
+
+def _write_nothing() -> bool:
+    return False
--- /dev/null
+++ b/willowhook/controlplane/update_validator.py
@@ -0,0 +1,125 @@
+"""Validation of what leaves: each message is judged by its effect just before it is written."""
+
+from __future__ import annotations
+
+import time
+from collections import deque
+from collections.abc import Callable
+from dataclasses import replace
+from typing import Any, ParamSpec
+
+from ..guard.verdict import HELD, SPLIT, Verdict
+from ..records.writer import Records
+from ..ticks import TICKS_PER_SECOND
+from .proxy_session import HeldMessage, ProxySession, SessionRegistry
+from .proxy_state import UpdateMessage
+from .publisher_listener import PublisherListener
+from .validation import ValidationContext, records_of
+
+SLOW_VALIDATION_MICROS = 50_000  # a longer validation is reported
+MAX_TIMINGS = 10_000
+MIN_HOLD_TICKS = TICKS_PER_SECOND // 10
+DEFAULT_HOLD_TICKS = TICKS_PER_SECOND  # where a verdict names no time
+
+P = ParamSpec("P")
+
+
+class UpdateValidator:
+    """Asks validation about each message and follows its verdict.
+
+    It fails open: the controller's commands keep the rules without validation as well, and to send none of
+    them would break the rules for certain.
+    """
+
+    def __init__(
+        self,
+        context: ValidationContext,
+        is_enabled: bool,
+        epoch: int,
+        sessions: SessionRegistry,
+        listener: PublisherListener,
+        records: Records,
+        log: Any,
+    ) -> None:
+        """`epoch` is the second part of the versions of messages."""
+        self.context = context
+        self.is_enabled = is_enabled
+        self.timings_micros: deque[int] = deque(maxlen=MAX_TIMINGS)  # of messages that passed
+        self._epoch = epoch
+        self._sessions = sessions
+        self._listener = listener
+        self._records = records
+        self._log = log
+
+    def update(self, step: Callable[P, None], *args: P.args, **kwargs: P.kwargs) -> None:
+        """Calls a method of the context. If it raises, the context is worth nothing and validation ends."""
+        if self.is_enabled:
+            try:
+                step(*args, **kwargs)
+            except Exception as error:
+                self._disable(error)
+
+    def record_sent(self, now: int, session: ProxySession, message: UpdateMessage) -> None:
+        """Notes that a message is on its way to its proxy."""
+        self.update(self.context.record_sent, now, message, self._version(session, message))
+
+    def validate(
+        self, now: int, session: ProxySession, message: UpdateMessage, waiting_entries: int
+    ) -> UpdateMessage | None:
+        """Returns the message as it may be written now; None if it may not, or not yet."""
+        if not self.is_enabled:
+            return message
+        began = time.perf_counter()
+        try:
+            version = self._version(session, message)
+            verdict = self.context.judge(now, message, version, waiting_entries)
+        except Exception as error:
+            self._disable(error)
+            return message
+        micros = round((time.perf_counter() - began) * 1e6)
+        self._report_timing(micros)
+        if verdict.good and not verdict.rescue and not verdict.faults:
+            self.timings_micros.append(micros)
+            return message
+        self._records.note(
+            now, "guard", message=message.number, proxy=session.name, took_us=micros, **records_of(verdict)
+        )
+        for fault in verdict.faults:
+            self._listener.report_condition("guard", True, "validation check failed", cause=fault)
+        if verdict.good:
+            return message
+        return self._follow_verdict(now, session, message, verdict)
+
+    def _follow_verdict(
+        self, now: int, session: ProxySession, message: UpdateMessage, verdict: Verdict
+    ) -> UpdateMessage | None:
+        is_held = verdict.what in (HELD, SPLIT)
+        self._log.warning(
+            "update held by validation" if is_held else "update refused by validation",
+            proxy=session.name,
+            message=message.number,
+            verdict=verdict.what,
+            cause=verdict.findings[0].line(),
+        )
+        if is_held:
+            last_step = max((step.at for step in verdict.steps), default=now + DEFAULT_HOLD_TICKS)
+            until = verdict.until() or last_step
+            session.held = HeldMessage(max(until, now + MIN_HOLD_TICKS), message)
+            self._sessions.mark_open(session)
+        if verdict.what != SPLIT:
+            return None
+        return replace(message, view=self.context.first_step(message.view, verdict))
+
+    def _version(self, session: ProxySession, message: UpdateMessage) -> tuple[int, int, int]:
+        return session.term, self._epoch, message.number
+
+    def _report_timing(self, micros: int) -> None:
+        is_slow = micros > SLOW_VALIDATION_MICROS
+        text = "validation slow" if is_slow else "validation no longer slow"
+        self._listener.report_condition("slow guard", is_slow, text, took_us=micros)
+
+    def _disable(self, error: Exception) -> None:
+        self.is_enabled = False
+        self._listener.report_condition(
+            "no guard", True, "validation failed and is disabled", cause=repr(error)
+        )
