--- a/benchmarks/guard.py
+++ b/benchmarks/guard.py
@@ -8,14 +8,24 @@
 import time
 from collections.abc import Callable
 
-from willowhook.guard.guard import Candidate, Guard
-from willowhook.guard.world import OPEN, GuardTerms, HostFacts, RouteFacts, Tables, World
+from willowhook.decisions.settings import RequestSemantics
+from willowhook.validation.model import (
+    Candidate,
+    Endpoint,
+    EndpointMode,
+    ProxyTables,
+    RouteConstraints,
+    UpdateVersion,
+    ValidationSettings,
+)
+from willowhook.validation.validator import Validator
+from willowhook.validation.world import World
 
 SECOND = 10_000
 ROUTES = (
-    RouteFacts("load", "idempotent"),
-    RouteFacts("save", "deduplicated"),
-    RouteFacts("submit", "at_most_once"),
+    RouteConstraints("load", RequestSemantics.IDEMPOTENT),
+    RouteConstraints("save", RequestSemantics.DEDUPLICATED),
+    RouteConstraints("submit", RequestSemantics.AT_MOST_ONCE),
 )
 
 
@@ -29,20 +39,22 @@
     return statistics.median(ranked), ranked[int(len(ranked) * 0.99)]
 
 
-def fleet(hosts: int, proxies: int, contents: int = 12, cold: int = 3) -> tuple[World, list[Tables]]:
+def fleet(hosts: int, proxies: int, contents: int = 12, cold: int = 3) -> tuple[World, list[ProxyTables]]:
     """Proxies spread over so many contents of tables, each with all hosts; some hosts are cold."""
     chance = random.Random(1)
-    terms = GuardTerms(ROUTES, 25_000, 100_000, 0.3, 4.0, 0.2, 1e9, 0, 100_000, proxies)
+    terms = ValidationSettings(ROUTES, 25_000, 100_000, 0.3, 4.0, 0.2, 1e9, 0, 100_000, proxies)
     world = World(terms)
     now = 1000 * SECOND
-    rows = [HostFacts(f"h{k}", OPEN, 0, now - SECOND if k < cold else 0) for k in range(hosts)]
-    world.list_hosts(0, rows)
+    rows = [
+        Endpoint(f"h{k}", EndpointMode.IN_SERVICE, 0, now - SECOND if k < cold else 0) for k in range(hosts)
+    ]
+    world.endpoints.update_list(0, rows)
     made = []
     for at in range(contents):
         lines = {f"h{k}": 0.2 if k < cold else chance.uniform(0.8, 1.25) for k in range(hosts)}
-        made.append(Tables((lines,) * 3, frozenset(), (1, 1, 1), (math.inf,) * 3, at))
+        made.append(ProxyTables((lines,) * 3, frozenset(), (1, 1, 1), (math.inf,) * 3, at))
     for proxy in range(proxies):
-        world.join(proxy, "", (chance.uniform(1, 5),) * 3, made[proxy % contents])
+        world.add_proxy(proxy, "", (chance.uniform(1, 5),) * 3, made[proxy % contents])
     return world, made
 
 
@@ -50,20 +62,22 @@
     now = 1000 * SECOND
     for hosts, proxies in ((86, 245), (1000, 20_000)):
         world, made = fleet(hosts, proxies)
-        guard = Guard(world)
+        guard = Validator(world)
         number = [1]
 
-        def step(world: World = world, made: list[Tables] = made, number: list[int] = number) -> None:
+        def step(world: World = world, made: list[ProxyTables] = made, number: list[int] = number) -> None:
             """A message on its way to one proxy, and its answer."""
             number[0] += 1
             proxy = number[0] % len(world.proxies)
-            world.sent(now, proxy, made[number[0] * 7 % len(made) - 1], (1, 1, number[0]))
-            world.answered(proxy)
+            world.record_sent(now, proxy, made[number[0] * 7 % len(made) - 1], UpdateVersion(1, 1, number[0]))
+            world.record_applied(proxy)
 
-        def judge(guard: Guard = guard, made: list[Tables] = made, number: list[int] = number) -> None:
+        def judge(
+            guard: Validator = guard, made: list[ProxyTables] = made, number: list[int] = number
+        ) -> None:
             number[0] += 1
             proxy = number[0] % len(guard.world.proxies)
-            guard.judge(now, Candidate(proxy, made[number[0] % len(made)], (9, 1, number[0])))
+            guard.judge(now, Candidate(proxy, made[number[0] % len(made)], UpdateVersion(9, 1, number[0])))
 
         moved = median_us(step, 2000)
         index = median_us(lambda world=world: [world.exposure(f"h{k}") for k in range(3)], 300)  # type: ignore[misc]
--- /dev/null
+++ b/tests/test_validation.py
@@ -0,0 +1,237 @@
+"""Update validation: against an oracle, against a full recheck, with its own checks broken, and on files."""
+
+from __future__ import annotations
+
+import json
+import math
+from typing import Any
+
+import pytest
+from click.testing import CliRunner
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from willowhook.cli.main import main
+from willowhook.decisions.settings import RequestSemantics
+from willowhook.ticks import TICKS_PER_SECOND
+from willowhook.trial.guard_cases import BAD, GOOD, confusion
+from willowhook.validation.model import (
+    Candidate,
+    Endpoint,
+    EndpointMode,
+    ProxyTables,
+    RouteConstraints,
+    UpdateVersion,
+    ValidationSettings,
+)
+from willowhook.validation.validator import FAILS_CLOSED, Validator
+from willowhook.validation.verdict import Outcome, Verdict
+from willowhook.validation.world import World
+
+SETTINGS = ValidationSettings(
+    routes=(
+        RouteConstraints("read", RequestSemantics.IDEMPOTENT),
+        RouteConstraints("write", RequestSemantics.AT_MOST_ONCE),
+    ),
+    drain_grace_ticks=25_000,
+    slow_start_ticks=100_000,
+    slow_start_fraction=0.25,
+    recovery_overload_factor=4.0,
+    entries_per_tick=0.16,
+    queue_limit_entries=3200,
+    message_cap=0,
+    message_cap_window_ticks=100_000,
+    proxy_count=4,
+)
+EVEN = {"a": 1.0, "b": 1.0, "c": 1.0, "d": 1.0}
+
+
+def tables(
+    weights: dict[str, float], excluded: str = "", retries: tuple[int, int] = (1, 1), key: object = None
+) -> ProxyTables:
+    return ProxyTables((weights, weights), frozenset(excluded), retries, (math.inf, math.inf), key)
+
+
+def listed(draining: str = "", young: str = "") -> list[Endpoint]:
+    """Four endpoints, some of them draining, some started just before 10 s."""
+    return [
+        Endpoint(
+            name,
+            EndpointMode.DRAINING if name in draining else EndpointMode.IN_SERVICE,
+            since=0,
+            started_at=10 * TICKS_PER_SECOND - 1 if name in young else 0,
+        )
+        for name in "abcd"
+    ]
+
+
+def world(proxies: int = 4) -> World:
+    made = World(SETTINGS)
+    made.endpoints.update_list(0, listed())
+    for proxy in range(proxies):
+        made.add_proxy(proxy, "", (5.0, 5.0), tables(EVEN))
+    return made
+
+
+def judged(made: World, weights: dict[str, float], now: int = 10 * TICKS_PER_SECOND, **parts: Any) -> Verdict:
+    return Validator(made).judge(now, Candidate(0, tables(weights, **parts), UpdateVersion(1, 1, 1)))
+
+
+def test_all_kinds_of_bad_tables_are_stopped_and_no_good_table_is() -> None:
+    done = confusion(12 * (len(BAD) + len(GOOD)), 5)
+    assert done.good, done.missed[:2] + done.wrongly[:2]
+    assert len(BAD) >= 15 and len(done.kinds) == len(BAD) + len(GOOD)
+
+
+def test_a_valid_table_is_refused_while_all_its_endpoints_drain() -> None:
+    made = world()
+    assert judged(made, {"a": 1.0, "b": 1.0}).has_passed
+    made.endpoints.update_list(9 * TICKS_PER_SECOND, listed(draining="ab"))
+    verdict = judged(made, {"a": 1.0, "b": 1.0})
+    assert verdict.outcome is Outcome.REFUSED and verdict.findings[0].rule == 1
+    assert "add a warm host, such as c" in verdict.findings[0].line()
+
+
+def test_slow_start_budget_counts_all_proxies_and_updates_in_flight() -> None:
+    made = world()
+    made.endpoints.update_list(0, listed(young="d"))
+    for proxy in range(4):
+        made.record_sent(0, proxy, tables({**EVEN, "d": 0.001}), UpdateVersion(1, 1, 0))
+        made.record_applied(proxy)
+    much = {"a": 1.0, "b": 1.0, "c": 1.0, "d": 4.0}
+    seen = []
+    for proxy in range(4):
+        candidate = Candidate(proxy, tables(much), UpdateVersion(1, 2, proxy))
+        verdict = Validator(made).judge(10 * TICKS_PER_SECOND, candidate)
+        seen.append(verdict.outcome)
+        if verdict.has_passed:
+            made.record_sent(10 * TICKS_PER_SECOND, proxy, candidate.tables, candidate.version)
+    assert seen[0] is Outcome.PASSED and seen[-1] in (
+        Outcome.SPLIT,
+        Outcome.REFUSED,
+    )  # one may; all together may not
+    now = 10 * TICKS_PER_SECOND
+    version = UpdateVersion(1, 2, 9)
+    whole = Candidate(3, tables(much), version)
+    last = Validator(made).judge(now, whole)
+    if last.outcome is Outcome.SPLIT:
+        first = ProxyTables(last.steps[0].weights, frozenset(), (1, 1), (math.inf,) * 2)
+        assert Validator(made).judge(now, Candidate(3, first, version)).has_passed
+        assert Validator(made).judge(last.steps[1].not_before + 1, whole).has_passed
+
+
+def test_exclusions_and_the_last_endpoints_pass_whatever_else_is_found() -> None:
+    made = world()
+    some = {"a": 1.0, "b": 1.0}
+    made.add_proxy(0, "", (5.0, 5.0), tables(some))
+    made.endpoints.update_list(0, listed(draining="ab"))
+    assert judged(made, some).outcome is Outcome.REFUSED
+    verdict = judged(made, some, excluded="ab")
+    assert verdict.has_passed and "only withdraws" in verdict.exemption
+    made.endpoints.update_list(0, listed(draining="abcd"))
+    late = judged(made, {"a": 1.0}, now=100 * TICKS_PER_SECOND)
+    assert late.has_passed and "no host is open" in late.exemption
+    assert (
+        judged(made, some, excluded="ab", retries=(1, 3)).outcome is Outcome.REFUSED
+    )  # no rescue has need of that
+
+
+def test_shadow_mode_passes_and_says_what_it_would_have_done() -> None:
+    verdict = Validator(world(), shadow=True).judge(0, Candidate(0, tables({}), UpdateVersion(1, 1, 1)))
+    assert verdict.has_passed and verdict.exemption == "shadow: it would be refused" and verdict.findings
+
+
+@pytest.mark.parametrize("name", list(FAILS_CLOSED))
+def test_a_check_that_raises_fails_in_its_stated_direction(name: str) -> None:
+    validator = Validator(world())
+
+    def breaks(*_: object) -> None:
+        raise ZeroDivisionError("on purpose")
+
+    validator.checks[name] = breaks
+    verdict = validator.judge(10 * TICKS_PER_SECOND, Candidate(0, tables(EVEN), UpdateVersion(1, 1, 1)))
+    assert verdict.has_passed != FAILS_CLOSED[name] and "on purpose" in verdict.faults[0]
+    assert set(validator.checks) == set(FAILS_CLOSED)
+
+
+step = st.one_of(
+    st.tuples(st.just("join"), st.integers(0, 2), st.integers(0, 4)),
+    st.tuples(st.just("leave"), st.integers(0, 2)),
+    st.tuples(st.just("send"), st.integers(0, 2), st.integers(0, 4)),
+    st.tuples(st.just("acknowledge"), st.integers(0, 2)),
+    st.tuples(st.just("rate"), st.integers(0, 2), st.integers(0, 9)),
+)
+CONTENTS = [
+    tables(EVEN, key=1),
+    tables({"a": 3.0, "b": 1.0}, key=2),
+    tables({"c": 1.0}, key=3),
+    tables({"a": 1.0, "d": 2.0}, excluded="d"),
+    tables({}, key=5),
+]
+
+
+@settings(derandomize=True, max_examples=300, deadline=None)
+@given(st.lists(step, max_size=80))
+def test_running_sums_agree_with_a_full_recheck_on_every_history(steps: list[Any]) -> None:
+    made = World(SETTINGS)
+    sent = 0
+    for what, proxy, *rest in steps:
+        if what == "join":
+            made.add_proxy(proxy, "", (1.0 + proxy, 2.0), CONTENTS[rest[0]])
+        elif what == "leave":
+            made.remove_proxy(proxy)
+        elif proxy in made.proxies:
+            if what == "send":
+                sent += 1
+                made.record_sent(sent, proxy, CONTENTS[rest[0]], UpdateVersion(1, 1, sent))
+            elif what == "acknowledge":
+                made.record_applied(proxy)
+            else:
+                made.update_rates(proxy, (float(rest[0]), 1.0))
+        for name in "abcd":
+            assert math.isclose(made.exposure(name), made.exposure_in_full(name), abs_tol=1e-6)
+        keys = {key for record in made.proxies.values() for key in record.held}
+        assert set(made.contents) == keys  # nothing that nobody holds is kept
+        total = sum(sum(record.rates) for record in made.proxies.values())
+        assert math.isclose(sum(made.total_rates), total, abs_tol=1e-6)
+
+
+def test_offline_check_exits_with_the_code_of_the_verdict(tmp_path: Any) -> None:
+    state = {
+        "now_s": 100.0,
+        "terms": {"drain_grace_s": 2.5, "cold_s": 10, "start_capacity": 0.25, "fall_multiple": 4,
+                  "lines_per_s": 1600, "most_waiting_lines": 3200, "fleet": 2},
+        "routes": [{"name": "read", "semantics": "repeatable"}, {"name": "write", "semantics": "mutating"}],
+        "hosts": [{"name": n, "mode": "open"} for n in "abc"],
+        "proxies": [
+            {"name": name, "calls_per_s": {"read": 5, "write": 1},
+             "lines": {"read": {"a": 1, "b": 1}, "write": {"a": 1, "b": 1}}}
+            for name in ("p1", "p2")
+        ],
+    }  # fmt: skip
+    (tmp_path / "s.json").write_text(json.dumps(state))
+    cases = [
+        ({"lines": {"read": {"a": 1, "b": 1, "c": 1}, "write": {"a": 1, "b": 1}}}, 0, "verdict: passed"),
+        ({"lines": {"read": {"a": 1}, "write": {}}}, 5, "empty route write (rule 1)"),
+        ({"lines": {"read": {"a": 1}, "write": {"zz": 1}}}, 5, "known host zz"),
+        (
+            {"lines": {"read": {"a": 1}, "write": {"a": 1}}, "tries": {"write": 2}},
+            5,
+            "tries route write (rule 2)",
+        ),
+        ({"lines": {"read": {"a": 1}, "write": {"a": 1}}, "cost_lines": 9999}, 4, "queue (rule 5)"),
+    ]
+    for k, (candidate, code, text) in enumerate(cases):
+        path = tmp_path / f"{k}.json"
+        path.write_text(json.dumps([{"proxy": "p1", **candidate}]))
+        got = CliRunner().invoke(main, ["guard", "check", str(path), "--state", str(tmp_path / "s.json")])
+        assert got.exit_code == code and text in got.output, got.output
+        asked = CliRunner().invoke(
+            main, ["guard", "check", str(path), "--state", str(tmp_path / "s.json"), "--json"]
+        )
+        assert json.loads(asked.output)[0]["exit_code"] == code
+    (tmp_path / "bad.json").write_text('[{"proxi": "p1"}]')
+    got = CliRunner().invoke(
+        main, ["guard", "check", str(tmp_path / "bad.json"), "--state", str(tmp_path / "s.json")]
+    )
+    assert got.exit_code == 2 and "proxi" in got.output
--- a/willowhook/cli/guard.py
+++ b/willowhook/cli/guard.py
@@ -13,7 +13,7 @@
 
 @main.group()
 def guard() -> None:
-    """The table guard."""
+    """Update validation."""
 
 
 @guard.command()
@@ -22,18 +22,18 @@
 @click.option("--json", "as_json", is_flag=True, help="Verdicts as data.")
 def check(tables: str, state: str, as_json: bool) -> None:
     """Judge TABLES.  Exit code: 0 passed, 3 split, 4 held, 5 refused (the worst of all), 2 a bad file."""
-    from ..guard.offline import OfflineError, State, read
-    from ..guard.offline import check as judge
+    from ..validation.state_file import State, StateFileError, read
+    from ..validation.state_file import check as judge
 
     try:
         world = Path(state).read_bytes()
         read(world, State)
-    except (OSError, OfflineError) as fault:
+    except (OSError, StateFileError) as fault:
         click.echo(f"{state}: {fault}", err=True)
         sys.exit(2)
     try:
         verdicts = judge(Path(tables).read_bytes(), world)
-    except (OSError, OfflineError) as fault:
+    except (OSError, StateFileError) as fault:
         click.echo(f"{tables}: {fault}", err=True)
         sys.exit(2)
     data = [{"proxy": proxy, **verdict.data()} for proxy, verdict in verdicts]
--- a/willowhook/controlplane/publisher.py
+++ b/willowhook/controlplane/publisher.py
@@ -33,7 +33,7 @@
 from .update_queue import UpdateQueue
 from .update_validator import UpdateValidator
 from .update_writer import UpdateWriter
-from .validation import ValidationContext, guard_terms
+from .validation_context import ValidationContext, validation_settings
 
 MAX_WAIT_TICKS = TICKS_PER_SECOND  # between two rounds of the loop
 RESEND_WAIT_TICKS = TICKS_PER_SECOND / 4  # the same, while proxies wait to be sent their state again
@@ -245,6 +245,6 @@
     log: Any,
 ) -> UpdateValidator:
     guard = terms.guard
-    made = guard_terms(settings, guard.cold_part, guard.swing, guard.capacity_calls_per_s)
-    context = ValidationContext(settings, made, guard.mode == "shadow")
+    validation = validation_settings(settings, guard.cold_part, guard.swing, guard.capacity_calls_per_s)
+    context = ValidationContext(settings, validation, guard.mode == "shadow")
     return UpdateValidator(context, guard.mode != "off", epoch, sessions, listener, records, log)
--- a/willowhook/controlplane/update_validator.py
+++ b/willowhook/controlplane/update_validator.py
@@ -8,13 +8,14 @@
 from dataclasses import replace
 from typing import Any, ParamSpec
 
-from ..guard.verdict import HELD, SPLIT, Verdict
 from ..records.writer import Records
 from ..ticks import TICKS_PER_SECOND
+from ..validation.model import UpdateVersion
+from ..validation.verdict import Outcome, Verdict
 from .proxy_session import HeldMessage, ProxySession, SessionRegistry
 from .proxy_state import UpdateMessage
 from .publisher_listener import PublisherListener
-from .validation import ValidationContext, records_of
+from .validation_context import ValidationContext, records_of
 
 SLOW_VALIDATION_MICROS = 50_000  # a longer validation is reported
 MAX_TIMINGS = 10_000
@@ -78,7 +79,7 @@
             return message
         micros = round((time.perf_counter() - began) * 1e6)
         self._report_timing(micros)
-        if verdict.good and not verdict.rescue and not verdict.faults:
+        if verdict.has_passed and not verdict.exemption and not verdict.faults:
             self.timings_micros.append(micros)
             return message
         self._records.note(
@@ -86,32 +87,32 @@
         )
         for fault in verdict.faults:
             self._listener.report_condition("guard", True, "validation check failed", cause=fault)
-        if verdict.good:
+        if verdict.has_passed:
             return message
         return self._follow_verdict(now, session, message, verdict)
 
     def _follow_verdict(
         self, now: int, session: ProxySession, message: UpdateMessage, verdict: Verdict
     ) -> UpdateMessage | None:
-        is_held = verdict.what in (HELD, SPLIT)
+        is_held = verdict.outcome in (Outcome.HELD, Outcome.SPLIT)
         self._log.warning(
             "update held by validation" if is_held else "update refused by validation",
             proxy=session.name,
             message=message.number,
-            verdict=verdict.what,
+            verdict=verdict.outcome.value,
             cause=verdict.findings[0].line(),
         )
         if is_held:
-            last_step = max((step.at for step in verdict.steps), default=now + DEFAULT_HOLD_TICKS)
-            until = verdict.until() or last_step
+            last_step = max((step.not_before for step in verdict.steps), default=now + DEFAULT_HOLD_TICKS)
+            until = verdict.held_until() or last_step
             session.held = HeldMessage(max(until, now + MIN_HOLD_TICKS), message)
             self._sessions.mark_open(session)
-        if verdict.what != SPLIT:
+        if verdict.outcome is not Outcome.SPLIT:
             return None
         return replace(message, view=self.context.first_step(message.view, verdict))
 
-    def _version(self, session: ProxySession, message: UpdateMessage) -> tuple[int, int, int]:
-        return session.term, self._epoch, message.number
+    def _version(self, session: ProxySession, message: UpdateMessage) -> UpdateVersion:
+        return UpdateVersion(session.term, self._epoch, message.number)
 
     def _report_timing(self, micros: int) -> None:
         is_slow = micros > SLOW_VALIDATION_MICROS
--- a/willowhook/controlplane/validation.py
+++ b/willowhook/controlplane/validation_context.py
@@ -11,11 +11,20 @@
 
 from ..decisions.runtime import AdmissionLimit
 from ..decisions.settings import DeploymentSettings
-from ..guard.guard import Candidate, Guard
-from ..guard.verdict import Verdict
-from ..guard.world import DRAINING, OPEN, GuardTerms, HostFacts, RouteFacts, Tables, World
 from ..roster.forms import Host
 from ..ticks import TICKS_PER_SECOND
+from ..validation.model import (
+    Candidate,
+    Endpoint,
+    EndpointMode,
+    ProxyTables,
+    RouteConstraints,
+    UpdateVersion,
+    ValidationSettings,
+)
+from ..validation.validator import Validator
+from ..validation.verdict import Verdict
+from ..validation.world import World
 from .proxy_resources import ProxyResources
 from .proxy_state import UNVERSIONED, ProxyView, TableState, UpdateMessage
 
@@ -25,13 +34,13 @@
 MAX_CACHED_TABLES = 500
 
 
-def guard_terms(
+def validation_settings(
     settings: DeploymentSettings,
     cold_budget_fraction: float,
     max_share_factor: float,
     capacity_per_second: Mapping[str, float],
-) -> GuardTerms:
-    """Returns the terms of validation.
+) -> ValidationSettings:
+    """Returns the settings of validation.
 
     Args:
         settings: of the deployment.
@@ -42,61 +51,70 @@
     rules = settings.rules
     channel = settings.channel
     routes = tuple(
-        RouteFacts(r.name, r.semantics.value, r.same_zone_only, r.allowed_zones, r.allowed_classes)
-        for r in settings.routes
+        RouteConstraints(
+            route.name,
+            route.semantics,
+            route.same_zone_only,
+            route.allowed_zones,
+            route.allowed_classes,
+        )
+        for route in settings.routes
     )
-    return GuardTerms(
+    return ValidationSettings(
         routes=routes,
-        grace=rules.drain_grace_ticks,
-        cold=rules.slow_start_ticks,
-        start_capacity=rules.slow_start_fraction,
-        fall_multiple=rules.recovery_overload_factor,
-        lines_per_tick=channel.entries_per_second / TICKS_PER_SECOND,
-        most_waiting=channel.queue_limit_entries,
-        messages_most=channel.message_cap,
-        messages_over=channel.message_cap_window_ticks,
-        fleet=settings.fleet.proxy_count,
-        cold_part=cold_budget_fraction,
-        swing=max_share_factor,
-        capacity=capacity_per_second,
+        drain_grace_ticks=rules.drain_grace_ticks,
+        slow_start_ticks=rules.slow_start_ticks,
+        slow_start_fraction=rules.slow_start_fraction,
+        recovery_overload_factor=rules.recovery_overload_factor,
+        entries_per_tick=channel.entries_per_second / TICKS_PER_SECOND,
+        queue_limit_entries=channel.queue_limit_entries,
+        message_cap=channel.message_cap,
+        message_cap_window_ticks=channel.message_cap_window_ticks,
+        proxy_count=settings.fleet.proxy_count,
+        cold_budget_fraction=cold_budget_fraction,
+        max_share_factor=max_share_factor,
+        capacity_per_second=capacity_per_second,
     )
 
 
 class ValidationContext:
     """Keeps the validator's world, and asks the validator about messages."""
 
-    def __init__(self, settings: DeploymentSettings, terms: GuardTerms, shadow: bool) -> None:
+    def __init__(self, settings: DeploymentSettings, validation: ValidationSettings, shadow: bool) -> None:
         """`shadow`: whether updates that fail pass all the same, marked as such."""
         self._settings = settings
-        self.world = World(terms)
-        self.guard = Guard(self.world, shadow)
+        self.world = World(validation)
+        self.validator = Validator(self.world, shadow)
         self._default_limit = AdmissionLimit(settings.fleet.default_retries, inf)
-        self._cached_tables: dict[object, Tables] = {}  # by content
+        self._cached_tables: dict[object, ProxyTables] = {}  # by content
         self._initial: dict[int, ProxyResources] = {}
         self._rates_per_second: dict[int, list[float]] = {}  # by proxy: by route index
-        self._unacknowledged: dict[int, list[tuple[int, Tables]]] = {}  # by proxy: message number and effect
+        self._unacknowledged: dict[
+            int, list[tuple[int, ProxyTables]]
+        ] = {}  # by proxy: message number and effect
         self.counts: dict[str, int] = {}  # verdicts, by kind
 
     # The world.
 
     def update_endpoints(self, now: int, hosts: list[Host], started_at: Callable[[Host], int]) -> None:
         """Takes the complete endpoint list; `started_at` gives the tick of an endpoint's start."""
-        self.world.list_hosts(now, [self._endpoint(now, host, started_at(host)) for host in hosts])
+        self.world.endpoints.update_list(now, [self._endpoint(now, host, started_at(host)) for host in hosts])
 
-    def _endpoint(self, now: int, host: Host, started_at: int) -> HostFacts:
-        size = 1.0
+    def _endpoint(self, now: int, host: Host, started_at: int) -> Endpoint:
+        capacity = 1.0
         if self._settings.lists_capacity:
-            size = host.size
-        elif host.id in self.world.hosts:
-            size = self.world.hosts[host.id].size
-        mode = DRAINING if host.draining else OPEN
-        return HostFacts(host.id, mode, now, started_at, size, host.kind, host.zone)
+            capacity = host.size
+        elif host.id in self.world.endpoints.by_name:
+            capacity = self.world.endpoints.by_name[host.id].capacity
+        mode = EndpointMode.DRAINING if host.draining else EndpointMode.IN_SERVICE
+        return Endpoint(host.id, mode, now, started_at, capacity, host.kind, host.zone)
 
     def update_capacities(self, capacities: Mapping[str, float]) -> None:
         """Takes the capacities that the decisions learnt, where the endpoint list tells none."""
         if not self._settings.lists_capacity:
             least, most = 1 / MAX_LEARNT_CAPACITY, MAX_LEARNT_CAPACITY
-            self.world.sized({name: min(max(size, least), most) for name, size in capacities.items()})
+            bounded = {name: min(max(each, least), most) for name, each in capacities.items()}
+            self.world.endpoints.update_capacities(bounded)
 
     def add_proxy(self, proxy: int, zone: str, rate_per_second: float, initial: ProxyResources) -> None:
         """Registers a proxy that has joined with these resources."""
@@ -108,11 +126,13 @@
         weights = tuple(initial.weights(route.name) for route in routes)
         retries = (self._default_limit.retries,) * len(routes)
         limits = (self._default_limit.limit,) * len(routes)
-        self.world.join(proxy, zone, tuple(rates), Tables(weights, initial.excluded(), retries, limits))
+        self.world.add_proxy(
+            proxy, zone, tuple(rates), ProxyTables(weights, initial.excluded(), retries, limits)
+        )
 
     def remove_proxy(self, proxy: int) -> None:
         """Forgets a proxy that has left."""
-        self.world.leave(proxy)
+        self.world.remove_proxy(proxy)
         self._initial.pop(proxy, None)
         self._rates_per_second.pop(proxy, None)
         self._unacknowledged.pop(proxy, None)
@@ -124,7 +144,7 @@
             return
         if abs(rate_per_second - rates[route]) > MIN_RATE_CHANGE * max(rates[route], MIN_RATE_PER_SECOND):
             rates[route] = rate_per_second
-            self.world.rate(proxy, tuple(rates))
+            self.world.update_rates(proxy, tuple(rates))
 
     def record_acknowledged(self, proxy: int, number: int) -> None:
         """Notes that a proxy has applied all messages up to this number."""
@@ -132,18 +152,18 @@
         applied = [tables for sent, tables in waiting if sent <= number]
         if applied:
             self._unacknowledged[proxy] = [(sent, tables) for sent, tables in waiting if sent > number]
-            self.world.answered(proxy, applied[-1])
+            self.world.record_applied(proxy, applied[-1])
 
-    def record_sent(self, now: int, message: UpdateMessage, version: tuple[int, int, int]) -> None:
+    def record_sent(self, now: int, message: UpdateMessage, version: UpdateVersion) -> None:
         """Notes that a message is on its way: its proxy may hold its effect from now on."""
         if message.proxy in self._unacknowledged:
             tables = self.effect_of(message.proxy, message.view)
-            self.world.sent(now, message.proxy, tables, version)
+            self.world.record_sent(now, message.proxy, tables, version)
             self._unacknowledged[message.proxy].append((message.number, tables))
 
     # Messages.
 
-    def effect_of(self, proxy: int, view: ProxyView) -> Tables:
+    def effect_of(self, proxy: int, view: ProxyView) -> ProxyTables:
         """Returns what a view makes its proxy hold; worked out once for all proxies with the same view."""
         key = self._content_key(view)
         if key is None:
@@ -164,7 +184,7 @@
             return None
         return (*versions, view.exclusions_version)
 
-    def _make_tables(self, proxy: int, view: ProxyView, key: object) -> Tables:
+    def _make_tables(self, proxy: int, view: ProxyView, key: object) -> ProxyTables:
         initial = self._initial.get(proxy)
         weights: list[Mapping[str, float]] = []
         limits: list[AdmissionLimit] = []
@@ -176,7 +196,7 @@
             else:
                 weights.append(table.weights)
                 limits.append(table.limits.get(index, self._default_limit))
-        return Tables(
+        return ProxyTables(
             tuple(weights),
             frozenset(view.excluded),
             tuple(limit.retries for limit in limits),
@@ -185,14 +205,14 @@
         )
 
     def judge(
-        self, now: int, message: UpdateMessage, version: tuple[int, int, int], waiting_entries: int
+        self, now: int, message: UpdateMessage, version: UpdateVersion, waiting_entries: int
     ) -> Verdict:
         """Judges a message that has left the channel, in which `waiting_entries` still wait."""
-        self.world.queue(now, waiting_entries)
+        self.world.update_queue(now, waiting_entries)
         tables = self.effect_of(message.proxy, message.view)
         candidate = Candidate(message.proxy, tables, version, message.cost_entries, True)
-        verdict = self.guard.judge(now, candidate)
-        self.counts[verdict.what] = self.counts.get(verdict.what, 0) + 1
+        verdict = self.validator.judge(now, candidate)
+        self.counts[verdict.outcome.value] = self.counts.get(verdict.outcome.value, 0) + 1
         return verdict
 
     @staticmethod
@@ -211,7 +231,7 @@
     weights = dict(table.weights)
     for step in verdict.steps[::2]:  # each endpoint in slow start has a first step of its own
         for endpoint, weight in table.weights.items():
-            weights[endpoint] = min(weights[endpoint], step.lines[route].get(endpoint, weight))
+            weights[endpoint] = min(weights[endpoint], step.weights[route].get(endpoint, weight))
     cut = TableState(table.number, weights, table.limits)
     cut.is_shared = True
     return cut
@@ -220,5 +240,6 @@
 def records_of(verdict: Verdict) -> dict[str, Any]:
     """Returns a verdict as the fields of its record."""
     data = verdict.data()
-    data["steps"] = [{"at": step["at"], "why": step["why"]} for step in data["steps"]]
+    for step in data["steps"]:
+        del step["lines"]  # too long for a record
     return data
--- a/willowhook/trial/guard_cases.py
+++ b/willowhook/trial/guard_cases.py
@@ -11,9 +11,19 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ..guard.guard import Candidate, Guard
-from ..guard.verdict import PASSED
-from ..guard.world import GuardTerms, HostFacts, RouteFacts, Tables, World
+from ..decisions.settings import RequestSemantics
+from ..validation.model import (
+    Candidate,
+    Endpoint,
+    EndpointMode,
+    ProxyTables,
+    RouteConstraints,
+    UpdateVersion,
+    ValidationSettings,
+)
+from ..validation.validator import Validator
+from ..validation.verdict import Outcome
+from ..validation.world import World
 from .oracle import PlayedHost, PlayedProxy, Situation, play
 
 SECOND = 10_000
@@ -320,35 +330,37 @@
 )  # fmt: skip
 
 
-def candidate_of(s: Situation) -> tuple[int, Guard, Candidate]:
+def candidate_of(s: Situation) -> tuple[int, Validator, Candidate]:
     """The same situation as the guard has it."""
     routes = tuple(
-        RouteFacts(f"r{k}", SEMANTICS[k], own, (), kinds) for k, (own, kinds) in enumerate(s.places)
+        RouteConstraints(f"r{k}", RequestSemantics(SEMANTICS[k]), own, (), kinds)
+        for k, (own, kinds) in enumerate(s.places)
     )
-    terms = GuardTerms(
+    terms = ValidationSettings(
         routes, round(s.grace * SECOND), round(s.cold_s * SECOND), s.start, s.multiple, s.rate / SECOND,
-        s.most_waiting, s.messages_most, 10 * SECOND, s.fleet, capacity=s.able,
+        s.most_waiting, s.messages_most, 10 * SECOND, s.fleet, capacity_per_second=s.able,
     )  # fmt: skip
     world = World(terms)
     rows = []
     for name, host in s.hosts.items():
         if host.known:
             started = 0 if host.age > 1e6 else NOW - round(host.age * SECOND)
-            facts = HostFacts(name, host.mode, 0, started, host.size, host.kind, host.zone, host.reachable)
-            world.hosts[name] = facts
+            mode = EndpointMode(host.mode)
+            facts = Endpoint(name, mode, 0, started, host.size, host.kind, host.zone, host.reachable)
+            world.endpoints.by_name[name] = facts
             facts.since = NOW - round(host.since * SECOND)
             rows.append(facts)
-    world.look_again()
+    world.endpoints.refresh()
     for k, proxy in enumerate(s.proxies):
-        held = Tables(tuple(proxy.lines), frozenset(proxy.out), (1, 1, 1), (math.inf,) * 3)
+        held = ProxyTables(tuple(proxy.lines), frozenset(proxy.out), (1, 1, 1), (math.inf,) * 3)
         if k == 0 and proxy.lines == s.lines:
-            held = Tables(tuple(proxy.lines), frozenset(proxy.out), tuple(s.tries), (math.inf,) * 3)
-        world.join(k, proxy.zone, tuple(proxy.rates), held)
-    world.proxies[0].newest = s.newest
+            held = ProxyTables(tuple(proxy.lines), frozenset(proxy.out), tuple(s.tries), (math.inf,) * 3)
+        world.add_proxy(k, proxy.zone, tuple(proxy.rates), held)
+    world.proxies[0].newest = UpdateVersion(*s.newest)
     world.proxies[0].sent_at = [NOW - SECOND] * s.messages
-    world.queue(NOW, s.waiting)
-    tables = Tables(tuple(s.lines), frozenset(s.out), tuple(s.tries), tuple(s.levels))
-    return NOW, Guard(world), Candidate(0, tables, s.version, round(s.cost))
+    world.update_queue(NOW, s.waiting)
+    tables = ProxyTables(tuple(s.lines), frozenset(s.out), tuple(s.tries), tuple(s.levels))
+    return NOW, Validator(world), Candidate(0, tables, UpdateVersion(*s.version), round(s.cost))
 
 
 @dataclass
@@ -397,14 +409,14 @@
             result.unproven[name] = result.unproven.get(name, 0) + 1
         else:
             raise RuntimeError(f"the oracle never agrees that a table is {name}: {play(s)}")
-        now, guard, candidate = candidate_of(s)
+        now, validator, candidate = candidate_of(s)
         began = time.perf_counter()
-        verdict = guard.judge(now, candidate)
+        verdict = validator.judge(now, candidate)
         result.took_us.append((time.perf_counter() - began) * 1e6)
         row = result.kinds.setdefault(name, {})
-        row[verdict.what] = row.get(verdict.what, 0) + 1
-        if bad and verdict.what == PASSED:
+        row[verdict.outcome.value] = row.get(verdict.outcome.value, 0) + 1
+        if bad and verdict.outcome is Outcome.PASSED:
             result.missed.append(f"{name}, table {at}: {play(s)}; {verdict.lines()}")
-        elif not bad and verdict.what != PASSED:
+        elif not bad and verdict.outcome is not Outcome.PASSED:
             result.wrongly.append(f"{name}, table {at}: {verdict.lines()}")
     return result
--- /dev/null
+++ b/willowhook/validation/case.py
@@ -0,0 +1,47 @@
+"""One update under judgement: the candidate beside the world that it will meet."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from .model import Candidate, RequestShares
+from .world import ProxyRecord, World
+
+
+@dataclass(frozen=True, slots=True)
+class Case:
+    """What every check looks at.
+
+    Attributes:
+        now: the tick of the judgement.
+        world: that the candidate will meet.
+        candidate: that is judged.
+        shares: of the candidate's tables.
+        proxy: for which the candidate is; None if it has not joined.
+        rises: by endpoint, the requests a second that the candidate adds to what the proxy may send now.
+    """
+
+    now: int
+    world: World
+    candidate: Candidate
+    shares: RequestShares
+    proxy: ProxyRecord | None
+    rises: dict[str, float]
+
+    @property
+    def zone(self) -> str:
+        """The proxy's zone; empty if the proxy has not joined."""
+        return self.proxy.zone if self.proxy is not None else ""
+
+    def route_name(self, route: int) -> str:
+        """Returns the name of a route by its index."""
+        return self.world.settings.routes[route].name
+
+
+def make_case(now: int, world: World, candidate: Candidate) -> Case:
+    """Works out what the checks look at. Raises if the candidate's tables make no sense."""
+    shares = world.shares_of(candidate.tables)
+    proxy = world.proxies.get(candidate.proxy)
+    has_all_routes = len(shares.by_route) == len(world.settings.routes)
+    rises = world.rises(candidate.proxy, shares) if proxy is not None and has_all_routes else {}
+    return Case(now, world, candidate, shares, proxy, rises)
--- /dev/null
+++ b/willowhook/validation/verdict.py
@@ -0,0 +1,165 @@
+"""What validation says of an update, in terms that a person, and a pipeline, can act on.
+
+The words in records and in the output of the command line are fixed: `Verdict.data` maps the fields to them.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from enum import IntEnum, StrEnum
+from typing import Any
+
+
+class Outcome(StrEnum):
+    """What becomes of an update. The values are those of records and of the command line."""
+
+    PASSED = "passed"
+    SPLIT = "split"  # it goes out in steps
+    HELD = "held"  # it goes out later
+    REFUSED = "refused"
+
+
+SEVERITY = (Outcome.PASSED, Outcome.SPLIT, Outcome.HELD, Outcome.REFUSED)  # the worst finding decides
+EXIT_CODES = {Outcome.PASSED: 0, Outcome.SPLIT: 3, Outcome.HELD: 4, Outcome.REFUSED: 5}
+
+
+class Rule(IntEnum):
+    """The rules of the service, by the numbers of its documents."""
+
+    NONE = 0
+    EMPTY_TABLE = 1  # a connected proxy keeps a usable endpoint
+    RETRIES = 2  # no request runs twice that must not
+    DRAINING = 3  # nothing goes to an endpoint past its drain grace
+    SLOW_START = 4  # no endpoint that is warming up is overloaded
+    QUEUE = 5  # the queue limit and the message cap
+
+
+@dataclass(frozen=True, slots=True)
+class Finding:
+    """What one check found.
+
+    Attributes:
+        check: its name.
+        outcome: what the update deserves by this finding alone.
+        rule: that the update would break, if it is one of the service's.
+        text: what is wrong, for a person.
+        remedy: the smallest change that would make the update pass.
+        route: where it is wrong; empty: everywhere.
+        endpoint: where it is wrong; empty: no single one.
+        figure: what was measured.
+        limit: what it was measured against.
+        until: from this tick on the update may pass; None: waiting does not help.
+    """
+
+    check: str
+    outcome: Outcome
+    rule: Rule
+    text: str
+    remedy: str
+    route: str = ""
+    endpoint: str = ""
+    figure: float = 0.0
+    limit: float = 0.0
+    until: int | None = None
+
+    def line(self) -> str:
+        """Returns the finding as one line of text."""
+        where = f" route {self.route}" if self.route else ""
+        if self.endpoint:
+            where += f" host {self.endpoint}"
+        rule = f" (rule {self.rule.value})" if self.rule else ""
+        return f"{self.outcome.value}: {self.check}{where}{rule}: {self.text}; {self.remedy}"
+
+    def data(self) -> dict[str, Any]:
+        """Returns the finding in the words of the records."""
+        return {
+            "check": self.check,
+            "verdict": self.outcome.value,
+            "rule": self.rule.value,
+            "text": self.text,
+            "mend": self.remedy,
+            "route": self.route,
+            "host": self.endpoint,
+            "figure": self.figure,
+            "limit": self.limit,
+            "until": self.until or 0,
+        }
+
+
+@dataclass(frozen=True, slots=True)
+class Step:
+    """One of the ordered safe steps that a split update is sent in.
+
+    Attributes:
+        not_before: the tick from which it is safe.
+        weights: by route index, those of the step's tables.
+        text: what the step does, for a person.
+    """
+
+    not_before: int
+    weights: tuple[dict[str, float], ...]
+    text: str
+
+    def data(self) -> dict[str, Any]:
+        """Returns the step in the words of the records."""
+        return {"at": self.not_before, "lines": self.weights, "why": self.text}
+
+
+@dataclass(slots=True)
+class Verdict:
+    """What all checks together say of an update.
+
+    Attributes:
+        outcome: of the worst finding, unless the update passes all the same.
+        findings: in the order of the checks.
+        steps: in which a split update is safe.
+        exemption: why an update with findings passes all the same; empty if it does not.
+        faults: checks that raised, and which way they failed.
+    """
+
+    outcome: Outcome = Outcome.PASSED
+    findings: list[Finding] = field(default_factory=list)
+    steps: list[Step] = field(default_factory=list)
+    exemption: str = ""
+    faults: list[str] = field(default_factory=list)
+
+    @property
+    def has_passed(self) -> bool:
+        """Whether the update may go out as it is."""
+        return self.outcome is Outcome.PASSED
+
+    def add(self, finding: Finding) -> None:
+        """Takes up a finding."""
+        self.findings.append(finding)
+        self.outcome = max(self.outcome, finding.outcome, key=SEVERITY.index)
+
+    def exempt(self, reason: str) -> None:
+        """Makes the update pass all the same."""
+        self.outcome = Outcome.PASSED
+        self.exemption = reason
+
+    def held_until(self) -> int | None:
+        """Returns the tick from which no finding holds the update; None if none does."""
+        held = [finding.until for finding in self.findings if finding.outcome is Outcome.HELD]
+        return max((until for until in held if until is not None), default=None)
+
+    def data(self) -> dict[str, Any]:
+        """Returns the verdict in the words of the records."""
+        return {
+            "what": self.outcome.value,
+            "findings": [finding.data() for finding in self.findings],
+            "steps": [step.data() for step in self.steps],
+            "rescue": self.exemption,
+            "faults": list(self.faults),
+            "exit_code": EXIT_CODES[self.outcome],
+        }
+
+    def lines(self) -> list[str]:
+        """Returns the verdict as lines of text."""
+        lines = [f"verdict: {self.outcome.value}"]
+        lines += [finding.line() for finding in self.findings]
+        for number, step in enumerate(self.steps, 1):
+            lines.append(f"step {number}, not before {step.not_before}: {step.text}")
+        if self.exemption:
+            lines.append(f"passes all the same: {self.exemption}")
+        return [*lines, *self.faults]
