--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -459,14 +459,14 @@
         one.join()
         await until(lambda: one.hosts() == {"a", "b", "c"})
         one.answer()  # taken before the list is news: what is in flight counts with the guard, and refuses
-        await until(lambda: service.intake.sessions["p1"].applied == service.book.count)
+        await until(lambda: service.intake.sessions["p1"].applied == service.proxy_states.message_count)
         roster.hosts["new"], roster.started["new"], roster.index = False, time.time() - 6.0, 2
         await until(lambda: "new" in one.hosts())
         first = one.weights()
-        assert first["new"] < 12 and "held by the guard" in log.texts("warning")
+        assert first["new"] < 12 and "update held by validation" in log.texts("warning")
         one.answer()
         await until(lambda: one.weights()["new"] == 12, 12)
-        assert one.number() > 0 and service.watchman.counts["split"] >= 1
+        assert one.number() > 0 and service.validation.counts["split"] >= 1
 
     serve(tmp_path, play, decider=Eager)
 
@@ -484,7 +484,7 @@
         assert one.hosts() == set()
         await until(lambda: len(one.hosts()) == 3)  # nobody ordered anything
         one.answer()
-        await until(lambda: all(r.resend is None for r in service.publisher.readers.values()))
+        await until(lambda: all(r.rewrite is None for r in service.publisher.sessions.values()))
 
     serve(tmp_path, play)
     assert any(row["kind"] == "again" for row in read_records(str(tmp_path / "records")))
@@ -515,13 +515,24 @@
     serve(tmp_path, play)
 
 
-@pytest.mark.parametrize("where", ["judge", "sent", "listed", "joined", "applied", "came", "left"])
+@pytest.mark.parametrize(
+    "where",
+    [
+        "judge",
+        "record_sent",
+        "update_endpoints",
+        "add_proxy",
+        "record_acknowledged",
+        "update_rate",
+        "remove_proxy",
+    ],
+)
 def test_failed_validation_is_switched_off_and_updates_go_on(tmp_path: Path, where: str) -> None:
     def breaks(*_: Any, **__: Any) -> None:
         raise KeyError("on purpose")
 
     async def play(service: Service, roster: Roster, log: Log) -> None:
-        setattr(service.watchman, where, breaks)
+        setattr(service.validation, where, breaks)
         one = ByHand(service, "p1")
         one.join()
         await until(lambda: len(one.hosts()) == 3)
@@ -534,4 +545,4 @@
         await until(lambda: not service.intake.sessions)
 
     log = serve(tmp_path, play)
-    assert log.texts("warning") == ["the guard broke and is off"]
+    assert log.texts("warning") == ["validation failed and is disabled"]
--- a/willowhook/cli/tables.py
+++ b/willowhook/cli/tables.py
@@ -7,7 +7,7 @@
 
 import click
 
-from ..controlplane.render import DIRECTORS
+from ..controlplane.proxy_resources import CONTROLLERS_RESOURCE
 from ..files.swap import read_group
 from ..xds import forms
 from ..xds.tables import level_of, lines, match_of, read_clusters, read_routes, read_tables, tries_of
@@ -51,7 +51,7 @@
 
 def _print_table(table: forms.ClusterLoadAssignment) -> None:
     click.echo(f"  table {table.cluster_name}")
-    if table.cluster_name == DIRECTORS:
+    if table.cluster_name == CONTROLLERS_RESOURCE:
         click.echo("    it is sent away: this controller drains")
         return
     for endpoint, address, port, zone, weight, is_draining in lines(table):
--- a/willowhook/controlplane/controller_runtime.py
+++ b/willowhook/controlplane/controller_runtime.py
@@ -6,10 +6,10 @@
 from collections.abc import Sequence
 
 from ..decisions.runtime import AdmissionLimit
-from .book import OrderBook
 from .context import ServiceContext
 from .endpoint_list_feed import EndpointListFeed
 from .health_checker import HealthChecker
+from .proxy_state import ProxyStateBook
 
 
 class EvaluationTimers:
@@ -38,21 +38,21 @@
 class FileControllerRuntime:
     """The `ControllerRuntime` of the file and HTTP control plane.
 
-    What concerns proxies changes their state in the book, which makes messages of it; the rest goes to the
+    What concerns proxies changes their desired state, of which messages are made; the rest goes to the
     endpoint list's feed, the health checker and the timers.
     """
 
     def __init__(
         self,
         context: ServiceContext,
-        book: OrderBook,
+        proxy_states: ProxyStateBook,
         timers: EvaluationTimers,
         endpoint_list: EndpointListFeed,
         health_checker: HealthChecker,
     ) -> None:
         """Takes the components that carry the commands out."""
         self._context = context
-        self._book = book
+        self._proxy_states = proxy_states
         self._timers = timers
         self._endpoint_list = endpoint_list
         self._health_checker = health_checker
@@ -83,45 +83,45 @@
 
     def set_weight(self, table: int, endpoint: str, weight: float) -> None:
         """Sets the weight of an endpoint in a table; 0 takes its entry out."""
-        self._book.set_weight(table, endpoint, weight)
+        self._proxy_states.set_weight(table, endpoint, weight)
 
     def clear_table(self, table: int) -> None:
         """Takes out all entries and limits of a table."""
-        self._book.clear_table(table)
+        self._proxy_states.clear_table(table)
 
     def bind(self, proxy: int, table: int, routes: Sequence[int]) -> None:
         """Makes a proxy use a table for these routes."""
-        self._book.bind(proxy, table, routes)
+        self._proxy_states.bind(proxy, table, routes)
 
     def set_admission(self, table: int, route: int, admission: AdmissionLimit) -> None:
         """Sets what the proxies that use a table admit of a route."""
-        self._book.set_admission(table, route, admission)
+        self._proxy_states.set_admission(table, route, admission)
 
     def exclude_endpoint(self, endpoint: str) -> None:
         """Excludes an endpoint at all proxies; also noted and remembered for the next start."""
-        self._book.exclude_endpoint(endpoint)
+        self._proxy_states.exclude_endpoint(endpoint)
         self._record_exclusion(endpoint, True)
 
     def readmit_endpoint(self, endpoint: str) -> None:
         """Takes `exclude_endpoint` back."""
-        self._book.readmit_endpoint(endpoint)
+        self._proxy_states.readmit_endpoint(endpoint)
         self._record_exclusion(endpoint, False)
 
     def exclude_for_proxy(self, proxy: int, endpoints: Sequence[str]) -> None:
         """Excludes endpoints at one proxy."""
-        self._book.exclude_for_proxy(proxy, endpoints)
+        self._proxy_states.exclude_for_proxy(proxy, endpoints)
 
     def readmit_for_proxy(self, proxy: int, endpoints: Sequence[str]) -> None:
         """Readmits endpoints at one proxy."""
-        self._book.readmit_for_proxy(proxy, endpoints)
+        self._proxy_states.readmit_for_proxy(proxy, endpoints)
 
     def forget_endpoint(self, endpoint: str) -> None:
         """Drops the state that is kept of an endpoint."""
-        self._book.forget_endpoint(endpoint)
+        self._proxy_states.forget_endpoint(endpoint)
 
     def send_sync_marker(self, marker: int) -> None:
         """Adds a marker to each message of this flush."""
-        self._book.send_sync_marker(marker)
+        self._proxy_states.send_sync_marker(marker)
 
     def _record_exclusion(self, endpoint: str, excluded: bool) -> None:
         self._context.records.note(self._context.now(), "withdraw" if excluded else "readmit", host=endpoint)
--- a/willowhook/controlplane/decision_loop.py
+++ b/willowhook/controlplane/decision_loop.py
@@ -9,14 +9,14 @@
 from ..decisions.events import EvaluationDue
 from ..files.layout import Folder
 from ..ticks import TICKS_PER_SECOND
-from .book import OrderBook
 from .clock import Clock
 from .controller_runtime import EvaluationTimers
 from .decider import Decider
 from .decision_queue import DecisionQueue
 from .endpoint_directory import EndpointDirectory
 from .inbound_events import InboundEvent
-from .publish import Publisher
+from .proxy_state import ProxyStateBook
+from .publisher import Publisher
 from .report_processor import ReportProcessor
 
 MAX_WAIT_TICKS = TICKS_PER_SECOND
@@ -36,7 +36,7 @@
         controller: Decider,
         reports: ReportProcessor,
         directory: EndpointDirectory,
-        book: OrderBook,
+        proxy_states: ProxyStateBook,
         publisher: Publisher,
         maintenance: Sequence[Callable[[int], None]],
         clock: Clock,
@@ -50,7 +50,7 @@
             controller: that decides.
             reports: that wait to be processed.
             directory: of endpoints.
-            book: that collects the controller's commands to proxies.
+            proxy_states: that collect the controller's commands to proxies.
             publisher: that is woken for new messages.
             maintenance: is called after a flush, ten times a second, with the current tick.
             clock: of this process.
@@ -61,7 +61,7 @@
         self._controller = controller
         self._reports = reports
         self._directory = directory
-        self._book = book
+        self._proxy_states = proxy_states
         self._publisher = publisher
         self._maintenance = maintenance
         self._clock = clock
@@ -98,7 +98,7 @@
         for event in batch:
             self._dispatch(now, event)
         self._has_budget_for_reports = self._reports.process_waiting()
-        self._reports.maintain(now, len(self._book.members))
+        self._reports.maintain(now, len(self._proxy_states.proxies))
         is_maintenance_due = now - self._maintained_at >= MAINTENANCE_INTERVAL_TICKS
         if is_maintenance_due:
             self._directory.update_tiers(now)
@@ -106,7 +106,7 @@
         while self._timers.pop_due(now):
             self._controller.handle(now, EvaluationDue())
         self._controller.flush(now)
-        self._book.moment_over(now)
+        self._proxy_states.flush(now)
         self._publisher.wake()
         if is_maintenance_due:
             self._maintained_at = now
--- a/willowhook/controlplane/discovery_feed.py
+++ b/willowhook/controlplane/discovery_feed.py
@@ -32,11 +32,12 @@
     SessionRequested,
 )
 from .intake import ProxyIntake
-from .outlets import WebOutlet
 from .proxy_events import UpdateApplied
-from .publish import Publisher
-from .render import Held, uses
+from .proxy_resources import ProxyResources
+from .publisher import Publisher
 from .report_processor import ReportProcessor
+from .resource_renderer import references
+from .update_sinks import HttpUpdateSink
 
 LISTEN_BACKLOG = 2048  # connections: a whole fleet may connect at once
 ENDPOINT_REQUEST_FILE = "eds.json"
@@ -139,11 +140,13 @@
 
     # Sessions, in the decision task.
 
-    def outlet(self, proxy: int, name: str, held: Held) -> WebOutlet:
-        """Opens the outlet of a proxy that has joined, which holds these resources."""
-        desk = Desk(proxy, self._core, self, uses, self._publisher.renderer.drained, held.resources())
+    def make_sink(self, proxy: int, name: str, held: ProxyResources) -> HttpUpdateSink:
+        """Makes the update sink of a proxy that has joined, which holds these resources."""
+        desk = Desk(
+            proxy, self._core, self, references, self._publisher.renderer.exclude_from, held.resources()
+        )
         self._desks[name] = desk
-        return WebOutlet(desk, self._core, self.front.news)
+        return HttpUpdateSink(desk, self._core, self.front.news)
 
     def open_session(self, now: int, request: SessionRequested) -> None:
         """Opens the session of a proxy that calls, unless it has this one already."""
@@ -175,8 +178,9 @@
     def leaves(self, name: str) -> bool:
         """Whether a proxy is to follow another controller, as this one drains."""
         session = self._intake.sessions.get(name)
-        reader = self._publisher.readers.get(session.number) if session is not None else None
-        return reader is not None and isinstance(reader.outlet, WebOutlet) and reader.outlet.leaves
+        open_session = self._publisher.sessions.get(session.number) if session is not None else None
+        sink = open_session.sink if open_session is not None else None
+        return isinstance(sink, HttpUpdateSink) and sink.is_sent_away
 
     def called(self, name: str) -> None:
         """A proxy has given a sign of life."""
@@ -186,7 +190,7 @@
         """An update has left on a proxy's connection."""
         session = self._intake.sessions.get(name)
         if session is not None:
-            self._publisher.delivered(session.number)
+            self._publisher.handle_delivered(session.number)
 
     async def arrive(self, name: str, node: forms.Node, holds: list[Any], fresh: bool) -> str:
         """Opens the session of a proxy that calls; what is malformed in what it says, or empty."""
@@ -224,6 +228,6 @@
 
     def believes(self, proxy: int, kind: str, version: str, state: str) -> None:
         """A proxy runs this version of a kind of resources."""
-        reader = self._publisher.readers.get(proxy)
-        if reader is not None:
-            self._publisher.believes(reader, kind, version, state)
+        session = self._publisher.sessions.get(proxy)
+        if session is not None:
+            self._publisher.record_known_version(session, kind, version, state)
--- a/willowhook/controlplane/draining.py
+++ b/willowhook/controlplane/draining.py
@@ -5,9 +5,9 @@
 import os
 
 from ..files.layout import DRAIN
-from .book import OrderBook
-from .channel import Channel
+from .channel import UpdateChannel
 from .context import ServiceContext
+from .proxy_state import ProxyStateBook
 
 QUEUE_PARTS = 6  # nobody is sent away while more than one of these parts of the queue is full
 
@@ -15,12 +15,12 @@
 class ControllerDrain:
     """Sends proxies away while the operator's drain file exists in the controller's folder."""
 
-    def __init__(self, context: ServiceContext, book: OrderBook, channel: Channel) -> None:
+    def __init__(self, context: ServiceContext, proxy_states: ProxyStateBook, channel: UpdateChannel) -> None:
         """Takes the surroundings, the proxies to send away, and the queue to them."""
         self._path = f"{context.folder.path}/{DRAIN}"
         self._max_waiting_entries = context.settings.channel.queue_limit_entries / QUEUE_PARTS
         self._conditions = context.conditions
-        self._book = book
+        self._proxy_states = proxy_states
         self._channel = channel
         self._is_draining = False
 
@@ -30,11 +30,13 @@
         if is_wanted != self._is_draining:
             self._is_draining = is_wanted
             event = "controller draining" if is_wanted else "controller draining cancelled"
-            self._conditions.report("drain", is_wanted, event, proxies=len(self._book.members))
-        if not is_wanted or self._channel.waiting > self._max_waiting_entries:
+            self._conditions.report("drain", is_wanted, event, proxies=len(self._proxy_states.proxies))
+        if not is_wanted or self._channel.waiting_entries > self._max_waiting_entries:
             return
-        members = self._book.members.items()
-        candidates = [(member.rate, proxy) for proxy, member in members if not member.leave]
+        proxies = self._proxy_states.proxies.items()
+        candidates = [
+            (connected.rate_per_second, proxy) for proxy, connected in proxies if not connected.is_sent_away
+        ]
         if candidates:
             _, proxy = min(candidates)
-            self._book.send_away(proxy)
+            self._proxy_states.send_away(proxy)
--- a/willowhook/controlplane/endpoint_directory.py
+++ b/willowhook/controlplane/endpoint_directory.py
@@ -13,7 +13,7 @@
 from ..membership.tiers import Tiers
 from ..roster.forms import Host
 from .context import ServiceContext
-from .render import Address, Renderer
+from .resource_renderer import Address, ResourceRenderer
 
 
 class EndpointDirectory:
@@ -22,8 +22,8 @@
     def __init__(
         self,
         context: ServiceContext,
-        renderer: Renderer,
-        shown: Callable[[int, Sequence[Host]], None],
+        renderer: ResourceRenderer,
+        shown: Callable[[int, list[Host]], None],
     ) -> None:
         """Creates an empty directory.
 
@@ -50,7 +50,7 @@
         """Takes in a complete endpoint list and shows it."""
         addresses = {each.id: (each.address, each.port, each.zone) for each in endpoints}
         self._names_by_address.update({f"{each.address}:{each.port}": each.id for each in endpoints})
-        self._renderer.readdress({**self.addresses, **addresses})
+        self._renderer.set_addresses({**self.addresses, **addresses})
         self.addresses.update(addresses)
         self._record(endpoints)
         self._listed = endpoints
--- a/willowhook/controlplane/handoff_codec.py
+++ b/willowhook/controlplane/handoff_codec.py
@@ -13,7 +13,7 @@
 from ..ticks import TICKS_PER_SECOND
 from ..xds import forms
 from ..xds.codec import FormError, decode, encode, seconds
-from .render import Address
+from .resource_renderer import Address
 
 CLUSTER_NAME = "met"
 MAX_ATTEMPTS = 1e9  # of one endpoint; more is no count
--- a/willowhook/controlplane/inbound_dispatcher.py
+++ b/willowhook/controlplane/inbound_dispatcher.py
@@ -29,7 +29,7 @@
 from .intake import ProxyIntake
 from .proxy_events import UpdateApplied
 from .proxy_folder_feed import ProxyFolderFeed
-from .publish import Publisher
+from .publisher import Publisher
 
 
 class InboundDispatcher:
@@ -101,8 +101,8 @@
             case ProxyCalled():
                 self._intake.record_activity(now, event.name)
             case UpdateApplied():
-                self._publisher.applied(now, event.proxy, event.message)
+                self._publisher.handle_acknowledged(now, event.proxy, event.message)
             case ResourceRejected():
-                self._publisher.refused_row(now, event.proxy, event.resource, event.cause)
+                self._publisher.handle_resource_rejected(now, event.proxy, event.resource, event.cause)
             case PartAcknowledged():
-                self._publisher.took(now, event.proxy, event.part)
+                self._publisher.handle_part_acknowledged(now, event.proxy, event.part)
--- a/willowhook/controlplane/load_recorder.py
+++ b/willowhook/controlplane/load_recorder.py
@@ -8,12 +8,12 @@
 from ..decisions.events import RequestReport
 from ..reports.sample import Whole
 from ..ticks import TICKS_PER_SECOND
-from .book import OrderBook
 from .context import ServiceContext
 from .endpoint_directory import EndpointDirectory
 from .handoff_peers import HandoffPeers
 from .proxy_events import AttemptsReported, RequestsReported
-from .publish import Publisher
+from .proxy_state import ProxyStateBook
+from .publisher import Publisher
 from .report_processor import ReportProcessor
 
 
@@ -37,7 +37,7 @@
     def __init__(
         self,
         context: ServiceContext,
-        book: OrderBook,
+        proxy_states: ProxyStateBook,
         publisher: Publisher,
         reports: ReportProcessor,
         directory: EndpointDirectory,
@@ -48,7 +48,7 @@
         self._priority_weights = {route.name: route.importance for route in routes}
         self._route_indexes = {route.name: index for index, route in enumerate(routes)}
         self._context = context
-        self._book = book
+        self._proxy_states = proxy_states
         self._publisher = publisher
         self._reports = reports
         self._directory = directory
@@ -56,7 +56,7 @@
 
     def record_attempts(self, event: AttemptsReported) -> None:
         """Takes in what a proxy met at endpoints; those whose address is not known are left out."""
-        member = self._book.members.get(event.proxy)
+        member = self._proxy_states.proxies.get(event.proxy)
         if member is None:
             return
         now = self._context.now()
@@ -99,7 +99,9 @@
         report = RequestReport(event.proxy, event.route, event.requests, event.window_ticks)
         self._context.handle(self._context.now(), report)
         rate_per_second = event.requests * TICKS_PER_SECOND / event.window_ticks
-        name = self._publisher.readers[event.proxy].name
+        name = self._publisher.sessions[event.proxy].name
         self._reports.update_share(name, rate_per_second * self._priority_weights[event.route])
         route = self._route_indexes[event.route]
-        self._publisher.tell_guard(self._publisher.watchman.came, event.proxy, route, rate_per_second)
+        self._publisher.update_validation(
+            self._publisher.validation.update_rate, event.proxy, route, rate_per_second
+        )
--- a/willowhook/controlplane/proxy_event_handler.py
+++ b/willowhook/controlplane/proxy_event_handler.py
@@ -14,8 +14,8 @@
     UpdateApplied,
     UpdateRejected,
 )
-from .proxy_sessions import ProxySessions
-from .publish import Publisher
+from .publisher import Publisher
+from .session_manager import SessionManager
 
 
 class ProxyEventHandler:
@@ -25,7 +25,7 @@
         self,
         context: ServiceContext,
         publisher: Publisher,
-        sessions: ProxySessions,
+        sessions: SessionManager,
         load_recorder: LoadRecorder,
     ) -> None:
         """Takes the components that handle the events."""
@@ -43,9 +43,11 @@
             case ProxySessionClosed():
                 self._sessions.close(event)
             case UpdateApplied():
-                self._publisher.applied(now, event.proxy, event.message)
+                self._publisher.handle_acknowledged(now, event.proxy, event.message)
             case UpdateRejected():
-                self._publisher.refused_group(now, event.proxy, event.kind, event.message, event.cause)
+                self._publisher.handle_group_rejected(
+                    now, event.proxy, event.kind, event.message, event.cause
+                )
             case AttemptsReported():
                 self._load_recorder.record_attempts(event)
             case RequestsReported():
--- a/willowhook/controlplane/proxy_events.py
+++ b/willowhook/controlplane/proxy_events.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from ..reports.sample import Whole
-from .render import Held
+from .proxy_resources import ProxyResources
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +32,7 @@
     zone: str
     usual_rate_per_second: float
     is_fresh: bool
-    held: Held
+    held: ProxyResources
     term: int
     uses_discovery: bool
 
--- a/willowhook/controlplane/proxy_files.py
+++ b/willowhook/controlplane/proxy_files.py
@@ -12,7 +12,7 @@
 from ..membership.claim import Version, VersionError, read_version
 from ..xds import forms
 from ..xds.codec import FormError, decode, read_response
-from .render import Held, read_held
+from .proxy_resources import ProxyResources, read_proxy_resources
 
 REQUEST_FILES = {f"{kind}.json": kind for kind in forms.FILES}
 PROXY_FILES = (STATUS, *REQUEST_FILES, LOAD)
@@ -34,7 +34,7 @@
 
     node: forms.Node
     term: int
-    held: Held
+    held: ProxyResources
     usual_rate_per_second: float
 
 
@@ -91,7 +91,7 @@
     """
     status = decode(data, forms.ClientConfig)
     check_node(name, status.node)
-    held = read_held([(row.type_url, bytes(row.xds_config)) for row in status.generic_xds_configs])
+    held = read_proxy_resources([(row.type_url, bytes(row.xds_config)) for row in status.generic_xds_configs])
     term = read_term(status.node)
     if previous is not None:
         held_since = _read_previous(previous, term)
@@ -99,13 +99,15 @@
     return ProxyStatus(status.node, term, held, _read_usual_rate(status.node))
 
 
-def _read_previous(files: Mapping[str, bytes], term: int) -> Held | None:
+def _read_previous(files: Mapping[str, bytes], term: int) -> ProxyResources | None:
     """The resources of a complete group of files; None if it is of another session or incomplete."""
     try:
         responses = [read_response(files[f"{kind}.json"], url) for kind, url in forms.FILES.items()]
         if any(read_version(response.version_info).term != term for response in responses):
             return None
-        return read_held([(row.type_url, bytes(raw)) for row in responses for raw in row.resources])
+        return read_proxy_resources(
+            [(row.type_url, bytes(raw)) for row in responses for raw in row.resources]
+        )
     except (KeyError, FormError, VersionError):
         return None
 
--- a/willowhook/controlplane/publisher_events.py
+++ b/willowhook/controlplane/publisher_events.py
@@ -23,28 +23,28 @@
         """The current tick."""
         return self._context.now()
 
-    def mode(self, name: str, on: bool, text: str, **parts: Any) -> None:
+    def report_condition(self, name: str, on: bool, text: str, **parts: Any) -> None:
         """Reports that a condition holds or has ended."""
         self._context.conditions.report(name, on, text, **parts)
 
-    def is_open(self, host: str) -> bool:
+    def is_in_service(self, host: str) -> bool:
         """Whether an endpoint is listed, not draining, and of a tier in use."""
         return self._directory.is_in_service(host)
 
-    def answered(self, now: int, proxy: int, mark: int, took: int) -> None:
+    def handle_acknowledged(self, now: int, proxy: int, marker: int) -> None:
         """Hands the controller the sync marker that a proxy has acknowledged."""
-        self._context.handle(now, MessageAcknowledged(proxy, mark))
+        self._context.handle(now, MessageAcknowledged(proxy, marker))
 
-    async def soon(self, event: Callable[[int], None]) -> None:
+    async def post_event(self, event: Callable[[int], None]) -> None:
         """Has a call made by the decision task."""
         await self._context.queue.send(PublisherCallDue(event))
 
-    def knows(self, proxy: str, part: str, version: str) -> None:
+    def record_known_version(self, proxy: str, part: str, version: str) -> None:
         """Stores which version of a part of its resources a proxy runs."""
         if self._context.memory is not None:
             self._context.memory.record_version(proxy, part, version)
 
-    def sent(self, proxy: str, term: int, message: int) -> None:
+    def record_sent(self, proxy: str, term: int, message: int) -> None:
         """Stores the number of the last update message to a proxy."""
         if self._context.memory is not None:
             self._context.memory.record_message(proxy, term, message)
--- a/willowhook/controlplane/queue_monitor.py
+++ b/willowhook/controlplane/queue_monitor.py
@@ -5,7 +5,7 @@
 from ..ticks import TICKS_PER_SECOND
 from .context import ServiceContext
 from .decider import Decider
-from .publish import Publisher
+from .publisher import Publisher
 
 MIN_DIVERGENCE_ENTRIES = 100  # a smaller difference is not reported
 MAX_DIVERGENCE_FRACTION = 1 / 4  # of the queue's limit
@@ -28,12 +28,12 @@
         """Compares; once a second also records, and tells update validation the learnt capacities."""
         estimate = self._controller.queue_estimate()
         channel = self._publisher.channel
-        waiting = channel.waiting
+        waiting = channel.waiting_entries
         second = now // TICKS_PER_SECOND
         if second != self._recorded_second:
             self._recorded_second = second
             capacities = self._controller.learnt_capacities()
-            self._publisher.tell_guard(self._publisher.watchman.learnt, capacities)
+            self._publisher.update_validation(self._publisher.validation.update_capacities, capacities)
             self._records.note(
                 now, "queue", believed=round(estimate, 1), waiting=waiting, messages=len(channel)
             )
--- a/willowhook/controlplane/service.py
+++ b/willowhook/controlplane/service.py
@@ -21,7 +21,6 @@
 from ..records.writer import Records
 from ..roster.forms import Host
 from ..versions.core import Core, first_era
-from .book import OrderBook
 from .clock import Clock
 from .condition_log import BindableLogger, Logger
 from .context import ServiceContext
@@ -38,16 +37,17 @@
 from .inbound_dispatcher import InboundDispatcher
 from .intake import ProxyIntake
 from .load_recorder import LoadRecorder
-from .outlet_factory import OutletFactory
 from .proxy_event_handler import ProxyEventHandler
 from .proxy_folder_feed import ProxyFolderFeed
-from .proxy_sessions import ProxySessions
-from .publish import Publisher
+from .proxy_state import ProxyStateBook
+from .publisher import Publisher
 from .publisher_events import PublisherEvents
 from .queue_monitor import QueueMonitor
-from .render import Renderer
 from .report_interval import ReportIntervalPublisher
 from .report_processor import ReportProcessor
+from .resource_renderer import ResourceRenderer
+from .session_manager import SessionManager
+from .update_sink_factory import UpdateSinkFactory
 
 RECORDS_FLUSH_SECONDS = 0.1
 ERA_BYTES = 3  # of chance in the name of a resource version
@@ -126,8 +126,10 @@
             self.ops.unlink(f"{self.folder.path}/{PACE}")
 
     def _close(self, watch: Watch) -> None:
-        log, messages = self.log, self.book.count
-        log.info("controller stopped", max_waiting_entries=self.channel.most, messages=messages)
+        log, messages = self.log, self.proxy_states.message_count
+        log.info(
+            "controller stopped", max_waiting_entries=self.channel.most_waiting_entries, messages=messages
+        )
         self._record_validation()
         self.records.note(self.clock.now(), "ended")
         self.records.flush()
@@ -138,11 +140,11 @@
 
     def _record_validation(self) -> None:
         """Records what update validation has found since the start, and what a check cost."""
-        durations_us = sorted(self.publisher.guard_us) or [0]
+        durations_us = sorted(self.publisher.validation_micros) or [0]
         self.records.note(
             self.clock.now(),
             "guarded",
-            counts=self.watchman.counts,
+            counts=self.validation.counts,
             median_us=durations_us[len(durations_us) // 2],
             p99_us=durations_us[int(len(durations_us) * 0.99)],
         )
@@ -187,8 +189,8 @@
     def _make_publisher(self) -> None:
         """Makes what leads from the controller's commands to the proxies."""
         context = self.context
-        renderer = Renderer(self.terms, context.epoch)
-        self.book = OrderBook(self.settings, lambda message: self.publisher.put(message))
+        renderer = ResourceRenderer(self.terms, context.epoch)
+        self.proxy_states = ProxyStateBook(self.settings, lambda message: self.publisher.enqueue(message))
         self.core = Core(first_era(context.epoch, int.from_bytes(os.urandom(ERA_BYTES), "big")))
         self.directory = EndpointDirectory(context, renderer, self._show_endpoints)
         listener = PublisherEvents(context, self.directory)
@@ -201,10 +203,10 @@
             self.core,
             renderer,
             context.epoch,
-            self.book,
+            self.proxy_states,
         )
         self.channel = self.publisher.channel
-        self.watchman = self.publisher.watchman
+        self.validation = self.publisher.validation
 
     def _make_intake(self) -> None:
         """Makes what takes in what proxies say."""
@@ -215,7 +217,7 @@
             context.epoch,
             [route.name for route in terms.routes],
             ticks(terms.files.proxy_lost_after_ms),
-            lambda: self.book.count,
+            lambda: self.proxy_states.message_count,
         )
         self.reports = ReportProcessor(
             context, self.intake, lambda interval_ticks: self.report_interval.publish(interval_ticks)
@@ -232,7 +234,7 @@
         self.health_checker = HealthChecker(context, self.directory.find)
         self.timers = EvaluationTimers()
         runtime = FileControllerRuntime(
-            context, self.book, self.timers, self.endpoint_list, self.health_checker
+            context, self.proxy_states, self.timers, self.endpoint_list, self.health_checker
         )
         now = context.now()
         self.controller: Decider = self._make_decider(runtime, self.settings, context.seed, now)
@@ -245,20 +247,21 @@
 
     def _make_proxy_components(self, watch: Watch) -> None:
         """Makes what reads the folders of proxies, and handles what they say."""
-        context, book, publisher, reports = self.context, self.book, self.publisher, self.reports
+        context, proxy_states = self.context, self.proxy_states
+        publisher, reports = self.publisher, self.reports
         self.handoff = HandoffPeers(context, self.directory)
         self.folder_feed = ProxyFolderFeed(context, watch, self.intake, reports)
-        outlets = OutletFactory(context, self._shelf_type, self.core, self.discovery)
-        sessions = ProxySessions(
-            context, book, publisher, outlets, self.folder_feed, self.discovery, reports, self.handoff
+        sinks = UpdateSinkFactory(context, self._shelf_type, self.core, self.discovery)
+        sessions = SessionManager(
+            context, proxy_states, publisher, sinks, self.folder_feed, self.discovery, reports, self.handoff
         )
-        load = LoadRecorder(context, book, publisher, reports, self.directory, self.handoff)
+        load = LoadRecorder(context, proxy_states, publisher, reports, self.directory, self.handoff)
         self.proxy_events = ProxyEventHandler(context, publisher, sessions, load)
 
     def _make_loop(self) -> None:
         """Makes the loop, and what it calls ten times a second."""
         context = self.context
-        drain = ControllerDrain(context, self.book, self.channel)
+        drain = ControllerDrain(context, self.proxy_states, self.channel)
         monitor = QueueMonitor(context, self.controller, self.publisher)
         maintenance = [
             self.intake.close_silent_sessions,
@@ -282,7 +285,7 @@
             self.controller,
             self.reports,
             self.directory,
-            self.book,
+            self.proxy_states,
             self.publisher,
             maintenance,
             self.clock,
@@ -296,7 +299,9 @@
         self.directory.update(now, endpoints)
         self.recovery.restore(now, endpoints)
 
-    def _show_endpoints(self, now: int, endpoints: Sequence[Host]) -> None:
+    def _show_endpoints(self, now: int, endpoints: list[Host]) -> None:
         """Shows the endpoints to update validation and the controller."""
-        self.publisher.tell_guard(self.watchman.listed, now, endpoints, self.clock.start_of)
+        self.publisher.update_validation(
+            self.validation.update_endpoints, now, endpoints, self.clock.start_of
+        )
         self._port.handle(now, self.directory.list_event(endpoints))
--- a/willowhook/controlplane/outlet_factory.py
+++ b/willowhook/controlplane/update_sink_factory.py
@@ -1,4 +1,4 @@
-"""Makes the outlet through which a proxy that joins gets its updates."""
+"""Makes the sink that takes the updates of a proxy that joins."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from ..versions.core import Core
 from .context import ServiceContext
 from .discovery_feed import DiscoveryFeed
-from .outlets import FileOutlet, Outlet
 from .proxy_events import ProxySessionOpened
+from .update_sinks import FileUpdateSink, UpdateSink
 
 
-class OutletFactory:
+class UpdateSinkFactory:
     """Makes a folder of files or, for a proxy that calls, an entry of the discovery server."""
 
     def __init__(
@@ -27,11 +27,11 @@
         self._discovery = discovery
         self._count = 0  # of sessions: no two may name their versions of files alike
 
-    def make(self, session: ProxySessionOpened) -> Outlet:
-        """The outlet of a session. A folder that cannot be used is reported, and is tried again later."""
+    def make(self, session: ProxySessionOpened) -> UpdateSink:
+        """Makes the sink of a session. A folder that cannot be used is reported, and is tried again later."""
         self._count += 1
         if session.uses_discovery and self._discovery is not None:
-            return self._discovery.outlet(session.proxy, session.name, session.held)
+            return self._discovery.make_sink(session.proxy, session.name, session.held)
         epoch = self._context.epoch
         durability = self._context.terms.files.durability
         path = f"{self._context.folder.down}/{session.name}"
@@ -42,4 +42,4 @@
             self._context.conditions.report(
                 "disk", True, "files cannot be swapped", proxy=session.name, cause=str(error)
             )
-        return FileOutlet(shelf, self._core, session.term, epoch, durability != "none")
+        return FileUpdateSink(shelf, self._core, session.term, epoch, durability != "none")
