--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -18,7 +18,7 @@
 from click.testing import CliRunner
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from test_service import ByHand, Log, Roster, until
+from service_harness import FakeDiscovery, FileProxy, RecordingLog, wait_until
 
 from willowhook.cli.main import main
 from willowhook.config.example import EXAMPLE
@@ -183,7 +183,7 @@
         assert b" 400 " in await raw(port, b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\r\n\r\n")
         assert await raw(port, b"") == b""  # silent: closed without a word
         assert b" 100 " in await raw(port, HEAD + b"expect: 100-continue\r\ncontent-length: 2\r\n\r\n")
-        await until(lambda: server.gate.open == 0)
+        await wait_until(lambda: server.gate.open == 0)
 
     server = serving(play)
     assert server.late >= 2 and server.bad >= 6
@@ -192,11 +192,11 @@
 def test_a_flood_of_connections_is_bounded_and_the_rest_served() -> None:
     async def play(port: int, server: Server) -> None:
         streams = [await trio.open_tcp_stream("127.0.0.1", port) for _ in range(60)]
-        await until(lambda: server.gate.turned_away["connections"] >= 40)
+        await wait_until(lambda: server.gate.turned_away["connections"] >= 40)
         assert server.gate.peak == 20
         for stream in streams:
             await trio.aclose_forcefully(stream)
-        await until(lambda: server.gate.open == 0)
+        await wait_until(lambda: server.gate.open == 0)
         caller = await dial("127.0.0.1", port)
         assert (await caller.call(b"POST", b"/x", [], b"abc")).body == b"cba"
         await caller.close()
@@ -238,9 +238,9 @@
         assert got.startswith(b"HTTP/1.1 304") and got.endswith(b"now")
         stream = await trio.open_tcp_stream("127.0.0.1", port)
         await stream.send_all(HEAD + b"content-length: 1\r\n\r\nd")
-        await until(lambda: len(waits) == 4)
+        await wait_until(lambda: len(waits) == 4)
         await trio.aclose_forcefully(stream)
-        await until(lambda: len(ended) == 4)
+        await wait_until(lambda: len(ended) == 4)
         await caller.close()
 
     serving(play, handler)
@@ -255,7 +255,7 @@
         await slow.send_all(HEAD + b"content-length: 3\r\n\r\nbig")
         caller = await dial("127.0.0.1", port)
         assert (await caller.call(b"POST", b"/x", [], b"small")).body == b"ok"
-        await until(lambda: server.slow == 1)
+        await wait_until(lambda: server.slow == 1)
         await trio.aclose_forcefully(slow)
         await caller.close()
 
@@ -364,18 +364,18 @@
     return {line[0] for table in rows for line in tables.lines(table) if not line[5]}
 
 
-Play = Callable[[Service, Roster, Log], Awaitable[None]]
+Play = Callable[[Service, FakeDiscovery, RecordingLog], Awaitable[None]]
 
 
-def directed(tmp_path: Path, play: Play, decider: Any = Controller, **parts: Any) -> Log:
+def directed(tmp_path: Path, play: Play, decider: Any = Controller, **parts: Any) -> RecordingLog:
     """Runs a director with a front while `play` goes on."""
-    log = Log()
+    log = RecordingLog()
 
     async def run() -> None:
-        roster = Roster()
+        discovery = FakeDiscovery()
 
         async def handler(stream: trio.SocketStream) -> None:
-            await answer_calls(stream, roster.answer)
+            await answer_calls(stream, discovery.answer)
 
         async with trio.open_nursery() as nursery:
             listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
@@ -399,7 +399,7 @@
             service = Service(terms, log=log, decider=decider)
             await nursery.start(service.run)
             with trio.fail_after(30):
-                await play(service, roster, log)
+                await play(service, discovery, log)
             nursery.cancel_scope.cancel()
 
     trio.run(run)
@@ -407,14 +407,14 @@
 
 
 def test_a_proxy_joins_by_calls_is_bound_make_before_break_and_hears_of_a_drain(tmp_path: Path) -> None:
-    async def play(service: Service, roster: Roster, log: Log) -> None:
+    async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
         one = ByCalls(service, "p1")
         got = await one.settle()
         assert set(got) == {"cds", "eds", "rds"} and hosts_of(got["eds"]) == {"a", "b", "c"}
         session = service.publisher.sessions[0]
-        await until(lambda: session.acknowledged > 0)
+        await wait_until(lambda: session.acknowledged > 0)
         assert not any(service.controller.channel.unacknowledged.values())
-        roster.hosts["b"], roster.index = True, 2
+        discovery.hosts["b"], discovery.index = True, 2
         news: dict[str, forms.DiscoveryResponse] = {}
         while "eds" not in news or "b" in hosts_of(news["eds"]):
             reply = await one.whole("eds", got["eds"].version_info, got["eds"].nonce)
@@ -433,7 +433,7 @@
 
 
 def test_differences_bring_only_what_changed(tmp_path: Path) -> None:
-    async def play(service: Service, roster: Roster, log: Log) -> None:
+    async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
         one = ByCalls(service, "p1")
         path = b"/envoy.service.endpoint.v3.EndpointDiscoveryService/DeltaEndpoints"
         asked = forms.DeltaDiscoveryRequest(one.node, forms.ASSIGNMENT)
@@ -490,8 +490,12 @@
 def test_both_fronts_give_the_same_for_the_same_orders(tmp_path: Path) -> None:
     """A proxy on files, one that is told whole and one by difference, through sixty changes."""
 
-    async def play(service: Service, roster: Roster, log: Log) -> None:
-        by_files, by_calls, by_delta = ByHand(service, "p3"), ByCalls(service, "p1"), ByCalls(service, "p2")
+    async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
+        by_files, by_calls, by_delta = (
+            FileProxy(service, "p3"),
+            ByCalls(service, "p1"),
+            ByCalls(service, "p2"),
+        )
         by_files.join()
         one, two = Held(), Held()
 
@@ -522,7 +526,7 @@
                 nursery.start_soon(whole, kind)
                 nursery.start_soon(delta, kind, word)
             decider: Any = service.controller
-            await until(lambda: decider.left == -1, 20)
+            await wait_until(lambda: decider.left == -1, 20)
             with trio.fail_after(5):
                 same = False
                 while not same:
@@ -541,7 +545,7 @@
 
 
 def test_nobody_asks_for_another_and_bad_calls_are_told_why(tmp_path: Path) -> None:
-    async def play(service: Service, roster: Roster, log: Log) -> None:
+    async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
         one, two = ByCalls(service, "p1"), ByCalls(service, "p2")
         await one.settle()
         path = b"/v3/discovery:endpoints"
@@ -573,7 +577,7 @@
 
 
 def test_a_stay_that_is_over_is_told_so_and_a_newer_one_is_taken_up(tmp_path: Path) -> None:
-    async def play(service: Service, roster: Roster, log: Log) -> None:
+    async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
         old, new = ByCalls(service, "p1", 1), ByCalls(service, "p1", 2)
         await old.settle()
         await new.settle()
@@ -588,7 +592,7 @@
 
 
 def test_a_proxy_that_asks_too_often_is_given_up_at_once_and_told_when_to_come_back(tmp_path: Path) -> None:
-    async def play(service: Service, roster: Roster, log: Log) -> None:
+    async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
         one, two = ByCalls(service, "p1"), ByCalls(service, "p2")
         await one.settle(1)
         loads = b"/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats"
@@ -608,10 +612,10 @@
 
 
 def test_a_refused_table_is_held_for_that_proxy_and_a_corrected_one_comes(tmp_path: Path) -> None:
-    async def play(service: Service, roster: Roster, log: Log) -> None:
+    async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
         one = ByCalls(service, "p1")
         got = await one.settle()
-        roster.hosts["b"], roster.index = True, 2
+        discovery.hosts["b"], discovery.index = True, 2
         reply = await one.whole("eds", got["eds"].version_info, got["eds"].nonce)
         while reply.status != 200:
             reply = await one.whole("eds", got["eds"].version_info)
@@ -625,7 +629,7 @@
                 now = decode(reply.body, forms.DiscoveryResponse)
                 assert now.resources != bad.resources  # never the same content again
         assert "update rejected by proxy" in log.texts("warning")
-        roster.hosts["b"], roster.hosts["c"], roster.index = False, True, 3
+        discovery.hosts["b"], discovery.hosts["c"], discovery.index = False, True, 3
         while reply.status != 200 or "c" in hosts_of(decode(reply.body, forms.DiscoveryResponse)):
             reply = await one.whole("eds", got["eds"].version_info)
         await one.close()
@@ -634,7 +638,7 @@
 
 
 def test_a_draining_director_ends_waits_with_a_reason_and_when_to_come_back(tmp_path: Path) -> None:
-    async def play(service: Service, roster: Roster, log: Log) -> None:
+    async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
         one = ByCalls(service, "p1")
         got = await one.settle()
         (tmp_path / "d" / "drain").write_bytes(b"")
@@ -648,10 +652,10 @@
 
 
 def test_operators_see_who_runs_what_and_why_not(tmp_path: Path) -> None:
-    async def play(service: Service, roster: Roster, log: Log) -> None:
+    async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
         one = ByCalls(service, "p1")
         got = await one.settle()
-        roster.hosts["b"], roster.index = True, 2
+        discovery.hosts["b"], discovery.index = True, 2
         reply = await one.whole("eds", got["eds"].version_info, got["eds"].nonce)
         while reply.status != 200:
             reply = await one.whole("eds", got["eds"].version_info)
@@ -669,7 +673,7 @@
 
 
 def test_a_front_without_credentials_does_not_start(tmp_path: Path) -> None:
-    async def play(service: Service, roster: Roster, log: Log) -> None:
+    async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
         raise AssertionError("it started")
 
     with pytest.raises(BaseExceptionGroup) as caught:
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 import trio
-from test_service import ByHand, Log, Roster, until
+from service_harness import FakeDiscovery, FileProxy, RecordingLog, wait_until
 
 from willowhook.config.example import EXAMPLE
 from willowhook.controlplane.memory import ControllerMemory, Sums
@@ -74,14 +74,14 @@
 def test_restarted_controller_restores_evidence_and_runs_without_a_locked_store(
     tmp_path: Path, taken: bool
 ) -> None:
-    log = Log()
+    log = RecordingLog()
     held: list[Any] = []
 
     async def life(number: int) -> None:
-        roster = Roster()
+        discovery = FakeDiscovery()
 
         async def handler(stream: trio.SocketStream) -> None:
-            await answer_calls(stream, roster.answer)
+            await answer_calls(stream, discovery.answer)
 
         async with trio.open_nursery() as nursery:
             listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
@@ -99,9 +99,9 @@
             service = Service(terms, log=log)
             with trio.fail_after(20):
                 await nursery.start(service.run)
-                one = ByHand(service, f"p{number}")
+                one = FileProxy(service, f"p{number}")
                 one.join()
-                await until(lambda: len(one.hosts()) == 3)
+                await wait_until(lambda: len(one.hosts()) == 3)
                 if number == 1:
                     now = service.clock.now()
                     for k in range(3):
@@ -109,7 +109,7 @@
                     one.answer()
                     await trio.sleep(0.5)
                 elif not taken:
-                    await until(lambda: "stored evidence restored" in log.texts())
+                    await wait_until(lambda: "stored evidence restored" in log.texts())
                     assert service.controller.endpoints["a"].attempts(service.clock.now(), 10).attempts > 0
             nursery.cancel_scope.cancel()
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -2,12 +2,10 @@
 
 from __future__ import annotations
 
-import json
 import os
 import resource
 import shutil
 import time
-from collections.abc import Awaitable, Callable
 from pathlib import Path
 from typing import Any
 
@@ -15,172 +13,17 @@
 import pytest
 import trio
 from click.testing import CliRunner
+from service_harness import FakeDiscovery, FileProxy, RecordingLog, serve, wait_until
 
 from willowhook.cli.main import main
-from willowhook.config.example import EXAMPLE
 from willowhook.controlplane.service import Service
-from willowhook.decisions.controller import Controller
 from willowhook.decisions.events import EndpointListReceived, ProxyJoined
 from willowhook.files.layout import FolderTaken
 from willowhook.files.ops import DiskOps
-from willowhook.files.swap import read_group, swap_file
+from willowhook.files.swap import read_group
 from willowhook.records.writer import Records, read_records
-from willowhook.web.wire import Call, Reply, answer_calls
-from willowhook.xds import forms, tables
-from willowhook.xds.codec import encode, read_response, response
-
-
-class Log:
-    def __init__(self) -> None:
-        self.rows: list[tuple[str, str, dict[str, Any]]] = []
-
-    def bind(self, **_: Any) -> Log:
-        return self
-
-    def info(self, text: str, **parts: Any) -> None:
-        self.rows.append(("info", text, parts))
-
-    def warning(self, text: str, **parts: Any) -> None:
-        self.rows.append(("warning", text, parts))
-
-    def texts(self, level: str = "") -> list[str]:
-        return [text for each, text, _ in self.rows if level in ("", each)]
-
-
-class ByHand:
-    """A proxy's side of the folder, written as a test wants it."""
-
-    def __init__(self, service: Service, name: str) -> None:
-        self.name, self.root = name, Path(service.folder.path)
-        self.up, self.down = self.root / "up" / name, self.root / "down" / name
-        self.node = forms.Node(
-            name, "calls", forms.Locality(zone="north"), {"usual_calls_per_s": 4, "term": 1}
-        )
-
-    def join(self, status: bytes | None = None) -> None:
-        temp = self.root / "up" / f".{self.name}"
-        temp.mkdir()
-        (temp / "status.json").write_bytes(
-            encode(forms.ClientConfig(self.node)) if status is None else status
-        )
-        os.rename(temp, self.up)
-
-    def put(self, file: str, data: bytes) -> None:
-        swap_file(DiskOps(), str(self.up), file, data)
-
-    def load(self) -> None:
-        self.put("load.json", encode(forms.LoadStatsRequest(self.node)))
-
-    def answer(self) -> None:
-        for name, data in read_group(str(self.down))[1].items():
-            got = read_response(data, forms.FILES[name[:-5]])
-            said = forms.DiscoveryRequest(got.version_info, self.node, [], got.type_url, got.nonce)
-            self.put(name, encode(said))
-
-    def weights(self) -> dict[str, float]:
-        rows = tables.read_tables(read_group(str(self.down))[1]["eds.json"])[1]
-        return {line[0]: line[4] for table in rows for line in tables.lines(table)}
-
-    def sent_away(self) -> bool:
-        rows = tables.read_tables(read_group(str(self.down))[1]["eds.json"])[1]
-        return any(table.cluster_name == "directors" for table in rows)
-
-    def number(self) -> int:
-        return int(
-            read_response(read_group(str(self.down))[1]["eds.json"], forms.ASSIGNMENT).nonce.split(".")[2]
-        )
-
-    def hosts(self) -> set[str]:
-        try:
-            data = read_group(str(self.down))[1]["eds.json"]
-        except FileNotFoundError:
-            return set()
-        held = [table for table in tables.read_tables(data)[1] if table.cluster_name != "directors"]
-        rows = [line for table in held for line in tables.lines(table)]
-        return {line[0] for line in rows if not line[5]}
-
-
-class Roster:
-    def __init__(self) -> None:
-        self.index, self.how = 1, "good"
-        self.hosts = {"a": False, "b": False, "c": False}
-        self.started: dict[str, float] = {}
-
-    def body(self) -> bytes:
-        rows = [
-            {
-                "Service": {
-                    "ID": name,
-                    "Address": "127.0.0.1",
-                    "Port": 9000 + k,
-                    "Meta": {"started": str(self.started.get(name, 0))},
-                },
-                "Node": {"Datacenter": "north"},
-                "Checks": [{"CheckID": f"_service_maintenance:{name}", "Status": "critical"}] if out else [],
-            }
-            for k, (name, out) in enumerate(self.hosts.items())
-        ]
-        return json.dumps(rows).encode()
-
-    async def answer(self, call: Call) -> Reply | None:
-        asked = self.index if b"index=" in call.target else 0
-        for _ in range(10):  # well within what the reader waits, also on a slow machine
-            if self.how == "good" and asked == self.index:
-                await trio.sleep(0.02)
-        if self.how == "stall":
-            await trio.sleep_forever()
-        body = self.body() if self.how == "good" else b"<h1>maintenance</h1>"
-        return Reply(200, [(b"x-consul-index", b"%d" % self.index)], body)
-
-
-Play = Callable[[Service, Roster, Log], Awaitable[None]]
-
-
-def serve(tmp_path: Path, play: Play, listen: str = "", decider: Any = Controller, **parts: Any) -> Log:
-    """Runs a controller while `play` goes on."""
-    log = Log()
-
-    async def run() -> None:
-        roster = Roster()
-
-        async def handler(stream: trio.SocketStream) -> None:
-            await answer_calls(stream, roster.answer)
-
-        async with trio.open_nursery() as nursery:
-            listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
-            url = f"http://127.0.0.1:{listeners[0].socket.getsockname()[1]}"
-            nursery.start_soon(trio.serve_listeners, handler, listeners)
-            replace = msgspec.structs.replace
-            files = replace(
-                EXAMPLE.files, folder=str(tmp_path / "d"), **{"proxy_lost_after_ms": 20_000, **parts}
-            )
-            asked = replace(EXAMPLE.roster, url=url, wait_ms=300, timeout_ms=200)
-            kept = replace(EXAMPLE.records, file=str(tmp_path / "records"))
-            service = Service(
-                replace(
-                    EXAMPLE,
-                    fleet=replace(EXAMPLE.fleet, standing=0),  # proxies played by hand start with nothing
-                    files=files,
-                    roster=asked,
-                    records=kept,
-                    links=replace(EXAMPLE.links, listen=listen),
-                ),
-                log=log,
-                decider=decider,
-            )
-            await nursery.start(service.run)
-            with trio.fail_after(30):
-                await play(service, roster, log)
-            nursery.cancel_scope.cancel()
-
-    trio.run(run)
-    return log
-
-
-async def until(what: Callable[[], bool], patience: float = 8.0) -> None:
-    with trio.fail_after(patience):
-        while not what():
-            await trio.sleep(0.02)
+from willowhook.xds import forms
+from willowhook.xds.codec import encode, response
 
 
 @pytest.mark.parametrize("durability", ["none", "file_and_folder"])
@@ -188,17 +31,17 @@
 def test_proxy_joins_gets_its_tables_and_a_drain_and_leaves(
     tmp_path: Path, watch: str, durability: str
 ) -> None:
-    async def play(service: Service, roster: Roster, log: Log) -> None:
-        one = ByHand(service, "p1")
+    async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
+        one = FileProxy(service, "p1")
         one.join()
-        await until(lambda: one.hosts() == {"a", "b", "c"})
+        await wait_until(lambda: one.hosts() == {"a", "b", "c"})
         one.answer()
-        await until(lambda: not any(service.controller.channel.unacknowledged.values()))
-        roster.hosts["b"], roster.index = True, 2
-        await until(lambda: one.hosts() == {"a", "c"})
+        await wait_until(lambda: not any(service.controller.channel.unacknowledged.values()))
+        discovery.hosts["b"], discovery.index = True, 2
+        await wait_until(lambda: one.hosts() == {"a", "c"})
         one.load()
         os.rename(one.up, one.root / "away")
-        await until(lambda: not service.intake.sessions and not one.down.exists())
+        await wait_until(lambda: not service.intake.sessions and not one.down.exists())
 
     log = serve(tmp_path, play, watch=watch, durability=durability, poll_every_ms=20)
     assert log.texts("warning") == [] and "proxy left" in log.texts()
@@ -209,13 +52,13 @@
 
 
 def test_silent_proxy_session_is_closed_and_reopened(tmp_path: Path) -> None:
-    async def play(service: Service, roster: Roster, log: Log) -> None:
-        one = ByHand(service, "p1")
+    async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
+        one = FileProxy(service, "p1")
         one.join()
-        await until(lambda: "p1" in service.intake.sessions)
-        await until(lambda: "p1" not in service.intake.sessions)
+        await wait_until(lambda: "p1" in service.intake.sessions)
+        await wait_until(lambda: "p1" not in service.intake.sessions)
         one.load()
-        await until(lambda: "p1" in service.intake.sessions and one.hosts() == {"a", "b", "c"})
+        await wait_until(lambda: "p1" in service.intake.sessions and one.hosts() == {"a", "b", "c"})
 
     log = serve(tmp_path, play, proxy_lost_after_ms=1200)
     assert [row[2]["reason"][:6] for row in log.rows if row[1] == "proxy left"] == ["silent"]
@@ -229,17 +72,17 @@
     again.
     """
 
-    async def play(service: Service, roster: Roster, log: Log) -> None:
-        one = ByHand(service, "p1")
+    async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
+        one = FileProxy(service, "p1")
         one.join()
-        await until(lambda: len(one.hosts()) == 3)
+        await wait_until(lambda: len(one.hosts()) == 3)
         for k in range(2, 12):
             shutil.rmtree(one.up)
             one.node.metadata["term"] = k
             one.join()
-            await until(lambda k=k: [p.term for p in service.intake.sessions.values()] == [k])  # type: ignore[misc]
+            await wait_until(lambda k=k: [p.term for p in service.intake.sessions.values()] == [k])  # type: ignore[misc]
             one.load()
-            await until(lambda: bool(one.hosts()))
+            await wait_until(lambda: bool(one.hosts()))
 
     serve(tmp_path, play)
 
@@ -256,26 +99,28 @@
 
 
 def test_malformed_files_affect_only_their_proxy(tmp_path: Path) -> None:
-    async def play(service: Service, roster: Roster, log: Log) -> None:
-        good, bad = ByHand(service, "p1"), ByHand(service, "bad")
+    async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
+        good, bad = FileProxy(service, "p1"), FileProxy(service, "bad")
         good.join()
         bad.join()
-        await until(lambda: good.hosts() == bad.hosts() == {"a", "b", "c"})
+        await wait_until(lambda: good.hosts() == bad.hosts() == {"a", "b", "c"})
         for k, (what, data) in enumerate(BAD.items()):
             before = len(log.texts("warning"))
             for _ in range(3):
                 bad.put("eds.json", data)
                 await trio.sleep(0.03)
             wanted = 0 if what == "old version" else 1  # what another controller sent before is not malformed
-            await until(lambda before=before, wanted=wanted: len(log.texts("warning")) == before + wanted)  # type: ignore[misc]
+            await wait_until(
+                lambda before=before, wanted=wanted: len(log.texts("warning")) == before + wanted
+            )  # type: ignore[misc]
             bad.answer()  # a good one again
             good.answer()
             good.load()
             bad.load()
             gone = "abc"[k % 2]
-            roster.hosts["a"], roster.hosts["b"] = gone == "a", gone == "b"
-            roster.index += 1
-            await until(lambda gone=gone: gone not in good.hosts() and gone not in bad.hosts())  # type: ignore[misc]
+            discovery.hosts["a"], discovery.hosts["b"] = gone == "a", gone == "b"
+            discovery.index += 1
+            await wait_until(lambda gone=gone: gone not in good.hosts() and gone not in bad.hosts())  # type: ignore[misc]
         os.mkfifo(bad.up / ".pipe")
         os.rename(bad.up / ".pipe", bad.up / "load.json")  # nothing that is read may block
         (bad.up / "rds.json").unlink()
@@ -287,15 +132,15 @@
 
 
 def test_folders_that_are_not_proxies_are_ignored(tmp_path: Path) -> None:
-    async def play(service: Service, roster: Roster, log: Log) -> None:
+    async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
         up = Path(service.folder.up)
         (up / "a file").write_bytes(b"")
         (up / "plain").write_bytes(b"")
-        ByHand(service, "empty").join(b"")
-        ByHand(service, "noise").join(b"\xff" * 1000)
-        one = ByHand(service, "p1")
+        FileProxy(service, "empty").join(b"")
+        FileProxy(service, "noise").join(b"\xff" * 1000)
+        one = FileProxy(service, "p1")
         one.join()
-        await until(lambda: bool(one.hosts()))
+        await wait_until(lambda: bool(one.hosts()))
         assert list(service.intake.sessions) == ["p1"]
 
     log = serve(tmp_path, play)
@@ -306,43 +151,43 @@
 
 
 def test_discovery_failure_is_reported_once_and_tables_stay(tmp_path: Path) -> None:
-    async def play(service: Service, roster: Roster, log: Log) -> None:
-        one = ByHand(service, "p1")
+    async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
+        one = FileProxy(service, "p1")
         one.join()
-        await until(lambda: len(one.hosts()) == 3)
+        await wait_until(lambda: len(one.hosts()) == 3)
         for how in ("lies", "stall"):
             before = log.texts("warning").count("endpoint list unavailable")
-            roster.how = how
-            roster.index += 1
-            await until(
+            discovery.how = how
+            discovery.index += 1
+            await wait_until(
                 lambda before=before: log.texts("warning").count("endpoint list unavailable") > before
             )  # type: ignore[misc]
             await trio.sleep(0.5)
             one.load()
             assert log.texts("warning").count("endpoint list unavailable") == before + 1
             assert len(one.hosts()) == 3
-            roster.how = "good"
-            await until(lambda: log.texts()[-1] == "endpoint list available again", 15)
+            discovery.how = "good"
+            await wait_until(lambda: log.texts()[-1] == "endpoint list available again", 15)
 
     serve(tmp_path, play)
 
 
 def test_full_disk_is_reported_once_and_the_last_update_is_written_after_it(tmp_path: Path) -> None:
-    async def play(service: Service, roster: Roster, log: Log) -> None:
-        one = ByHand(service, "p1")
+    async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
+        one = FileProxy(service, "p1")
         one.join()
-        await until(lambda: len(one.hosts()) == 3)
+        await wait_until(lambda: len(one.hosts()) == 3)
         limits = resource.getrlimit(resource.RLIMIT_FSIZE)
         before = read_group(str(one.down))[1]
         resource.setrlimit(resource.RLIMIT_FSIZE, (10, limits[1]))
         try:
-            roster.hosts["b"], roster.index = True, 2
-            await until(lambda: "files cannot be swapped" in log.texts("warning"))
+            discovery.hosts["b"], discovery.index = True, 2
+            await wait_until(lambda: "files cannot be swapped" in log.texts("warning"))
             await trio.sleep(0.5)
             assert read_group(str(one.down))[1] == before
         finally:
             resource.setrlimit(resource.RLIMIT_FSIZE, limits)
-        await until(lambda: one.hosts() == {"a", "c"})
+        await wait_until(lambda: one.hosts() == {"a", "c"})
 
     log = serve(tmp_path, play)
     assert log.texts("warning").count("files cannot be swapped") == 1
@@ -350,9 +195,9 @@
 
 
 def test_second_controller_cannot_lock_the_folder(tmp_path: Path) -> None:
-    async def play(service: Service, roster: Roster, log: Log) -> None:
+    async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
         with pytest.raises(FolderTaken, match="one folder serves one director"):
-            await Service(service.terms, log=Log()).run()
+            await Service(service.terms, log=RecordingLog()).run()
 
     serve(tmp_path, play)
 
@@ -379,16 +224,16 @@
 def test_linked_controllers_hand_off_evidence_with_the_proxy(tmp_path: Path) -> None:
     """The proxy goes from one to the other; what it met is heard there, and only by who it comes to."""
 
-    async def play(service: Service, roster: Roster, log: Log) -> None:
+    async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
         replace = msgspec.structs.replace
         links = replace(service.terms.links, peers=(f"http://127.0.0.1:{service.link_port}",))
         files = replace(service.terms.files, folder=str(tmp_path / "other"))
-        other = Service(replace(service.terms, name="other", files=files, links=links), log=Log())
+        other = Service(replace(service.terms, name="other", files=files, links=links), log=RecordingLog())
         async with trio.open_nursery() as nursery:
             await nursery.start(other.run)
-            one = ByHand(other, "p1")
+            one = FileProxy(other, "p1")
             one.join()
-            await until(lambda: len(one.hosts()) == 3)
+            await wait_until(lambda: len(one.hosts()) == 3)
             at = forms.Address(forms.SocketAddress("127.0.0.1", 9001))
             row = forms.UpstreamEndpointStats(
                 at, 8, 0, 2, 10, [forms.LoadMetricStats("latency_seconds", 8, 4.0)]
@@ -396,18 +241,20 @@
             zone = forms.UpstreamLocalityStats(upstream_endpoint_stats=[row])
             stats = forms.ClusterStats("load@t0", "", [zone], load_report_interval="1s")
             one.put("load.json", encode(forms.LoadStatsRequest(one.node, [stats])))
-            await until(lambda: bool(other.handoff._evidence))
+            await wait_until(lambda: bool(other.handoff._evidence))
             shutil.rmtree(one.up)
-            await until(lambda: bool(service.handoff._hints._hints) and "b" in service.controller.endpoints)
+            await wait_until(
+                lambda: bool(service.handoff._hints._hints) and "b" in service.controller.endpoints
+            )
             now = service.clock.now()
             assert service.controller.endpoints["b"].attempts(now) == (0, 0, 0)
-            moved = ByHand(service, "p1")
+            moved = FileProxy(service, "p1")
             moved.node.metadata["term"] = 2
             moved.join()
-            await until(lambda: len(moved.hosts()) == 3)
+            await wait_until(lambda: len(moved.hosts()) == 3)
             heard = service.controller.endpoints["b"].attempts(service.clock.now())
             assert heard == (10, 2, 8 * 5000)
-            await until(lambda: len(other.handoff._senders[0]) == 0)
+            await wait_until(lambda: len(other.handoff._senders[0]) == 0)
             nursery.cancel_scope.cancel()
 
     serve(tmp_path, play, listen="127.0.0.1:0")
@@ -416,7 +263,7 @@
 def test_malformed_handoff_packets_are_reported_once(tmp_path: Path) -> None:
     from willowhook.controlplane.links import PeerClient
 
-    async def play(service: Service, roster: Roster, log: Log) -> None:
+    async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
         client = PeerClient(f"http://127.0.0.1:{service.link_port}", 1.0)
         for body in (b"", b"{}", b"\xff" * 300, b'{"node": {"id": "p", "metadata": {"director": 3}}}'):
             assert not await client.send(body)
@@ -454,49 +301,49 @@
         def flush(self, now: int) -> None:
             """Nothing is put off."""
 
-    async def play(service: Service, roster: Roster, log: Log) -> None:
-        one = ByHand(service, "p1")
+    async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
+        one = FileProxy(service, "p1")
         one.join()
-        await until(lambda: one.hosts() == {"a", "b", "c"})
+        await wait_until(lambda: one.hosts() == {"a", "b", "c"})
         one.answer()  # taken before the list is news: what is in flight counts with the guard, and refuses
-        await until(lambda: service.intake.sessions["p1"].applied == service.proxy_states.message_count)
-        roster.hosts["new"], roster.started["new"], roster.index = False, time.time() - 6.0, 2
-        await until(lambda: "new" in one.hosts())
+        await wait_until(lambda: service.intake.sessions["p1"].applied == service.proxy_states.message_count)
+        discovery.hosts["new"], discovery.started["new"], discovery.index = False, time.time() - 6.0, 2
+        await wait_until(lambda: "new" in one.hosts())
         first = one.weights()
         assert first["new"] < 12 and "update held by validation" in log.texts("warning")
         one.answer()
-        await until(lambda: one.weights()["new"] == 12, 12)
+        await wait_until(lambda: one.weights()["new"] == 12, 12)
         assert one.number() > 0 and service.validation.counts["split"] >= 1
 
     serve(tmp_path, play, decider=Eager)
 
 
 def test_unanswered_files_are_written_again(tmp_path: Path) -> None:
-    async def play(service: Service, roster: Roster, log: Log) -> None:
-        one = ByHand(service, "p1")
+    async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
+        one = FileProxy(service, "p1")
         one.join()
-        await until(lambda: len(one.hosts()) == 3)
+        await wait_until(lambda: len(one.hosts()) == 3)
         ops, late = DiskOps(), one.down / "vlate"
         late.mkdir()
         (late / "eds.json").write_bytes(response("0.1.9", forms.ASSIGNMENT, "0.1.9", []))
         ops.symlink("vlate", str(one.down / ".late"))
         ops.rename(str(one.down / ".late"), str(one.down / "current"))
         assert one.hosts() == set()
-        await until(lambda: len(one.hosts()) == 3)  # nobody ordered anything
+        await wait_until(lambda: len(one.hosts()) == 3)  # nobody ordered anything
         one.answer()
-        await until(lambda: all(r.rewrite is None for r in service.publisher.sessions.values()))
+        await wait_until(lambda: all(r.rewrite is None for r in service.publisher.sessions.values()))
 
     serve(tmp_path, play)
     assert any(row["kind"] == "again" for row in read_records(str(tmp_path / "records")))
 
 
 def test_draining_controller_sends_its_proxies_away_one_by_one(tmp_path: Path) -> None:
-    async def play(service: Service, roster: Roster, log: Log) -> None:
-        fleet = [ByHand(service, f"p{k}") for k in range(4)]
+    async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
+        fleet = [FileProxy(service, f"p{k}") for k in range(4)]
         for k, one in enumerate(fleet):
             one.node.metadata["usual_calls_per_s"] = 4 - k
             one.join()
-        await until(lambda: all(len(one.hosts()) == 3 for one in fleet))
+        await wait_until(lambda: all(len(one.hosts()) == 3 for one in fleet))
         config = tmp_path / "d.json"
         config.write_bytes(msgspec.json.encode(service.terms))
         got = await trio.to_thread.run_sync(
@@ -510,7 +357,7 @@
             assert len(told) < 4 or told[0] == "p3"  # the one of least traffic first
         assert all(len(one.hosts()) == 3 for one in fleet)  # and their tables stay as they are
         CliRunner().invoke(main, ["controller", "drain", "--config", str(config), "--undo"])
-        await until(lambda: "controller draining cancelled" in log.texts())
+        await wait_until(lambda: "controller draining cancelled" in log.texts())
 
     serve(tmp_path, play)
 
@@ -531,18 +378,18 @@
     def breaks(*_: Any, **__: Any) -> None:
         raise KeyError("on purpose")
 
-    async def play(service: Service, roster: Roster, log: Log) -> None:
+    async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
         setattr(service.validation, where, breaks)
-        one = ByHand(service, "p1")
+        one = FileProxy(service, "p1")
         one.join()
-        await until(lambda: len(one.hosts()) == 3)
+        await wait_until(lambda: len(one.hosts()) == 3)
         one.answer()
         stats = forms.ClusterStats("load@t0", load_report_interval="1s", total_dropped_requests=9)
         one.put("load.json", encode(forms.LoadStatsRequest(one.node, [stats])))
-        roster.hosts["b"], roster.index = True, 2
-        await until(lambda: one.hosts() == {"a", "c"})
+        discovery.hosts["b"], discovery.index = True, 2
+        await wait_until(lambda: one.hosts() == {"a", "c"})
         shutil.rmtree(one.up)
-        await until(lambda: not service.intake.sessions)
+        await wait_until(lambda: not service.intake.sessions)
 
     log = serve(tmp_path, play)
     assert log.texts("warning") == ["validation failed and is disabled"]
