--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -411,9 +411,9 @@
         one = ByCalls(service, "p1")
         got = await one.settle()
         assert set(got) == {"cds", "eds", "rds"} and hosts_of(got["eds"]) == {"a", "b", "c"}
-        reader = service.publisher.sessions[0]
-        await until(lambda: reader.acknowledged > 0)
-        assert not any(service.director.channel.waiting.values())
+        session = service.publisher.sessions[0]
+        await until(lambda: session.acknowledged > 0)
+        assert not any(service.director.channel.unacknowledged.values())
         roster.hosts["b"], roster.index = True, 2
         news: dict[str, forms.DiscoveryResponse] = {}
         while "eds" not in news or "b" in hosts_of(news["eds"]):
