--- a/willowhook/trial/swaps.py
+++ b/willowhook/trial/swaps.py
@@ -67,9 +67,11 @@
         host.schedule_evaluation(EVERY)
 
     def queue_estimate(self) -> float:
+        """Nothing is estimated: the comparison with the true queue is not of interest here."""
         return 0.0
 
     def learnt_capacities(self) -> dict[str, float]:
+        """No capacities are learnt."""
         return {}
 
     def handle(self, now: int, event: Event) -> None:
@@ -260,7 +262,7 @@
                 nursery.start_soon(stage.play, nursery)
                 while not stage.crews:
                     await trio.sleep(0.05)
-                    if stage.open_hosts() and not hasattr(service, "director"):
+                    if stage.open_hosts() and not hasattr(service, "controller"):
                         await nursery.start(service.run)
                 began = time.perf_counter()
                 others = [
