--- a/tests/controlplane_fixtures.py
+++ b/tests/controlplane_fixtures.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
+from willowhook.config.deployment import deployment_settings
 from willowhook.config.example import EXAMPLE
-from willowhook.config.facts import facts
 from willowhook.controlplane.update_sinks import FileUpdateSink
 from willowhook.files.swap import Shelf
 from willowhook.versions.core import Core, first_era
 
-SETTINGS = facts(EXAMPLE)
+SETTINGS = deployment_settings(EXAMPLE)
 ALL_ROUTES = range(len(SETTINGS.routes))
 MESSAGE_OVERHEAD = int(SETTINGS.channel.message_overhead_entries)
 
--- a/willowhook/controlplane/service.py
+++ b/willowhook/controlplane/service.py
@@ -11,7 +11,7 @@
 import structlog
 import trio
 
-from ..config.facts import facts, ticks
+from ..config.deployment import deployment_settings
 from ..config.terms import Terms
 from ..decisions.controller import Controller
 from ..files.layout import PACE, Folder
@@ -20,6 +20,7 @@
 from ..files.watch import Watch, open_watch
 from ..records.writer import Records
 from ..roster.forms import Host
+from ..ticks import ticks_from_milliseconds
 from ..versions.core import Core, first_era
 from .clock import Clock
 from .condition_log import BindableLogger, Logger
@@ -82,7 +83,7 @@
             shelf: writes the files of one proxy.
         """
         self.terms = terms
-        self.settings = facts(terms)
+        self.settings = deployment_settings(terms)
         self.ops = ops or DiskOps()
         self.clock = Clock()
         self.log: Logger = (log or structlog.get_logger()).bind(controller=terms.name)
@@ -216,7 +217,7 @@
             terms.name,
             context.epoch,
             [route.name for route in terms.routes],
-            ticks(terms.files.proxy_lost_after_ms),
+            ticks_from_milliseconds(terms.files.proxy_lost_after_ms),
             lambda: self.proxy_states.message_count,
         )
         self.reports = ReportProcessor(
--- a/willowhook/trial/guard_cases.py
+++ b/willowhook/trial/guard_cases.py
@@ -12,6 +12,7 @@
 from dataclasses import dataclass, field
 
 from ..decisions.settings import RequestSemantics
+from ..ticks import TICKS_PER_SECOND, ticks_from_seconds
 from ..validation.model import (
     Candidate,
     Endpoint,
@@ -26,8 +27,7 @@
 from ..validation.world import World
 from .oracle import PlayedHost, PlayedProxy, Situation, play
 
-SECOND = 10_000
-NOW = 1000 * SECOND
+NOW = 1000 * TICKS_PER_SECOND
 SEMANTICS = ("idempotent", "deduplicated", "at_most_once")
 
 
@@ -337,18 +337,27 @@
         for k, (own, kinds) in enumerate(s.places)
     )
     terms = ValidationSettings(
-        routes, round(s.grace * SECOND), round(s.cold_s * SECOND), s.start, s.multiple, s.rate / SECOND,
-        s.most_waiting, s.messages_most, 10 * SECOND, s.fleet, capacity_per_second=s.able,
-    )  # fmt: skip
+        routes,
+        ticks_from_seconds(s.grace),
+        ticks_from_seconds(s.cold_s),
+        s.start,
+        s.multiple,
+        s.rate / TICKS_PER_SECOND,
+        s.most_waiting,
+        s.messages_most,
+        10 * TICKS_PER_SECOND,
+        s.fleet,
+        capacity_per_second=s.able,
+    )
     world = World(terms)
     rows = []
     for name, host in s.hosts.items():
         if host.known:
-            started = 0 if host.age > 1e6 else NOW - round(host.age * SECOND)
+            started = 0 if host.age > 1e6 else NOW - ticks_from_seconds(host.age)
             mode = EndpointMode(host.mode)
             facts = Endpoint(name, mode, 0, started, host.size, host.kind, host.zone, host.reachable)
             world.endpoints.by_name[name] = facts
-            facts.since = NOW - round(host.since * SECOND)
+            facts.since = NOW - ticks_from_seconds(host.since)
             rows.append(facts)
     world.endpoints.refresh()
     for k, proxy in enumerate(s.proxies):
@@ -357,7 +366,7 @@
             held = ProxyTables(tuple(proxy.lines), frozenset(proxy.out), tuple(s.tries), (math.inf,) * 3)
         world.add_proxy(k, proxy.zone, tuple(proxy.rates), held)
     world.proxies[0].newest = UpdateVersion(*s.newest)
-    world.proxies[0].sent_at = [NOW - SECOND] * s.messages
+    world.proxies[0].sent_at = [NOW - TICKS_PER_SECOND] * s.messages
     world.update_queue(NOW, s.waiting)
     tables = ProxyTables(tuple(s.lines), frozenset(s.out), tuple(s.tries), tuple(s.levels))
     return NOW, Validator(world), Candidate(0, tables, UpdateVersion(*s.version), round(s.cost))
