--- a/willowhook/cli/commands.py
+++ b/willowhook/cli/commands.py
@@ -29,6 +29,7 @@
 
 
 def load_terms(path: str) -> Terms:
+    """Reads a configuration; prints what is wrong with it and exits with code 2 if it cannot be used."""
     from ..config.check import TermsError, read_terms
 
     try:
