--- /dev/null
+++ b/willowhook/controlplane/validation_context.py
@@ -0,0 +1,245 @@
+"""What update validation has to know: endpoints, proxies, and the effect of each message.
+
+`ValidationContext` keeps the validator's world up to date and turns messages into its candidates.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+from math import inf
+from typing import Any
+
+from ..decisions.runtime import AdmissionLimit
+from ..decisions.settings import DeploymentSettings
+from ..roster.forms import Host
+from ..ticks import TICKS_PER_SECOND
+from ..validation.model import (
+    Candidate,
+    Endpoint,
+    EndpointMode,
+    ProxyTables,
+    RouteConstraints,
+    UpdateVersion,
+    ValidationSettings,
+)
+from ..validation.validator import Validator
+from ..validation.verdict import Verdict
+from ..validation.world import World
+from .proxy_resources import ProxyResources
+from .proxy_state import UNVERSIONED, ProxyView, TableState, UpdateMessage
+
+MAX_LEARNT_CAPACITY = 2.5  # times the mean: a wrong estimate must not open an endpoint's budget wide
+MIN_RATE_CHANGE = 0.2  # of the rate before; smaller ones are not followed, as each moves a proxy's class
+MIN_RATE_PER_SECOND = 0.5  # below this, changes count as if the rate were this
+MAX_CACHED_TABLES = 500
+
+
+def validation_settings(
+    settings: DeploymentSettings,
+    cold_budget_fraction: float,
+    max_share_factor: float,
+    capacity_per_second: Mapping[str, float],
+) -> ValidationSettings:
+    """Returns the settings of validation.
+
+    Args:
+        settings: of the deployment.
+        cold_budget_fraction: of an endpoint's slow-start budget, what tables may use.
+        max_share_factor: how many times its even share of all requests an endpoint may get.
+        capacity_per_second: requests by endpoint class, where it is configured.
+    """
+    rules = settings.rules
+    channel = settings.channel
+    routes = tuple(
+        RouteConstraints(
+            route.name,
+            route.semantics,
+            route.same_zone_only,
+            route.allowed_zones,
+            route.allowed_classes,
+        )
+        for route in settings.routes
+    )
+    return ValidationSettings(
+        routes=routes,
+        drain_grace_ticks=rules.drain_grace_ticks,
+        slow_start_ticks=rules.slow_start_ticks,
+        slow_start_fraction=rules.slow_start_fraction,
+        recovery_overload_factor=rules.recovery_overload_factor,
+        entries_per_tick=channel.entries_per_second / TICKS_PER_SECOND,
+        queue_limit_entries=channel.queue_limit_entries,
+        message_cap=channel.message_cap,
+        message_cap_window_ticks=channel.message_cap_window_ticks,
+        proxy_count=settings.fleet.proxy_count,
+        cold_budget_fraction=cold_budget_fraction,
+        max_share_factor=max_share_factor,
+        capacity_per_second=capacity_per_second,
+    )
+
+
+class ValidationContext:
+    """Keeps the validator's world, and asks the validator about messages."""
+
+    def __init__(self, settings: DeploymentSettings, validation: ValidationSettings, shadow: bool) -> None:
+        """`shadow`: whether updates that fail pass all the same, marked as such."""
+        self._settings = settings
+        self.world = World(validation)
+        self.validator = Validator(self.world, shadow)
+        self._default_limit = AdmissionLimit(settings.fleet.default_retries, inf)
+        self._cached_tables: dict[object, ProxyTables] = {}  # by content
+        self._initial: dict[int, ProxyResources] = {}
+        self._rates_per_second: dict[int, list[float]] = {}  # by proxy: by route index
+        self._unacknowledged: dict[
+            int, list[tuple[int, ProxyTables]]
+        ] = {}  # by proxy: message number and effect
+        self.counts: dict[str, int] = {}  # verdicts, by kind
+
+    # The world.
+
+    def update_endpoints(self, now: int, hosts: list[Host], started_at: Callable[[Host], int]) -> None:
+        """Takes the complete endpoint list; `started_at` gives the tick of an endpoint's start."""
+        self.world.endpoints.update_list(now, [self._endpoint(now, host, started_at(host)) for host in hosts])
+
+    def _endpoint(self, now: int, host: Host, started_at: int) -> Endpoint:
+        capacity = 1.0
+        if self._settings.lists_capacity:
+            capacity = host.size
+        elif host.id in self.world.endpoints.by_name:
+            capacity = self.world.endpoints.by_name[host.id].capacity
+        mode = EndpointMode.DRAINING if host.draining else EndpointMode.IN_SERVICE
+        return Endpoint(host.id, mode, now, started_at, capacity, host.kind, host.zone)
+
+    def update_capacities(self, capacities: Mapping[str, float]) -> None:
+        """Takes the capacities that the decisions learnt, where the endpoint list tells none."""
+        if not self._settings.lists_capacity:
+            least, most = 1 / MAX_LEARNT_CAPACITY, MAX_LEARNT_CAPACITY
+            bounded = {name: min(max(each, least), most) for name, each in capacities.items()}
+            self.world.endpoints.update_capacities(bounded)
+
+    def add_proxy(self, proxy: int, zone: str, rate_per_second: float, initial: ProxyResources) -> None:
+        """Registers a proxy that has joined with these resources."""
+        routes = self._settings.routes
+        rates = [rate_per_second / len(routes)] * len(routes)
+        self._initial[proxy] = initial
+        self._unacknowledged[proxy] = []
+        self._rates_per_second[proxy] = rates
+        weights = tuple(initial.weights(route.name) for route in routes)
+        retries = (self._default_limit.retries,) * len(routes)
+        limits = (self._default_limit.limit,) * len(routes)
+        self.world.add_proxy(
+            proxy, zone, tuple(rates), ProxyTables(weights, initial.excluded(), retries, limits)
+        )
+
+    def remove_proxy(self, proxy: int) -> None:
+        """Forgets a proxy that has left."""
+        self.world.remove_proxy(proxy)
+        self._initial.pop(proxy, None)
+        self._rates_per_second.pop(proxy, None)
+        self._unacknowledged.pop(proxy, None)
+
+    def update_rate(self, proxy: int, route: int, rate_per_second: float) -> None:
+        """Takes the rate of a route's requests at a proxy, if it has changed enough."""
+        rates = self._rates_per_second.get(proxy)
+        if rates is None:
+            return
+        if abs(rate_per_second - rates[route]) > MIN_RATE_CHANGE * max(rates[route], MIN_RATE_PER_SECOND):
+            rates[route] = rate_per_second
+            self.world.update_rates(proxy, tuple(rates))
+
+    def record_acknowledged(self, proxy: int, number: int) -> None:
+        """Notes that a proxy has applied all messages up to this number."""
+        waiting = self._unacknowledged.get(proxy, [])
+        applied = [tables for sent, tables in waiting if sent <= number]
+        if applied:
+            self._unacknowledged[proxy] = [(sent, tables) for sent, tables in waiting if sent > number]
+            self.world.record_applied(proxy, applied[-1])
+
+    def record_sent(self, now: int, message: UpdateMessage, version: UpdateVersion) -> None:
+        """Notes that a message is on its way: its proxy may hold its effect from now on."""
+        if message.proxy in self._unacknowledged:
+            tables = self.effect_of(message.proxy, message.view)
+            self.world.record_sent(now, message.proxy, tables, version)
+            self._unacknowledged[message.proxy].append((message.number, tables))
+
+    # Messages.
+
+    def effect_of(self, proxy: int, view: ProxyView) -> ProxyTables:
+        """Returns what a view makes its proxy hold; worked out once for all proxies with the same view."""
+        key = self._content_key(view)
+        if key is None:
+            return self._make_tables(proxy, view, None)
+        tables = self._cached_tables.get(key)
+        if tables is None:
+            tables = self._make_tables(proxy, view, key)
+            if len(self._cached_tables) > MAX_CACHED_TABLES:
+                self._cached_tables.clear()
+            self._cached_tables[key] = tables
+        return tables
+
+    def _content_key(self, view: ProxyView) -> tuple[int, ...] | None:
+        """The same for the same effect; None if it depends on what the proxy joined with."""
+        count = len(self._settings.routes)
+        versions = [view.bound[route].version for route in range(count) if route in view.bound]
+        if len(versions) < count or UNVERSIONED in versions:
+            return None
+        return (*versions, view.exclusions_version)
+
+    def _make_tables(self, proxy: int, view: ProxyView, key: object) -> ProxyTables:
+        initial = self._initial.get(proxy)
+        weights: list[Mapping[str, float]] = []
+        limits: list[AdmissionLimit] = []
+        for index, route in enumerate(self._settings.routes):
+            table = view.bound.get(index)
+            if table is None:
+                weights.append(initial.weights(route.name) if initial is not None else {})
+                limits.append(self._default_limit)
+            else:
+                weights.append(table.weights)
+                limits.append(table.limits.get(index, self._default_limit))
+        return ProxyTables(
+            tuple(weights),
+            frozenset(view.excluded),
+            tuple(limit.retries for limit in limits),
+            tuple(limit.limit for limit in limits),
+            key,
+        )
+
+    def judge(
+        self, now: int, message: UpdateMessage, version: UpdateVersion, waiting_entries: int
+    ) -> Verdict:
+        """Judges a message that has left the channel, in which `waiting_entries` still wait."""
+        self.world.update_queue(now, waiting_entries)
+        tables = self.effect_of(message.proxy, message.view)
+        candidate = Candidate(message.proxy, tables, version, message.cost_entries, True)
+        verdict = self.validator.judge(now, candidate)
+        self.counts[verdict.outcome.value] = self.counts.get(verdict.outcome.value, 0) + 1
+        return verdict
+
+    @staticmethod
+    def first_step(view: ProxyView, verdict: Verdict) -> ProxyView:
+        """Returns a view with the tables of the first step of a split."""
+        cut_tables: dict[int, TableState] = {}
+        bound: dict[int, TableState] = {}
+        for route, table in view.bound.items():
+            if table.number not in cut_tables:
+                cut_tables[table.number] = _cut_table(table, route, verdict)
+            bound[route] = cut_tables[table.number]
+        return ProxyView(bound, view.excluded, view.is_sent_away)
+
+
+def _cut_table(table: TableState, route: int, verdict: Verdict) -> TableState:
+    weights = dict(table.weights)
+    for step in verdict.steps[::2]:  # each endpoint in slow start has a first step of its own
+        for endpoint, weight in table.weights.items():
+            weights[endpoint] = min(weights[endpoint], step.weights[route].get(endpoint, weight))
+    cut = TableState(table.number, weights, table.limits)
+    cut.is_shared = True
+    return cut
+
+
+def records_of(verdict: Verdict) -> dict[str, Any]:
+    """Returns a verdict as the fields of its record."""
+    data = verdict.data()
+    for step in data["steps"]:
+        del step["lines"]  # too long for a record
+    return data
--- a/willowhook/trial/swaps.py
+++ b/willowhook/trial/swaps.py
@@ -21,8 +21,8 @@
 import trio
 
 from ..config.terms import Terms
-from ..controlplane.outlets import FileOutlet
 from ..controlplane.service import Service
+from ..controlplane.update_sinks import FileUpdateSink
 from ..decisions.events import (
     EndpointListLost,
     EndpointListReceived,
@@ -67,9 +67,11 @@
         host.schedule_evaluation(EVERY)
 
     def queue_estimate(self) -> float:
+        """Nothing is estimated: the comparison with the true queue is not of interest here."""
         return 0.0
 
     def learnt_capacities(self) -> dict[str, float]:
+        """No capacities are learnt."""
         return {}
 
     def handle(self, now: int, event: Event) -> None:
@@ -235,8 +237,8 @@
 
 
 def swaps_of(service: Service) -> int:
-    outlets = [reader.outlet for reader in service.publisher.readers.values()]
-    return sum(outlet.shelf.swaps for outlet in outlets if isinstance(outlet, FileOutlet))
+    sinks = [session.sink for session in service.publisher.sessions.values()]
+    return sum(sink.shelf.swaps for sink in sinks if isinstance(sink, FileUpdateSink))
 
 
 def swaps(folder: Path, count: int, readers: int, durability: str, say: Callable[[str], None]) -> SwapReport:
@@ -260,7 +262,7 @@
                 nursery.start_soon(stage.play, nursery)
                 while not stage.crews:
                     await trio.sleep(0.05)
-                    if stage.open_hosts() and not hasattr(service, "director"):
+                    if stage.open_hosts() and not hasattr(service, "controller"):
                         await nursery.start(service.run)
                 began = time.perf_counter()
                 others = [
