--- /dev/null
+++ b/willowhook/controlplane/update_sink_factory.py
@@ -0,0 +1,45 @@
+"""Makes the sink that takes the updates of a proxy that joins."""
+
+from __future__ import annotations
+
+from ..files.swap import Shelf
+from ..versions.core import Core
+from .context import ServiceContext
+from .discovery_feed import DiscoveryFeed
+from .proxy_events import ProxySessionOpened
+from .update_sinks import FileUpdateSink, UpdateSink
+
+
+class UpdateSinkFactory:
+    """Makes a folder of files or, for a proxy that calls, an entry of the discovery server."""
+
+    def __init__(
+        self,
+        context: ServiceContext,
+        shelf_type: type[Shelf],
+        core: Core,
+        discovery: DiscoveryFeed | None,
+    ) -> None:
+        """Takes what writes files, the resources, and the discovery server if there is one."""
+        self._context = context
+        self._shelf_type = shelf_type
+        self._core = core
+        self._discovery = discovery
+        self._count = 0  # of sessions: no two may name their versions of files alike
+
+    def make(self, session: ProxySessionOpened) -> UpdateSink:
+        """Makes the sink of a session. A folder that cannot be used is reported, and is tried again later."""
+        self._count += 1
+        if session.uses_discovery and self._discovery is not None:
+            return self._discovery.make_sink(session.proxy, session.name, session.held)
+        epoch = self._context.epoch
+        durability = self._context.terms.files.durability
+        path = f"{self._context.folder.down}/{session.name}"
+        shelf = self._shelf_type(path, self._context.ops, durability, f"{epoch}-{self._count}-")
+        try:
+            shelf.open()
+        except OSError as error:
+            self._context.conditions.report(
+                "disk", True, "files cannot be swapped", proxy=session.name, cause=str(error)
+            )
+        return FileUpdateSink(shelf, self._core, session.term, epoch, durability != "none")
--- a/willowhook/trial/herd.py
+++ b/willowhook/trial/herd.py
@@ -222,11 +222,11 @@
                 f"from willowhook.trial.herd import follow_all; follow_all({str(path)!r})",
             ]
             processes.append(subprocess.Popen(args))
-        web = service.web
+        web = service.discovery
         assert web is not None
         need = callers - len(slow)
         with trio.fail_after(120):
-            while len(web.front) < need or len(service.publisher.readers) < callers:
+            while len(web.front) < need or len(service.publisher.sessions) < callers:
                 await trio.sleep(0.05)
         report.joined_s = time.perf_counter() - began
         await trio.sleep(1.0)
@@ -260,7 +260,7 @@
     def bind(self, **_: Any) -> Silent:
         return self
 
-    def info(self, text: str, **parts: Any) -> None:
+    def info(self, text: str, /, **parts: Any) -> None:
         """Nobody reads it."""
 
     warning = info
