--- a/willowhook/platform/clock.py
+++ b/willowhook/platform/clock.py
@@ -11,7 +11,6 @@
     """A clock that never goes back; a step of the system's Unix clock does not move it."""
 
     def __init__(self) -> None:
-        """Reads the Unix time once."""
         self._monotonic_epoch_s = time.time() - time.monotonic()
 
     def now(self) -> int:
--- a/willowhook/platform/configuration_reload.py
+++ b/willowhook/platform/configuration_reload.py
@@ -16,10 +16,15 @@
 
 
 class ConfigurationReloader:
-    """Reads the configuration and applies it; one that stays unusable leaves the present one in force."""
+    """Reads the configuration and applies it; one that stays unusable leaves the present one in force.
+
+    Args:
+        read: the configuration as it stands then. Raises ConfigurationError.
+        apply: takes over what may change while the server runs.
+        write_log: writes a line of the log.
+    """
 
     def __init__(self, read: ReadConfiguration, apply: ApplyConfiguration, write_log: WriteLog) -> None:
-        """Takes how to read a configuration, and how to apply it."""
         self._read = read
         self._apply = apply
         self._write_log = write_log
--- a/willowhook/platform/connection.py
+++ b/willowhook/platform/connection.py
@@ -20,10 +20,13 @@
 class Connection:
     """A connection, from its acceptance to its close.
 
-    Attributes:
-        socket: not blocking.
+    Args:
+        sock: the accepted socket, which does not block; the connection closes it.
         accepted_at: in seconds of trio's clock.
         sequence_number: counts accepted connections; a later one has a higher number.
+
+    Attributes:
+        socket: as given, like the time and the number.
         proxy: the number of the proxy whose session it carries; None: it is no proxy's, or not identified.
         zone: of the collector that it belongs to; empty: it is no collector's, or not identified.
         is_open: whether it has not been closed on this side.
@@ -32,7 +35,6 @@
     """
 
     def __init__(self, sock: socket.socket, accepted_at: float, sequence_number: int) -> None:
-        """Takes over a socket that does not block."""
         self.socket = sock
         self.accepted_at = accepted_at
         self.sequence_number = sequence_number
--- a/willowhook/platform/connection_server.py
+++ b/willowhook/platform/connection_server.py
@@ -41,6 +41,12 @@
 class ConnectionServer:
     """Listens at the controller's address and owns the connections that it accepts.
 
+    Args:
+        address: where it listens, once it serves.
+        max_descriptors: the limit of the whole process.
+        handle_message: takes each message.
+        handle_close: takes each identified connection that was closed.
+
     Attributes:
         open_count: connections that are open.
         rejected_count: connections that were rejected, since the start.
@@ -53,7 +59,6 @@
         handle_message: MessageHandler,
         handle_close: CloseHandler,
     ) -> None:
-        """Does not listen yet; `max_descriptors` is the limit of the whole process."""
         self._address = address
         self._max_descriptors = max_descriptors
         self._handle_message = handle_message
--- a/willowhook/platform/control_loop.py
+++ b/willowhook/platform/control_loop.py
@@ -19,6 +19,12 @@
 class ControlLoop:
     """Hands events to the controller, and its updates to the proxies.
 
+    Args:
+        controller: takes the events and gives commands.
+        updates: collects the commands on proxies until the flush.
+        evaluations: collects the times of evaluations.
+        clock: tells the time of events and flushes.
+
     Attributes:
         longest_flush_ticks: the longest that evaluations and a flush have taken, since it was last reset.
     """
@@ -26,7 +32,6 @@
     def __init__(
         self, controller: Controller, updates: ProxyUpdates, evaluations: EvaluationTimer, clock: Clock
     ) -> None:
-        """Takes the controller and what its commands have been handed to."""
         self.longest_flush_ticks = 0
         self._controller = controller
         self._updates = updates
--- a/willowhook/platform/discovery_watch.py
+++ b/willowhook/platform/discovery_watch.py
@@ -27,20 +27,18 @@
 
 
 class DiscoveryWatch:
-    """Requests the endpoint list until cancelled; stops after a loss until it is told to resume.
+    """Requests the endpoint list until cancelled, once it is resumed; a loss pauses it.
+
+    Args:
+        address: of discovery.
+        handle_answer: takes an answer and returns the version of the list then. Raises FieldError.
+        handle_loss: takes the reason for which there was no answer, or none of use.
 
     Attributes:
         version: of the list that changes are requested for; None: the complete list is requested.
     """
 
     def __init__(self, address: Address, handle_answer: AnswerHandler, handle_loss: LossHandler) -> None:
-        """Takes its handlers; it starts when it is told to resume.
-
-        Args:
-            address: of discovery.
-            handle_answer: takes an answer and returns the version of the list then. Raises FieldError.
-            handle_loss: takes the reason for which there was no answer, or none of use.
-        """
         self.version: int | None = None
         self._address = address
         self._handle_answer = handle_answer
--- a/willowhook/platform/endpoint_list.py
+++ b/willowhook/platform/endpoint_list.py
@@ -53,7 +53,6 @@
     """
 
     def __init__(self) -> None:
-        """Starts with no list."""
         self.version: int | None = None
         self.malformed_entries = 0
         self._is_doubtful = False  # the last answer was a complete list that is older, or lacks endpoints
--- a/willowhook/platform/endpoint_list_feed.py
+++ b/willowhook/platform/endpoint_list_feed.py
@@ -10,10 +10,14 @@
 
 
 class EndpointListFeed:
-    """Submits the changes of the endpoint list, and logs when discovery is lost and when it recovers."""
+    """Submits the changes of the endpoint list, and logs when discovery is lost and when it recovers.
+
+    Args:
+        submit: takes the events.
+        write_log: writes a line of the log.
+    """
 
     def __init__(self, submit: SubmitEvent, write_log: WriteLog) -> None:
-        """Starts with no list."""
         self._submit = submit
         self._write_log = write_log
         self._decoder = EndpointListDecoder()
--- a/willowhook/platform/evaluation_timer.py
+++ b/willowhook/platform/evaluation_timer.py
@@ -11,7 +11,6 @@
     """Keeps the times that are to come, the earliest first."""
 
     def __init__(self, clock: Clock) -> None:
-        """Starts with no time."""
         self._clock = clock
         self._due_at: list[int] = []  # in ticks; a heap
 
--- a/willowhook/platform/framing.py
+++ b/willowhook/platform/framing.py
@@ -30,10 +30,12 @@
     """Decodes the byte stream of one connection into messages, however the network has split it.
 
     It buffers less than one message of `max_message_bytes`, which may be changed between two messages.
+
+    Args:
+        max_message_bytes: a longer message raises FramingError.
     """
 
     def __init__(self, max_message_bytes: int = MAX_MESSAGE_BYTES) -> None:
-        """Starts with an empty buffer."""
         self.max_message_bytes = max_message_bytes
         self._buffer = bytearray()
 
--- a/willowhook/platform/messages.py
+++ b/willowhook/platform/messages.py
@@ -65,10 +65,13 @@
 
 
 class MessageDecoder:
-    """Decodes messages and checks each field against the settings of the deployment."""
+    """Decodes messages and checks each field.
+
+    Args:
+        settings: tell the known zones, routes and proxy numbers.
+    """
 
     def __init__(self, settings: DeploymentSettings) -> None:
-        """Takes the known zones, routes and proxy numbers from the settings."""
         longest_deadline_ticks = max(route.deadline_ticks for route in settings.routes)
         self._zones = frozenset(settings.zones)
         self._routes = frozenset(route.name for route in settings.routes)
--- a/willowhook/platform/proxy_sessions.py
+++ b/willowhook/platform/proxy_sessions.py
@@ -24,6 +24,12 @@
 class ProxySessions:
     """Knows which connection belongs to which proxy.
 
+    Args:
+        configuration: of the controller.
+        submit: takes the events that come from the messages.
+        wake: is called when a collector joins, which is no event.
+        write_log: writes a line of the log.
+
     Attributes:
         connections: the server of all connections.
         updates: what each proxy has been sent.
@@ -37,14 +43,6 @@
         wake: Callable[[], None],
         write_log: WriteLog,
     ) -> None:
-        """Takes what it reports to.
-
-        Args:
-            configuration: of the controller.
-            submit: takes the events that come from the messages.
-            wake: is called when a collector joins, which is no event.
-            write_log: writes a line of the log.
-        """
         self.connections = ConnectionServer(
             configuration.listen, configuration.max_descriptors, self._handle_message, self._handle_close
         )
--- a/willowhook/platform/proxy_updates.py
+++ b/willowhook/platform/proxy_updates.py
@@ -95,10 +95,13 @@
     """The part of `ControllerRuntime` that concerns tables and proxies.
 
     Commands for a proxy without a session are ignored: it has left.
+
+    Args:
+        settings: name the routes.
+        send: takes each message; it may close this or another session.
     """
 
     def __init__(self, settings: DeploymentSettings, send: SendUpdate) -> None:
-        """Hands each message to `send`, which may close this or another session."""
         self._encoder = UpdateEncoder(settings)
         self._send = send
         self._tables: dict[int, TableState] = {}
--- a/willowhook/platform/runtime.py
+++ b/willowhook/platform/runtime.py
@@ -22,7 +22,6 @@
         evaluations: EvaluationTimer,
         write_log: WriteLog,
     ) -> None:
-        """Takes the components."""
         self._updates = updates
         self._discovery = discovery
         self._evaluations = evaluations
--- a/willowhook/platform/server.py
+++ b/willowhook/platform/server.py
@@ -28,18 +28,17 @@
 
 
 class PlatformServer:
-    """Builds the components of a server and connects them."""
+    """Builds the components of a server and connects them; nothing listens before it runs.
+
+    Args:
+        configuration: of the controller.
+        read_again: reads the configuration as it stands then. Raises ConfigurationError.
+        write_log: writes a line of the log.
+    """
 
     def __init__(
         self, configuration: ControllerConfiguration, read_again: ReadConfiguration, write_log: WriteLog
     ) -> None:
-        """Builds all components; nothing listens yet.
-
-        Args:
-            configuration: of the controller.
-            read_again: reads the configuration as it stands then. Raises ConfigurationError.
-            write_log: writes a line of the log.
-        """
         # the protocol has no health checks, and exclusions outlive sessions there
         settings = replace(configuration.settings, health_checks=False, exclusions_outlive_sessions=True)
         configuration = replace(configuration, settings=settings)
--- a/willowhook/platform/update_encoder.py
+++ b/willowhook/platform/update_encoder.py
@@ -28,10 +28,13 @@
 
 
 class UpdateEncoder:
-    """Encodes parts of messages; it keeps nothing of them."""
+    """Encodes parts of messages; it keeps nothing of them.
+
+    Args:
+        settings: name the routes.
+    """
 
     def __init__(self, settings: DeploymentSettings) -> None:
-        """Takes the names of the routes from the settings."""
         self._route_names = [route.name for route in settings.routes]
 
     def encode_table(
--- a/willowhook/web/wire.py
+++ b/willowhook/web/wire.py
@@ -21,12 +21,15 @@
 class Broken(WillowhookError):
     """The connection ended or spoke no HTTP.
 
+    Args:
+        text: what happened.
+        sent: as the attribute.
+
     Attributes:
         sent: whether the call may have reached the other side.
     """
 
     def __init__(self, text: str, sent: bool) -> None:
-        """Takes what happened, and whether the call may have reached the other side."""
         super().__init__(text)
         self.sent = sent
 
@@ -65,12 +68,15 @@
 class Caller:
     """Makes calls, one after the other. After `Broken` or a cancelled call it is of no more use.
 
+    Args:
+        stream: the connection, which the caller closes.
+        host: the value of the Host header.
+
     Attributes:
         usable: whether another call can be made on this connection.
     """
 
     def __init__(self, stream: trio.abc.Stream, host: bytes) -> None:
-        """Takes over a stream; `host` is the value of the Host header."""
         self._stream = stream
         self._host = host
         self._wire = h11.Connection(h11.CLIENT)
