--- a/willowhook/controlplane/load_recorder.py
+++ b/willowhook/controlplane/load_recorder.py
@@ -63,7 +63,7 @@
         by_endpoint = self._aggregate(now, member.zone, event.sample)
         attempts = sum(each.attempts for each in by_endpoint.values())
         failures = sum(each.failures for each in by_endpoint.values())
-        self._publisher.rollout.met(now, event.proxy, round(attempts), round(failures))
+        self._publisher.rollout.record_requests(now, event.proxy, round(attempts), round(failures))
         for endpoint, met in by_endpoint.items():
             self._record_endpoint(now, event.proxy, member.zone, endpoint, met)
 
--- a/willowhook/controlplane/proxy_session.py
+++ b/willowhook/controlplane/proxy_session.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from ..versions.rollout import Content, Unit
+from ..versions.rollout_track import Content, Unit
 from .proxy_resources import ProxyResources
 from .proxy_state import UpdateMessage
 from .update_sinks import UpdateSink
--- a/willowhook/controlplane/publisher.py
+++ b/willowhook/controlplane/publisher.py
@@ -29,7 +29,7 @@
 from .proxy_state import ProxyStateBook, UpdateMessage
 from .publisher_listener import PublisherListener
 from .resource_renderer import ResourceRenderer
-from .table_rollout import TableRollout, rollout_terms
+from .table_rollout import TableRollout, rollout_settings
 from .update_queue import UpdateQueue
 from .update_validator import UpdateValidator
 from .update_writer import UpdateWriter
@@ -69,7 +69,7 @@
         self._queue = UpdateQueue(settings.channel, proxy_states, self._registry, listener, records)
         self._validator = _make_validator(terms, settings, epoch, self._registry, listener, records, log)
         self._table_rollout = TableRollout(
-            rollout_terms(terms.rollout),
+            rollout_settings(terms.rollout),
             settings.channel,
             self._queue,
             self._registry,
@@ -160,7 +160,7 @@
                 await self._retry_writes(now)
             self._queue.put_held_messages(now)
             await self._writer.rewrite_unacknowledged(now)
-            self.rollout.look(now)
+            self.rollout.evaluate(now)
             self._table_rollout.queue_resends(now)
             self._woken = trio.Event()
             with trio.move_on_after(max(self._wait_ticks(now), 0) / TICKS_PER_SECOND):
--- a/willowhook/controlplane/table_rollout.py
+++ b/willowhook/controlplane/table_rollout.py
@@ -10,13 +10,14 @@
 from dataclasses import replace
 from typing import Any, NamedTuple
 
-from ..config.terms import RolloutTerms as RolloutConfiguration
+from ..config.terms import RolloutTerms
 from ..decisions.settings import ChannelSettings
 from ..decisions.update_cost import message_overhead
 from ..records.writer import Records
 from ..ticks import ticks_from_milliseconds
 from ..versions.core import Resource
-from ..versions.rollout import GO, Content, Rollout, RolloutTerms, Unit
+from ..versions.rollout import Rollout, RolloutMode, RolloutSettings
+from ..versions.rollout_track import Content, Unit
 from .proxy_session import Contents, ProxySession, RolloutContent, SessionRegistry
 from .proxy_state import ProxyView, TableState, UpdateMessage
 from .publisher_listener import PublisherListener
@@ -33,16 +34,16 @@
     return ("t", number)
 
 
-def rollout_terms(configuration: RolloutConfiguration) -> RolloutTerms:
-    """Returns the terms of the rollout, in ticks."""
-    return RolloutTerms(
-        configuration.mode,
-        configuration.refuse_share,
-        configuration.refuse_least,
-        configuration.canary_share,
-        ticks_from_milliseconds(configuration.settle_ms),
-        ticks_from_milliseconds(configuration.patience_ms),
-        configuration.worse_share,
+def rollout_settings(terms: RolloutTerms) -> RolloutSettings:
+    """Returns the settings of the rollout from those of the configuration."""
+    return RolloutSettings(
+        mode=RolloutMode(terms.mode),
+        max_rejected_fraction=terms.refuse_share,
+        min_rejections=terms.refuse_least,
+        canary_fraction=terms.canary_share,
+        settle_ticks=ticks_from_milliseconds(terms.settle_ms),
+        canary_patience_ticks=ticks_from_milliseconds(terms.patience_ms),
+        max_failure_increase=terms.worse_share,
     )
 
 
@@ -66,7 +67,7 @@
 
     def __init__(
         self,
-        terms: RolloutTerms,
+        settings: RolloutSettings,
         channel_settings: ChannelSettings,
         queue: UpdateQueue,
         sessions: SessionRegistry,
@@ -76,7 +77,7 @@
         wake: Callable[[], None],
     ) -> None:
         """`queue` takes what is sent again; `wake` is called when there is something to send."""
-        self.rollout = Rollout(terms, self)
+        self.rollout = Rollout(settings, self)
         self._message_overhead = message_overhead(channel_settings)
         self._queue = queue
         self._sessions = sessions
@@ -108,8 +109,8 @@
         self, now: int, session: ProxySession, table: TableState, view: ProxyView
     ) -> tuple[TableState, Content]:
         unit = table_unit(table.number)
-        decision, content = self.rollout.choose(now, session.number, unit, table.version)
-        if decision != GO and content is not None and content in self._tables:
+        content = self.rollout.choose(now, session.number, unit, table.version)
+        if content is not None and content != table.version and content in self._tables:
             substitute = self._make_usable(self._tables[content], table, view)
             if substitute is not None:
                 return substitute, content
@@ -142,12 +143,12 @@
 
     # The rollout's decisions.
 
-    def halted(self, unit: Unit, bad: Content, good: Content | None, why: str) -> None:
+    def handle_halted(self, unit: Unit, bad: Content, good: Content | None, cause: str) -> None:
         """Takes a content back from the proxies that run it."""
-        cause = why[:MAX_CAUSE_LENGTH]
-        self._log.warning("rollout halted", unit=str(unit), content=bad, rollback_to=good, cause=cause)
+        shortened = cause[:MAX_CAUSE_LENGTH]
+        self._log.warning("rollout halted", unit=str(unit), content=bad, rollback_to=good, cause=shortened)
         now = self._listener.now()
-        self._records.note(now, "halted", unit=str(unit), content=bad, good=good, why=cause)
+        self._records.note(now, "halted", unit=str(unit), content=bad, good=good, why=shortened)
         resource = self._rejected.get((unit, bad))
         if resource is not None:
             count = self._ban(resource)
@@ -158,7 +159,7 @@
         self._records.note(now, "rollback", unit=str(unit), content=bad, readers=count)
         self._wake()
 
-    def released(self, unit: Unit) -> None:
+    def handle_released(self, unit: Unit) -> None:
         """Sends proxies that were given another content what was ordered."""
         self._records.note(self._listener.now(), "released", unit=str(unit))
         for session in self._sessions.by_number.values():
@@ -185,7 +186,7 @@
 
     def remove_proxy(self, proxy: int) -> None:
         """Forgets a proxy that has left."""
-        self.rollout.left(proxy)
+        self.rollout.remove_proxy(proxy)
         self._resend.pop(proxy, None)
 
     def queue_resends(self, now: int) -> None:
@@ -207,23 +208,23 @@
     def record_sent(self, now: int, proxy: int, contents: Contents) -> None:
         """Notes that contents go out to a proxy."""
         for unit, content in contents:
-            self.rollout.offered(now, proxy, unit, content)
+            self.rollout.record_offered(now, proxy, unit, content)
 
     def record_acknowledged(self, now: int, proxy: int, contents: Contents) -> None:
         """Notes that a proxy has applied contents."""
         for unit, content in contents:
-            self.rollout.took(now, proxy, unit, content)
+            self.rollout.record_acknowledged(now, proxy, unit, content)
 
     def record_rejected(self, now: int, proxy: int, contents: Contents, cause: str) -> None:
         """Notes that a proxy has rejected contents."""
         for unit, content in contents:
-            self.rollout.refused(now, proxy, unit, content, cause)
+            self.rollout.record_rejected(now, proxy, unit, content, cause)
 
     def record_resource_acknowledged(self, now: int, proxy: int, resource: Resource) -> None:
         """Notes that a proxy has applied a cluster or a route set, which is a unit by itself."""
         unit = (resource.kind, resource.name)
-        self.rollout.offered(now, proxy, unit, resource.version)
-        self.rollout.took(now, proxy, unit, resource.version)
+        self.rollout.record_offered(now, proxy, unit, resource.version)
+        self.rollout.record_acknowledged(now, proxy, unit, resource.version)
 
     def record_resource_rejected(self, now: int, proxy: int, resource: Resource, cause: str) -> None:
         """Notes that a proxy has rejected a cluster or a route set, which is a unit by itself."""
@@ -231,5 +232,5 @@
         self._rejected[unit, resource.version] = resource
         if len(self._rejected) > MAX_REJECTED_RESOURCES:
             del self._rejected[next(iter(self._rejected))]
-        self.rollout.offered(now, proxy, unit, resource.version)
-        self.rollout.refused(now, proxy, unit, resource.version, cause)
+        self.rollout.record_offered(now, proxy, unit, resource.version)
+        self.rollout.record_rejected(now, proxy, unit, resource.version, cause)
--- a/willowhook/versions/rollout.py
+++ b/willowhook/versions/rollout.py
@@ -1,268 +1,281 @@
-"""Whether a content may go out to more proxies: it stops where many refuse it, and the next one goes to few
-first.
-
-A *unit* is what has one content at a time (a table, the routes); a *content* is any version of it.  As long
-as nothing is refused a unit is trusted and every content goes out as the channel brings it: a table that is
-tuned twice a second, or that takes a dead host out, must not wait for anybody.  When a content is refused
-by more than the stated share it is stopped, those who run it go back to the last that was good everywhere,
-and the unit is doubted: what comes next goes to a few (the canaries, among them some who refused) until
-they have taken it and their calls have gone no worse than others'.  Staged from the start on, if the
-configuration says so.
+"""Staged rollout: a content that many proxies reject is halted, and the next one goes to a few first.
+
+As long as nothing is rejected a unit is trusted, and every content goes out as the channel brings it: a table
+whose weights change twice a second, or that excludes a dead endpoint, must not wait for anybody. When more
+than a stated fraction of the proxies rejects a content it is halted, those who run it go back to the last
+content that was good everywhere, and the unit is staged: what comes next goes to the canaries, among them
+some who rejected, until they have applied it and their requests have gone no worse than those of others.
+The configuration may have every content staged.
 """
 
 from __future__ import annotations
 
 import math
-from collections.abc import Hashable
-from dataclasses import dataclass, field
+from dataclasses import dataclass
+from enum import StrEnum
 from typing import Protocol
 
 import xxhash
 
 from ..decisions.windows import WindowedSums
+from ..ticks import TICKS_PER_SECOND
+from .rollout_track import Content, ContentState, Unit, UnitTrack
 
-SECOND = 10_000
-KEPT = 16  # contents of a unit that are remembered
-GO, BACK = "go", "back"
-Unit = Hashable
-Content = int | str
+MAX_REJECTING_CANARIES = 2  # among the canaries, of those who rejected before
+REQUEST_WINDOW_SECONDS = 10  # of which requests are remembered
+
+
+class RolloutMode(StrEnum):
+    """When contents are staged. The values are those of the configuration."""
+
+    AFTER_REJECTION = "after_refusal"
+    ALWAYS = "always"
+    NEVER = "never"
 
 
 @dataclass(frozen=True, slots=True)
-class RolloutTerms:
-    mode: str = "after_refusal"  # or always, never
-    refuse_share: float = 0.03  # of those who answered; more stops a content
-    refuse_least: int = 2
-    canary_share: float = 0.05
-    settle: int = 2 * SECOND  # canaries run a content for so long before the others get it
-    patience: int = 15 * SECOND  # with no answers from canaries the others get it then
-    worse: float = 0.05  # how much larger a share of calls may fail at canaries than at others
-    least_tries: int = 20  # by fewer, calls tell nothing
+class RolloutSettings:
+    """The limits of a rollout.
 
+    Attributes:
+        mode: when contents are staged.
+        max_rejected_fraction: of the proxies that answered; more halt a content.
+        min_rejections: fewer never halt a content, except by a canary.
+        canary_fraction: of the proxies that use a unit, how many are canaries.
+        settle_ticks: for so long canaries run a content before the others get it.
+        canary_patience_ticks: after so long without an answer of a canary the others get it.
+        max_failure_increase: how much larger a fraction of attempts may fail at canaries than at others.
+        min_attempts: by fewer, failures tell nothing.
+    """
 
-class Host(Protocol):
-    def halted(self, unit: Unit, bad: Content, good: Content | None, why: str) -> None:
-        """Who runs `bad` is to go back to `good`."""
+    mode: RolloutMode = RolloutMode.AFTER_REJECTION
+    max_rejected_fraction: float = 0.03
+    min_rejections: int = 2
+    canary_fraction: float = 0.05
+    settle_ticks: int = 2 * TICKS_PER_SECOND
+    canary_patience_ticks: int = 15 * TICKS_PER_SECOND
+    max_failure_increase: float = 0.05
+    min_attempts: int = 20
 
-    def released(self, unit: Unit) -> None:
-        """The newest content may go to all."""
 
+class RolloutListener(Protocol):
+    """Who carries out the decisions of a rollout."""
 
-@dataclass(slots=True)
-class Answers:
-    """Of one content."""
+    def handle_halted(self, unit: Unit, bad: Content, good: Content | None, cause: str) -> None:
+        """Takes `bad` back from the proxies that run it; they get `good`, if there is such a content."""
 
-    order: int
-    offered: dict[int, int] = field(default_factory=dict)  # by proxy, when
-    took: dict[int, int] = field(default_factory=dict)
-    refused: dict[int, str] = field(default_factory=dict)  # why
-    open: dict[int, None] = field(default_factory=dict)  # offered, not answered, and nothing later offered
-    runs: int = 0  # proxies to which it is what was offered last
+    def handle_released(self, unit: Unit) -> None:
+        """Gives the newest content to all proxies."""
 
 
-@dataclass(slots=True)
-class Track:
-    """Of one unit."""
+@dataclass(frozen=True, slots=True)
+class _Attempts:
+    """Attempts of a group of proxies within a window, and how many of them failed."""
 
-    contents: dict[Content, Answers] = field(default_factory=dict)
-    users: dict[int, Content] = field(default_factory=dict)  # by proxy the content offered last
-    good: Content | None = None
-    banned: dict[Content, str] = field(default_factory=dict)
-    doubted: bool = False
-    canaries: dict[int, None] = field(default_factory=dict)
-    since: int = 0  # of this stage
-    answered_at: int = -1  # by a canary, first
-    stages: int = 0
-    released: Content | None = None  # in mode always: what all may have
+    count: float
+    failures: float
 
 
 class Rollout:
-    def __init__(self, terms: RolloutTerms, host: Host) -> None:
-        self._terms, self._host = terms, host
-        self.tracks: dict[Unit, Track] = {}
-        self._met: dict[int, WindowedSums] = {}  # by proxy: tries, errors
-        self._count = 0
-
-    # What may go out.
-
-    def choose(self, now: int, proxy: int, unit: Unit, content: Content) -> tuple[str, Content | None]:
-        """`(GO, content)`, or `(BACK, another)` that is to go in its place: None if there is none."""
-        if self._terms.mode == "never":
-            return GO, content
-        track = self.tracks.get(unit)
-        if track is None:
-            track = self.tracks[unit] = Track()
-        if content in track.banned:
-            return BACK, track.good
-        new = track.good is not None and content not in (track.good, track.released)
-        if self._terms.mode == "always" and new and not track.doubted:
-            self._begin(now, track, unit)
-        if not track.doubted or track.good is None or content == track.good:
-            return GO, content
-        if proxy in track.canaries:
-            return GO, content
-        return BACK, track.good
-
-    def _begin(self, now: int, track: Track, unit: Unit) -> None:
-        """A stage: few proxies get what is new, some of those who refused among them."""
-        track.doubted, track.since, track.answered_at = True, now, -1
-        track.stages += 1
-        users = list(track.users)
-        count = max(1, math.ceil(self._terms.canary_share * len(users)))
-        by_lot = sorted(users, key=lambda proxy: xxhash.xxh64_intdigest(f"{unit} {track.stages} {proxy}"))
-        refusers = [proxy for answers in track.contents.values() for proxy in answers.refused]
-        chosen = [*dict.fromkeys(refusers[-2:]), *by_lot]
-        track.canaries = dict.fromkeys(chosen[: max(count, min(len(refusers), 2) + 1)])
+    """Decides which content of a unit may go to which proxy.
+
+    Attributes:
+        tracks: the state of each unit.
+    """
+
+    def __init__(self, settings: RolloutSettings, listener: RolloutListener) -> None:
+        """`listener` is called from within the `record_` methods and `evaluate`."""
+        self.tracks: dict[Unit, UnitTrack] = {}
+        self._settings = settings
+        self._listener = listener
+        self._requests: dict[int, WindowedSums] = {}  # by proxy: attempts, failures
+        self._content_count = 0
+
+    def choose(self, now: int, proxy: int, unit: Unit, content: Content) -> Content | None:
+        """Returns the content that may go to a proxy in place of the one that was ordered.
+
+        Most often that is the ordered one itself. None if there is none that may go.
+        """
+        settings = self._settings
+        if settings.mode is RolloutMode.NEVER:
+            return content
+        track = self._track(unit)
+        if content in track.halted:
+            return track.good
+        is_new = track.good is not None and content not in (track.good, track.released)
+        if settings.mode is RolloutMode.ALWAYS and is_new and not track.is_staged:
+            self._begin_stage(now, track, unit)
+        if not track.is_staged or track.good is None or content == track.good:
+            return content
+        return content if proxy in track.canaries else track.good
 
     # What happens.
 
-    def offered(self, now: int, proxy: int, unit: Unit, content: Content) -> None:
-        """It goes out to this proxy."""
-        track = self.tracks.get(unit)
-        if track is None:
-            track = self.tracks[unit] = Track()
-        answers = track.contents.get(content)
-        if answers is None:
-            self._count += 1
-            answers = track.contents[content] = Answers(self._count)
-            self._forget(track)
-        last = track.users.get(proxy)
+    def record_offered(self, now: int, proxy: int, unit: Unit, content: Content) -> None:
+        """Notes that a content goes out to a proxy."""
+        track = self._track(unit)
+        state = track.contents.get(content)
+        if state is None:
+            self._content_count += 1
+            state = track.add_content(content, self._content_count)
+        last = track.current.get(proxy)
         if last != content:
-            before = track.contents.get(last) if last is not None else None
+            before = track.leave_current(proxy)
             if before is not None:
-                before.runs -= 1
-                before.open.pop(proxy, None)
-                self._look_good(track, last, before)
-            answers.runs += 1
-        if proxy not in answers.took and proxy not in answers.refused:
-            answers.open[proxy] = None
-        answers.offered[proxy] = now
-        track.users[proxy] = content
-
-    def took(self, now: int, proxy: int, unit: Unit, content: Content) -> None:
+                self._update_good(track, last, before)
+            state.current_count += 1
+        if proxy not in state.acknowledged and proxy not in state.rejected:
+            state.awaiting.add(proxy)
+        track.current[proxy] = content
+
+    def record_acknowledged(self, now: int, proxy: int, unit: Unit, content: Content) -> None:
+        """Notes that a proxy has applied a content."""
         track = self.tracks.get(unit)
-        answers = track.contents.get(content) if track is not None else None
-        if track is None or answers is None or content in track.banned:
+        state = track.contents.get(content) if track is not None else None
+        if track is None or state is None or content in track.halted:
             return
-        answers.took[proxy] = now
-        answers.refused.pop(proxy, None)
-        if track.doubted and proxy in track.canaries and track.answered_at < 0 and content != track.good:
-            track.answered_at = now
-        answers.open.pop(proxy, None)
-        self._look_good(track, content, answers)
-
-    def _look_good(self, track: Track, content: Content | None, answers: Answers) -> None:
-        """It is good everywhere if all to whom it went took it, but for a few, and all have got so far."""
-        newest = track.contents.get(track.good) if track.good is not None else None
-        if content is None or content in track.banned or answers.open or not answers.took:
+        state.acknowledged.add(proxy)
+        state.rejected.pop(proxy, None)
+        is_canary = track.is_staged and proxy in track.canaries
+        if is_canary and track.canary_answered_at is None and content != track.good:
+            track.canary_answered_at = now
+        state.awaiting.discard(proxy)
+        self._update_good(track, content, state)
+
+    def record_rejected(self, now: int, proxy: int, unit: Unit, content: Content, cause: str) -> None:
+        """Notes that a proxy has rejected a content; may halt it."""
+        track = self.tracks.get(unit)
+        state = track.contents.get(content) if track is not None else None
+        if track is None or state is None:
             return
-        if newest is not None and newest.order >= answers.order:
+        state.rejected[proxy] = cause
+        state.acknowledged.discard(proxy)
+        state.awaiting.discard(proxy)
+        if content in track.halted or self._settings.mode is RolloutMode.NEVER:
             return
-        behind = any(each.runs > 0 and each.order < answers.order for each in track.contents.values())
-        if not behind and not self._too_many(answers):
-            track.good = content
+        if track.is_staged and proxy in track.canaries:
+            self._halt(now, unit, track, content, f"a canary refused it: {cause}")
+        elif self._has_too_many_rejections(state):
+            counts = f"{len(state.rejected)} of {state.answer_count}"
+            self._halt(now, unit, track, content, f"{counts} refused it: {cause}")
+
+    def record_requests(self, now: int, proxy: int, attempts: int, failures: int) -> None:
+        """Takes what a proxy met with its requests, since it last reported."""
+        sums = self._requests.get(proxy)
+        if sums is None:
+            sums = self._requests[proxy] = WindowedSums(TICKS_PER_SECOND, REQUEST_WINDOW_SECONDS, 2)
+        sums.add(now, attempts, failures)
+
+    def remove_proxy(self, proxy: int) -> None:
+        """Forgets a proxy that has left."""
+        self._requests.pop(proxy, None)
+        for track in self.tracks.values():
+            track.remove_proxy(proxy)
 
-    def _too_many(self, answers: Answers) -> bool:
-        count, terms = len(answers.refused), self._terms
-        asked = count + len(answers.took)
-        return count >= terms.refuse_least and count > terms.refuse_share * asked
+    # Stages.
 
-    def refused(self, now: int, proxy: int, unit: Unit, content: Content, error: str) -> None:
+    def evaluate(self, now: int) -> None:
+        """Ends stages whose canaries have shown enough; to be called some times a second."""
+        for unit, track in list(self.tracks.items()):
+            if track.is_staged:
+                self._evaluate_stage(now, unit, track)
+
+    def _evaluate_stage(self, now: int, unit: Unit, track: UnitTrack) -> None:
+        if track.canary_answered_at is None:
+            # canaries that do not answer must not hold up all others
+            waited = now - track.stage_began_at
+            if waited >= self._settings.canary_patience_ticks or not track.canaries:
+                self._release(unit, track)
+            return
+        if now - track.canary_answered_at < self._settings.settle_ticks:
+            return
+        cause = self._compare_failures(now, track)
+        newest = track.newest
+        if cause and newest is not None and newest != track.good:
+            self._halt(now, unit, track, newest, cause)
+        else:
+            self._release(unit, track)
+
+    def _begin_stage(self, now: int, track: UnitTrack, unit: Unit) -> None:
+        track.is_staged = True
+        track.stage_began_at = now
+        track.canary_answered_at = None
+        track.stage_count += 1
+        track.canaries = self._choose_canaries(track, unit)
+
+    def _choose_canaries(self, track: UnitTrack, unit: Unit) -> dict[int, None]:
+        """Some of those who rejected, then proxies by lot, another lot in each stage."""
+        users = list(track.current)
+        count = max(1, math.ceil(self._settings.canary_fraction * len(users)))
+        by_lot = sorted(
+            users, key=lambda proxy: xxhash.xxh64_intdigest(f"{unit} {track.stage_count} {proxy}")
+        )
+        rejecting = track.rejecting_proxies()
+        chosen = [*dict.fromkeys(rejecting[-MAX_REJECTING_CANARIES:]), *by_lot]
+        count = max(count, min(len(rejecting), MAX_REJECTING_CANARIES) + 1)
+        return dict.fromkeys(chosen[:count])
+
+    def _halt(self, now: int, unit: Unit, track: UnitTrack, content: Content, cause: str) -> None:
+        track.halt(content, cause)
+        self._begin_stage(now, track, unit)
+        self._listener.handle_halted(unit, content, track.good, cause)
+
+    def _release(self, unit: Unit, track: UnitTrack) -> None:
+        track.is_staged = False
+        track.canaries = {}
+        track.released = track.newest
+        self._listener.handle_released(unit)
+
+    # Judgement.
+
+    def _track(self, unit: Unit) -> UnitTrack:
         track = self.tracks.get(unit)
-        answers = track.contents.get(content) if track is not None else None
-        if track is None or answers is None:
+        if track is None:
+            track = self.tracks[unit] = UnitTrack()
+        return track
+
+    def _update_good(self, track: UnitTrack, content: Content | None, state: ContentState) -> None:
+        """Takes a content for good everywhere, if all but a few applied it, and all have got so far."""
+        if content is None or content in track.halted or state.awaiting or not state.acknowledged:
             return
-        answers.refused[proxy] = error
-        answers.took.pop(proxy, None)
-        answers.open.pop(proxy, None)
-        if content in track.banned or self._terms.mode == "never":
+        good = track.contents.get(track.good) if track.good is not None else None
+        if good is not None and good.order >= state.order:
             return
-        if track.doubted and proxy in track.canaries:
-            self._halt(now, unit, track, content, f"a canary refused it: {error}")
-        elif self._too_many(answers):
-            asked = len(answers.refused) + len(answers.took)
-            self._halt(now, unit, track, content, f"{len(answers.refused)} of {asked} refused it: {error}")
-
-    def _halt(self, now: int, unit: Unit, track: Track, content: Content, why: str) -> None:
-        track.banned[content] = why
-        if len(track.banned) > KEPT:
-            del track.banned[next(iter(track.banned))]
-        if track.good == content:
-            track.good = None
-        self._begin(now, track, unit)
-        self._host.halted(unit, content, track.good, why)
-
-    def met(self, now: int, proxy: int, tries: int, errors: int) -> None:
-        """Calls of this proxy, by its sums."""
-        ring = self._met.get(proxy)
-        if ring is None:
-            ring = self._met[proxy] = WindowedSums(SECOND, 10, 2)
-        ring.add(now, tries, errors)
-
-    def left(self, proxy: int) -> None:
-        self._met.pop(proxy, None)
-        for track in self.tracks.values():
-            last = track.users.pop(proxy, None)
-            if last in track.contents:
-                track.contents[last].runs -= 1
-            track.canaries.pop(proxy, None)
-            for answers in track.contents.values():
-                for book in (answers.offered, answers.took, answers.open):
-                    book.pop(proxy, None)
-
-    def look(self, now: int) -> None:
-        """Whether canaries have shown enough; to be called some times a second."""
-        for unit, track in list(self.tracks.items()):
-            if not track.doubted:
-                continue
-            if track.answered_at < 0:
-                if now - track.since >= self._terms.patience or not track.canaries:
-                    self._release(unit, track)  # nobody answers: the way of before staged roll-out
-                continue
-            if now - track.answered_at < self._terms.settle:
-                continue
-            worse = self._worse(now, track)
-            newest = self._newest(track)
-            if worse and newest is not None and newest != track.good:
-                self._halt(now, unit, track, newest, worse)
-            else:
-                self._release(unit, track)
+        is_behind = any(
+            other.current_count > 0 and other.order < state.order for other in track.contents.values()
+        )
+        if not is_behind and not self._has_too_many_rejections(state):
+            track.good = content
 
-    def _release(self, unit: Unit, track: Track) -> None:
-        track.doubted, track.canaries = False, {}
-        track.released = self._newest(track)
-        self._host.released(unit)
-
-    @staticmethod
-    def _newest(track: Track) -> Content | None:
-        rows = [(a.order, content) for content, a in track.contents.items() if content not in track.banned]
-        return max(rows, key=lambda row: row[0])[1] if rows else None
-
-    def _worse(self, now: int, track: Track) -> str:
-        """How much worse calls go at canaries than at others, if they do."""
-        sums = {True: [0.0, 0.0], False: [0.0, 0.0]}
-        span = max(1, min(10, self._terms.settle // SECOND))
-        for proxy in track.users:
-            ring = self._met.get(proxy)
-            if ring is not None:
-                tries, errors = ring.total(now, span)
-                sums[proxy in track.canaries][0] += tries
-                sums[proxy in track.canaries][1] += errors
-        (tries, errors), (rest, rest_errors) = sums[True], sums[False]
-        if tries < self._terms.least_tries or rest < self._terms.least_tries:
+    def _has_too_many_rejections(self, state: ContentState) -> bool:
+        count = len(state.rejected)
+        limit = self._settings.max_rejected_fraction * state.answer_count
+        return count >= self._settings.min_rejections and count > limit
+
+    def _compare_failures(self, now: int, track: UnitTrack) -> str:
+        """Says how much worse requests go at canaries than at others; empty if they do not."""
+        canaries = self._attempts(now, [proxy for proxy in track.current if proxy in track.canaries])
+        others = self._attempts(now, [proxy for proxy in track.current if proxy not in track.canaries])
+        if min(canaries.count, others.count) < self._settings.min_attempts:
             return ""
-        share, usual = errors / tries, rest_errors / rest
-        if share <= usual + self._terms.worse:
+        fraction = canaries.failures / canaries.count
+        usual = others.failures / others.count
+        if fraction <= usual + self._settings.max_failure_increase:
             return ""
-        return f"{share:.1%} of {tries:.0f} tries failed at canaries, {usual:.1%} of {rest:.0f} elsewhere"
-
-    @staticmethod
-    def _forget(track: Track) -> None:
-        """Contents of long ago; never the good one, nor what somebody runs."""
-        if len(track.contents) <= KEPT:
-            return
-        for content, answers in list(track.contents.items()):
-            if len(track.contents) <= KEPT:
-                return
-            if content != track.good and not answers.runs and content not in track.banned:
-                del track.contents[content]
+        return (
+            f"{fraction:.1%} of {canaries.count:.0f} tries failed at canaries,"
+            f" {usual:.1%} of {others.count:.0f} elsewhere"
+        )
+
+    def _attempts(self, now: int, proxies: list[int]) -> _Attempts:
+        """What these proxies met since canaries run the content, as far as it is remembered."""
+        seconds = max(1, min(REQUEST_WINDOW_SECONDS, self._settings.settle_ticks // TICKS_PER_SECOND))
+        count = 0.0
+        failures = 0.0
+        for proxy in proxies:
+            sums = self._requests.get(proxy)
+            if sums is not None:
+                attempted, failed = sums.total(now, seconds)
+                count += attempted
+                failures += failed
+        return _Attempts(count, failures)
