--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -16,7 +16,7 @@
 import msgspec
 import zstandard
 
-from willowhook.versions.core import Core, Part, first_era
+from willowhook.versions.resources import ResourceSet, ResourceStore, first_era
 from willowhook.xds import forms, tables
 from willowhook.xds.codec import encode, response
 
@@ -38,11 +38,13 @@
     return statistics.median(times) * 1000
 
 
-def whole(part: Part) -> bytes:
-    return response(part.version, forms.ASSIGNMENT, part.version, [row.body for row in part.rows.values()])
+def whole(part: ResourceSet) -> bytes:
+    return response(
+        part.version, forms.ASSIGNMENT, part.version, [row.body for row in part.resources.values()]
+    )
 
 
-def difference(core: Core, old: Part, new: Part) -> bytes:
+def difference(core: ResourceStore, old: ResourceSet, new: ResourceSet) -> bytes:
     delta = core.delta(old, new)
     changed = [forms.Resource(row.name, row.version, msgspec.Raw(row.body)) for row in delta.changed]
     return encode(
@@ -52,7 +54,7 @@
     )
 
 
-def told(what: str, core: Core, old: Part, new: Part, proxies: int) -> None:
+def told(what: str, core: ResourceStore, old: ResourceSet, new: ResourceSet, proxies: int) -> None:
     makes: dict[str, Callable[[], bytes]] = {
         "whole": lambda: whole(new),
         "difference": lambda: difference(core, old, new),
@@ -76,15 +78,15 @@
         chance = random.Random(1)
         names = [f"host-{chance.getrandbits(24):06x}" for _ in range(hosts)]
         weights = [{name: round(chance.uniform(0.2, 3.0), 4) for name in names} for _ in range(count)]
-        core = Core(first_era(1, 1))
+        core = ResourceStore(first_era(1, 1))
         now = [(f"d.1.t{k}", table(f"d.1.t{k}", row)) for k, row in enumerate(weights)]
-        old = core.part("eds", now)
+        old = core.make_set("eds", now)
         one = [("d.1.t0", table("d.1.t0", {**weights[0], names[0]: 0.7})), *now[1:]]
         scaled = [{name: w * 1.01 for name, w in row.items()} for row in weights]
         everything = [(n, table(n, scaled[k])) for k, (n, _) in enumerate(now)]
         print(f"{hosts} hosts, {proxies} proxies, {count} tables")
-        told("one weight of one table", core, old, core.part("eds", one, old), proxies)
-        told("all weights of all tables", core, old, core.part("eds", everything, old), proxies)
+        told("one weight of one table", core, old, core.make_set("eds", one, old), proxies)
+        told("all weights of all tables", core, old, core.make_set("eds", everything, old), proxies)
 
 
 if __name__ == "__main__":
--- a/tests/controlplane_fixtures.py
+++ b/tests/controlplane_fixtures.py
@@ -6,7 +6,7 @@
 from willowhook.config.facts import facts
 from willowhook.controlplane.update_sinks import FileUpdateSink
 from willowhook.files.swap import Shelf
-from willowhook.versions.core import Core, first_era
+from willowhook.versions.resources import ResourceStore, first_era
 
 SETTINGS = facts(EXAMPLE)
 ALL_ROUTES = range(len(SETTINGS.routes))
@@ -15,4 +15,4 @@
 
 def file_sink(term: int, epoch: int) -> FileUpdateSink:
     """A sink whose files are only made, not written."""
-    return FileUpdateSink(Shelf("nowhere"), Core(first_era(epoch, 5)), term, epoch, False)
+    return FileUpdateSink(Shelf("nowhere"), ResourceStore(first_era(epoch, 5)), term, epoch, False)
--- /dev/null
+++ b/tests/test_discovery_session.py
@@ -0,0 +1,383 @@
+"""Discovery sessions: against a plain model of the proxy, in any order of events."""
+
+from __future__ import annotations
+
+import pytest
+from hypothesis import settings
+from hypothesis import strategies as st
+from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
+
+from willowhook.versions.discovery_session import DiscoverySession
+from willowhook.versions.exchange import ResourceRequest, ResourceResponse
+from willowhook.versions.resources import (
+    CLUSTERS,
+    KINDS,
+    ROUTES,
+    TABLES,
+    Resource,
+    ResourceSet,
+    ResourceStore,
+    first_era,
+    read_version,
+)
+
+
+def references(row: Resource) -> tuple[str, ...]:
+    """Bodies of these tests: names of what is used, after a colon."""
+    text = row.body.decode().partition(":")[2]
+    return tuple(text.split(",")) if text else ()
+
+
+def exclude_from(row: Resource, out: frozenset[str]) -> bytes:
+    return row.body
+
+
+class RecordingListener:
+    def __init__(self) -> None:
+        self.applied: list[int] = []
+        self.rejected: list[tuple[str, str]] = []
+        self.versions: dict[str, tuple[str, str]] = {}
+
+    def handle_applied(self, proxy: int, number: int) -> None:
+        self.applied.append(number)
+
+    def handle_rejected(self, proxy: int, row: Resource, error: str) -> None:
+        self.rejected.append((row.name, row.version))
+
+    def handle_acknowledged(self, proxy: int, resources: ResourceSet) -> None:
+        """Nobody counts here."""
+
+    def record_known_version(self, proxy: int, kind: str, version: str, state: str) -> None:
+        self.versions[kind] = (version, state)
+
+
+class Proxy:
+    """A plain reading of the protocol's other side: it holds what it was told last, and refuses older."""
+
+    def __init__(self) -> None:
+        self.rows: dict[str, dict[str, tuple[str, bytes]]] = {kind: {} for kind in KINDS}
+        self.version = dict.fromkeys(KINDS, "")
+
+    def holds(self, kind: str) -> dict[str, str]:
+        return {name: version for name, (version, _) in self.rows[kind].items()}
+
+    def apply(self, kind: str, answer: ResourceResponse) -> None:
+        new = read_version(answer.resources.version)
+        old = read_version(self.version[kind])
+        if answer.delta is None:
+            assert new is not None and (old is None or new >= old), f"{old} goes back to {new}"
+            self.rows[kind] = {n: (r.version, r.body) for n, r in answer.resources.resources.items()}
+        else:
+            for row in answer.delta.changed:
+                had = self.rows[kind].get(row.name)
+                older = read_version(had[0]) if had else None
+                now = read_version(row.version)
+                assert now is not None and (older is None or now > older), f"{row.name} goes back"
+                self.rows[kind][row.name] = (row.version, row.body)
+            for name in answer.delta.removed:
+                self.rows[kind].pop(name, None)
+        self.version[kind] = answer.resources.version
+        self.check_references()
+
+    def check_references(self) -> None:
+        """Whatever its routes lead to is there: make before break."""
+        for _, routes in self.rows[ROUTES].values():
+            for cluster in routes.decode().partition(":")[2].split(","):
+                assert cluster in self.rows[CLUSTERS], f"no cluster {cluster}"
+                table = self.rows[CLUSTERS][cluster][1].decode().partition(":")[2]
+                assert table in self.rows[TABLES], f"no table {table}"
+
+
+def content(
+    store: ResourceStore, session: DiscoverySession, tables: list[int], weight: int
+) -> dict[str, ResourceSet]:
+    rows = {
+        TABLES: [(f"t{n}", b"w%d" % weight) for n in tables],
+        CLUSTERS: [(f"c{n}", b"x:t%d" % n) for n in tables],
+        ROUTES: [("calls", b"r%d:" % (weight // 3) + ",".join(f"c{n}" for n in tables).encode())],
+    }
+    return {kind: store.make_set(kind, each, session.newest(kind)) for kind, each in rows.items()}
+
+
+class SessionMachine(RuleBasedStateMachine):
+    """One proxy and one session: responses arrive, get lost, are rejected; both sides restart."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.store, self.listener = ResourceStore(first_era(1, 5)), RecordingListener()
+        self.proxy = Proxy()
+        self.weight, self.salt = 0, 5
+        self.lives = 1
+        self.open_session()
+
+    def open_session(self) -> None:
+        """A new stay: the session is new, and the proxy tells what it holds on its first calls."""
+        held = {kind: [(n, body) for n, (_, body) in rows.items()] for kind, rows in self.proxy.rows.items()}
+        self.session = DiscoverySession(1, self.store, self.listener, references, exclude_from, held)
+        self.first = dict.fromkeys(KINDS, True)
+        self.in_flight: dict[str, list[ResourceResponse]] = {kind: [] for kind in KINDS}
+        self.nonce = dict.fromkeys(KINDS, "")
+        self.number = 0
+        self.refused: dict[str, None] = {}
+
+    @rule(tables=st.lists(st.integers(0, 3), min_size=1, max_size=3, unique=True), step=st.integers(0, 2))
+    def update_is_wanted(self, tables: list[int], step: int) -> None:
+        self.weight += step
+        self.number += 1
+        self.session.want(self.number, content(self.store, self.session, tables, self.weight), frozenset())
+
+    def call(self, kind: str, whole: bool, error: str = "") -> None:
+        first, self.first[kind] = self.first[kind], False
+        ask = ResourceRequest(
+            kind, whole, first, self.proxy.version[kind] if whole else "",
+            self.proxy.holds(kind) if first and not whole else None, self.nonce[kind], error,
+        )  # fmt: skip
+        answer = self.session.handle_request(ask)
+        self.nonce[kind] = ""
+        if answer is not None:
+            self.session.record_sent(kind, answer)
+            self.in_flight[kind] = [answer]  # it listens to the answer of its newest call alone
+
+    @rule(kind=st.sampled_from(KINDS), whole=st.booleans())
+    def ask(self, kind: str, whole: bool) -> None:
+        self.call(kind, whole)
+
+    @rule(kind=st.sampled_from(KINDS), whole=st.booleans())
+    def response_arrives(self, kind: str, whole: bool) -> None:
+        """An answer arrives, is applied, and its acknowledgement is the next call."""
+        if self.in_flight[kind]:
+            answer = self.in_flight[kind].pop()
+            self.proxy.apply(kind, answer)
+            self.nonce[kind] = answer.nonce
+            self.call(kind, whole)
+
+    @rule(kind=st.sampled_from(KINDS))
+    def response_is_rejected(self, kind: str) -> None:
+        if self.in_flight[kind]:
+            answer = self.in_flight[kind].pop()
+            assert kind != ROUTES or answer.resources.resources, "an empty set of routes"
+            if kind == CLUSTERS:  # whatever is tried one by one, what its routes lead to stays
+                for _, routes in self.proxy.rows[ROUTES].values():
+                    assert set(routes.decode().partition(":")[2].split(",")) <= set(
+                        answer.resources.resources
+                    )
+            self.nonce[kind] = answer.nonce
+            self.call(kind, answer.delta is None, "no")
+
+    @rule(kind=st.sampled_from(KINDS), arrived=st.booleans())
+    def connection_lost(self, kind: str, arrived: bool) -> None:
+        if self.in_flight[kind]:
+            answer = self.in_flight[kind].pop()
+            if arrived:
+                self.proxy.apply(kind, answer)
+        self.nonce[kind] = ""
+        self.session.handle_connection_lost(kind)
+        self.first[kind] = True
+
+    @rule(kind=st.sampled_from(KINDS))
+    def an_old_acknowledgement_comes_twice(self, kind: str) -> None:
+        before = self.session.trackers[kind].known
+        for nonce in ("7.7", "0-7.7", before.version if before is not None else "x"):
+            self.session.trackers[kind].record_acknowledged(nonce)
+        assert self.session.trackers[kind].known is before
+
+    @rule()
+    def proxy_restarts(self) -> None:
+        """It comes back with what it acknowledged last, in a new stay."""
+        self.open_session()
+
+    @rule(wiped=st.booleans())
+    def controller_restarts(self, wiped: bool) -> None:
+        """With nothing in memory; with its count of lives, or without."""
+        self.lives = 1 if wiped else self.lives + 1
+        self.salt = (self.salt * 7919 + 17) % (1 << 20)
+        self.store = ResourceStore(first_era(self.lives, self.salt))
+        self.open_session()
+
+    @invariant()
+    def known_version_is_true_or_uncertain(self) -> None:
+        for kind in KINDS:
+            tracker = self.session.trackers[kind]
+            if tracker.certain_version and not self.in_flight[kind] and not self.first[kind]:
+                told = tracker.known
+                assert told is not None
+                held = {name: body for name, (_, body) in self.proxy.rows[kind].items()}
+                assert {n: row.body for n, row in told.resources.items()} == held
+
+    @precondition(lambda self: self.number > 0)
+    @rule(whole=st.booleans())
+    def all_settles(self, whole: bool) -> None:
+        """Left alone, a proxy that refuses nothing ends with just what is wanted of it."""
+        bad = {kind: dict(self.session.trackers[kind].rejected) for kind in KINDS}
+        for _ in range(30):
+            quiet = not any(self.in_flight.values())
+            for kind in KINDS:
+                self.response_arrives(kind, whole)
+                if not self.in_flight[kind]:
+                    self.call(kind, whole)
+                quiet = quiet and not self.in_flight[kind]
+            if quiet:
+                break
+        else:
+            raise AssertionError("answers without end")
+        if any(bad.values()) or any(self.session._rejections.suspects.values()):
+            return
+        for kind in KINDS:
+            wanted = self.session._offers.wanted[kind]
+            held = {name: body for name, (_, body) in self.proxy.rows[kind].items()}
+            assert held == {name: row.body for name, row in wanted.resources.items()}
+        assert not self.session._pending  # the newest message is known to be applied
+
+
+TestSessionMachine = SessionMachine.TestCase
+TestSessionMachine.settings = settings(
+    derandomize=True, max_examples=150, stateful_step_count=40, deadline=None
+)
+
+
+def joined(tables: list[int]) -> tuple[ResourceStore, RecordingListener, DiscoverySession, Proxy]:
+    store, listener = ResourceStore(first_era(1, 1)), RecordingListener()
+    session = DiscoverySession(1, store, listener, references, exclude_from, {})
+    session.want(1, content(store, session, tables, 0), frozenset())
+    return store, listener, session, Proxy()
+
+
+def settle(session: DiscoverySession, proxy: Proxy, bad: str = "") -> int:
+    """Calls until nothing is new; answers that bring `bad` are refused.  Gives how many were."""
+    no = 0
+    for _ in range(40):
+        quiet = True
+        for kind in KINDS:
+            answer = session.handle_request(ResourceRequest(kind, False))
+            while answer is not None:
+                quiet = False
+                session.record_sent(kind, answer)
+                if any(row.body.decode() == bad for row in answer.delta.changed if answer.delta):  # type: ignore[union-attr]
+                    no += 1
+                    answer = session.handle_request(
+                        ResourceRequest(kind, False, nonce=answer.nonce, error="bad weights")
+                    )
+                else:
+                    proxy.apply(kind, answer)
+                    answer = session.handle_request(ResourceRequest(kind, False, nonce=answer.nonce))
+        if quiet:
+            return no
+    raise AssertionError("answers without end")
+
+
+def test_of_several_rejected_together_the_bad_one_is_found_and_never_sent_again() -> None:
+    store, listener, session, proxy = joined([1, 2, 3])
+    settle(session, proxy)
+    assert listener.applied == [1] and listener.versions[TABLES][1] == "acknowledged"
+    rows = [("t1", b"w5"), ("t2", b"bad"), ("t3", b"w5")]
+    session.want(2, {TABLES: store.make_set(TABLES, rows, session.newest(TABLES))}, frozenset())
+    assert settle(session, proxy, "bad") == 2  # once with the others, once alone
+    assert [name for name, _ in listener.rejected] == ["t2"] and listener.versions[TABLES][1] == "refused"
+    assert {n: body for n, (_, body) in proxy.rows[TABLES].items()} == {"t1": b"w5", "t2": b"w0", "t3": b"w5"}
+    assert settle(session, proxy, "bad") == 0 and listener.applied == [1]
+    assert session.states()[TABLES][2] == {"t1": "bad weights", "t2": "bad weights", "t3": "bad weights"}
+    rows[1] = ("t2", b"good")
+    session.want(3, {TABLES: store.make_set(TABLES, rows, session.newest(TABLES))}, frozenset())
+    assert (
+        settle(session, proxy, "bad") == 0
+        and listener.applied == [1, 3]
+        and not session.trackers[TABLES].rejected
+    )
+    assert session.trackers[TABLES].state == "acknowledged"
+
+
+@pytest.mark.parametrize("whole", [False, True])
+def test_a_proxy_that_rejects_everything_gets_a_bounded_number_of_responses(whole: bool) -> None:
+    """Also where an answer only takes away: seen in a trial, 478 times in 8 s."""
+    store, listener = ResourceStore(first_era(1, 1)), RecordingListener()
+    rows = {TABLES: [("old", b"w")], CLUSTERS: [("c", b"x:old")], ROUTES: [("calls", b"r:c")]}
+    session, proxy = DiscoverySession(1, store, listener, references, exclude_from, rows), Proxy()
+    answers = 0
+    for number, tables in ((2, [1]), (3, [3]), (4, [1, 2, 4])):
+        session.want(number, content(store, session, tables, number), frozenset())
+        for _ in range(20):
+            for kind in KINDS:
+                answer = session.handle_request(ResourceRequest(kind, whole))
+                while answer is not None:
+                    answers += 1
+                    assert answers < 60, (
+                        kind,
+                        answer.resources.versions(),
+                        session._rejections.suspects,
+                        session._rejections.retained,
+                    )
+                    session.record_sent(kind, answer)
+                    answer = session.handle_request(
+                        ResourceRequest(kind, whole, nonce=answer.nonce, error="no")
+                    )
+    assert 3 <= answers <= 30, answers
+    proxy.rows = {kind: {name: ("", body) for name, body in each} for kind, each in rows.items()}
+    session.want(5, content(store, session, [5], 99), frozenset())
+    settle(session, proxy)
+    assert listener.applied[-1] == 5
+
+
+def test_a_rejected_resource_that_is_removed_is_forgotten() -> None:
+    store, listener, session, proxy = joined([1, 2])
+    settle(session, proxy)
+    rows = [("t1", b"w0"), ("t2", b"w0"), ("t9", b"bad")]
+    session.want(2, {TABLES: store.make_set(TABLES, rows, session.newest(TABLES))}, frozenset())
+    assert settle(session, proxy, "bad") == 1 and "t9" not in proxy.rows[TABLES]
+    session.want(3, {TABLES: store.make_set(TABLES, rows[:2], session.newest(TABLES))}, frozenset())
+    assert settle(session, proxy) == 0 and listener.applied[-1] == 3 and not session.trackers[TABLES].rejected
+
+
+def test_halted_routes_go_back_to_those_before() -> None:
+    store, listener, session, proxy = joined([1])
+    settle(session, proxy)
+    good = proxy.rows[ROUTES]["calls"][1]
+    bad = store.make_set(ROUTES, [("calls", b"odd:c1")], session.newest(ROUTES))
+    session.want(2, {ROUTES: bad}, frozenset())
+    settle(session, proxy)
+    assert proxy.rows[ROUTES]["calls"][1] == b"odd:c1"
+    assert session.halt(bad.resources["calls"])
+    settle(session, proxy)
+    assert proxy.rows[ROUTES]["calls"][1] == good  # under a newer version, which the proxy has checked
+    session.want(
+        3, {ROUTES: store.make_set(ROUTES, [("calls", b"new:c1")], session.newest(ROUTES))}, frozenset()
+    )
+    settle(session, proxy)
+    assert proxy.rows[ROUTES]["calls"][1] == b"new:c1" and listener.applied[-1] == 3
+
+
+def test_a_subscription_limits_the_resources_and_may_change_while_a_request_waits() -> None:
+    store, _, session, proxy = joined([1, 2, 3])
+    answer = session.handle_request(
+        ResourceRequest(TABLES, False, is_first=True, held_versions={}, subscribe=("t1",))
+    )
+    assert answer is not None and list(answer.resources.resources) == ["t1"]
+    session.record_sent(TABLES, answer)
+    proxy.apply(TABLES, answer)
+    assert session.handle_request(ResourceRequest(TABLES, False, nonce=answer.nonce)) is None  # it waits
+    more = session.handle_request(ResourceRequest(TABLES, False, subscribe=("t3",)))
+    assert more is not None and more.delta is not None and [r.name for r in more.delta.changed] == ["t3"]
+    session.record_sent(TABLES, more)
+    less = session.handle_request(ResourceRequest(TABLES, False, nonce=more.nonce, unsubscribe=("t1",)))
+    assert less is not None and less.delta is not None and less.delta.removed == ("t1",)
+    session.record_sent(TABLES, less)
+    again = session.handle_request(
+        ResourceRequest(TABLES, False, nonce=less.nonce, subscribe=("t3",))
+    )  # asked for anew: sent anew
+    assert again is not None and again.delta is not None and [r.name for r in again.delta.changed] == ["t3"]
+    everything = session.handle_request(ResourceRequest(TABLES, True))
+    assert everything is not None and len(everything.resources.resources) == 3
+
+
+def test_a_controller_that_lost_its_count_goes_on_above_what_the_proxy_has() -> None:
+    store = ResourceStore(first_era(1, 3))
+    session = DiscoverySession(1, store, RecordingListener(), references, exclude_from, {})
+    session.want(1, content(store, session, [1], 0), frozenset())
+    ahead = f"{first_era(40, 9)}.17"
+    answer = session.handle_request(ResourceRequest(TABLES, True, is_first=True, version=ahead))
+    assert answer is not None
+    version, told = read_version(answer.resources.version), read_version(ahead)
+    assert version is not None and told is not None and version > told
+    era = store.era
+    for absurd in (f"{1 << 62}.1", "x.y", "9" * 50):
+        session.handle_request(ResourceRequest(TABLES, True, is_first=True, version=absurd))
+    assert store.era == era
--- a/willowhook/controlplane/acknowledgements.py
+++ b/willowhook/controlplane/acknowledgements.py
@@ -5,8 +5,7 @@
 from typing import Any
 
 from ..records.writer import Records
-from ..versions.core import Part, Resource
-from ..versions.desk import TABLES
+from ..versions.resources import TABLES, Resource, ResourceSet
 from .proxy_session import ProxySession, SessionRegistry
 from .publisher_listener import PublisherListener
 from .resource_renderer import ResourceRenderer
@@ -95,10 +94,10 @@
         else:
             self._rollout.record_resource_rejected(now, proxy, resource, cause)
 
-    def handle_part_acknowledged(self, now: int, proxy: int, part: Part) -> None:
+    def handle_part_acknowledged(self, now: int, proxy: int, resources: ResourceSet) -> None:
         """Notes that a proxy that calls has applied all resources of one type."""
-        if part.kind != TABLES:
-            for resource in part.rows.values():
+        if resources.kind != TABLES:
+            for resource in resources.resources.values():
                 self._rollout.record_resource_acknowledged(now, proxy, resource)
 
     def record_known_version(self, session: ProxySession, part: str, version: str, state: str) -> None:
--- a/willowhook/controlplane/discovery_feed.py
+++ b/willowhook/controlplane/discovery_feed.py
@@ -18,8 +18,8 @@
 from ..front.limits import Gate
 from ..front.serve import Server, Times
 from ..ticks import TICKS_PER_SECOND
-from ..versions.core import Core, Part, Resource
-from ..versions.desk import Desk
+from ..versions.discovery_session import DiscoverySession
+from ..versions.resources import Resource, ResourceSet, ResourceStore
 from ..xds import forms
 from ..xds.codec import encode
 from .context import ServiceContext
@@ -82,7 +82,7 @@
     def __init__(
         self,
         context: ServiceContext,
-        core: Core,
+        store: ResourceStore,
         publisher: Publisher,
         intake: ProxyIntake,
         reports: ReportProcessor,
@@ -91,7 +91,7 @@
 
         Args:
             context: the surroundings.
-            core: the resources.
+            store: of the resources.
             publisher: of updates.
             intake: of what proxies say.
             reports: takes load reports.
@@ -101,11 +101,11 @@
             OSError: the file of credentials cannot be read.
         """
         self._queue = context.queue
-        self._core = core
+        self._store = store
         self._publisher = publisher
         self._intake = intake
         self._reports = reports
-        self._desks: dict[str, Desk] = {}  # by the name of the proxy
+        self._desks: dict[str, DiscoverySession] = {}  # by the name of the proxy
         self._pending: list[InboundEvent] = []  # what was learnt by the call that is being served
         settings = self._settings = context.terms.front
         self.gate = _gate(settings)
@@ -142,11 +142,11 @@
 
     def make_sink(self, proxy: int, name: str, held: ProxyResources) -> HttpUpdateSink:
         """Makes the update sink of a proxy that has joined, which holds these resources."""
-        desk = Desk(
-            proxy, self._core, self, references, self._publisher.renderer.exclude_from, held.resources()
+        desk = DiscoverySession(
+            proxy, self._store, self, references, self._publisher.renderer.exclude_from, held.resources()
         )
         self._desks[name] = desk
-        return HttpUpdateSink(desk, self._core, self.front.news)
+        return HttpUpdateSink(desk, self._store, self.front.news)
 
     def open_session(self, now: int, request: SessionRequested) -> None:
         """Opens the session of a proxy that calls, unless it has this one already."""
@@ -171,7 +171,7 @@
         session = self._intake.sessions.get(name)
         return (session.term, session.uses_discovery) if session is not None else None
 
-    def desk(self, name: str) -> Desk | None:
+    def desk(self, name: str) -> DiscoverySession | None:
         """The resources as one proxy is offered them; None if it has no session."""
         return self._desks.get(name)
 
@@ -212,21 +212,21 @@
         for event in pending:
             await self._queue.send(event)
 
-    # What desks say, as their listener.
+    # What discovery sessions say, as their listener.
 
-    def applied(self, proxy: int, number: int) -> None:
+    def handle_applied(self, proxy: int, number: int) -> None:
         """A proxy has applied this update message."""
         self._pending.append(UpdateApplied(proxy, number))
 
-    def refused(self, proxy: int, row: Resource, error: str) -> None:
+    def handle_rejected(self, proxy: int, resource: Resource, error: str) -> None:
         """A proxy has rejected a resource."""
-        self._pending.append(ResourceRejected(proxy, row, error))
+        self._pending.append(ResourceRejected(proxy, resource, error))
 
-    def taken(self, proxy: int, part: Part) -> None:
+    def handle_acknowledged(self, proxy: int, resources: ResourceSet) -> None:
         """A proxy has acknowledged a part of its resources."""
-        self._pending.append(PartAcknowledged(proxy, part))
+        self._pending.append(PartAcknowledged(proxy, resources))
 
-    def believes(self, proxy: int, kind: str, version: str, state: str) -> None:
+    def record_known_version(self, proxy: int, kind: str, version: str, state: str) -> None:
         """A proxy runs this version of a kind of resources."""
         session = self._publisher.sessions.get(proxy)
         if session is not None:
--- a/willowhook/controlplane/inbound_events.py
+++ b/willowhook/controlplane/inbound_events.py
@@ -13,7 +13,7 @@
 from ..decisions.events import Event
 from ..membership.handoff import Packet
 from ..roster.forms import Host
-from ..versions.core import Part, Resource
+from ..versions.resources import Resource, ResourceSet
 from .proxy_events import UpdateApplied
 
 FolderIdentity = tuple[int, ...]
@@ -131,7 +131,7 @@
     """A proxy that calls has acknowledged a part of its resources."""
 
     proxy: int
-    part: Part
+    part: ResourceSet
 
 
 # From the link to other controllers.
--- a/willowhook/controlplane/proxy_resources.py
+++ b/willowhook/controlplane/proxy_resources.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from ..versions.desk import CLUSTERS, ROUTES, TABLES
+from ..versions.resources import CLUSTERS, ROUTES, TABLES
 from ..xds import forms, tables
 from ..xds.codec import FormError, decode, encode
 
--- a/willowhook/controlplane/publisher.py
+++ b/willowhook/controlplane/publisher.py
@@ -21,7 +21,7 @@
 from ..decisions.settings import DeploymentSettings
 from ..records.writer import Records
 from ..ticks import TICKS_PER_SECOND
-from ..versions.core import Core, Part, Resource
+from ..versions.resources import Resource, ResourceSet
 from ..versions.rollout import Rollout
 from .acknowledgements import Acknowledgements
 from .channel import UpdateChannel
@@ -55,13 +55,11 @@
         listener: PublisherListener,
         records: Records,
         log: Any,
-        core: Core,
         renderer: ResourceRenderer,
         epoch: int,
         proxy_states: ProxyStateBook,
     ) -> None:
         """Joins the parts; nothing is sent before `run`."""
-        self.core = core
         self.renderer = renderer
         self.records = records
         self._listener = listener
@@ -226,9 +224,9 @@
         """See `Acknowledgements.handle_resource_rejected`."""
         self._acknowledgements.handle_resource_rejected(now, proxy, resource, cause)
 
-    def handle_part_acknowledged(self, now: int, proxy: int, part: Part) -> None:
+    def handle_part_acknowledged(self, now: int, proxy: int, resources: ResourceSet) -> None:
         """See `Acknowledgements.handle_part_acknowledged`."""
-        self._acknowledgements.handle_part_acknowledged(now, proxy, part)
+        self._acknowledgements.handle_part_acknowledged(now, proxy, resources)
 
     def record_known_version(self, session: ProxySession, part: str, version: str, state: str) -> None:
         """See `Acknowledgements.record_known_version`."""
--- a/willowhook/controlplane/resource_renderer.py
+++ b/willowhook/controlplane/resource_renderer.py
@@ -16,8 +16,7 @@
 from ..decisions.runtime import AdmissionLimit
 from ..membership.claim import safe_tries
 from ..ticks import ticks_from_milliseconds
-from ..versions.core import Resource
-from ..versions.desk import CLUSTERS, ROUTES, TABLES
+from ..versions.resources import CLUSTERS, ROUTES, TABLES, Resource
 from ..xds import forms, tables
 from ..xds.codec import decode, encode
 from .proxy_resources import CONTROLLERS_RESOURCE, ROUTE_SET_NAME, ProxyResources, ResourcesByType
@@ -217,9 +216,9 @@
 
 def references(resource: Resource) -> tuple[str, ...]:
     """Returns the names that a resource refers to: a route set's clusters, or a cluster's table."""
-    if resource.uses is None:
-        resource.uses = _find_references(resource)
-    return resource.uses
+    if resource.references is None:
+        resource.references = _find_references(resource)
+    return resource.references
 
 
 def _find_references(resource: Resource) -> tuple[str, ...]:
--- a/willowhook/controlplane/service.py
+++ b/willowhook/controlplane/service.py
@@ -20,7 +20,7 @@
 from ..files.watch import Watch, open_watch
 from ..records.writer import Records
 from ..roster.forms import Host
-from ..versions.core import Core, first_era
+from ..versions.resources import ResourceStore, first_era
 from .clock import Clock
 from .condition_log import BindableLogger, Logger
 from .context import ServiceContext
@@ -191,7 +191,7 @@
         context = self.context
         renderer = ResourceRenderer(self.terms, context.epoch)
         self.proxy_states = ProxyStateBook(self.settings, lambda message: self.publisher.enqueue(message))
-        self.core = Core(first_era(context.epoch, int.from_bytes(os.urandom(ERA_BYTES), "big")))
+        self.resources = ResourceStore(first_era(context.epoch, int.from_bytes(os.urandom(ERA_BYTES), "big")))
         self.directory = EndpointDirectory(context, renderer, self._show_endpoints)
         listener = PublisherEvents(context, self.directory)
         self.publisher = Publisher(
@@ -200,7 +200,6 @@
             listener,
             self.records,
             self.log,
-            self.core,
             renderer,
             context.epoch,
             self.proxy_states,
@@ -224,7 +223,7 @@
         )
         self.discovery: DiscoveryFeed | None = None
         if terms.front.listen:
-            self.discovery = DiscoveryFeed(context, self.core, self.publisher, self.intake, self.reports)
+            self.discovery = DiscoveryFeed(context, self.resources, self.publisher, self.intake, self.reports)
         self.report_interval = ReportIntervalPublisher(context, self.discovery)
 
     def _make_controller(self) -> None:
@@ -251,7 +250,7 @@
         publisher, reports = self.publisher, self.reports
         self.handoff = HandoffPeers(context, self.directory)
         self.folder_feed = ProxyFolderFeed(context, watch, self.intake, reports)
-        sinks = UpdateSinkFactory(context, self._shelf_type, self.core, self.discovery)
+        sinks = UpdateSinkFactory(context, self._shelf_type, self.resources, self.discovery)
         sessions = SessionManager(
             context, proxy_states, publisher, sinks, self.folder_feed, self.discovery, reports, self.handoff
         )
--- a/willowhook/controlplane/table_rollout.py
+++ b/willowhook/controlplane/table_rollout.py
@@ -15,7 +15,7 @@
 from ..decisions.update_cost import message_overhead
 from ..records.writer import Records
 from ..ticks import ticks_from_milliseconds
-from ..versions.core import Resource
+from ..versions.resources import Resource
 from ..versions.rollout import Rollout, RolloutMode, RolloutSettings
 from ..versions.rollout_track import Content, Unit
 from .proxy_session import Contents, ProxySession, RolloutContent, SessionRegistry
@@ -169,7 +169,7 @@
 
     def _ban(self, resource: Resource) -> int:
         sinks = [session.sink for session in self._sessions.by_number.values()]
-        return sum(isinstance(sink, HttpUpdateSink) and sink.ban(resource) for sink in sinks)
+        return sum(isinstance(sink, HttpUpdateSink) and sink.halt(resource) for sink in sinks)
 
     def _resend_to_users(self, content: RolloutContent) -> int:
         sessions = self._sessions.by_number.values()
--- a/willowhook/controlplane/update_sink_factory.py
+++ b/willowhook/controlplane/update_sink_factory.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ..files.swap import Shelf
-from ..versions.core import Core
+from ..versions.resources import ResourceStore
 from .context import ServiceContext
 from .discovery_feed import DiscoveryFeed
 from .proxy_events import ProxySessionOpened
@@ -17,13 +17,13 @@
         self,
         context: ServiceContext,
         shelf_type: type[Shelf],
-        core: Core,
+        store: ResourceStore,
         discovery: DiscoveryFeed | None,
     ) -> None:
         """Takes what writes files, the resources, and the discovery server if there is one."""
         self._context = context
         self._shelf_type = shelf_type
-        self._core = core
+        self._store = store
         self._discovery = discovery
         self._count = 0  # of sessions: no two may name their versions of files alike
 
@@ -42,4 +42,4 @@
             self._context.conditions.report(
                 "disk", True, "files cannot be swapped", proxy=session.name, cause=str(error)
             )
-        return FileUpdateSink(shelf, self._core, session.term, epoch, durability != "none")
+        return FileUpdateSink(shelf, self._store, session.term, epoch, durability != "none")
--- a/willowhook/controlplane/update_sinks.py
+++ b/willowhook/controlplane/update_sinks.py
@@ -1,6 +1,6 @@
 """Where the updates of one proxy go: a folder of atomically swapped files, or a session answering its calls.
 
-Both publish parts of the one versioned core, and hold nothing that the core does not.
+Both publish sets of the one resource store.
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 
 from ..files.swap import Shelf
 from ..membership.claim import Version
-from ..versions.core import Core, Part, Resource
-from ..versions.desk import TABLES, Desk
+from ..versions.discovery_session import DiscoverySession
+from ..versions.resources import TABLES, Resource, ResourceSet, ResourceStore
 from ..xds import forms
 from ..xds.codec import response
 from .proxy_resources import CONTROLLERS_RESOURCE, ResourcesByType
@@ -53,14 +53,14 @@
 class FileUpdateSink:
     """A folder of files. A file whose resources are as before keeps its version, so it is not swapped."""
 
-    def __init__(self, shelf: Shelf, core: Core, term: int, epoch: int, may_block: bool) -> None:
+    def __init__(self, shelf: Shelf, store: ResourceStore, term: int, epoch: int, may_block: bool) -> None:
         """`term` and `epoch` are the first two parts of the versions in its files."""
         self.shelf = shelf
         self.may_block = may_block
-        self._core = core
+        self._store = store
         self._term = term
         self._epoch = epoch
-        self._parts: dict[str, Part] = {}  # by type, as last written
+        self._sets: dict[str, ResourceSet] = {}  # by type, as last written
         self._files: dict[str, bytes] = {}
         self._send_away_resource: bytes | None = None
 
@@ -68,11 +68,11 @@
         """Returns the files of a message by name; the unchanged ones as they were."""
         version = str(Version(self._term, self._epoch, number))
         for kind, rows in resources.items():
-            last = self._parts.get(kind)
-            part = self._core.part(kind, self._with_send_away(kind, rows), last)
-            if part is not last:
-                self._parts[kind] = part
-                bodies = [row.body for row in part.rows.values()]
+            last = self._sets.get(kind)
+            resource_set = self._store.make_set(kind, self._with_send_away(kind, rows), last)
+            if resource_set is not last:
+                self._sets[kind] = resource_set
+                bodies = [each.body for each in resource_set.resources.values()]
                 self._files[kind + FILE_SUFFIX] = response(version, forms.FILES[kind], version, bodies)
         return {kind + FILE_SUFFIX: self._files[kind + FILE_SUFFIX] for kind in resources}
 
@@ -106,27 +106,32 @@
 
     may_block = False
 
-    def __init__(self, desk: Desk, core: Core, notify: Callable[[Desk], None]) -> None:
+    def __init__(
+        self, session: DiscoverySession, store: ResourceStore, notify: Callable[[DiscoverySession], None]
+    ) -> None:
         """`notify` is called when a waiting call may have its answer."""
-        self.desk = desk
+        self.session = session
         self.is_sent_away = False
-        self._core = core
+        self._store = store
         self._notify = notify
 
     def prepare(
         self, number: int, resources: ResourcesByType, excluded: frozenset[str]
     ) -> Callable[[], bool]:
         """See `UpdateSink.prepare`; the message is offered at once."""
-        parts = {kind: self._core.part(kind, rows, self.desk.last(kind)) for kind, rows in resources.items()}
-        has_changed = self.desk.want(number, parts, excluded)
+        sets = {
+            kind: self._store.make_set(kind, rows, self.session.newest(kind))
+            for kind, rows in resources.items()
+        }
+        has_changed = self.session.want(number, sets, excluded)
         if has_changed or self.is_sent_away:
-            self._notify(self.desk)
+            self._notify(self.session)
         return lambda: has_changed
 
-    def ban(self, resource: Resource) -> bool:
+    def halt(self, resource: Resource) -> bool:
         """Offers what the proxy ran before in place of this version. Returns whether it can."""
-        if self.desk.ban(resource):
-            self._notify(self.desk)
+        if self.session.halt(resource):
+            self._notify(self.session)
             return True
         return False
 
@@ -140,7 +145,7 @@
 
     def close(self) -> None:
         """Ends the call that waits."""
-        self._notify(self.desk)
+        self._notify(self.session)
 
 
 def _write_nothing() -> bool:
--- a/willowhook/front/discovery.py
+++ b/willowhook/front/discovery.py
@@ -16,7 +16,9 @@
 import trio
 
 from ..membership.claim import names_me
-from ..versions.desk import KINDS, Answer, Ask, Desk
+from ..versions.discovery_session import DiscoverySession
+from ..versions.exchange import ResourceRequest, ResourceResponse
+from ..versions.resources import KINDS
 from ..web.wire import Call, Reply
 from ..xds import forms
 from ..xds.codec import FormError, decode, encode, response
@@ -45,7 +47,7 @@
     def here(self, name: str) -> tuple[int, bool] | None:
         """The term of a proxy that has joined, and whether it calls; None if it has not."""
 
-    def desk(self, name: str) -> Desk | None: ...
+    def desk(self, name: str) -> DiscoverySession | None: ...
     def leaves(self, name: str) -> bool: ...
     def called(self, name: str) -> None: ...
     def delivered(self, name: str) -> None: ...
@@ -62,13 +64,13 @@
     """What was said on one connection."""
 
     node: forms.Node | None = None
-    desk: Desk | None = None
+    desk: DiscoverySession | None = None
     kinds: dict[str, None] = field(default_factory=dict)
 
 
 @dataclass(eq=False, slots=True)
 class Waiter:
-    desk: Desk
+    desk: DiscoverySession
     name: str
     kind: str
     whole: bool
@@ -86,8 +88,8 @@
     ) -> None:  # fmt: skip
         self._director, self._hall, self._identity, self._gate = director, hall, identity, gate
         self.bodies, self._back_s, self._report_s = bodies, back_s, report_s
-        self._waiting: dict[tuple[Desk, str], Waiter] = {}
-        self._answered: dict[Desk, int] = {}
+        self._waiting: dict[tuple[DiscoverySession, str], Waiter] = {}
+        self._answered: dict[DiscoverySession, int] = {}
         self._turns = Turns()
         self._kick = trio.Event()
         self.answers = self.over = 0
@@ -136,7 +138,7 @@
         desk = said.desk
         assert desk is not None
         self._hall.called(line.proxy)
-        answer = desk.ask(self._ask(asked, kind, first))
+        answer = desk.handle_request(self._ask(asked, kind, first))
         await self._hall.settled()
         self.news(desk)  # what this told may be what a call for another type waits for
         encoding = chosen(call.headers.get(b"accept-encoding", b""))
@@ -205,14 +207,18 @@
         return None
 
     @staticmethod
-    def _ask(asked: forms.DiscoveryRequest | forms.DeltaDiscoveryRequest, kind: str, first: bool) -> Ask:
+    def _ask(
+        asked: forms.DiscoveryRequest | forms.DeltaDiscoveryRequest, kind: str, first: bool
+    ) -> ResourceRequest:
         error = asked.error_detail.message[:500] or "no cause told" if asked.error_detail is not None else ""
         if isinstance(asked, forms.DiscoveryRequest):
             names = tuple(asked.resource_names)
-            return Ask(kind, True, first, asked.version_info, None, asked.response_nonce, error, names)
+            return ResourceRequest(
+                kind, True, first, asked.version_info, None, asked.response_nonce, error, names
+            )
         holds = asked.initial_resource_versions if first else None
         add, drop = tuple(asked.resource_names_subscribe), tuple(asked.resource_names_unsubscribe)
-        return Ask(kind, False, first, "", holds, asked.response_nonce, error, add, drop)
+        return ResourceRequest(kind, False, first, "", holds, asked.response_nonce, error, add, drop)
 
     def ask_every(self, interval_s: float) -> None:
         """How often proxies are to report, from their next answer on."""
@@ -257,7 +263,7 @@
             return self._away()
         if waiter.over:
             return Reply(304)
-        answer = waiter.desk.due(waiter.kind, waiter.whole)
+        answer = waiter.desk.pending_response(waiter.kind, waiter.whole)
         if answer is not None:
             return self._reply(waiter, answer)
         if over:
@@ -268,16 +274,16 @@
     def _away(self) -> Reply:
         return refusal(503, 14, "this director drains: follow another", self._back_s, True)
 
-    def _end(self, desk: Desk, kind: str, why: str) -> None:
+    def _end(self, desk: DiscoverySession, kind: str, why: str) -> None:
         old = self._waiting.pop((desk, kind), None)
         if old is not None:
             old.over = why
             if old.call is not None:
                 old.call.wake.set()
 
-    def _reply(self, waiter: Waiter, answer: Answer) -> Reply:
+    def _reply(self, waiter: Waiter, answer: ResourceResponse) -> Reply:
         """From here on the proxy may run it."""
-        waiter.desk.leaves(waiter.kind, answer)
+        waiter.desk.record_sent(waiter.kind, answer)
         self._answered[waiter.desk] = ticks()
         self._hall.delivered(waiter.name)
         self.answers += 1
@@ -285,16 +291,16 @@
         headers = [JSON, (b"content-encoding", encoding)] if encoding else [JSON]
         return Reply(200, headers, body)
 
-    def _body(self, waiter: Waiter, answer: Answer) -> tuple[Any, Callable[[], bytes]]:
-        part, url = answer.part, forms.FILES[waiter.kind]
+    def _body(self, waiter: Waiter, answer: ResourceResponse) -> tuple[Any, Callable[[], bytes]]:
+        part, url = answer.resources, forms.FILES[waiter.kind]
         if answer.delta is None:
-            rows = [row.body for row in part.rows.values()]
+            rows = [row.body for row in part.resources.values()]
             key: Any = (waiter.kind, part.version)
             return key, lambda: response(part.version, url, answer.nonce, rows)
         delta = answer.delta
         changed = [forms.Resource(r.name, r.version, msgspec.Raw(r.body)) for r in delta.changed]
         key = (waiter.kind, part.version, answer.base.version) if answer.base is not None else None
-        if answer.base is None and not delta.removed and len(changed) == len(part.rows):
+        if answer.base is None and not delta.removed and len(changed) == len(part.resources):
             key = (waiter.kind, part.version, "")
         removed = list(delta.removed)
         return key, lambda: encode(
@@ -303,7 +309,7 @@
 
     # News.
 
-    def news(self, desk: Desk) -> None:
+    def news(self, desk: DiscoverySession) -> None:
         """What waits at this desk may have its answer."""
         for kind in KINDS:
             if (desk, kind) in self._waiting:
@@ -311,7 +317,7 @@
         if len(self._turns):
             self._kick.set()
 
-    def forget(self, desk: Desk) -> None:
+    def forget(self, desk: DiscoverySession) -> None:
         """The proxy left; its calls are told."""
         self.news(desk)
         self._answered.pop(desk, None)
@@ -332,7 +338,7 @@
         said: Said | None = line.state
         if said is not None and said.desk is not None:
             for kind in said.kinds:
-                said.desk.lost(kind)
+                said.desk.handle_connection_lost(kind)
 
     def __len__(self) -> int:
         return len(self._waiting)
--- /dev/null
+++ b/willowhook/versions/offers.py
@@ -0,0 +1,134 @@
+"""What one proxy may be offered now, on the way to what it is to run: make before break.
+
+Clusters and tables come first, the routes that lead to them once the proxy has them, and what no route leads
+to any more is dropped last.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+
+from .held_resources import HeldResources
+from .rejections import Rejections
+from .resources import (
+    CLUSTERS,
+    KINDS,
+    NO_VERSION,
+    ROUTES,
+    TABLES,
+    Resource,
+    ResourceSet,
+    ResourceStore,
+)
+
+ExcludeFrom = Callable[[Resource, frozenset[str]], bytes]  # a table's body with these endpoints draining
+
+
+class Offers:
+    """The offers to one proxy.
+
+    Attributes:
+        wanted: by type, what the proxy is to run in the end.
+        current: by type, what it is offered now.
+        names: by type, the names that it subscribes to; None: all.
+        floors: by type, a version that it says it runs, of a set that is not kept any more.
+    """
+
+    def __init__(
+        self,
+        store: ResourceStore,
+        held: HeldResources,
+        rejections: Rejections,
+        exclude_from: ExcludeFrom,
+    ) -> None:
+        """Nothing is offered before something is wanted."""
+        self._store = store
+        self._held = held
+        self._rejections = rejections
+        self._exclude_from = exclude_from
+        self._excluded: frozenset[str] = frozenset()
+        self.wanted: dict[str, ResourceSet] = {}
+        self.current: dict[str, ResourceSet] = {}
+        self.names: dict[str, dict[str, None] | None] = dict.fromkeys(KINDS)
+        self.floors = dict.fromkeys(KINDS, NO_VERSION)
+
+    def want(self, sets: Mapping[str, ResourceSet], excluded: frozenset[str]) -> None:
+        """Sets what the proxy is to run; types that are missing stay. `settle` is to be called after it."""
+        for kind, resources in sets.items():
+            self.wanted[kind] = resources
+            self._rejections.forget_outdated(kind, resources)
+        self._excluded = excluded
+
+    def renew(self) -> None:
+        """Makes all that is wanted anew, under the era that has begun. Nothing is offered until `settle`."""
+        for sets in (self.wanted, self._held.initial):
+            for kind, resources in list(sets.items()):
+                sets[kind] = self._store.make_set(kind, resources.bodies().items())
+        self.current.clear()
+
+    def newest(self, kind: str) -> ResourceSet | None:
+        """Returns the newest set that the proxy was offered: what comes next must be newer."""
+        tracker = self._held.trackers[kind]
+        newest = self.current.get(kind)
+        for resources in (self.wanted.get(kind), *tracker.in_flight.values(), tracker.known):
+            if resources is not None and (newest is None or resources.order > newest.order):
+                newest = resources
+        return newest
+
+    def settle(self) -> None:
+        """Works out what may be offered now."""
+        self._settle_kind(CLUSTERS, self._stage_clusters())
+        self._settle_kind(TABLES, self._stage_tables())
+        self._settle_kind(ROUTES, self._stage_routes())
+
+    def _settle_kind(self, kind: str, staged: Mapping[str, Resource] | None) -> None:
+        if staged is None:
+            return
+        resources = self._rejections.replace(kind, staged)
+        if kind == ROUTES and not resources:
+            return  # it rejected them and has none of ours: it goes on with what it has
+        names = self.names[kind]
+        if names is not None:
+            resources = {name: each for name, each in resources.items() if name in names}
+        newest = self.newest(kind)
+        wanted = self.wanted.get(kind)
+        above = max(newest.order if newest is not None else NO_VERSION, self.floors[kind])
+        if wanted is not None and resources == wanted.resources and wanted.order >= above:
+            self.current[kind] = wanted
+        else:
+            self.current[kind] = self._store.assemble(kind, resources, newest, self.floors[kind])
+
+    def _stage_clusters(self) -> dict[str, Resource] | None:
+        """The wanted clusters, and those that are still in use."""
+        wanted = self.wanted.get(CLUSTERS)
+        if wanted is None:
+            return None
+        resources = dict(wanted.resources)
+        for name in self._held.clusters_in_use():
+            old = self._held.find(CLUSTERS, name)
+            if name not in resources and old is not None:
+                resources[name] = old
+        return resources
+
+    def _stage_tables(self) -> dict[str, Resource] | None:
+        """The wanted tables, and those that are still in use; exclusions hold for these too."""
+        wanted = self.wanted.get(TABLES)
+        if wanted is None:
+            return None
+        resources = dict(wanted.resources)
+        for name in self._held.tables_in_use():
+            old = self._held.find(TABLES, name)
+            if name not in resources and old is not None:
+                body = self._exclude_from(old, self._excluded)
+                resources[name] = self._store.resource(TABLES, name, body, old)
+        return resources
+
+    def _stage_routes(self) -> Mapping[str, Resource] | None:
+        """The wanted routes, once all that they lead to is known to be held; until then those of now."""
+        wanted = self.wanted.get(ROUTES)
+        if wanted is None:
+            return None
+        if all(self._held.is_reachable(routes) for routes in wanted.resources.values()):
+            return wanted.resources
+        known = self._held.trackers[ROUTES].known
+        return known.resources if known is not None else None
--- /dev/null
+++ b/willowhook/versions/version_tracker.py
@@ -0,0 +1,116 @@
+"""What one proxy is known to run of one resource type, or that it is not known.
+
+A version is known when the proxy has acknowledged it and nothing newer is in flight. From the moment before a
+response leaves until it is acknowledged or rejected, the proxy may run either version: it is unknown.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from enum import StrEnum
+
+from .resources import Resource, ResourceSet
+
+MAX_IN_FLIGHT = 8  # responses that were never answered; a proxy asks again after each
+
+
+class VersionState(StrEnum):
+    """How sure it is what a proxy runs. The values are those of records and of the status page."""
+
+    UNKNOWN = "unknown"
+    ACKNOWLEDGED = "acknowledged"
+    SENT = "sent"
+    REJECTED = "refused"
+    CONNECTION_LOST = "lost"
+
+
+@dataclass(slots=True)
+class VersionTracker:
+    """What one proxy runs of one type.
+
+    Attributes:
+        kind: the resource type.
+        known: the set that the proxy acknowledged last.
+        in_flight: by nonce, the sets that were sent and not answered.
+        reported: versions by name that it joined with, until it acknowledges a set of ours.
+        rejected: by name, resources that are not to be sent to it again.
+        errors: by name, why it rejected a resource, in its words.
+        is_connection_lost: whether the connection ended with something in flight.
+        previous: by name, what a resource of `known` replaced.
+    """
+
+    kind: str
+    known: ResourceSet | None = None
+    in_flight: dict[str, ResourceSet] = field(default_factory=dict)
+    reported: dict[str, str] = field(default_factory=dict)
+    rejected: dict[str, Resource] = field(default_factory=dict)
+    errors: dict[str, str] = field(default_factory=dict)
+    is_connection_lost: bool = False
+    previous: dict[str, Resource] = field(default_factory=dict)
+
+    @property
+    def state(self) -> VersionState:
+        """How sure it is what the proxy runs."""
+        if self.in_flight:
+            return VersionState.CONNECTION_LOST if self.is_connection_lost else VersionState.SENT
+        if self.rejected:
+            return VersionState.REJECTED
+        return VersionState.ACKNOWLEDGED if self.known is not None else VersionState.UNKNOWN
+
+    @property
+    def certain_version(self) -> str:
+        """The version that the proxy runs; empty if that is not certain."""
+        return self.known.version if self.known is not None and not self.in_flight else ""
+
+    @property
+    def delta_base(self) -> ResourceSet | dict[str, str]:
+        """What a delta may be told against: the known set, or versions that the proxy reported."""
+        return self.known if self.known is not None else self.reported
+
+    def holds(self, resource: Resource) -> bool:
+        """Whether this resource, as it is, is known to be held."""
+        return self.known is not None and self.known.resources.get(resource.name) is resource
+
+    def record_sent(self, nonce: str, resources: ResourceSet) -> None:
+        """Notes that a response is about to leave."""
+        self.in_flight.pop(nonce, None)
+        self.in_flight[nonce] = resources
+        self.is_connection_lost = False
+        if len(self.in_flight) > MAX_IN_FLIGHT:
+            del self.in_flight[next(iter(self.in_flight))]
+
+    def record_acknowledged(self, nonce: str) -> ResourceSet | None:
+        """Returns the set that this nonce proves to be applied; None if it proves nothing new."""
+        applied = self.in_flight.get(nonce)
+        if applied is None or (self.known is not None and applied.order < self.known.order):
+            return None
+        if self.known is not None:
+            self._remember_previous(self.known, applied)
+        self.known = applied
+        # a response that left later may still be applied; one that left before it may not
+        self.in_flight = {key: each for key, each in self.in_flight.items() if each.order > applied.order}
+        self.is_connection_lost = self.is_connection_lost and bool(self.in_flight)
+        self.reported = {}
+        return applied
+
+    def _remember_previous(self, old: ResourceSet, new: ResourceSet) -> None:
+        for name, resource in old.resources.items():
+            if new.resources.get(name, resource) is not resource:
+                self.previous[name] = resource
+        for name in [name for name in self.previous if name not in new.resources]:
+            del self.previous[name]
+
+    def record_rejected(self, nonce: str, error: str) -> tuple[Resource, ...] | None:
+        """Returns what was new in the response that is rejected; None if the nonce is of none in flight."""
+        sent = self.in_flight.pop(nonce, None)
+        if sent is None:
+            return None
+        if self.known is not None:
+            held = self.known.resources
+            new = tuple(each for name, each in sent.resources.items() if held.get(name) is not each)
+        else:
+            reported = self.reported
+            new = tuple(each for name, each in sent.resources.items() if reported.get(name) != each.version)
+        for resource in new:
+            self.errors[resource.name] = error
+        return new
