--- a/benchmarks/guard.py
+++ b/benchmarks/guard.py
@@ -9,6 +9,7 @@
 from collections.abc import Callable
 
 from willowhook.decisions.settings import RequestSemantics
+from willowhook.ticks import TICKS_PER_SECOND
 from willowhook.validation.model import (
     Candidate,
     Endpoint,
@@ -21,7 +22,6 @@
 from willowhook.validation.validator import Validator
 from willowhook.validation.world import World
 
-SECOND = 10_000
 ROUTES = (
     RouteConstraints("load", RequestSemantics.IDEMPOTENT),
     RouteConstraints("save", RequestSemantics.DEDUPLICATED),
@@ -44,9 +44,10 @@
     chance = random.Random(1)
     terms = ValidationSettings(ROUTES, 25_000, 100_000, 0.3, 4.0, 0.2, 1e9, 0, 100_000, proxies)
     world = World(terms)
-    now = 1000 * SECOND
+    now = 1000 * TICKS_PER_SECOND
     rows = [
-        Endpoint(f"h{k}", EndpointMode.IN_SERVICE, 0, now - SECOND if k < cold else 0) for k in range(hosts)
+        Endpoint(f"h{k}", EndpointMode.IN_SERVICE, 0, now - TICKS_PER_SECOND if k < cold else 0)
+        for k in range(hosts)
     ]
     world.endpoints.update_list(0, rows)
     made = []
@@ -59,7 +60,7 @@
 
 
 def main() -> None:
-    now = 1000 * SECOND
+    now = 1000 * TICKS_PER_SECOND
     for hosts, proxies in ((86, 245), (1000, 20_000)):
         world, made = fleet(hosts, proxies)
         guard = Validator(world)
--- a/willowhook/controlplane/context.py
+++ b/willowhook/controlplane/context.py
@@ -4,13 +4,13 @@
 
 from dataclasses import dataclass
 
-from ..config.facts import ticks
 from ..config.terms import Terms
 from ..decisions.settings import DeploymentSettings
 from ..files.layout import Folder
 from ..files.ops import FileOps
 from ..records.writer import Records
 from ..store.store import StoreError
+from ..ticks import ticks_from_milliseconds
 from .clock import Clock
 from .condition_log import ConditionLog, Logger
 from .decider import EventHandler
@@ -88,7 +88,7 @@
     store = terms.store
     if not store.folder:
         return None
-    max_age_ticks = ticks(store.lasts_ms)
+    max_age_ticks = ticks_from_milliseconds(store.lasts_ms)
     try:
         return ControllerMemory(store.folder, terms.name, epoch, max_age_ticks, conditions.announce)
     except (StoreError, OSError) as error:
--- a/willowhook/controlplane/endpoint_directory.py
+++ b/willowhook/controlplane/endpoint_directory.py
@@ -8,10 +8,10 @@
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import replace
 
-from ..config.facts import ticks
 from ..decisions.events import EndpointEntry, EndpointListReceived, EndpointState
 from ..membership.tiers import Tiers
 from ..roster.forms import Host
+from ..ticks import ticks_from_milliseconds
 from .context import ServiceContext
 from .resource_renderer import Address, ResourceRenderer
 
@@ -35,7 +35,7 @@
         self._context = context
         self._renderer = renderer
         self._shown_to = shown
-        slow_start_ticks = ticks(context.terms.rules.cold_ms)
+        slow_start_ticks = ticks_from_milliseconds(context.terms.rules.cold_ms)
         self._tiers = Tiers(self, slow_start_ticks)
         self._listed: Sequence[Host] = ()  # as discovery gave them
         self._shown: dict[str, Host] = {}  # as the decisions see them
--- a/willowhook/controlplane/handoff_peers.py
+++ b/willowhook/controlplane/handoff_peers.py
@@ -9,11 +9,10 @@
 
 import trio
 
-from ..config.facts import ticks
 from ..decisions.events import EndpointReport
 from ..decisions.windows import WindowedSums
 from ..membership.handoff import Hint, Listener, Packet, Teller
-from ..ticks import TICKS_PER_SECOND
+from ..ticks import TICKS_PER_SECOND, ticks_from_milliseconds
 from ..xds.codec import FormError
 from .context import ServiceContext
 from .endpoint_directory import EndpointDirectory
@@ -37,7 +36,7 @@
         self._directory = directory
         controller, epoch = context.terms.name, context.epoch
         settings = context.terms.links
-        lifetime_ticks = ticks(settings.lasts_ms)
+        lifetime_ticks = ticks_from_milliseconds(settings.lasts_ms)
         self._hints = Listener(lifetime_ticks)
         self._clients = [PeerClient(url, settings.timeout_ms / 1000) for url in settings.peers]
         self._senders = [
--- a/willowhook/controlplane/report_processor.py
+++ b/willowhook/controlplane/report_processor.py
@@ -10,7 +10,6 @@
 import time
 from collections.abc import Callable
 
-from ..config.facts import ticks
 from ..decisions.events import EndpointReport
 from ..reports.budget import Budget
 from ..reports.quarantine import Quarantine
@@ -55,7 +54,7 @@
         self._intake = intake
         self._set_interval = set_interval
         settings, fleet = context.terms.intake, context.terms.fleet
-        interval_ticks = ticks(fleet.report_every_ms)
+        interval_ticks = ticks_from_milliseconds(fleet.report_every_ms)
         self._slice_nanoseconds = round(settings.slice_ms * NANOSECONDS_PER_MILLISECOND)
         self._handover_interval_ticks = min(interval_ticks // 4, MAX_HANDOVER_INTERVAL_TICKS)
         self._handed_over_at = 0
@@ -64,7 +63,7 @@
         self._read_at: dict[str, int] = {}  # by proxy: when its file was read last
         self._mean_rate_per_second = 1.0
         # a proxy that reports less often would be taken for silent
-        max_interval_ticks = ticks(context.terms.files.proxy_lost_after_ms) * 2 // 5
+        max_interval_ticks = ticks_from_milliseconds(context.terms.files.proxy_lost_after_ms) * 2 // 5
         self.queue = Queue(random.Random(context.seed).randrange)
         self.budget = Budget(
             fleet.reports_per_s, settings.share, interval_ticks, max_interval_ticks, self._interval_changed
--- a/willowhook/controlplane/resource_renderer.py
+++ b/willowhook/controlplane/resource_renderer.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from ..config.facts import SEMANTICS, paths
+from ..config.deployment import SEMANTICS, ordered_paths
 from ..config.terms import ClosedTerms, PathTerms, RouteTerms, Terms
 from ..decisions.runtime import AdmissionLimit
 from ..membership.claim import safe_tries
@@ -47,7 +47,7 @@
         self._prefix = f"{terms.name}.{epoch}"
         self._connect_timeout_ticks = ticks_from_milliseconds(terms.fleet.dial_ms)
         self._bodies: dict[object, bytes] = {}  # of routes and clusters, by what is in them
-        self._paths = paths(terms)
+        self._paths = ordered_paths(terms)
         self._addresses: Mapping[str, Address] = {}
         self._addresses_version = 0
 
@@ -70,7 +70,9 @@
         for index, path in self._paths:
             if isinstance(path, ClosedTerms):
                 made.entries.append(self._closed_entry(path))
-            elif (table := view.bound.get(index)) is not None:
+                continue
+            assert index is not None  # as every path but a closed one has a route
+            if (table := view.bound.get(index)) is not None:
                 self._add_bound_route(made, index, path, table, view)
             else:
                 self._add_initial_route(made, self._terms.routes[index].name, initial, view)
--- a/willowhook/nginx/result.py
+++ b/willowhook/nginx/result.py
@@ -11,10 +11,11 @@
 import msgspec
 
 from ..config.check import read_terms
+from ..config.deployment import SEMANTICS, ordered_paths
 from ..config.example import EXAMPLE
-from ..config.facts import SEMANTICS, paths
 from ..config.terms import ClosedTerms, FileTerms, RecordTerms, Terms
 from ..membership.claim import safe_tries
+from ..ticks import ticks_from_milliseconds
 from ..xds import forms, tables
 from ..xds.codec import encode, response
 from .plan import Plan
@@ -71,7 +72,7 @@
 
 def table_files(plan: Plan, terms: Terms) -> dict[str, bytes]:
     """The group of files of a proxy that follows no director: the tables as they were."""
-    zone, ticks = plan.asked.zone, round(terms.fleet.dial_ms * 10)
+    zone, ticks = plan.asked.zone, ticks_from_milliseconds(terms.fleet.dial_ms)
     assignments, clusters, rows = dict[str, bytes](), dict[str, bytes](), list[bytes]()
     by_name = {group.name: group for group in plan.groups.values()}
     for name, group in by_name.items():
@@ -86,11 +87,12 @@
             )
         later = {host: tier for host, _, tier, _ in group.rows if tier}
         assignments[name] = encode(tables.assignment(name, lines, later))
-    for k, path in paths(terms):
+    for index, path in ordered_paths(terms):
         if isinstance(path, ClosedTerms):
             rows.append(encode(tables.closed(tables.match(path.match, path.path), path.status)))
             continue
-        route = terms.routes[k]
+        assert index is not None  # as every path but a closed one has a route
+        route = terms.routes[index]
         group = by_name[plan.group_of[route.name]]
         to = f"{route.name}@{group.name}"
         pick = "ring" if route.hash_by else group.pick
@@ -99,10 +101,20 @@
             safe_tries(SEMANTICS[route.semantics], 2 if route.semantics == "repeatable" else 1), route.tries
         )
         filters = tables.level("rps", route.most_per_s or float("inf"), 1)
-        rows.append(encode(tables.route(
-            route.name, tables.match(path.match, path.path), to, round(route.time_limit_ms * 10),
-            tables.retry(tries, round(route.time_limit_ms * 10)), filters, path.rewrite, route.hash_by,
-        )))  # fmt: skip
+        rows.append(
+            encode(
+                tables.route(
+                    route.name,
+                    tables.match(path.match, path.path),
+                    to,
+                    ticks_from_milliseconds(route.time_limit_ms),
+                    tables.retry(tries, ticks_from_milliseconds(route.time_limit_ms)),
+                    filters,
+                    path.rewrite,
+                    route.hash_by,
+                )
+            )
+        )
     calls = {"name": "all", "domains": ["*"], "routes": [msgspec.Raw(row) for row in rows]}
     routes = encode({"@type": forms.ROUTES, "name": "calls", "virtual_hosts": [calls]})
     bodies = {"eds": list(assignments.values()), "cds": list(clusters.values()), "rds": [routes]}
