--- a/tests/controlplane_fixtures.py
+++ b/tests/controlplane_fixtures.py
@@ -2,13 +2,28 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
+from dataclasses import replace
+from typing import Any
+
+import structlog
+import trio
+
 from willowhook.config.deployment import deployment_settings
 from willowhook.config.example import EXAMPLE
+from willowhook.controlplane.proxy_resources import ProxyResources, ResourcesByType
+from willowhook.controlplane.proxy_session import ProxySession
+from willowhook.controlplane.proxy_state import ProxyStateBook
+from willowhook.controlplane.publisher import Publisher
+from willowhook.controlplane.resource_renderer import ResourceRenderer
 from willowhook.controlplane.update_sinks import FileUpdateSink
 from willowhook.files.swap import Shelf
+from willowhook.records.writer import Records
+from willowhook.roster.forms import Host
 from willowhook.versions.resources import ResourceStore, first_era
 
 SETTINGS = deployment_settings(EXAMPLE)
+ONE_ROUND_SECONDS = 0.2  # less than the loop of the publisher waits between two rounds
 ALL_ROUTES = range(len(SETTINGS.routes))
 MESSAGE_OVERHEAD = int(SETTINGS.channel.message_overhead_entries)
 
@@ -16,3 +31,125 @@
 def file_sink(term: int, epoch: int) -> FileUpdateSink:
     """A sink whose files are only made, not written."""
     return FileUpdateSink(Shelf("nowhere"), ResourceStore(first_era(epoch, 5)), term, epoch, False)
+
+
+class RecordingListener:
+    """Keeps what the publisher tells, in place of the service."""
+
+    def __init__(self) -> None:
+        self.time = 0
+        self.conditions: dict[str, bool] = {}
+        self.acknowledged: list[tuple[int, int]] = []
+        self.events: list[Callable[[int], None]] = []
+        self.out_of_service: set[str] = set()
+
+    def now(self) -> int:
+        return self.time
+
+    def report_condition(self, name: str, on: bool, text: str, **parts: Any) -> None:
+        self.conditions[name] = on
+
+    def is_in_service(self, host: str) -> bool:
+        return host not in self.out_of_service
+
+    def handle_acknowledged(self, now: int, proxy: int, marker: int) -> None:
+        self.acknowledged.append((proxy, marker))
+
+    async def post_event(self, event: Callable[[int], None]) -> None:
+        self.events.append(event)
+
+    def record_known_version(self, proxy: str, part: str, version: str) -> None:
+        """Nobody looks at it here."""
+
+    def record_sent(self, proxy: str, term: int, message: int) -> None:
+        """Nobody looks at it here."""
+
+
+class RecordingRecords(Records):
+    """Keeps records in memory."""
+
+    def __init__(self) -> None:
+        super().__init__("", 0)
+        self.rows: list[dict[str, Any]] = []
+
+    def note(self, now: int, kind: str, **parts: Any) -> None:
+        self.rows.append({"kind": kind, **parts})
+
+
+class FakeSink:
+    """A sink whose writes change something, change nothing, or fail, as told."""
+
+    may_block = False
+
+    def __init__(self) -> None:
+        self.outcome: bool | OSError = True
+        self.written: list[tuple[int, ResourcesByType]] = []
+        self.rewrites = 0
+
+    def prepare(
+        self, number: int, resources: ResourcesByType, excluded: frozenset[str]
+    ) -> Callable[[], bool]:
+        def place() -> bool:
+            if isinstance(self.outcome, OSError):
+                raise self.outcome
+            self.written.append((number, resources))
+            return self.outcome
+
+        return place
+
+    def prepare_rewrite(self) -> Callable[[], bool]:
+        def place() -> bool:
+            self.rewrites += 1
+            return True
+
+        return place
+
+    def send_away(self, resource: bytes) -> None:
+        """Nobody is sent away here."""
+
+    def close(self) -> None:
+        """Nothing is open."""
+
+
+class PublisherHarness:
+    """A publisher with one proxy, whose loop is not run: each test takes the steps it needs."""
+
+    def __init__(self, **channel: float) -> None:
+        self.settings = replace(SETTINGS, channel=replace(SETTINGS.channel, **channel))
+        self.listener = RecordingListener()
+        self.records = RecordingRecords()
+        self.sink = FakeSink()
+        renderer = ResourceRenderer(EXAMPLE, 1)
+        renderer.set_addresses({name: ("127.0.0.1", 80 + ord(name), "north") for name in "abc"})
+        log = structlog.get_logger()
+        self.book = ProxyStateBook(self.settings, lambda message: self.publisher.enqueue(message))
+        self.publisher = Publisher(
+            EXAMPLE, self.settings, self.listener, self.records, log, renderer, 1, self.book
+        )
+        hosts = [Host(name, "127.0.0.1", 80 + ord(name), False, 0.0, 1.0, "", "", "north") for name in "abc"]
+        self.publisher.validation.update_endpoints(0, hosts, lambda host: 0)
+        self.session = self.join(0)
+
+    def join(self, proxy: int) -> ProxySession:
+        """A proxy joins with nothing."""
+        initial = ProxyResources()
+        session = ProxySession(proxy, f"p{proxy}", 1, initial, self.sink)
+        self.publisher.add_session(session)
+        self.book.add_proxy(proxy, "north", {})
+        self.publisher.validation.add_proxy(proxy, "north", 5.0, initial)
+        return session
+
+    def order(self, weights: dict[str, float], marker: int | None = None) -> None:
+        """Gives all routes of the proxy one table with these weights."""
+        for name, weight in weights.items():
+            self.book.set_weight(0, name, weight)
+        self.book.bind(0, 0, ALL_ROUTES)
+        if marker is not None:
+            self.book.send_sync_marker(marker)
+        self.book.flush(self.listener.time)
+
+    async def publish(self, ticks: int) -> None:
+        """Lets the publisher do one round of its loop, so many ticks later; in a run with a mock clock."""
+        self.listener.time += ticks
+        with trio.move_on_after(ONE_ROUND_SECONDS):
+            await self.publisher.run()
--- /dev/null
+++ b/tests/test_proxy_resources.py
@@ -0,0 +1,59 @@
+"""What a proxy held when it joined, as read from its resources."""
+
+from __future__ import annotations
+
+import pytest
+
+from willowhook.controlplane.proxy_resources import CONTROLLERS_RESOURCE, read_proxy_resources
+from willowhook.xds import forms, tables
+from willowhook.xds.codec import FormError, encode
+
+TABLE = tables.assignment(
+    "standing", [("a", "127.0.0.1", 81, "north", 1.0, False), ("b", "127.0.0.1", 82, "south", 0.5, True)]
+)
+CLUSTER = tables.cluster("load@standing", "standing", "", "pair", 1, 0)
+
+
+def entry(path: str, cluster: str = "load@standing") -> forms.Route:
+    return tables.route("load", path, cluster, 1, tables.retry(1, 0), {})
+
+
+def route_set(*entries: forms.Route) -> tuple[str, bytes]:
+    return forms.ROUTES, encode(tables.in_order("calls", list(entries)))
+
+
+def test_tables_are_found_by_route_and_exclusions_in_all_tables() -> None:
+    resources = [
+        (forms.ASSIGNMENT, encode(TABLE)),
+        (forms.CLUSTER, encode(CLUSTER)),
+        route_set(entry("/load"), entry("/more")),
+    ]
+    found = read_proxy_resources(resources)
+    assert found.weights("load") == {"a": 1.0, "b": 0.5}
+    assert found.endpoints_of("load") == {"a", "b"}
+    assert found.excluded() == {"b"}
+    assert len(found.routes["load"].entries) == 2
+    assert found.weights("save") == {} and found.endpoints_of("save") == frozenset()
+
+
+def test_resources_read_back_are_the_same() -> None:
+    resources = [
+        (forms.ASSIGNMENT, encode(TABLE)),
+        (forms.CLUSTER, encode(CLUSTER)),
+        route_set(entry("/load")),
+    ]
+    found = read_proxy_resources(resources)
+    urls = {"eds": forms.ASSIGNMENT, "cds": forms.CLUSTER, "rds": forms.ROUTES}
+    again = [(urls[kind], body) for kind, rows in found.resources().items() for _, body in rows]
+    assert again == resources
+    assert read_proxy_resources(again) == found
+
+
+def test_the_table_of_controllers_is_left_out() -> None:
+    table = forms.ClusterLoadAssignment(CONTROLLERS_RESOURCE)
+    assert read_proxy_resources([(forms.ASSIGNMENT, encode(table))]).assignments == {}
+
+
+def test_a_route_to_a_missing_cluster_is_malformed() -> None:
+    with pytest.raises(FormError, match="names cluster 'gone@standing', which is not held"):
+        read_proxy_resources([(forms.CLUSTER, encode(CLUSTER)), route_set(entry("/load", "gone@standing"))])
--- /dev/null
+++ b/tests/test_publisher.py
@@ -0,0 +1,282 @@
+"""The publisher: messages are staged, validated, written, and followed until they are applied."""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable, Callable
+
+import pytest
+import trio
+from controlplane_fixtures import MESSAGE_OVERHEAD, PublisherHarness
+from trio.testing import MockClock
+
+from willowhook.controlplane.update_validator import MIN_HOLD_TICKS
+from willowhook.controlplane.update_writer import FIRST_REWRITE_TICKS
+from willowhook.decisions.update_cost import SYNC_MARKER_ENTRIES
+from willowhook.ticks import TICKS_PER_SECOND
+from willowhook.validation.model import Candidate
+from willowhook.validation.verdict import Finding, Outcome, Rule, Verdict
+
+EVEN = {"a": 1.0, "b": 1.0, "c": 1.0}
+
+
+def run(play: Callable[[], Awaitable[None]]) -> None:
+    trio.run(play, clock=MockClock(autojump_threshold=0))
+
+
+def verdict_of(outcome: Outcome, until: int | None = None) -> Callable[[int, Candidate], Verdict]:
+    """A judge that finds the same of every candidate."""
+
+    def judge(now: int, candidate: Candidate) -> Verdict:
+        verdict = Verdict()
+        verdict.add(Finding("queue", outcome, Rule.QUEUE, "as told", "nothing", until=until))
+        return verdict
+
+    return judge
+
+
+def test_a_message_is_written_and_its_marker_acknowledged_once_applied() -> None:
+    async def play() -> None:
+        harness = PublisherHarness()
+        harness.order(EVEN, marker=7)
+        await harness.publish(TICKS_PER_SECOND)
+        assert [number for number, _ in harness.sink.written] == [1]
+        assert harness.session.written == 1
+        harness.publisher.handle_acknowledged(harness.listener.time, 0, 1)
+        assert harness.listener.acknowledged == [(0, 7)]
+        assert harness.session.acknowledged == 1
+        order = next(row for row in harness.records.rows if row["kind"] == "order")
+        cost = 1 + len(EVEN) + MESSAGE_OVERHEAD + SYNC_MARKER_ENTRIES
+        assert (order["message"], order["mark"], order["lines"]) == (1, 7, cost)
+
+    run(play)
+
+
+def test_a_message_without_marker_is_recorded_as_before() -> None:
+    harness = PublisherHarness()
+    harness.order(EVEN)
+    assert [row["mark"] for row in harness.records.rows if row["kind"] == "order"] == [-1]
+
+
+def test_a_queue_over_its_limit_is_reported_until_it_is_within() -> None:
+    harness = PublisherHarness(queue_limit_entries=MESSAGE_OVERHEAD + 1 + len(EVEN))
+    harness.order(EVEN)
+    assert harness.listener.conditions["queue"] is False
+    harness.order({"a": 2.0})
+    assert harness.listener.conditions["queue"] is True
+
+
+def test_failed_writes_are_retried_until_they_succeed() -> None:
+    async def play() -> None:
+        harness = PublisherHarness()
+        harness.sink.outcome = OSError("disk full")
+        harness.order(EVEN)
+        await harness.publish(TICKS_PER_SECOND)
+        assert harness.session.unwritten is not None
+        assert harness.listener.conditions["disk"] is True
+        harness.sink.outcome = True
+        await harness.publish(TICKS_PER_SECOND)
+        assert harness.session.unwritten is None
+        assert harness.listener.conditions["disk"] is False
+        assert [number for number, _ in harness.sink.written] == [1]
+
+    run(play)
+
+
+def test_a_message_that_changes_nothing_is_acknowledged_by_the_answer_to_the_one_before() -> None:
+    async def play() -> None:
+        harness = PublisherHarness()
+        harness.order(EVEN, marker=1)
+        await harness.publish(TICKS_PER_SECOND)
+        harness.publisher.handle_acknowledged(harness.listener.time, 0, 1)
+        harness.sink.outcome = False
+        harness.order(EVEN, marker=2)
+        await harness.publish(TICKS_PER_SECOND)
+        assert len(harness.listener.events) == 1
+        harness.listener.events[0](harness.listener.time)
+        assert harness.listener.acknowledged == [(0, 1), (0, 2)]
+
+    run(play)
+
+
+def test_unacknowledged_files_are_rewritten_after_a_growing_pause() -> None:
+    async def play() -> None:
+        harness = PublisherHarness()
+        harness.order(EVEN)
+        await harness.publish(TICKS_PER_SECOND)
+        await harness.publish(FIRST_REWRITE_TICKS - 1)
+        assert harness.sink.rewrites == 0
+        await harness.publish(1)
+        assert harness.sink.rewrites == 1
+        await harness.publish(2 * FIRST_REWRITE_TICKS - 1)
+        assert harness.sink.rewrites == 1
+        await harness.publish(1)
+        assert harness.sink.rewrites == 2
+        harness.publisher.handle_acknowledged(harness.listener.time, 0, 1)
+        await harness.publish(30 * TICKS_PER_SECOND)
+        assert harness.sink.rewrites == 2
+        assert harness.session.rewrite is None
+
+    run(play)
+
+
+def test_rejected_files_are_not_rewritten() -> None:
+    async def play() -> None:
+        harness = PublisherHarness()
+        harness.order(EVEN)
+        await harness.publish(TICKS_PER_SECOND)
+        harness.publisher.handle_group_rejected(harness.listener.time, 0, "eds", 1, "no such table")
+        await harness.publish(30 * TICKS_PER_SECOND)
+        assert harness.sink.rewrites == 0
+
+    run(play)
+
+
+def test_a_held_message_goes_out_later_under_a_new_number_without_its_marker() -> None:
+    async def play() -> None:
+        harness = PublisherHarness()
+        validator = harness.publisher.validation.validator
+        judge = validator.judge
+        until = 2 * TICKS_PER_SECOND
+        validator.judge = verdict_of(Outcome.HELD, until)  # type: ignore[method-assign]
+        harness.order(EVEN, marker=3)
+        await harness.publish(TICKS_PER_SECOND)
+        assert harness.sink.written == []
+        assert harness.session.held is not None and harness.session.held.until == until
+        validator.judge = judge  # type: ignore[method-assign]
+        await harness.publish(TICKS_PER_SECOND)  # it is queued again
+        await harness.publish(TICKS_PER_SECOND)
+        assert [number for number, _ in harness.sink.written] == [2]
+        marks = [row["mark"] for row in harness.records.rows if row["kind"] == "order"]
+        assert marks == [3, -1]
+
+    run(play)
+
+
+def test_a_held_message_is_dropped_when_a_later_one_leaves() -> None:
+    async def play() -> None:
+        harness = PublisherHarness()
+        validator = harness.publisher.validation.validator
+        judge = validator.judge
+        validator.judge = verdict_of(Outcome.HELD, 60 * TICKS_PER_SECOND)  # type: ignore[method-assign]
+        harness.order(EVEN)
+        await harness.publish(TICKS_PER_SECOND)
+        validator.judge = judge  # type: ignore[method-assign]
+        harness.order({"a": 2.0})
+        await harness.publish(TICKS_PER_SECOND)
+        assert harness.session.held is None
+        assert [number for number, _ in harness.sink.written] == [2]
+
+    run(play)
+
+
+def test_a_hold_without_a_time_lasts_the_default() -> None:
+    async def play() -> None:
+        harness = PublisherHarness()
+        validator = harness.publisher.validation.validator
+        validator.judge = verdict_of(Outcome.HELD)  # type: ignore[method-assign]
+        harness.order(EVEN)
+        await harness.publish(TICKS_PER_SECOND)
+        assert harness.session.held is not None
+        assert harness.session.held.until == 2 * TICKS_PER_SECOND > harness.listener.time + MIN_HOLD_TICKS
+
+    run(play)
+
+
+def test_a_refused_message_is_not_written_and_not_queued_again() -> None:
+    async def play() -> None:
+        harness = PublisherHarness()
+        validator = harness.publisher.validation.validator
+        validator.judge = verdict_of(Outcome.REFUSED)  # type: ignore[method-assign]
+        harness.order(EVEN)
+        await harness.publish(TICKS_PER_SECOND)
+        await harness.publish(TICKS_PER_SECOND)
+        assert harness.sink.written == []
+        assert harness.session.held is None
+        assert len(harness.publisher.channel) == 0
+
+    run(play)
+
+
+def test_validation_that_raises_is_disabled_and_messages_go_out() -> None:
+    def raises(now: int, candidate: Candidate) -> Verdict:
+        raise KeyError("on purpose")
+
+    async def play() -> None:
+        harness = PublisherHarness()
+        harness.publisher.validation.validator.judge = raises  # type: ignore[method-assign]
+        harness.order(EVEN)
+        await harness.publish(TICKS_PER_SECOND)
+        assert [number for number, _ in harness.sink.written] == [1]
+        assert harness.listener.conditions["no guard"] is True
+
+    run(play)
+
+
+@pytest.mark.parametrize("removed", [set(), {"a"}])
+def test_a_halted_table_is_replaced_by_the_last_good_one(removed: set[str]) -> None:
+    """Endpoints that were removed meanwhile are left out of it."""
+
+    async def play() -> None:
+        harness = PublisherHarness()
+        harness.join(1)
+        harness.publisher.rollout.record_offered(0, 1, ("t", 0), 1)  # a second proxy, so that two can reject
+        harness.order(EVEN)
+        await harness.publish(TICKS_PER_SECOND)
+        good = harness.session.newest_contents
+        unit, content = good[0]
+        rollout = harness.publisher.rollout
+        for proxy in (0, 1):
+            rollout.record_offered(0, proxy, unit, content)
+            rollout.record_acknowledged(0, proxy, unit, content)
+        assert rollout.tracks[unit].good == content
+        harness.order({"b": 5.0} | {name: 0.0 for name in removed})
+        await harness.publish(TICKS_PER_SECOND)
+        bad = harness.session.newest_contents[0].content
+        assert bad != content
+        harness.listener.out_of_service = removed
+        for proxy in (0, 1):
+            rollout.record_offered(1, proxy, unit, bad)
+            rollout.record_rejected(1, proxy, unit, bad, "bad weights")
+        await harness.publish(TICKS_PER_SECOND)  # the proxies that ran it are queued again
+        await harness.publish(TICKS_PER_SECOND)
+        assert harness.session.newest_contents == good
+        assert harness.session.is_substituted
+        kinds = [row["kind"] for row in harness.records.rows]
+        assert "halted" in kinds and "rollback" in kinds
+        tables = dict(harness.sink.written[-1][1]["eds"])
+        assert all(
+            (f'"{name}"'.encode() in body) != (name in removed) for body in tables.values() for name in EVEN
+        )
+
+    run(play)
+
+
+def test_a_good_table_without_an_endpoint_in_service_replaces_nothing() -> None:
+    async def play() -> None:
+        harness = PublisherHarness()
+        harness.order({"a": 1.0})
+        await harness.publish(TICKS_PER_SECOND)
+        unit, content = harness.session.newest_contents[0]
+        rollout = harness.publisher.rollout
+        rollout.record_acknowledged(0, 0, unit, content)
+        harness.listener.out_of_service = {"a"}
+        harness.order({"a": 0.0, "b": 1.0})
+        rollout.tracks[unit].halted[content + 1] = "on purpose"  # type: ignore[operator]
+        await harness.publish(TICKS_PER_SECOND)
+        assert harness.session.newest_contents[0].content == content + 1  # type: ignore[operator]
+        assert not harness.session.is_substituted
+
+    run(play)
+
+
+def test_messages_of_a_proxy_that_left_are_dropped() -> None:
+    async def play() -> None:
+        harness = PublisherHarness()
+        harness.order(EVEN)
+        harness.publisher.remove_session(0)
+        harness.book.remove_proxy(0)
+        await harness.publish(TICKS_PER_SECOND)
+        assert harness.sink.written == []
+        assert harness.publisher.channel.waiting_entries == 0
+
+    run(play)
--- a/willowhook/controlplane/acknowledgements.py
+++ b/willowhook/controlplane/acknowledgements.py
@@ -46,7 +46,7 @@
         if session is None:
             return
         session.acknowledged = max(session.acknowledged, number)
-        if not session.is_http and number >= session.written:
+        if not session.uses_discovery and number >= session.written:
             version = f"{session.term}.{self._epoch}.{number}"
             self.record_known_version(session, "group", version, "acknowledged")
         self._acknowledge_contents(now, session, number)
--- a/willowhook/controlplane/proxy_session.py
+++ b/willowhook/controlplane/proxy_session.py
@@ -55,7 +55,7 @@
         term: counts its stays with controllers.
         initial: what it held when it joined.
         sink: where its updates go.
-        is_http: whether it calls; otherwise it reads files.
+        uses_discovery: whether it calls the discovery server; otherwise it reads files.
         pending: messages that it has not acknowledged.
         written: the number of the message that it can read now.
         acknowledged: the number of the newest message that it has applied.
@@ -72,7 +72,7 @@
     term: int
     initial: ProxyResources
     sink: UpdateSink
-    is_http: bool = False
+    uses_discovery: bool = False
     pending: list[PendingAcknowledgement] = field(default_factory=list)
     written: int = 0
     acknowledged: int = 0
--- a/willowhook/controlplane/session_manager.py
+++ b/willowhook/controlplane/session_manager.py
@@ -66,7 +66,7 @@
         self._handoff.send_evidence(now, proxy, name, published.term)
         self._publisher.remove_session(proxy)
         self._proxy_states.remove_proxy(proxy)
-        if not published.is_http:
+        if not published.uses_discovery:
             self._feed.forget(name)
             self._remove_folder(name)
         elif self._discovery is not None:
--- a/willowhook/controlplane/update_writer.py
+++ b/willowhook/controlplane/update_writer.py
@@ -52,7 +52,7 @@
         True also if the proxy has left meanwhile: the message is nobody's any more.
         """
         place = self._prepare(session, message)
-        if not session.is_http:
+        if not session.uses_discovery:
             self._acknowledgements.record_known_version(session, "group", "", "sent")
         try:
             has_changed = await _run(place, session.sink)
@@ -98,7 +98,7 @@
     ) -> None:
         if has_changed:
             session.written = message.number
-            if session.is_http:
+            if session.uses_discovery:
                 self._channel.hold_until_fetched(session.number, message.cost_entries)
             elif session.rewrite is None:
                 session.rewrite = RewriteTimer(now + FIRST_REWRITE_TICKS, FIRST_REWRITE_TICKS)
