--- a/willowhook/controlplane/acknowledgements.py
+++ b/willowhook/controlplane/acknowledgements.py
@@ -2,13 +2,9 @@
 
 from __future__ import annotations
 
-from typing import Any
-
-from ..records.writer import Records
 from ..versions.resources import TABLES, Resource, ResourceSet
-from .proxy_session import ProxySession, SessionRegistry
-from .publisher_listener import PublisherListener
-from .resource_renderer import ResourceRenderer
+from .proxy_session import ProxySession
+from .publisher_context import PublisherContext
 from .table_rollout import MAX_CAUSE_LENGTH, TableRollout, table_number
 from .update_validator import UpdateValidator
 
@@ -16,26 +12,16 @@
 class Acknowledgements:
     """Follows acknowledgements and rejections of proxies; proxies that have left are ignored."""
 
-    def __init__(
-        self,
-        epoch: int,
-        renderer: ResourceRenderer,
-        sessions: SessionRegistry,
-        validator: UpdateValidator,
-        rollout: TableRollout,
-        listener: PublisherListener,
-        records: Records,
-        log: Any,
-    ) -> None:
-        """Validator and rollout are told of each answer; `epoch` is of this run of the controller."""
-        self._epoch = epoch
-        self._renderer = renderer
-        self._sessions = sessions
+    def __init__(self, context: PublisherContext, validator: UpdateValidator, rollout: TableRollout) -> None:
+        """Validator and rollout are told of each answer."""
+        self._epoch = context.epoch
+        self._renderer = context.renderer
+        self._sessions = context.sessions
+        self._listener = context.listener
+        self._records = context.records
+        self._log = context.log
         self._validator = validator
         self._rollout = rollout
-        self._listener = listener
-        self._records = records
-        self._log = log
 
     def handle_acknowledged(self, now: int, proxy: int, number: int) -> None:
         """Notes that a proxy has applied all messages up to this number.
@@ -54,7 +40,7 @@
         if not applied:
             return
         del session.pending[: len(applied)]
-        self._validator.update(self._validator.context.record_acknowledged, proxy, number)
+        self._validator.update(self._validator.validation.record_acknowledged, proxy, number)
         last = applied[-1]
         self._records.note(now, "applied", message=number, proxy=session.name, after=now - last.ordered_at)
         if last.marker is not None:
--- a/willowhook/controlplane/publisher.py
+++ b/willowhook/controlplane/publisher.py
@@ -13,11 +13,11 @@
 
 from collections import deque
 from collections.abc import Callable
-from typing import Any, ParamSpec
+from typing import ParamSpec
 
 import trio
 
-from ..config.terms import Terms
+from ..config.terms import GuardTerms, Terms
 from ..decisions.settings import DeploymentSettings
 from ..records.writer import Records
 from ..ticks import TICKS_PER_SECOND
@@ -25,8 +25,10 @@
 from ..versions.rollout import Rollout
 from .acknowledgements import Acknowledgements
 from .channel import UpdateChannel
+from .condition_log import Logger
 from .proxy_session import ProxySession, SessionRegistry
 from .proxy_state import ProxyStateBook, UpdateMessage
+from .publisher_context import PublisherContext
 from .publisher_listener import PublisherListener
 from .resource_renderer import ResourceRenderer
 from .table_rollout import TableRollout, rollout_settings
@@ -54,7 +56,7 @@
         settings: DeploymentSettings,
         listener: PublisherListener,
         records: Records,
-        log: Any,
+        log: Logger,
         renderer: ResourceRenderer,
         epoch: int,
         proxy_states: ProxyStateBook,
@@ -64,30 +66,15 @@
         self.records = records
         self._listener = listener
         self._registry = SessionRegistry()
-        self._queue = UpdateQueue(settings.channel, proxy_states, self._registry, listener, records)
-        self._validator = _make_validator(terms, settings, epoch, self._registry, listener, records, log)
+        context = PublisherContext(epoch, renderer, self._registry, listener, records, log)
+        self._queue = UpdateQueue(context, settings.channel, proxy_states)
+        self._validator = _make_validator(context, terms.guard, settings)
         self._table_rollout = TableRollout(
-            rollout_settings(terms.rollout),
-            settings.channel,
-            self._queue,
-            self._registry,
-            listener,
-            records,
-            log,
-            self.wake,
-        )
-        self._acknowledgements = Acknowledgements(
-            epoch, renderer, self._registry, self._validator, self._table_rollout, listener, records, log
+            context, rollout_settings(terms.rollout), settings.channel, self._queue, self.wake
         )
+        self._acknowledgements = Acknowledgements(context, self._validator, self._table_rollout)
         self._writer = UpdateWriter(
-            renderer,
-            self._queue.channel,
-            self._registry,
-            self._validator,
-            self._table_rollout,
-            self._acknowledgements,
-            listener,
-            records,
+            context, self._queue.channel, self._validator, self._table_rollout, self._acknowledgements
         )
         self._woken = trio.Event()
         self._write_retry_at = 0
@@ -105,7 +92,7 @@
     @property
     def validation(self) -> ValidationContext:
         """What update validation knows; it is changed through `update_validation`."""
-        return self._validator.context
+        return self._validator.validation
 
     @property
     def validation_micros(self) -> deque[int]:
@@ -234,15 +221,8 @@
 
 
 def _make_validator(
-    terms: Terms,
-    settings: DeploymentSettings,
-    epoch: int,
-    sessions: SessionRegistry,
-    listener: PublisherListener,
-    records: Records,
-    log: Any,
+    context: PublisherContext, terms: GuardTerms, settings: DeploymentSettings
 ) -> UpdateValidator:
-    guard = terms.guard
-    validation = validation_settings(settings, guard.cold_part, guard.swing, guard.capacity_calls_per_s)
-    context = ValidationContext(settings, validation, guard.mode == "shadow")
-    return UpdateValidator(context, guard.mode != "off", epoch, sessions, listener, records, log)
+    limits = validation_settings(settings, terms.cold_part, terms.swing, terms.capacity_calls_per_s)
+    validation = ValidationContext(settings, limits, shadow=terms.mode == "shadow")
+    return UpdateValidator(context, validation, is_enabled=terms.mode != "off")
--- a/willowhook/controlplane/table_rollout.py
+++ b/willowhook/controlplane/table_rollout.py
@@ -8,19 +8,18 @@
 
 from collections.abc import Callable
 from dataclasses import replace
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from ..config.terms import RolloutTerms
 from ..decisions.settings import ChannelSettings
 from ..decisions.update_cost import message_overhead
-from ..records.writer import Records
 from ..ticks import ticks_from_milliseconds
 from ..versions.resources import Resource
 from ..versions.rollout import Rollout, RolloutMode, RolloutSettings
 from ..versions.rollout_track import Content, Unit
-from .proxy_session import Contents, ProxySession, RolloutContent, SessionRegistry
+from .proxy_session import Contents, ProxySession, RolloutContent
 from .proxy_state import ProxyView, TableState, UpdateMessage
-from .publisher_listener import PublisherListener
+from .publisher_context import PublisherContext
 from .update_queue import UpdateQueue
 from .update_sinks import HttpUpdateSink
 
@@ -67,24 +66,21 @@
 
     def __init__(
         self,
+        context: PublisherContext,
         settings: RolloutSettings,
         channel_settings: ChannelSettings,
         queue: UpdateQueue,
-        sessions: SessionRegistry,
-        listener: PublisherListener,
-        records: Records,
-        log: Any,
         wake: Callable[[], None],
     ) -> None:
         """`queue` takes what is sent again; `wake` is called when there is something to send."""
         self.rollout = Rollout(settings, self)
         self._message_overhead = message_overhead(channel_settings)
         self._queue = queue
-        self._sessions = sessions
-        self._listener = listener
-        self._records = records
-        self._log = log
         self._wake = wake
+        self._sessions = context.sessions
+        self._listener = context.listener
+        self._records = context.records
+        self._log = context.log
         self._tables: dict[Content, TableState] = {}  # that may be gone back to
         self._rejected: dict[tuple[Unit, Content], Resource] = {}
         self._resend: dict[int, None] = {}  # proxies that are to be sent their state again
--- a/willowhook/controlplane/update_queue.py
+++ b/willowhook/controlplane/update_queue.py
@@ -5,11 +5,10 @@
 from dataclasses import replace
 
 from ..decisions.settings import ChannelSettings
-from ..records.writer import Records
 from .channel import UpdateChannel
-from .proxy_session import ProxySession, SessionRegistry
+from .proxy_session import ProxySession
 from .proxy_state import ProxyStateBook, UpdateMessage
-from .publisher_listener import PublisherListener
+from .publisher_context import PublisherContext
 
 RESEND_QUEUE_DIVISOR = 6  # resends wait until the queue is below this part of its limit
 NO_MARKER_IN_RECORDS = -1
@@ -19,20 +18,15 @@
     """Puts messages into the channel, takes them out when they have left, and reports breached limits."""
 
     def __init__(
-        self,
-        settings: ChannelSettings,
-        proxy_states: ProxyStateBook,
-        sessions: SessionRegistry,
-        listener: PublisherListener,
-        records: Records,
+        self, context: PublisherContext, settings: ChannelSettings, proxy_states: ProxyStateBook
     ) -> None:
         """`proxy_states` numbers the messages that are sent once more."""
         self.channel = UpdateChannel(settings)
         self._settings = settings
         self._proxy_states = proxy_states
-        self._sessions = sessions
-        self._listener = listener
-        self._records = records
+        self._sessions = context.sessions
+        self._listener = context.listener
+        self._records = context.records
 
     @property
     def has_room_for_resends(self) -> bool:
--- a/willowhook/controlplane/update_validator.py
+++ b/willowhook/controlplane/update_validator.py
@@ -6,15 +6,14 @@
 from collections import deque
 from collections.abc import Callable
 from dataclasses import replace
-from typing import Any, ParamSpec
+from typing import ParamSpec
 
-from ..records.writer import Records
 from ..ticks import TICKS_PER_SECOND
 from ..validation.model import UpdateVersion
 from ..validation.verdict import Outcome, Verdict
-from .proxy_session import HeldMessage, ProxySession, SessionRegistry
+from .proxy_session import HeldMessage, ProxySession
 from .proxy_state import UpdateMessage
-from .publisher_listener import PublisherListener
+from .publisher_context import PublisherContext
 from .validation_context import ValidationContext, records_of
 
 SLOW_VALIDATION_MICROS = 50_000  # a longer validation is reported
@@ -32,28 +31,19 @@
     them would break the rules for certain.
     """
 
-    def __init__(
-        self,
-        context: ValidationContext,
-        is_enabled: bool,
-        epoch: int,
-        sessions: SessionRegistry,
-        listener: PublisherListener,
-        records: Records,
-        log: Any,
-    ) -> None:
-        """`epoch` is the second part of the versions of messages."""
-        self.context = context
+    def __init__(self, context: PublisherContext, validation: ValidationContext, is_enabled: bool) -> None:
+        """Nothing is validated unless `is_enabled`."""
+        self.validation = validation
         self.is_enabled = is_enabled
         self.timings_micros: deque[int] = deque(maxlen=MAX_TIMINGS)  # of messages that passed
-        self._epoch = epoch
-        self._sessions = sessions
-        self._listener = listener
-        self._records = records
-        self._log = log
+        self._epoch = context.epoch
+        self._sessions = context.sessions
+        self._listener = context.listener
+        self._records = context.records
+        self._log = context.log
 
     def update(self, step: Callable[P, None], *args: P.args, **kwargs: P.kwargs) -> None:
-        """Calls a method of the context. If it raises, the context is worth nothing and validation ends."""
+        """Calls a method of `validation`. If it raises, what that knows is wrong, and validation ends."""
         if self.is_enabled:
             try:
                 step(*args, **kwargs)
@@ -62,7 +52,7 @@
 
     def record_sent(self, now: int, session: ProxySession, message: UpdateMessage) -> None:
         """Notes that a message is on its way to its proxy."""
-        self.update(self.context.record_sent, now, message, self._version(session, message))
+        self.update(self.validation.record_sent, now, message, self._version(session, message))
 
     def validate(
         self, now: int, session: ProxySession, message: UpdateMessage, waiting_entries: int
@@ -73,7 +63,7 @@
         began = time.perf_counter()
         try:
             version = self._version(session, message)
-            verdict = self.context.judge(now, message, version, waiting_entries)
+            verdict = self.validation.judge(now, message, version, waiting_entries)
         except Exception as error:
             self._disable(error)
             return message
@@ -109,7 +99,7 @@
             self._sessions.mark_open(session)
         if verdict.outcome is not Outcome.SPLIT:
             return None
-        return replace(message, view=self.context.first_step(message.view, verdict))
+        return replace(message, view=self.validation.first_step(message.view, verdict))
 
     def _version(self, session: ProxySession, message: UpdateMessage) -> UpdateVersion:
         return UpdateVersion(session.term, self._epoch, message.number)
--- a/willowhook/controlplane/update_writer.py
+++ b/willowhook/controlplane/update_writer.py
@@ -6,14 +6,12 @@
 
 import trio
 
-from ..records.writer import Records
 from ..ticks import TICKS_PER_SECOND
 from .acknowledgements import Acknowledgements
 from .channel import UpdateChannel
-from .proxy_session import Contents, PendingAcknowledgement, ProxySession, RewriteTimer, SessionRegistry
+from .proxy_session import Contents, PendingAcknowledgement, ProxySession, RewriteTimer
 from .proxy_state import UpdateMessage
-from .publisher_listener import PublisherListener
-from .resource_renderer import ResourceRenderer
+from .publisher_context import PublisherContext
 from .table_rollout import TableRollout
 from .update_sinks import UpdateSink
 from .update_validator import UpdateValidator
@@ -27,24 +25,21 @@
 
     def __init__(
         self,
-        renderer: ResourceRenderer,
+        context: PublisherContext,
         channel: UpdateChannel,
-        sessions: SessionRegistry,
         validator: UpdateValidator,
         rollout: TableRollout,
         acknowledgements: Acknowledgements,
-        listener: PublisherListener,
-        records: Records,
     ) -> None:
         """Validator, rollout and acknowledgements are told what was written."""
-        self._renderer = renderer
+        self._renderer = context.renderer
+        self._sessions = context.sessions
+        self._listener = context.listener
+        self._records = context.records
         self._channel = channel
-        self._sessions = sessions
         self._validator = validator
         self._rollout = rollout
         self._acknowledgements = acknowledgements
-        self._listener = listener
-        self._records = records
 
     async def write(self, session: ProxySession, message: UpdateMessage, contents: Contents) -> bool:
         """Puts a message in place. Returns False if its files cannot be written now.
--- a/willowhook/controlplane/validation_context.py
+++ b/willowhook/controlplane/validation_context.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from ..decisions.runtime import AdmissionLimit
-from ..decisions.settings import DeploymentSettings
+from ..decisions.settings import DeploymentSettings, Route
 from ..roster.forms import Host
 from ..ticks import TICKS_PER_SECOND
 from ..validation.model import (
@@ -50,18 +50,8 @@
     """
     rules = settings.rules
     channel = settings.channel
-    routes = tuple(
-        RouteConstraints(
-            route.name,
-            route.semantics,
-            route.same_zone_only,
-            route.allowed_zones,
-            route.allowed_classes,
-        )
-        for route in settings.routes
-    )
     return ValidationSettings(
-        routes=routes,
+        routes=tuple(_route_constraints(route) for route in settings.routes),
         drain_grace_ticks=rules.drain_grace_ticks,
         slow_start_ticks=rules.slow_start_ticks,
         slow_start_fraction=rules.slow_start_fraction,
@@ -77,6 +67,16 @@
     )
 
 
+def _route_constraints(route: Route) -> RouteConstraints:
+    return RouteConstraints(
+        route.name,
+        route.semantics,
+        route.same_zone_only,
+        route.allowed_zones,
+        route.allowed_classes,
+    )
+
+
 class ValidationContext:
     """Keeps the validator's world, and asks the validator about messages."""
 
@@ -112,8 +112,8 @@
     def update_capacities(self, capacities: Mapping[str, float]) -> None:
         """Takes the capacities that the decisions learnt, where the endpoint list tells none."""
         if not self._settings.lists_capacity:
-            least, most = 1 / MAX_LEARNT_CAPACITY, MAX_LEARNT_CAPACITY
-            bounded = {name: min(max(each, least), most) for name, each in capacities.items()}
+            least = 1 / MAX_LEARNT_CAPACITY
+            bounded = {name: min(max(each, least), MAX_LEARNT_CAPACITY) for name, each in capacities.items()}
             self.world.endpoints.update_capacities(bounded)
 
     def add_proxy(self, proxy: int, zone: str, rate_per_second: float, initial: ProxyResources) -> None:
--- a/willowhook/versions/discovery_session.py
+++ b/willowhook/versions/discovery_session.py
@@ -290,8 +290,9 @@
         )
 
     def _report_version(self, tracker: VersionTracker) -> None:
-        version, state = tracker.certain_version, tracker.state.value
-        self._listener.record_known_version(self.proxy, tracker.kind, version, state)
+        self._listener.record_known_version(
+            self.proxy, tracker.kind, tracker.certain_version, tracker.state.value
+        )
 
 
 def _complete_subscription(request: ResourceRequest) -> dict[str, None] | None:
--- a/willowhook/versions/resources.py
+++ b/willowhook/versions/resources.py
@@ -12,7 +12,9 @@
 from typing import NamedTuple
 from weakref import WeakValueDictionary
 
-CLUSTERS, TABLES, ROUTES = "cds", "eds", "rds"
+CLUSTERS = "cds"
+TABLES = "eds"
+ROUTES = "rds"
 KINDS = (CLUSTERS, TABLES, ROUTES)
 
 MAX_ERA = 1 << 60  # of a version that a proxy reports; more is no version of ours
