--- a/willowhook/controlplane/endpoint_directory.py
+++ b/willowhook/controlplane/endpoint_directory.py
@@ -89,10 +89,6 @@
         endpoint = self._shown.get(name)
         return endpoint is not None and not endpoint.draining
 
-    def name_at(self, address: str) -> str | None:
-        """The name of the endpoint that was listed last with this `ADDRESS:PORT`."""
-        return self._names_by_address.get(address)
-
     @property
     def names_by_address(self) -> Mapping[str, str]:
         """The name of the endpoint that was listed last with each `ADDRESS:PORT`."""
--- a/willowhook/controlplane/load_recorder.py
+++ b/willowhook/controlplane/load_recorder.py
@@ -69,11 +69,11 @@
 
     def _aggregate(self, now: int, zone: str, sample: Whole) -> Mapping[str, EndpointAttempts]:
         """Adds a sample to the aggregation; the result is its sum over routes, by endpoint."""
-        name_at = self._directory.name_at
+        names = self._directory.names_by_address
         cells = {}
         by_endpoint: dict[str, EndpointAttempts] = {}
         for (address, route), row in sample.cells.items():
-            endpoint = name_at(address)
+            endpoint = names.get(address)
             if endpoint is None:
                 continue
             cells[endpoint, route] = row
@@ -81,7 +81,7 @@
             met.attempts += row[0]
             met.failures += row[1]
             met.latency_sum_ticks += row[2]
-        loads = {name: load for at, load in sample.loads.items() if (name := name_at(at)) is not None}
+        loads = {names[at]: load for at, load in sample.loads.items() if at in names}
         self._reports.sums.add(now, zone, sample.since, sample.until, cells, loads)
         return by_endpoint
 
