--- a/willowhook/controlplane/acknowledgements.py
+++ b/willowhook/controlplane/acknowledgements.py
@@ -5,7 +5,8 @@
 from ..versions.resources import TABLES, Resource, ResourceSet
 from .proxy_session import ProxySession
 from .publisher_context import PublisherContext
-from .table_rollout import MAX_CAUSE_LENGTH, TableRollout, table_number
+from .publisher_records import MAX_CAUSE_LENGTH
+from .table_rollout import TableRollout, table_number
 from .update_validator import UpdateValidator
 
 
@@ -42,7 +43,7 @@
         del session.pending[: len(applied)]
         self._validator.update(self._validator.validation.record_acknowledged, proxy, number)
         last = applied[-1]
-        self._records.note(now, "applied", message=number, proxy=session.name, after=now - last.ordered_at)
+        self._records.record_acknowledged(now, session, number, last.ordered_at)
         if last.marker is not None:
             self._listener.handle_acknowledged(now, proxy, last.marker)
 
@@ -89,23 +90,14 @@
     def record_known_version(self, session: ProxySession, part: str, version: str, state: str) -> None:
         """Records the version that a proxy is known to run; empty if it is not certain."""
         self._listener.record_known_version(session.name, part, version)
-        self._records.note(
-            self._listener.now(),
-            "belief",
-            proxy=session.name,
-            term=session.term,
-            part=part,
-            version=version,
-            state=state,
-        )
+        self._records.record_known_version(self._listener.now(), session, part, version, state)
 
     def _report_rejection(self, now: int, session: ProxySession, kind: str, what: str, cause: str) -> None:
-        shortened = cause[:MAX_CAUSE_LENGTH]
         self._log.warning(
             "update rejected by proxy",
             proxy=session.name,
             resource_type=kind,
             update=what,
-            cause=shortened,
+            cause=cause[:MAX_CAUSE_LENGTH],
         )
-        self._records.note(now, "refused", proxy=session.name, form=kind, what=what, cause=shortened)
+        self._records.record_rejected(now, session, kind, what, cause)
--- a/willowhook/controlplane/publisher.py
+++ b/willowhook/controlplane/publisher.py
@@ -30,6 +30,7 @@
 from .proxy_state import ProxyStateBook, UpdateMessage
 from .publisher_context import PublisherContext
 from .publisher_listener import PublisherListener
+from .publisher_records import PublisherRecords
 from .resource_renderer import ResourceRenderer
 from .table_rollout import TableRollout, rollout_settings
 from .update_queue import UpdateQueue
@@ -63,10 +64,9 @@
     ) -> None:
         """Joins the parts; nothing is sent before `run`."""
         self.renderer = renderer
-        self.records = records
         self._listener = listener
         self._registry = SessionRegistry()
-        context = PublisherContext(epoch, renderer, self._registry, listener, records, log)
+        context = PublisherContext(epoch, renderer, self._registry, listener, PublisherRecords(records), log)
         self._queue = UpdateQueue(context, settings.channel, proxy_states)
         self._validator = _make_validator(context, terms.guard, settings)
         self._table_rollout = TableRollout(
--- a/willowhook/controlplane/publisher_context.py
+++ b/willowhook/controlplane/publisher_context.py
@@ -4,10 +4,10 @@
 
 from dataclasses import dataclass
 
-from ..records.writer import Records
 from .condition_log import Logger
 from .proxy_session import SessionRegistry
 from .publisher_listener import PublisherListener
+from .publisher_records import PublisherRecords
 from .resource_renderer import ResourceRenderer
 
 
@@ -28,5 +28,5 @@
     renderer: ResourceRenderer
     sessions: SessionRegistry
     listener: PublisherListener
-    records: Records
+    records: PublisherRecords
     log: Logger
--- a/willowhook/controlplane/publisher_listener.py
+++ b/willowhook/controlplane/publisher_listener.py
@@ -3,9 +3,21 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from enum import StrEnum
 from typing import Any, Protocol
 
 
+class Condition(StrEnum):
+    """Persisting conditions of the publisher. The values are those of the records."""
+
+    QUEUE_OVER_LIMIT = "queue"
+    MESSAGE_CAP_EXCEEDED = "cap"
+    FILES_UNWRITABLE = "disk"
+    VALIDATION_CHECK_FAILED = "guard"
+    VALIDATION_SLOW = "slow guard"
+    VALIDATION_DISABLED = "no guard"
+
+
 class PublisherListener(Protocol):
     """The service, as the publisher needs it."""
 
--- a/willowhook/controlplane/table_rollout.py
+++ b/willowhook/controlplane/table_rollout.py
@@ -20,12 +20,12 @@
 from .proxy_session import Contents, ProxySession, RolloutContent
 from .proxy_state import ProxyView, TableState, UpdateMessage
 from .publisher_context import PublisherContext
+from .publisher_records import MAX_CAUSE_LENGTH
 from .update_queue import UpdateQueue
 from .update_sinks import HttpUpdateSink
 
 MAX_KEPT_TABLES = 400  # contents that may be gone back to
 MAX_REJECTED_RESOURCES = 1000
-MAX_CAUSE_LENGTH = 300  # characters, in log and records
 
 
 def table_unit(number: int) -> Unit:
@@ -141,10 +141,15 @@
 
     def handle_halted(self, unit: Unit, bad: Content, good: Content | None, cause: str) -> None:
         """Takes a content back from the proxies that run it."""
-        shortened = cause[:MAX_CAUSE_LENGTH]
-        self._log.warning("rollout halted", unit=str(unit), content=bad, rollback_to=good, cause=shortened)
+        self._log.warning(
+            "rollout halted",
+            unit=str(unit),
+            content=bad,
+            rollback_to=good,
+            cause=cause[:MAX_CAUSE_LENGTH],
+        )
         now = self._listener.now()
-        self._records.note(now, "halted", unit=str(unit), content=bad, good=good, why=shortened)
+        self._records.record_halted(now, unit, bad, good, cause)
         resource = self._rejected.get((unit, bad))
         if resource is not None:
             count = self._ban(resource)
@@ -152,12 +157,12 @@
             count = self._resend_to_users(RolloutContent(unit, bad))
         else:
             count = 0
-        self._records.note(now, "rollback", unit=str(unit), content=bad, readers=count)
+        self._records.record_rolled_back(now, unit, bad, count)
         self._wake()
 
     def handle_released(self, unit: Unit) -> None:
         """Sends proxies that were given another content what was ordered."""
-        self._records.note(self._listener.now(), "released", unit=str(unit))
+        self._records.record_released(self._listener.now(), unit)
         for session in self._sessions.by_number.values():
             if session.is_substituted:
                 self._resend[session.number] = None
--- a/willowhook/controlplane/update_queue.py
+++ b/willowhook/controlplane/update_queue.py
@@ -9,9 +9,9 @@
 from .proxy_session import ProxySession
 from .proxy_state import ProxyStateBook, UpdateMessage
 from .publisher_context import PublisherContext
+from .publisher_listener import Condition
 
 RESEND_QUEUE_DIVISOR = 6  # resends wait until the queue is below this part of its limit
-NO_MARKER_IN_RECORDS = -1
 
 
 class UpdateQueue:
@@ -37,21 +37,14 @@
         """Queues a message, and records it."""
         is_within_limit = self.channel.put(message)
         self._listener.report_condition(
-            "queue",
+            Condition.QUEUE_OVER_LIMIT,
             not is_within_limit,
             "update queue within limit" if is_within_limit else "update queue over limit",
             waiting=self.channel.waiting_entries,
             most=self._settings.queue_limit_entries,
         )
         session = self._sessions.by_number.get(message.proxy)
-        self._records.note(
-            message.ordered_at,
-            "order",
-            message=message.number,
-            mark=NO_MARKER_IN_RECORDS if message.marker is None else message.marker,
-            proxy=session.name if session is not None else "",
-            lines=message.cost_entries,
-        )
+        self._records.record_queued(message, session.name if session is not None else "")
 
     def put_again(self, now: int, message: UpdateMessage, cost_entries: int) -> None:
         """Queues a message once more, under a number of its own and without its sync marker."""
@@ -65,7 +58,9 @@
             return None
         message = departure.message
         if not departure.is_within_cap:
-            self._listener.report_condition("cap", True, "message cap exceeded", proxy=message.proxy)
+            self._listener.report_condition(
+                Condition.MESSAGE_CAP_EXCEEDED, True, "message cap exceeded", proxy=message.proxy
+            )
         return message
 
     def put_held_messages(self, now: int) -> None:
--- a/willowhook/controlplane/update_validator.py
+++ b/willowhook/controlplane/update_validator.py
@@ -14,7 +14,8 @@
 from .proxy_session import HeldMessage, ProxySession
 from .proxy_state import UpdateMessage
 from .publisher_context import PublisherContext
-from .validation_context import ValidationContext, records_of
+from .publisher_listener import Condition
+from .validation_context import ValidationContext
 
 SLOW_VALIDATION_MICROS = 50_000  # a longer validation is reported
 MAX_TIMINGS = 10_000
@@ -72,11 +73,11 @@
         if verdict.has_passed and not verdict.exemption and not verdict.faults:
             self.timings_micros.append(micros)
             return message
-        self._records.note(
-            now, "guard", message=message.number, proxy=session.name, took_us=micros, **records_of(verdict)
-        )
+        self._records.record_validated(now, session, message, verdict, micros)
         for fault in verdict.faults:
-            self._listener.report_condition("guard", True, "validation check failed", cause=fault)
+            self._listener.report_condition(
+                Condition.VALIDATION_CHECK_FAILED, True, "validation check failed", cause=fault
+            )
         if verdict.has_passed:
             return message
         return self._follow_verdict(now, session, message, verdict)
@@ -107,10 +108,10 @@
     def _report_timing(self, micros: int) -> None:
         is_slow = micros > SLOW_VALIDATION_MICROS
         text = "validation slow" if is_slow else "validation no longer slow"
-        self._listener.report_condition("slow guard", is_slow, text, took_us=micros)
+        self._listener.report_condition(Condition.VALIDATION_SLOW, is_slow, text, took_us=micros)
 
     def _disable(self, error: Exception) -> None:
         self.is_enabled = False
         self._listener.report_condition(
-            "no guard", True, "validation failed and is disabled", cause=repr(error)
+            Condition.VALIDATION_DISABLED, True, "validation failed and is disabled", cause=repr(error)
         )
--- a/willowhook/controlplane/update_writer.py
+++ b/willowhook/controlplane/update_writer.py
@@ -12,6 +12,7 @@
 from .proxy_session import Contents, PendingAcknowledgement, ProxySession, RewriteTimer
 from .proxy_state import UpdateMessage
 from .publisher_context import PublisherContext
+from .publisher_listener import Condition
 from .table_rollout import TableRollout
 from .update_sinks import UpdateSink
 from .update_validator import UpdateValidator
@@ -53,20 +54,18 @@
             has_changed = await _run(place, session.sink)
         except OSError as error:
             self._listener.report_condition(
-                "disk", True, "files cannot be swapped", proxy=session.name, cause=str(error)
+                Condition.FILES_UNWRITABLE,
+                True,
+                "files cannot be swapped",
+                proxy=session.name,
+                cause=str(error),
             )
             return False
-        self._listener.report_condition("disk", False, "files can be swapped again", proxy=session.name)
-        now = self._listener.now()
-        self._records.note(
-            now,
-            "sent",
-            message=message.number,
-            proxy=session.name,
-            waiting=self._channel.waiting_entries,
-            after=now - message.ordered_at,
-            swapped=has_changed,
+        self._listener.report_condition(
+            Condition.FILES_UNWRITABLE, False, "files can be swapped again", proxy=session.name
         )
+        now = self._listener.now()
+        self._records.record_written(now, session, message, self._channel.waiting_entries, has_changed)
         # the proxy may have left, or joined again, while the disk worked
         if self._sessions.by_number.get(session.number) is session:
             self._record_sent(now, session, message, contents)
@@ -122,7 +121,7 @@
             except OSError:
                 continue  # a disk that fails is reported where messages are written
             if has_written:
-                self._records.note(now, "again", proxy=session.name, message=session.written)
+                self._records.record_rewritten(now, session)
 
 
 async def _run(place: Callable[[], bool], sink: UpdateSink) -> bool:
--- a/willowhook/controlplane/validation_context.py
+++ b/willowhook/controlplane/validation_context.py
@@ -7,7 +7,6 @@
 
 from collections.abc import Callable, Mapping
 from math import inf
-from typing import Any
 
 from ..decisions.runtime import AdmissionLimit
 from ..decisions.settings import DeploymentSettings, Route
@@ -235,11 +234,3 @@
     cut = TableState(table.number, weights, table.limits)
     cut.is_shared = True
     return cut
-
-
-def records_of(verdict: Verdict) -> dict[str, Any]:
-    """Returns a verdict as the fields of its record."""
-    data = verdict.data()
-    for step in data["steps"]:
-        del step["lines"]  # too long for a record
-    return data
