--- a/willowhook/controlplane/acknowledgements.py
+++ b/willowhook/controlplane/acknowledgements.py
@@ -2,41 +2,27 @@
 
 from __future__ import annotations
 
-from typing import Any
-
-from ..records.writer import Records
-from ..versions.core import Part, Resource
-from ..versions.desk import TABLES
-from .proxy_session import ProxySession, SessionRegistry
-from .publisher_listener import PublisherListener
-from .resource_renderer import ResourceRenderer
-from .table_rollout import MAX_CAUSE_LENGTH, TableRollout, table_number
+from ..versions.resources import TABLES, Resource, ResourceSet
+from .proxy_session import ProxySession
+from .publisher_context import PublisherContext
+from .publisher_records import MAX_CAUSE_LENGTH
+from .table_rollout import TableRollout, table_number
 from .update_validator import UpdateValidator
 
 
 class Acknowledgements:
     """Follows acknowledgements and rejections of proxies; proxies that have left are ignored."""
 
-    def __init__(
-        self,
-        epoch: int,
-        renderer: ResourceRenderer,
-        sessions: SessionRegistry,
-        validator: UpdateValidator,
-        rollout: TableRollout,
-        listener: PublisherListener,
-        records: Records,
-        log: Any,
-    ) -> None:
-        """Validator and rollout are told of each answer; `epoch` is of this run of the controller."""
-        self._epoch = epoch
-        self._renderer = renderer
-        self._sessions = sessions
+    def __init__(self, context: PublisherContext, validator: UpdateValidator, rollout: TableRollout) -> None:
+        """Validator and rollout are told of each answer."""
+        self._epoch = context.epoch
+        self._renderer = context.renderer
+        self._sessions = context.sessions
+        self._listener = context.listener
+        self._records = context.records
+        self._log = context.log
         self._validator = validator
         self._rollout = rollout
-        self._listener = listener
-        self._records = records
-        self._log = log
 
     def handle_acknowledged(self, now: int, proxy: int, number: int) -> None:
         """Notes that a proxy has applied all messages up to this number.
@@ -47,7 +33,7 @@
         if session is None:
             return
         session.acknowledged = max(session.acknowledged, number)
-        if not session.is_http and number >= session.written:
+        if not session.uses_discovery and number >= session.written:
             version = f"{session.term}.{self._epoch}.{number}"
             self.record_known_version(session, "group", version, "acknowledged")
         self._acknowledge_contents(now, session, number)
@@ -55,9 +41,9 @@
         if not applied:
             return
         del session.pending[: len(applied)]
-        self._validator.update(self._validator.context.record_acknowledged, proxy, number)
+        self._validator.update(self._validator.validation.record_acknowledged, proxy, number)
         last = applied[-1]
-        self._records.note(now, "applied", message=number, proxy=session.name, after=now - last.ordered_at)
+        self._records.record_acknowledged(now, session, number, last.ordered_at)
         if last.marker is not None:
             self._listener.handle_acknowledged(now, proxy, last.marker)
 
@@ -95,32 +81,23 @@
         else:
             self._rollout.record_resource_rejected(now, proxy, resource, cause)
 
-    def handle_part_acknowledged(self, now: int, proxy: int, part: Part) -> None:
+    def handle_part_acknowledged(self, now: int, proxy: int, resources: ResourceSet) -> None:
         """Notes that a proxy that calls has applied all resources of one type."""
-        if part.kind != TABLES:
-            for resource in part.rows.values():
+        if resources.kind != TABLES:
+            for resource in resources.resources.values():
                 self._rollout.record_resource_acknowledged(now, proxy, resource)
 
     def record_known_version(self, session: ProxySession, part: str, version: str, state: str) -> None:
         """Records the version that a proxy is known to run; empty if it is not certain."""
         self._listener.record_known_version(session.name, part, version)
-        self._records.note(
-            self._listener.now(),
-            "belief",
-            proxy=session.name,
-            term=session.term,
-            part=part,
-            version=version,
-            state=state,
-        )
+        self._records.record_known_version(self._listener.now(), session, part, version, state)
 
     def _report_rejection(self, now: int, session: ProxySession, kind: str, what: str, cause: str) -> None:
-        shortened = cause[:MAX_CAUSE_LENGTH]
         self._log.warning(
             "update rejected by proxy",
             proxy=session.name,
             resource_type=kind,
             update=what,
-            cause=shortened,
+            cause=cause[:MAX_CAUSE_LENGTH],
         )
-        self._records.note(now, "refused", proxy=session.name, form=kind, what=what, cause=shortened)
+        self._records.record_rejected(now, session, kind, what, cause)
--- a/willowhook/controlplane/load_recorder.py
+++ b/willowhook/controlplane/load_recorder.py
@@ -63,17 +63,17 @@
         by_endpoint = self._aggregate(now, member.zone, event.sample)
         attempts = sum(each.attempts for each in by_endpoint.values())
         failures = sum(each.failures for each in by_endpoint.values())
-        self._publisher.rollout.met(now, event.proxy, round(attempts), round(failures))
+        self._publisher.rollout.record_requests(now, event.proxy, round(attempts), round(failures))
         for endpoint, met in by_endpoint.items():
             self._record_endpoint(now, event.proxy, member.zone, endpoint, met)
 
     def _aggregate(self, now: int, zone: str, sample: Whole) -> Mapping[str, EndpointAttempts]:
         """Adds a sample to the aggregation; the result is its sum over routes, by endpoint."""
-        name_at = self._directory.name_at
+        names = self._directory.names_by_address
         cells = {}
         by_endpoint: dict[str, EndpointAttempts] = {}
         for (address, route), row in sample.cells.items():
-            endpoint = name_at(address)
+            endpoint = names.get(address)
             if endpoint is None:
                 continue
             cells[endpoint, route] = row
@@ -81,7 +81,7 @@
             met.attempts += row[0]
             met.failures += row[1]
             met.latency_sum_ticks += row[2]
-        loads = {name: load for at, load in sample.loads.items() if (name := name_at(at)) is not None}
+        loads = {names[at]: load for at, load in sample.loads.items() if at in names}
         self._reports.sums.add(now, zone, sample.since, sample.until, cells, loads)
         return by_endpoint
 
--- a/willowhook/controlplane/publisher.py
+++ b/willowhook/controlplane/publisher.py
@@ -13,23 +13,26 @@
 
 from collections import deque
 from collections.abc import Callable
-from typing import Any, ParamSpec
+from typing import ParamSpec
 
 import trio
 
-from ..config.terms import Terms
+from ..config.terms import GuardTerms, Terms
 from ..decisions.settings import DeploymentSettings
 from ..records.writer import Records
 from ..ticks import TICKS_PER_SECOND
-from ..versions.core import Core, Part, Resource
+from ..versions.resources import Resource, ResourceSet
 from ..versions.rollout import Rollout
 from .acknowledgements import Acknowledgements
 from .channel import UpdateChannel
+from .condition_log import Logger
 from .proxy_session import ProxySession, SessionRegistry
 from .proxy_state import ProxyStateBook, UpdateMessage
+from .publisher_context import PublisherContext
 from .publisher_listener import PublisherListener
+from .publisher_records import PublisherRecords
 from .resource_renderer import ResourceRenderer
-from .table_rollout import TableRollout, rollout_terms
+from .table_rollout import TableRollout, rollout_settings
 from .update_queue import UpdateQueue
 from .update_validator import UpdateValidator
 from .update_writer import UpdateWriter
@@ -54,42 +57,24 @@
         settings: DeploymentSettings,
         listener: PublisherListener,
         records: Records,
-        log: Any,
-        core: Core,
+        log: Logger,
         renderer: ResourceRenderer,
         epoch: int,
         proxy_states: ProxyStateBook,
     ) -> None:
         """Joins the parts; nothing is sent before `run`."""
-        self.core = core
         self.renderer = renderer
-        self.records = records
         self._listener = listener
         self._registry = SessionRegistry()
-        self._queue = UpdateQueue(settings.channel, proxy_states, self._registry, listener, records)
-        self._validator = _make_validator(terms, settings, epoch, self._registry, listener, records, log)
+        context = PublisherContext(epoch, renderer, self._registry, listener, PublisherRecords(records), log)
+        self._queue = UpdateQueue(context, settings.channel, proxy_states)
+        self._validator = _make_validator(context, terms.guard, settings)
         self._table_rollout = TableRollout(
-            rollout_terms(terms.rollout),
-            settings.channel,
-            self._queue,
-            self._registry,
-            listener,
-            records,
-            log,
-            self.wake,
-        )
-        self._acknowledgements = Acknowledgements(
-            epoch, renderer, self._registry, self._validator, self._table_rollout, listener, records, log
+            context, rollout_settings(terms.rollout), settings.channel, self._queue, self.wake
         )
+        self._acknowledgements = Acknowledgements(context, self._validator, self._table_rollout)
         self._writer = UpdateWriter(
-            renderer,
-            self._queue.channel,
-            self._registry,
-            self._validator,
-            self._table_rollout,
-            self._acknowledgements,
-            listener,
-            records,
+            context, self._queue.channel, self._validator, self._table_rollout, self._acknowledgements
         )
         self._woken = trio.Event()
         self._write_retry_at = 0
@@ -107,7 +92,7 @@
     @property
     def validation(self) -> ValidationContext:
         """What update validation knows; it is changed through `update_validation`."""
-        return self._validator.context
+        return self._validator.validation
 
     @property
     def validation_micros(self) -> deque[int]:
@@ -160,7 +145,7 @@
                 await self._retry_writes(now)
             self._queue.put_held_messages(now)
             await self._writer.rewrite_unacknowledged(now)
-            self.rollout.look(now)
+            self.rollout.evaluate(now)
             self._table_rollout.queue_resends(now)
             self._woken = trio.Event()
             with trio.move_on_after(max(self._wait_ticks(now), 0) / TICKS_PER_SECOND):
@@ -226,9 +211,9 @@
         """See `Acknowledgements.handle_resource_rejected`."""
         self._acknowledgements.handle_resource_rejected(now, proxy, resource, cause)
 
-    def handle_part_acknowledged(self, now: int, proxy: int, part: Part) -> None:
+    def handle_part_acknowledged(self, now: int, proxy: int, resources: ResourceSet) -> None:
         """See `Acknowledgements.handle_part_acknowledged`."""
-        self._acknowledgements.handle_part_acknowledged(now, proxy, part)
+        self._acknowledgements.handle_part_acknowledged(now, proxy, resources)
 
     def record_known_version(self, session: ProxySession, part: str, version: str, state: str) -> None:
         """See `Acknowledgements.record_known_version`."""
@@ -236,15 +221,8 @@
 
 
 def _make_validator(
-    terms: Terms,
-    settings: DeploymentSettings,
-    epoch: int,
-    sessions: SessionRegistry,
-    listener: PublisherListener,
-    records: Records,
-    log: Any,
+    context: PublisherContext, terms: GuardTerms, settings: DeploymentSettings
 ) -> UpdateValidator:
-    guard = terms.guard
-    validation = validation_settings(settings, guard.cold_part, guard.swing, guard.capacity_calls_per_s)
-    context = ValidationContext(settings, validation, guard.mode == "shadow")
-    return UpdateValidator(context, guard.mode != "off", epoch, sessions, listener, records, log)
+    limits = validation_settings(settings, terms.cold_part, terms.swing, terms.capacity_calls_per_s)
+    validation = ValidationContext(settings, limits, shadow=terms.mode == "shadow")
+    return UpdateValidator(context, validation, is_enabled=terms.mode != "off")
--- a/willowhook/controlplane/update_writer.py
+++ b/willowhook/controlplane/update_writer.py
@@ -6,14 +6,13 @@
 
 import trio
 
-from ..records.writer import Records
 from ..ticks import TICKS_PER_SECOND
 from .acknowledgements import Acknowledgements
 from .channel import UpdateChannel
-from .proxy_session import Contents, PendingAcknowledgement, ProxySession, RewriteTimer, SessionRegistry
+from .proxy_session import Contents, PendingAcknowledgement, ProxySession, RewriteTimer
 from .proxy_state import UpdateMessage
-from .publisher_listener import PublisherListener
-from .resource_renderer import ResourceRenderer
+from .publisher_context import PublisherContext
+from .publisher_listener import Condition
 from .table_rollout import TableRollout
 from .update_sinks import UpdateSink
 from .update_validator import UpdateValidator
@@ -27,24 +26,21 @@
 
     def __init__(
         self,
-        renderer: ResourceRenderer,
+        context: PublisherContext,
         channel: UpdateChannel,
-        sessions: SessionRegistry,
         validator: UpdateValidator,
         rollout: TableRollout,
         acknowledgements: Acknowledgements,
-        listener: PublisherListener,
-        records: Records,
     ) -> None:
         """Validator, rollout and acknowledgements are told what was written."""
-        self._renderer = renderer
+        self._renderer = context.renderer
+        self._sessions = context.sessions
+        self._listener = context.listener
+        self._records = context.records
         self._channel = channel
-        self._sessions = sessions
         self._validator = validator
         self._rollout = rollout
         self._acknowledgements = acknowledgements
-        self._listener = listener
-        self._records = records
 
     async def write(self, session: ProxySession, message: UpdateMessage, contents: Contents) -> bool:
         """Puts a message in place. Returns False if its files cannot be written now.
@@ -52,26 +48,24 @@
         True also if the proxy has left meanwhile: the message is nobody's any more.
         """
         place = self._prepare(session, message)
-        if not session.is_http:
+        if not session.uses_discovery:
             self._acknowledgements.record_known_version(session, "group", "", "sent")
         try:
             has_changed = await _run(place, session.sink)
         except OSError as error:
             self._listener.report_condition(
-                "disk", True, "files cannot be swapped", proxy=session.name, cause=str(error)
+                Condition.FILES_UNWRITABLE,
+                True,
+                "files cannot be swapped",
+                proxy=session.name,
+                cause=str(error),
             )
             return False
-        self._listener.report_condition("disk", False, "files can be swapped again", proxy=session.name)
-        now = self._listener.now()
-        self._records.note(
-            now,
-            "sent",
-            message=message.number,
-            proxy=session.name,
-            waiting=self._channel.waiting_entries,
-            after=now - message.ordered_at,
-            swapped=has_changed,
+        self._listener.report_condition(
+            Condition.FILES_UNWRITABLE, False, "files can be swapped again", proxy=session.name
         )
+        now = self._listener.now()
+        self._records.record_written(now, session, message, self._channel.waiting_entries, has_changed)
         # the proxy may have left, or joined again, while the disk worked
         if self._sessions.by_number.get(session.number) is session:
             self._record_sent(now, session, message, contents)
@@ -98,7 +92,7 @@
     ) -> None:
         if has_changed:
             session.written = message.number
-            if session.is_http:
+            if session.uses_discovery:
                 self._channel.hold_until_fetched(session.number, message.cost_entries)
             elif session.rewrite is None:
                 session.rewrite = RewriteTimer(now + FIRST_REWRITE_TICKS, FIRST_REWRITE_TICKS)
@@ -127,7 +121,7 @@
             except OSError:
                 continue  # a disk that fails is reported where messages are written
             if has_written:
-                self._records.note(now, "again", proxy=session.name, message=session.written)
+                self._records.record_rewritten(now, session)
 
 
 async def _run(place: Callable[[], bool], sink: UpdateSink) -> bool:
--- a/willowhook/controlplane/validation_context.py
+++ b/willowhook/controlplane/validation_context.py
@@ -7,10 +7,9 @@
 
 from collections.abc import Callable, Mapping
 from math import inf
-from typing import Any
 
 from ..decisions.runtime import AdmissionLimit
-from ..decisions.settings import DeploymentSettings
+from ..decisions.settings import DeploymentSettings, Route
 from ..roster.forms import Host
 from ..ticks import TICKS_PER_SECOND
 from ..validation.model import (
@@ -50,18 +49,8 @@
     """
     rules = settings.rules
     channel = settings.channel
-    routes = tuple(
-        RouteConstraints(
-            route.name,
-            route.semantics,
-            route.same_zone_only,
-            route.allowed_zones,
-            route.allowed_classes,
-        )
-        for route in settings.routes
-    )
     return ValidationSettings(
-        routes=routes,
+        routes=tuple(_route_constraints(route) for route in settings.routes),
         drain_grace_ticks=rules.drain_grace_ticks,
         slow_start_ticks=rules.slow_start_ticks,
         slow_start_fraction=rules.slow_start_fraction,
@@ -77,6 +66,16 @@
     )
 
 
+def _route_constraints(route: Route) -> RouteConstraints:
+    return RouteConstraints(
+        route.name,
+        route.semantics,
+        route.same_zone_only,
+        route.allowed_zones,
+        route.allowed_classes,
+    )
+
+
 class ValidationContext:
     """Keeps the validator's world, and asks the validator about messages."""
 
@@ -112,8 +111,8 @@
     def update_capacities(self, capacities: Mapping[str, float]) -> None:
         """Takes the capacities that the decisions learnt, where the endpoint list tells none."""
         if not self._settings.lists_capacity:
-            least, most = 1 / MAX_LEARNT_CAPACITY, MAX_LEARNT_CAPACITY
-            bounded = {name: min(max(each, least), most) for name, each in capacities.items()}
+            least = 1 / MAX_LEARNT_CAPACITY
+            bounded = {name: min(max(each, least), MAX_LEARNT_CAPACITY) for name, each in capacities.items()}
             self.world.endpoints.update_capacities(bounded)
 
     def add_proxy(self, proxy: int, zone: str, rate_per_second: float, initial: ProxyResources) -> None:
@@ -235,11 +234,3 @@
     cut = TableState(table.number, weights, table.limits)
     cut.is_shared = True
     return cut
-
-
-def records_of(verdict: Verdict) -> dict[str, Any]:
-    """Returns a verdict as the fields of its record."""
-    data = verdict.data()
-    for step in data["steps"]:
-        del step["lines"]  # too long for a record
-    return data
