--- a/benchmarks/guard.py
+++ b/benchmarks/guard.py
@@ -1,4 +1,4 @@
-"""What the guard costs: `python -m benchmarks.guard`.  Index against a full recheck, in the same run."""
+"""What update validation costs: `python -m benchmarks.guard`. Running sums against a recheck in full."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
     now = 1000 * TICKS_PER_SECOND
     for hosts, proxies in ((86, 245), (1000, 20_000)):
         world, made = fleet(hosts, proxies)
-        guard = Validator(world)
+        validator = Validator(world)
         number = [1]
 
         def step(world: World = world, made: list[ProxyTables] = made, number: list[int] = number) -> None:
@@ -73,18 +73,20 @@
             world.record_sent(now, proxy, made[number[0] * 7 % len(made) - 1], UpdateVersion(1, 1, number[0]))
             world.record_applied(proxy)
 
-        def judge(
-            guard: Validator = guard, made: list[ProxyTables] = made, number: list[int] = number
+        def judge_next(
+            validator: Validator = validator, made: list[ProxyTables] = made, number: list[int] = number
         ) -> None:
             number[0] += 1
-            proxy = number[0] % len(guard.world.proxies)
-            guard.judge(now, Candidate(proxy, made[number[0] % len(made)], UpdateVersion(9, 1, number[0])))
+            proxy = number[0] % len(validator.world.proxies)
+            validator.judge(
+                now, Candidate(proxy, made[number[0] % len(made)], UpdateVersion(9, 1, number[0]))
+            )
 
         moved = median_us(step, 2000)
         index = median_us(lambda world=world: [world.exposure(f"h{k}") for k in range(3)], 300)  # type: ignore[misc]
         times = 20 if proxies < 1000 else 3
         full = median_us(lambda world=world: [world.exposure_in_full(f"h{k}") for k in range(3)], times)  # type: ignore[misc]
-        check = median_us(judge, 200)
+        check = median_us(judge_next, 200)
         ratio = full[0] / index[0]
         print(f"{hosts} hosts, {proxies} proxies: a change of one proxy {moved[0]:.1f} us;", end=" ")
         print(f"three cold hosts by the index {index[0]:.0f} us, in full {full[0]:.0f} us,", end=" ")
--- a/tests/test_discovery_session.py
+++ b/tests/test_discovery_session.py
@@ -62,11 +62,11 @@
         return {name: version for name, (version, _) in self.rows[kind].items()}
 
     def apply(self, kind: str, answer: ResourceResponse) -> None:
-        new = read_version(answer.resources.version)
+        new = read_version(answer.resource_set.version)
         old = read_version(self.version[kind])
         if answer.delta is None:
             assert new is not None and (old is None or new >= old), f"{old} goes back to {new}"
-            self.rows[kind] = {n: (r.version, r.body) for n, r in answer.resources.resources.items()}
+            self.rows[kind] = {n: (r.version, r.body) for n, r in answer.resource_set.resources.items()}
         else:
             for row in answer.delta.changed:
                 had = self.rows[kind].get(row.name)
@@ -76,7 +76,7 @@
                 self.rows[kind][row.name] = (row.version, row.body)
             for name in answer.delta.removed:
                 self.rows[kind].pop(name, None)
-        self.version[kind] = answer.resources.version
+        self.version[kind] = answer.resource_set.version
         self.check_references()
 
     def check_references(self) -> None:
@@ -104,21 +104,22 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.store, self.listener = ResourceStore(first_era(1, 5)), RecordingListener()
+        self.store = ResourceStore(first_era(1, 5))
+        self.listener = RecordingListener()
         self.proxy = Proxy()
-        self.weight, self.salt = 0, 5
-        self.lives = 1
+        self.weight = 0
+        self.salt = 5
+        self.runs = 1
         self.open_session()
 
     def open_session(self) -> None:
-        """A new stay: the session is new, and the proxy tells what it holds on its first calls."""
+        """A new session: the proxy says what it holds with the first request of each type."""
         held = {kind: [(n, body) for n, (_, body) in rows.items()] for kind, rows in self.proxy.rows.items()}
         self.session = DiscoverySession(1, self.store, self.listener, references, exclude_from, held)
         self.first = dict.fromkeys(KINDS, True)
         self.in_flight: dict[str, list[ResourceResponse]] = {kind: [] for kind in KINDS}
         self.nonce = dict.fromkeys(KINDS, "")
         self.number = 0
-        self.refused: dict[str, None] = {}
 
     @rule(tables=st.lists(st.integers(0, 3), min_size=1, max_size=3, unique=True), step=st.integers(0, 2))
     def update_is_wanted(self, tables: list[int], step: int) -> None:
@@ -128,11 +129,16 @@
 
     def call(self, kind: str, whole: bool, error: str = "") -> None:
         first, self.first[kind] = self.first[kind], False
-        ask = ResourceRequest(
-            kind, whole, first, self.proxy.version[kind] if whole else "",
-            self.proxy.holds(kind) if first and not whole else None, self.nonce[kind], error,
-        )  # fmt: skip
-        answer = self.session.handle_request(ask)
+        request = ResourceRequest(
+            kind,
+            whole,
+            first,
+            version=self.proxy.version[kind] if whole else "",
+            held_versions=self.proxy.holds(kind) if first and not whole else None,
+            nonce=self.nonce[kind],
+            error=error,
+        )
+        answer = self.session.handle_request(request)
         self.nonce[kind] = ""
         if answer is not None:
             self.session.record_sent(kind, answer)
@@ -155,11 +161,11 @@
     def response_is_rejected(self, kind: str) -> None:
         if self.in_flight[kind]:
             answer = self.in_flight[kind].pop()
-            assert kind != ROUTES or answer.resources.resources, "an empty set of routes"
+            assert kind != ROUTES or answer.resource_set.resources, "an empty set of routes"
             if kind == CLUSTERS:  # whatever is tried one by one, what its routes lead to stays
                 for _, routes in self.proxy.rows[ROUTES].values():
                     assert set(routes.decode().partition(":")[2].split(",")) <= set(
-                        answer.resources.resources
+                        answer.resource_set.resources
                     )
             self.nonce[kind] = answer.nonce
             self.call(kind, answer.delta is None, "no")
@@ -183,15 +189,15 @@
 
     @rule()
     def proxy_restarts(self) -> None:
-        """It comes back with what it acknowledged last, in a new stay."""
+        """It comes back with what it acknowledged last, in a new session."""
         self.open_session()
 
     @rule(wiped=st.booleans())
     def controller_restarts(self, wiped: bool) -> None:
-        """With nothing in memory; with its count of lives, or without."""
-        self.lives = 1 if wiped else self.lives + 1
+        """With nothing in memory; with its count of runs, or without."""
+        self.runs = 1 if wiped else self.runs + 1
         self.salt = (self.salt * 7919 + 17) % (1 << 20)
-        self.store = ResourceStore(first_era(self.lives, self.salt))
+        self.store = ResourceStore(first_era(self.runs, self.salt))
         self.open_session()
 
     @invariant()
@@ -302,7 +308,7 @@
                     answers += 1
                     assert answers < 60, (
                         kind,
-                        answer.resources.versions(),
+                        answer.resource_set.versions(),
                         session._rejections.suspects,
                         session._rejections.retained,
                     )
@@ -350,7 +356,7 @@
     answer = session.handle_request(
         ResourceRequest(TABLES, False, is_first=True, held_versions={}, subscribe=("t1",))
     )
-    assert answer is not None and list(answer.resources.resources) == ["t1"]
+    assert answer is not None and list(answer.resource_set.resources) == ["t1"]
     session.record_sent(TABLES, answer)
     proxy.apply(TABLES, answer)
     assert session.handle_request(ResourceRequest(TABLES, False, nonce=answer.nonce)) is None  # it waits
@@ -365,7 +371,7 @@
     )  # asked for anew: sent anew
     assert again is not None and again.delta is not None and [r.name for r in again.delta.changed] == ["t3"]
     everything = session.handle_request(ResourceRequest(TABLES, True))
-    assert everything is not None and len(everything.resources.resources) == 3
+    assert everything is not None and len(everything.resource_set.resources) == 3
 
 
 def test_a_controller_that_lost_its_count_goes_on_above_what_the_proxy_has() -> None:
@@ -375,7 +381,7 @@
     ahead = f"{first_era(40, 9)}.17"
     answer = session.handle_request(ResourceRequest(TABLES, True, is_first=True, version=ahead))
     assert answer is not None
-    version, told = read_version(answer.resources.version), read_version(ahead)
+    version, told = read_version(answer.resource_set.version), read_version(ahead)
     assert version is not None and told is not None and version > told
     era = store.era
     for absurd in (f"{1 << 62}.1", "x.y", "9" * 50):
--- a/willowhook/front/discovery.py
+++ b/willowhook/front/discovery.py
@@ -293,7 +293,7 @@
         return Reply(200, headers, body)
 
     def _body(self, waiter: Waiter, answer: ResourceResponse) -> tuple[Any, Callable[[], bytes]]:
-        part, url = answer.resources, forms.FILES[waiter.kind]
+        part, url = answer.resource_set, forms.FILES[waiter.kind]
         if answer.delta is None:
             rows = [row.body for row in part.resources.values()]
             key: Any = (waiter.kind, part.version)
--- a/willowhook/versions/discovery_session.py
+++ b/willowhook/versions/discovery_session.py
@@ -163,7 +163,7 @@
     def record_sent(self, kind: str, response: ResourceResponse) -> None:
         """Notes that a response is about to leave; to be called just before it does."""
         tracker = self.trackers[kind]
-        tracker.record_sent(response.nonce, response.resources)
+        tracker.record_sent(response.nonce, response.resource_set)
         self._report_version(tracker)
 
     def handle_connection_lost(self, kind: str) -> None:
--- a/willowhook/versions/exchange.py
+++ b/willowhook/versions/exchange.py
@@ -42,13 +42,13 @@
     """What a proxy is sent.
 
     Attributes:
-        resources: the set that the proxy holds once it has applied this.
+        resource_set: what the proxy holds once it has applied this.
         nonce: that the proxy's answer names.
         base: the set that `delta` starts from, where one response serves many proxies.
         delta: what changes; None: the complete set is sent.
     """
 
-    resources: ResourceSet
+    resource_set: ResourceSet
     nonce: str
     base: ResourceSet | None
     delta: ResourceDelta | None
