--- /dev/null
+++ b/willowhook/controlplane/publisher.py
@@ -0,0 +1,250 @@
+"""The only way out for updates: messages leave the channel in turn, are validated, and are written.
+
+`Publisher` joins the parts and runs their loop:
+
+- `update_queue`: queue and pacing,
+- `table_rollout`: which content of a table may go to which proxy,
+- `update_validator`: whether a message may go out now,
+- `update_writer`: files or answers, and files that are written again,
+- `acknowledgements`: what proxies say.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Callable
+from typing import Any, ParamSpec
+
+import trio
+
+from ..config.terms import Terms
+from ..decisions.settings import DeploymentSettings
+from ..records.writer import Records
+from ..ticks import TICKS_PER_SECOND
+from ..versions.core import Core, Part, Resource
+from ..versions.rollout import Rollout
+from .acknowledgements import Acknowledgements
+from .channel import UpdateChannel
+from .proxy_session import ProxySession, SessionRegistry
+from .proxy_state import ProxyStateBook, UpdateMessage
+from .publisher_listener import PublisherListener
+from .resource_renderer import ResourceRenderer
+from .table_rollout import TableRollout, rollout_terms
+from .update_queue import UpdateQueue
+from .update_validator import UpdateValidator
+from .update_writer import UpdateWriter
+from .validation_context import ValidationContext, validation_settings
+
+MAX_WAIT_TICKS = TICKS_PER_SECOND  # between two rounds of the loop
+RESEND_WAIT_TICKS = TICKS_PER_SECOND / 4  # the same, while proxies wait to be sent their state again
+WRITE_RETRY_TICKS = TICKS_PER_SECOND // 5
+
+P = ParamSpec("P")
+
+
+class Publisher:
+    """Takes update messages, brings them to their proxies, and follows the proxies' answers.
+
+    `run` is a task; all other methods are called by the deciding task.
+    """
+
+    def __init__(
+        self,
+        terms: Terms,
+        settings: DeploymentSettings,
+        listener: PublisherListener,
+        records: Records,
+        log: Any,
+        core: Core,
+        renderer: ResourceRenderer,
+        epoch: int,
+        proxy_states: ProxyStateBook,
+    ) -> None:
+        """Joins the parts; nothing is sent before `run`."""
+        self.core = core
+        self.renderer = renderer
+        self.records = records
+        self._listener = listener
+        self._registry = SessionRegistry()
+        self._queue = UpdateQueue(settings.channel, proxy_states, self._registry, listener, records)
+        self._validator = _make_validator(terms, settings, epoch, self._registry, listener, records, log)
+        self._table_rollout = TableRollout(
+            rollout_terms(terms.rollout),
+            settings.channel,
+            self._queue,
+            self._registry,
+            listener,
+            records,
+            log,
+            self.wake,
+        )
+        self._acknowledgements = Acknowledgements(
+            epoch, renderer, self._registry, self._validator, self._table_rollout, listener, records, log
+        )
+        self._writer = UpdateWriter(
+            renderer,
+            self._queue.channel,
+            self._registry,
+            self._validator,
+            self._table_rollout,
+            self._acknowledgements,
+            listener,
+            records,
+        )
+        self._woken = trio.Event()
+        self._write_retry_at = 0
+
+    @property
+    def sessions(self) -> dict[int, ProxySession]:
+        """The joined proxies by number."""
+        return self._registry.by_number
+
+    @property
+    def channel(self) -> UpdateChannel:
+        """The channel in which messages wait."""
+        return self._queue.channel
+
+    @property
+    def validation(self) -> ValidationContext:
+        """What update validation knows; it is changed through `update_validation`."""
+        return self._validator.context
+
+    @property
+    def validation_micros(self) -> deque[int]:
+        """How long the last validations took, in microseconds, of messages that passed."""
+        return self._validator.timings_micros
+
+    @property
+    def rollout(self) -> Rollout:
+        """The staged rollout of contents."""
+        return self._table_rollout.rollout
+
+    def now(self) -> int:
+        """Returns the current tick."""
+        return self._listener.now()
+
+    # Sessions.
+
+    def add_session(self, session: ProxySession) -> None:
+        """Registers a proxy that has joined."""
+        self.sessions[session.number] = session
+
+    def remove_session(self, proxy: int) -> None:
+        """Forgets a proxy that has left, and what waits for it."""
+        session = self.sessions.pop(proxy, None)
+        if session is not None:
+            session.sink.close()
+        self.channel.drop_proxy(proxy)
+        self._table_rollout.remove_proxy(proxy)
+        self.update_validation(self.validation.remove_proxy, proxy)
+
+    # Updates.
+
+    def enqueue(self, message: UpdateMessage) -> None:
+        """Queues a message; `wake` is to be called after the last one of a flush."""
+        self._queue.put(message)
+
+    def wake(self) -> None:
+        """Makes the loop look at once for something to do."""
+        self._woken.set()
+
+    def update_validation(self, step: Callable[P, None], *args: P.args, **kwargs: P.kwargs) -> None:
+        """Calls a method of `validation`; never raises."""
+        self._validator.update(step, *args, **kwargs)
+
+    async def run(self) -> None:
+        """Brings messages to their proxies in turn, until it is cancelled."""
+        while True:
+            now = await self._publish_departed()
+            if now >= self._write_retry_at:
+                await self._retry_writes(now)
+            self._queue.put_held_messages(now)
+            await self._writer.rewrite_unacknowledged(now)
+            self.rollout.look(now)
+            self._table_rollout.queue_resends(now)
+            self._woken = trio.Event()
+            with trio.move_on_after(max(self._wait_ticks(now), 0) / TICKS_PER_SECOND):
+                await self._woken.wait()
+
+    async def _publish_departed(self) -> int:
+        """Publishes all messages that have left the channel. Returns the tick at which none was left."""
+        now = self._listener.now()
+        while (message := self._queue.take(now)) is not None:
+            session = self.sessions.get(message.proxy)
+            if session is not None:
+                session.held = None  # the later message holds all of it
+                session.newest = message
+                await self._publish(now, session, message)
+            now = self._listener.now()
+        return now
+
+    async def _retry_writes(self, now: int) -> None:
+        for session in self._registry.open_sessions():
+            if session.unwritten is not None:
+                await self._publish(now, session, session.unwritten)
+
+    async def _publish(self, now: int, session: ProxySession, message: UpdateMessage) -> None:
+        """Writes what rollout and validation leave of a message; what cannot be written is tried again."""
+        staged = self._table_rollout.choose(now, session, message)
+        waiting = self.channel.waiting_entries
+        allowed = self._validator.validate(now, session, staged.message, waiting)
+        if allowed is None or await self._writer.write(session, allowed, staged.contents):
+            session.unwritten = None
+        else:
+            session.unwritten = message
+            self._registry.mark_open(session)
+            self._write_retry_at = now + WRITE_RETRY_TICKS
+
+    def _wait_ticks(self, now: int) -> float:
+        """How long the loop may wait, in ticks; less than 0 if something is due."""
+        waits = [RESEND_WAIT_TICKS if self._table_rollout.has_resends else MAX_WAIT_TICKS]
+        departure = self.channel.next_departure()
+        if departure is not None:
+            waits.append(departure - now)
+        for session in self._registry.open_sessions():
+            if session.held is not None:
+                waits.append(session.held.until - now)
+            if session.unwritten is not None:
+                waits.append(self._write_retry_at - now)
+        return min(waits)
+
+    # What proxies say.
+
+    def handle_delivered(self, proxy: int) -> None:
+        """Notes that a proxy that calls has fetched what waited for it."""
+        self.channel.release_fetched(proxy)
+
+    def handle_acknowledged(self, now: int, proxy: int, number: int) -> None:
+        """See `Acknowledgements.handle_acknowledged`."""
+        self._acknowledgements.handle_acknowledged(now, proxy, number)
+
+    def handle_group_rejected(self, now: int, proxy: int, kind: str, number: int, cause: str) -> None:
+        """See `Acknowledgements.handle_group_rejected`."""
+        self._acknowledgements.handle_group_rejected(now, proxy, kind, number, cause)
+
+    def handle_resource_rejected(self, now: int, proxy: int, resource: Resource, cause: str) -> None:
+        """See `Acknowledgements.handle_resource_rejected`."""
+        self._acknowledgements.handle_resource_rejected(now, proxy, resource, cause)
+
+    def handle_part_acknowledged(self, now: int, proxy: int, part: Part) -> None:
+        """See `Acknowledgements.handle_part_acknowledged`."""
+        self._acknowledgements.handle_part_acknowledged(now, proxy, part)
+
+    def record_known_version(self, session: ProxySession, part: str, version: str, state: str) -> None:
+        """See `Acknowledgements.record_known_version`."""
+        self._acknowledgements.record_known_version(session, part, version, state)
+
+
+def _make_validator(
+    terms: Terms,
+    settings: DeploymentSettings,
+    epoch: int,
+    sessions: SessionRegistry,
+    listener: PublisherListener,
+    records: Records,
+    log: Any,
+) -> UpdateValidator:
+    guard = terms.guard
+    validation = validation_settings(settings, guard.cold_part, guard.swing, guard.capacity_calls_per_s)
+    context = ValidationContext(settings, validation, guard.mode == "shadow")
+    return UpdateValidator(context, guard.mode != "off", epoch, sessions, listener, records, log)
