--- a/tests/builders.py
+++ b/tests/builders.py
@@ -26,6 +26,8 @@
 SECOND = TICKS_PER_SECOND
 SETTINGS = parse_settings((Path(__file__).parent / "options.json").read_text())
 SYNC_MARKERS = 65536
+IN_SERVICE, DRAINING, REMOVED = EndpointState.IN_SERVICE, EndpointState.DRAINING, EndpointState.REMOVED
+WARM = (IN_SERVICE, 0)  # listed as in service, started long ago
 
 
 def settings_with(**changes: object) -> DeploymentSettings:
@@ -294,3 +296,15 @@
         """The weights of a table without the endpoints that are excluded."""
         weights = self.runtime.tables.get(table, {})
         return {name: weight for name, weight in weights.items() if not self.runtime.excluded.get(name)}
+
+
+def start_fleet(
+    settings: DeploymentSettings = SETTINGS, endpoints: int = 8, proxies: int = 4
+) -> ControllerHarness:
+    """A controller with so many warm endpoints, and proxies that are bound to their tables."""
+    harness = ControllerHarness(settings)
+    harness.receive_endpoint_list({f"h{k}": WARM for k in range(endpoints)})
+    for proxy in range(proxies):
+        harness.join_proxy(proxy)
+    harness.flush()
+    return harness
--- /dev/null
+++ b/tests/decisions/test_binding.py
@@ -0,0 +1,47 @@
+"""Tests of binding: which joining proxy gets its tables when."""
+
+from __future__ import annotations
+
+from builders import DRAINING, SECOND, WARM, ControllerHarness, settings_with, start_fleet
+
+
+def test_joining_proxy_is_bound_once_to_complete_tables() -> None:
+    harness = start_fleet()
+    assert len(harness.usable_weights(0)) == 8
+    assert set(harness.usable_weights(1)) == {"h1", "h3", "h5", "h7"}
+    assert set(harness.runtime.bindings) == {0, 1, 2, 3}
+    assert all(tables == {0: 0, 1: 0, 2: 1} for tables in harness.runtime.bindings.values())
+
+
+def test_proxy_with_an_earlier_table_is_bound_after_the_first_weight_update() -> None:
+    """Guards against binding a fleet to equal weights, where other controllers have learnt better ones."""
+    harness = ControllerHarness(settings_with(fleet__default_table_size=5))
+    harness.receive_endpoint_list({f"h{k}": WARM for k in range(8)})
+    harness.join_proxy(0, is_fresh=False)
+    harness.join_proxy(1)  # its default table serves as well until then
+    harness.flush()
+    assert not harness.runtime.bindings
+    harness.receive_endpoint_list({"h0": (DRAINING, 0)}, is_complete=False)  # exclusions do not wait
+    harness.flush()
+    assert harness.runtime.excluded["h0"]
+    for k in range(1, 8):
+        harness.report_endpoint(f"h{k}", 20, 0, 400 if k == 2 else 200)
+    harness.advance(SECOND)
+    assert set(harness.runtime.bindings) == {0, 1}
+    assert harness.usable_weights()["h2"] < harness.usable_weights()["h4"]
+
+
+def test_proxy_with_an_earlier_table_waits_neither_long_nor_while_most_endpoints_drain() -> None:
+    harness = ControllerHarness()
+    harness.receive_endpoint_list({f"h{k}": WARM for k in range(8)})
+    harness.join_proxy(0, is_fresh=False)
+    harness.advance(2 * SECOND)
+    assert 0 not in harness.runtime.bindings
+    harness.advance(3 * SECOND // 2)
+    assert 0 in harness.runtime.bindings
+    harness = ControllerHarness()
+    harness.receive_endpoint_list({f"h{k}": WARM for k in range(8)})
+    harness.join_proxy(0, is_fresh=False)
+    harness.receive_endpoint_list({f"h{k}": (DRAINING, 0) for k in range(4)}, is_complete=False)
+    harness.advance(SECOND)
+    assert 0 in harness.runtime.bindings
--- /dev/null
+++ b/tests/decisions/test_channel.py
@@ -0,0 +1,81 @@
+"""Tests of the estimate of what waits in the update channel."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+from builders import SETTINGS
+
+from willowhook.decisions.channel import UpdateChannel
+
+
+def joined_channel(proxies: int) -> UpdateChannel:
+    """A channel that carries 0.16 entries a tick, with an overhead of 7, to so many proxies."""
+    changes = {"entries_per_second": 1600.0, "message_overhead_entries": 6.0, "max_delay_ticks": 4000}
+    channel = UpdateChannel(replace(SETTINGS.channel, **changes), 0)
+    for proxy in range(proxies):
+        channel.add_proxy(proxy)
+    return channel
+
+
+def test_channel_with_late_acknowledgements_gives_up_no_message() -> None:
+    channel = joined_channel(3)
+    for _ in range(2):
+        channel.charge([0, 1, 2], 100)
+        channel.flush(0)
+    channel.acknowledge(70_000, 0, 1)
+    channel.update_overdue(80_000, 20_000)
+    channel.drain(80_000)
+    assert channel.queue_ceiling() == channel.unproven_entries() == 5 * 107
+    channel.update_overdue(95_000, 20_000)  # no acknowledgement comes any more
+    channel.drain(95_000)
+    assert channel.queue_ceiling() == channel.unproven_entries() == 0
+
+
+def test_queue_ceiling_counts_all_entries_not_proven_to_have_left() -> None:
+    channel = joined_channel(2)
+    channel.charge([0, 1], 300)
+    assert channel.queue_ceiling() == 614
+    channel.flush(0)
+    channel.drain(3000)  # at the stated rate 480 have left; a slow channel may hold them all
+    assert channel.queue_estimate() == 134 and channel.queue_ceiling() == 614
+    channel.charge([0], 10)
+    assert channel.queue_ceiling() == 631
+    channel.flush(3000)
+    channel.acknowledge(3000, 0, 1)
+    channel.drain(3000)
+    assert channel.queue_ceiling() == 307 + 17
+
+
+def test_messages_leave_in_order_and_long_overdue_ones_are_given_up() -> None:
+    channel = joined_channel(2)
+    for number in (1, 2):
+        channel.charge([0, 1], 10)
+        assert channel.flush(0) == number
+    channel.update_overdue(6000, 50_000)
+    assert channel.overdue == 68
+    channel.acknowledge(6000, 1, 1)  # the rest of its flush may still wait, and the second message to both
+    channel.update_overdue(6000, 50_000)
+    assert channel.overdue == channel.unproven_entries() == 51
+    channel.acknowledge(6000, 1, 2)
+    channel.update_overdue(6000, 50_000)
+    assert channel.overdue == 17
+    channel.update_overdue(60_000, 50_000)
+    assert channel.overdue == channel.unproven_entries() == 0
+
+
+def test_queue_estimate_counts_unproven_entries_except_those_on_their_way() -> None:
+    """Guards against a full queue while the channel stalls, which the stated rate does not tell."""
+    channel = joined_channel(50)
+    channel.charge([*range(50)], 33)
+    channel.flush(0)
+    channel.drain(10_000)
+    assert channel.queued == 400 and channel.queue_estimate() == 2000 - 640
+    channel.drain(20_000)
+    assert channel.queued == 0 and channel.queue_estimate() == 2000 - 640
+    channel.charge([0], 3)
+    assert channel.queue_estimate() == 2010 - 640
+    channel.flush(20_000)
+    channel.acknowledge(20_000, 0, 2)
+    channel.drain(20_000)
+    assert channel.queue_estimate() == 10
--- /dev/null
+++ b/tests/decisions/test_endpoint_list.py
@@ -0,0 +1,79 @@
+"""Tests of the endpoint list: what it changes, and when it is doubted or fetched for again."""
+
+from __future__ import annotations
+
+import pytest
+from builders import IN_SERVICE, REMOVED, SECOND, WARM, start_fleet
+
+from willowhook.decisions.events import EndpointListLost
+
+
+def test_endpoint_missing_from_a_complete_list_is_removed_and_returns_in_slow_start() -> None:
+    harness = start_fleet()
+    harness.receive_endpoint_list({f"h{k}": WARM for k in range(7)})
+    harness.flush()
+    assert harness.runtime.excluded["h7"]
+    harness.advance(5 * SECOND)
+    harness.report_endpoint("h0", 10, 0, 100)
+    harness.report_requests(0, "read", 10)
+    harness.advance(2 * SECOND)
+    harness.receive_endpoint_list({"h7": (IN_SERVICE, harness.now)}, is_complete=False)
+    harness.flush()
+    assert not harness.runtime.excluded["h7"] and 0 < harness.usable_weights()["h7"] <= 0.25
+
+
+@pytest.mark.parametrize("listed", [0, 2])
+def test_list_that_lacks_most_endpoints_removes_only_those_that_fail(listed: int) -> None:
+    harness = start_fleet(endpoints=8)
+    complete = {f"h{k}": (IN_SERVICE, 0) for k in range(8)}
+    partial = dict(list(complete.items())[:listed])
+    for _ in range(4):
+        for k in range(8):
+            harness.report_endpoint(f"h{k}", 20, 20 if k == 7 else 0, 100.0)
+        harness.advance(SECOND // 2)
+    harness.receive_endpoint_list(partial)
+    harness.flush()
+    assert harness.runtime.excluded == {"h7": True} and not harness.runtime.fetch_count
+    for _ in range(8):  # h6 stops answering too: it was removed
+        for k in range(6):
+            harness.report_endpoint(f"h{k}", 20, 0, 100.0)
+        harness.advance(SECOND // 2)
+    assert harness.runtime.fetch_count
+    harness.receive_endpoint_list(partial)
+    harness.flush()
+    harness.advance(SECOND)
+    assert harness.runtime.excluded == {"h7": True, "h6": True}
+    fetched = harness.runtime.fetch_count
+    harness.receive_endpoint_list(dict(list(complete.items())[:6]))
+    harness.advance(8 * SECOND)
+    assert harness.runtime.fetch_count == fetched
+    assert set(harness.usable_weights()) <= {f"h{k}" for k in range(6)}
+    harness.receive_endpoint_list(dict(list(complete.items())[:3]))  # half of them may be removed at once
+    harness.flush()
+    harness.advance(SECOND)
+    assert sum(harness.runtime.excluded.values()) == 5
+
+
+def test_lost_endpoint_list_is_watched_again() -> None:
+    harness = start_fleet()
+    assert harness.runtime.watch_count == 1
+    harness.controller.handle(harness.now, EndpointListLost())
+    harness.advance(3 * SECOND)
+    assert harness.runtime.watch_count == 2 and len(harness.usable_weights()) == 8
+
+
+def test_removed_endpoints_are_forgotten_and_may_return_in_slow_start() -> None:
+    harness = start_fleet()
+    most_known = 0
+    for number in range(40):  # new endpoints under new names all the time
+        harness.receive_endpoint_list(
+            {f"h{number}": (REMOVED, 0), f"h{number + 8}": (IN_SERVICE, harness.now)}, is_complete=False
+        )
+        harness.report_endpoint(f"h{number + 7}", 10, 0, 100)
+        harness.report_requests(0, "read", 10)
+        harness.advance(6 * SECOND)
+        most_known = max(most_known, len(harness.controller.endpoints), len(harness.runtime.excluded))
+    assert most_known < 16 and len(harness.controller.exclusions._changed) < 16
+    harness.receive_endpoint_list({"h0": (IN_SERVICE, harness.now)}, is_complete=False)
+    harness.advance(4 * SECOND)
+    assert 0 < harness.usable_weights()["h0"] < 1
--- /dev/null
+++ b/tests/decisions/test_locality.py
@@ -0,0 +1,34 @@
+"""Tests of locality spillover."""
+
+from __future__ import annotations
+
+from builders import DRAINING, SECOND, settings_with, start_fleet
+
+
+def test_zone_keeps_its_requests_where_crossing_zones_is_expensive() -> None:
+    harness = start_fleet(settings_with(fleet__cross_zone_price=0.08))
+    tables = {harness.runtime.bindings[proxy][0] for proxy in harness.runtime.joined_proxies}
+    assert len(tables) == 2 and all(len(harness.usable_weights(table)) == 8 for table in tables)
+    weights = harness.usable_weights(harness.runtime.bindings[0][0])
+    assert weights["h0"] > 5 * weights["h1"] > 0
+
+
+def test_zone_that_loses_endpoints_spills_over_with_the_exclusions() -> None:
+    harness = start_fleet(settings_with(fleet__cross_zone_price=0.08), endpoints=12, proxies=8)
+    for _ in range(8):
+        for k in range(12):
+            harness.report_endpoint(f"h{k}", 10, 0, 100)
+        for proxy in range(8):
+            harness.report_requests(proxy, "read", 10)
+        harness.advance(SECOND)
+    north = next(
+        table for table in harness.controller.fleet.tables if table.zone == "north" and 0 in table.routes
+    )
+    before = north.remote_factor
+    harness.receive_endpoint_list({f"h{k}": (DRAINING, 0) for k in (0, 2, 4, 6)}, is_complete=False)
+    harness.flush()
+    while not harness.runtime.excluded.get("h6"):
+        harness.advance(SECOND // 10)
+    assert before < 0.2
+    assert north.remote_factor > 2 * before
+    assert harness.usable_weights(north.number)["h1"] > 2 * before  # in the same message
--- /dev/null
+++ b/tests/decisions/test_slow_start.py
@@ -0,0 +1,59 @@
+"""Tests of slow start."""
+
+from __future__ import annotations
+
+from builders import IN_SERVICE, SECOND, settings_with, start_fleet
+
+from willowhook.decisions.events import HealthCheckCompleted, HealthCheckOutcome
+from willowhook.decisions.settings import LoadSource
+
+
+def test_warming_endpoint_gets_no_weight_while_most_attempts_fail() -> None:
+    harness = start_fleet()
+    harness.advance(SECOND)
+    harness.receive_endpoint_list({"h6": (IN_SERVICE, harness.now)}, is_complete=False)
+    harness.flush()
+    assert (
+        "h6" not in harness.usable_weights()
+    )  # nor before the first reports, as after a controller's restart
+    for _ in range(6):
+        for k in range(6):
+            harness.report_endpoint(f"h{k}", 50, 48, 2000, cpu_utilization=1.0)
+        for proxy in range(4):
+            harness.report_requests(proxy, "read", 100)
+        harness.advance(SECOND)
+    harness.receive_endpoint_list({"h7": (IN_SERVICE, harness.now)}, is_complete=False)
+    harness.flush()
+    assert "h7" not in harness.usable_weights() and len(harness.usable_weights()) >= 2
+
+
+def test_warming_endpoint_gets_no_weight_when_the_controller_starts_under_overload() -> None:
+    harness = start_fleet(settings_with(fleet__avoidance_failures=8))
+    harness.advance(SECOND)
+    harness.receive_endpoint_list({"h7": (IN_SERVICE, harness.now)}, is_complete=False)
+    harness.flush()
+    for _ in range(12):
+        for k in range(7):
+            harness.report_endpoint(f"h{k}", 20, 4, 900, cpu_utilization=0.8)
+        harness.report_requests(0, "read", 10)
+        assert "h7" not in harness.usable_weights() or harness.now >= 8 * SECOND
+        harness.advance(SECOND)
+    assert "h7" in harness.usable_weights()
+
+
+def test_warming_endpoint_gets_no_weight_while_proxies_avoid_a_partitioned_zone() -> None:
+    harness = start_fleet(
+        settings_with(
+            health_checks=True, fleet__load_source=LoadSource.HEALTH_CHECKS, fleet__avoidance_failures=8
+        )
+    )
+    for second in range(22):
+        for name in harness.runtime.health_checks:
+            is_unreachable = int(name[1:]) % 2 and second < 8
+            outcome = HealthCheckOutcome.TIMED_OUT if is_unreachable else HealthCheckOutcome.HEALTHY
+            harness.controller.handle(harness.now, HealthCheckCompleted(name, outcome, 0.3))
+        harness.runtime.health_checks.clear()
+        if second == 9:
+            harness.receive_endpoint_list({"h6": (IN_SERVICE, harness.now)}, is_complete=False)
+        harness.advance(SECOND)
+        assert second in (15, 16, 17) or ("h6" in harness.usable_weights()) == (second < 9 or second > 17)
--- /dev/null
+++ b/tests/decisions/test_subsets.py
@@ -0,0 +1,85 @@
+"""Tests of endpoint subsets: join bursts and connection limits."""
+
+from __future__ import annotations
+
+from builders import DRAINING, SECOND, settings_with, start_fleet
+
+from willowhook.decisions.subsets import SubsetMode
+
+
+def test_join_burst_is_bound_to_subsets_first_and_to_default_tables_later() -> None:
+    session = {"exclusions_outlive_sessions": True, "rules__slow_start_ticks": SECOND}
+    settings = settings_with(rules__drain_grace_ticks=4 * SECOND, fleet__proxy_count=100, **session)
+    harness = start_fleet(settings, endpoints=80, proxies=0)
+    harness.advance(5 * SECOND)
+    default_tables = {table.number for table in harness.controller.fleet.default_tables}
+    for k in range(40):  # more exclusions than can be sent to each
+        harness.receive_endpoint_list({f"h{k}": (DRAINING, 0)}, is_complete=False)
+    harness.advance(4 * SECOND)
+    for proxy in range(100):
+        harness.join_proxy(proxy, is_fresh=False)
+        harness.flush()
+    harness.advance(3 * SECOND)  # the drain grace less the delay of a message
+    assert len(harness.runtime.bindings) == 100 and not harness.controller.pending_binds
+    assert harness.runtime.queued_entries < 1600
+    subset_tables = [harness.runtime.bindings[proxy][0] for proxy in range(100)]
+    assert len(set(subset_tables) - default_tables) > 1
+    assert all(
+        harness.usable_weights(table) and "h0" not in harness.usable_weights(table) for table in subset_tables
+    )
+    harness.advance(30 * SECOND)
+    assert {
+        table for bound in harness.runtime.bindings.values() for table in bound.values()
+    } <= default_tables
+    assert harness.controller.subsets.mode is SubsetMode.OFF
+    assert len(harness.controller.fleet.tables) == len(default_tables)
+
+
+def test_join_burst_during_drains_is_bound_to_subsets_before_the_exclusions() -> None:
+    session = {
+        "exclusions_outlive_sessions": True,
+        "rules__slow_start_ticks": SECOND,
+        "channel__entries_per_second": 3000.0,
+    }
+    sizes = {
+        "fleet__proxy_count": 900,
+        "channel__queue_limit_entries": 28_000.0,
+        "rules__drain_grace_ticks": 10 * SECOND,
+    }
+    harness = start_fleet(settings_with(**session, **sizes), endpoints=80, proxies=60)
+    harness.advance(30 * SECOND)
+    harness.receive_endpoint_list({f"h{k}": (DRAINING, 0) for k in range(25)}, is_complete=False)
+    harness.flush()
+    for proxy in range(100, 900):
+        harness.join_proxy(proxy, is_fresh=False)
+    harness.flush()
+    harness.receive_endpoint_list({f"h{k}": (DRAINING, 0) for k in range(25, 45)}, is_complete=False)
+    harness.flush()
+    harness.advance(2 * SECOND)
+    assert not harness.controller.pending_binds
+    assert harness.runtime.queued_entries < 7 * 3000  # so all have their tables within the drain grace
+    harness.advance(7 * SECOND)
+    draining = {f"h{k}" for k in range(45)}
+    assert all(
+        endpoint not in draining
+        for proxy in (100, 899)
+        for table in harness.runtime.bindings[proxy].values()
+        for endpoint in harness.usable_weights(table)
+    )
+
+
+def test_idle_endpoints_that_refuse_connections_are_split_into_subsets_for_a_time() -> None:
+    harness = start_fleet(endpoints=40, proxies=40)
+    for second in range(60):
+        for k in range(40):
+            harness.report_endpoint(f"h{k}", 20, 18 if 9 < second < 13 else 0, 100, cpu_utilization=0.3)
+        for proxy in range(40):
+            harness.report_requests(proxy, "read", 10)
+        harness.advance(SECOND)
+        sizes = {
+            len(harness.usable_weights(table))
+            for bound in harness.runtime.bindings.values()
+            for table in bound.values()
+        }
+        assert max(sizes) <= 3 if 20 < second < 40 else second < 20 or second < 50 or max(sizes) == 40
+    assert all(bound[2] != bound[0] for bound in harness.runtime.bindings.values())
