--- a/tests/builders.py
+++ b/tests/builders.py
@@ -2,10 +2,14 @@
 
 from __future__ import annotations
 
+import random
 from collections.abc import Sequence
 from dataclasses import dataclass, field, replace
 from pathlib import Path
 
+from willowhook.decisions.channel import UpdateChannel
+from willowhook.decisions.conditions import FleetConditions
+from willowhook.decisions.context import ControllerContext
 from willowhook.decisions.controller import Controller
 from willowhook.decisions.events import (
     EndpointEntry,
@@ -18,6 +22,9 @@
     ProxyLeft,
     RequestReport,
 )
+from willowhook.decisions.fleet import FleetState
+from willowhook.decisions.model import Endpoint
+from willowhook.decisions.queue_limits import QueueLimits
 from willowhook.decisions.runtime import AdmissionLimit
 from willowhook.decisions.settings import DeploymentSettings
 from willowhook.settings_codec import parse_settings
@@ -308,3 +315,30 @@
         harness.join_proxy(proxy)
     harness.flush()
     return harness
+
+
+def make_context(settings: DeploymentSettings = SETTINGS) -> ControllerContext:
+    """What the components of a controller share, for a test of one of them; it has just started."""
+    fleet = FleetState(settings)
+    channel = UpdateChannel(settings.channel, 0)
+    return ControllerContext(
+        settings=settings,
+        runtime=RecordingRuntime(settings),
+        fleet=fleet,
+        conditions=FleetConditions(pressure=0.1, success_fraction=1.0),
+        channel=channel,
+        limits=QueueLimits(fleet, channel),
+        random_fraction=random.Random(1).random,
+        bucket_ticks=SECOND,
+        started_at=0,
+    )
+
+
+def add_endpoint(context: ControllerContext, name: str, zone: str = "north", started_at: int = 0) -> Endpoint:
+    """Lists an endpoint as in service."""
+    endpoint = Endpoint(name, context.bucket_ticks)
+    endpoint.set_state(IN_SERVICE)
+    endpoint.zone = zone
+    endpoint.started_at = started_at
+    context.fleet.endpoints[name] = endpoint
+    return endpoint
--- /dev/null
+++ b/tests/decisions/test_pacing.py
@@ -0,0 +1,50 @@
+"""Tests of pacing: the message cap, and the pauses between table updates."""
+
+from __future__ import annotations
+
+from builders import SETTINGS, make_context, settings_with
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from willowhook.decisions.pacing import UpdatePacer, message_spacing
+
+
+@settings(derandomize=True, deadline=None)
+@given(st.integers(1, 200), st.integers(1, 200_000))
+def test_message_spacing_keeps_the_cap_in_every_window(message_cap: int, window_ticks: int) -> None:
+    deployment = settings_with(
+        channel__message_cap=message_cap, channel__message_cap_window_ticks=window_ticks
+    )
+    assert message_cap * message_spacing(deployment.channel) > window_ticks
+
+
+def test_message_spacing_without_a_cap_is_zero() -> None:
+    assert message_spacing(SETTINGS.channel) == 0
+
+
+def test_pacer_with_a_message_cap_spaces_messages() -> None:
+    pacer = UpdatePacer(make_context(settings_with(channel__message_cap=11)))  # in 100,000 ticks
+    assert pacer.can_send(0)
+    pacer.note_messages(0)
+    assert not pacer.can_send(10_000) and pacer.can_send(10_001)
+
+
+def test_pacer_pauses_table_updates_until_half_the_rate_has_paid_for_the_last() -> None:
+    pacer = UpdatePacer(make_context())
+    assert pacer.are_tables_due(0)
+    pacer.note_tables(0, entries=1600.0, has_changes=False)  # at half of 0.16 entries a tick
+    assert not pacer.are_tables_due(19_999) and pacer.are_tables_due(20_000)
+
+
+def test_pacer_pauses_one_evaluation_while_changes_are_left_or_little_was_sent() -> None:
+    pacer = UpdatePacer(make_context())
+    for entries, has_changes in ((1600.0, True), (1.0, False)):
+        pacer.note_tables(0, entries, has_changes)
+        assert not pacer.are_tables_due(4999) and pacer.are_tables_due(5000)
+
+
+def test_pacer_hastens_table_updates_after_an_ejection() -> None:
+    pacer = UpdatePacer(make_context())
+    pacer.note_tables(0, entries=1600.0, has_changes=False)
+    pacer.hasten_tables(100)
+    assert pacer.are_tables_due(100)
