--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -2,10 +2,12 @@
 
 from __future__ import annotations
 
-from builders import IN_SERVICE, SECOND, settings_with, start_fleet
+import pytest
+from builders import IN_SERVICE, SECOND, add_endpoint, make_context, settings_with, start_fleet
 
 from willowhook.decisions.events import HealthCheckCompleted, HealthCheckOutcome
 from willowhook.decisions.settings import LoadSource
+from willowhook.decisions.slow_start import SlowStart
 
 
 def test_warming_endpoint_gets_no_weight_while_most_attempts_fail() -> None:
@@ -57,3 +59,33 @@
             harness.receive_endpoint_list({"h6": (IN_SERVICE, harness.now)}, is_complete=False)
         harness.advance(SECOND)
         assert second in (15, 16, 17) or ("h6" in harness.usable_weights()) == (second < 9 or second > 17)
+
+
+def test_weight_fraction_of_a_warming_endpoint_grows_from_its_first_share_to_all() -> None:
+    context = make_context()
+    slow_start = SlowStart(context)
+    endpoint = add_endpoint(context, "h0", started_at=10_000)
+    ages = (0, 75_000, 150_000)  # none, half and all of the slow-start time
+    assert [slow_start.weight_fraction(10_000 + age, endpoint) for age in ages] == [0.25, 0.625, 1.0]
+    assert [slow_start.is_warming_up(10_000 + age, endpoint) for age in ages] == [True, True, False]
+    assert slow_start.weight_fraction(0, endpoint) == 0.25  # its clock is ahead of ours
+
+
+def test_weight_fraction_while_half_of_the_attempts_fail_is_zero_for_warming_endpoints_only() -> None:
+    context = make_context()
+    slow_start = SlowStart(context)
+    context.conditions.success_fraction = 0.5
+    assert slow_start.weight_fraction(20_000, add_endpoint(context, "h0", started_at=10_000)) == 0.0
+    assert slow_start.weight_fraction(20_000, add_endpoint(context, "h1")) == 1.0
+
+
+@pytest.mark.parametrize(("avoidance_failures", "held"), [(0, 0.25), (3, 0.0)])
+def test_weight_fraction_after_a_partition_is_held_where_proxies_avoid_endpoints(
+    avoidance_failures: int, held: float
+) -> None:
+    context = make_context(settings_with(fleet__avoidance_failures=avoidance_failures))
+    slow_start = SlowStart(context)
+    slow_start.hold(20 * SECOND)
+    endpoint = add_endpoint(context, "h0", started_at=28 * SECOND)
+    assert slow_start.weight_fraction(28 * SECOND - 1, endpoint) == held
+    assert slow_start.weight_fraction(28 * SECOND, endpoint) == 0.25
