--- a/tests/builders.py
+++ b/tests/builders.py
@@ -2,10 +2,14 @@
 
 from __future__ import annotations
 
+import random
 from collections.abc import Sequence
 from dataclasses import dataclass, field, replace
 from pathlib import Path
 
+from willowhook.decisions.channel import UpdateChannel
+from willowhook.decisions.conditions import FleetConditions
+from willowhook.decisions.context import ControllerContext
 from willowhook.decisions.controller import Controller
 from willowhook.decisions.events import (
     EndpointEntry,
@@ -18,6 +22,9 @@
     ProxyLeft,
     RequestReport,
 )
+from willowhook.decisions.fleet import FleetState
+from willowhook.decisions.model import Endpoint
+from willowhook.decisions.queue_limits import QueueLimits
 from willowhook.decisions.runtime import AdmissionLimit
 from willowhook.decisions.settings import DeploymentSettings
 from willowhook.settings_codec import parse_settings
@@ -26,6 +33,8 @@
 SECOND = TICKS_PER_SECOND
 SETTINGS = parse_settings((Path(__file__).parent / "options.json").read_text())
 SYNC_MARKERS = 65536
+IN_SERVICE, DRAINING, REMOVED = EndpointState.IN_SERVICE, EndpointState.DRAINING, EndpointState.REMOVED
+WARM = (IN_SERVICE, 0)  # listed as in service, started long ago
 
 
 def settings_with(**changes: object) -> DeploymentSettings:
@@ -294,3 +303,42 @@
         """The weights of a table without the endpoints that are excluded."""
         weights = self.runtime.tables.get(table, {})
         return {name: weight for name, weight in weights.items() if not self.runtime.excluded.get(name)}
+
+
+def start_fleet(
+    settings: DeploymentSettings = SETTINGS, endpoints: int = 8, proxies: int = 4
+) -> ControllerHarness:
+    """A controller with so many warm endpoints, and proxies that are bound to their tables."""
+    harness = ControllerHarness(settings)
+    harness.receive_endpoint_list({f"h{k}": WARM for k in range(endpoints)})
+    for proxy in range(proxies):
+        harness.join_proxy(proxy)
+    harness.flush()
+    return harness
+
+
+def make_context(settings: DeploymentSettings = SETTINGS) -> ControllerContext:
+    """What the components of a controller share, for a test of one of them; it has just started."""
+    fleet = FleetState(settings)
+    channel = UpdateChannel(settings.channel, 0)
+    return ControllerContext(
+        settings=settings,
+        runtime=RecordingRuntime(settings),
+        fleet=fleet,
+        conditions=FleetConditions(pressure=0.1, success_fraction=1.0),
+        channel=channel,
+        limits=QueueLimits(fleet, channel),
+        random_fraction=random.Random(1).random,
+        bucket_ticks=SECOND,
+        started_at=0,
+    )
+
+
+def add_endpoint(context: ControllerContext, name: str, zone: str = "north", started_at: int = 0) -> Endpoint:
+    """Lists an endpoint as in service."""
+    endpoint = Endpoint(name, context.bucket_ticks)
+    endpoint.set_state(IN_SERVICE)
+    endpoint.zone = zone
+    endpoint.started_at = started_at
+    context.fleet.endpoints[name] = endpoint
+    return endpoint
