--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable, Sequence
 from itertools import pairwise
 
-from willowhook.membership.assign import Ring, rendezvous
-from willowhook.membership.suspicion import Suspicion
-from willowhook.membership.wheel import Wheel
+from willowhook.membership.assignment import HashRing, assign_by_rendezvous
+from willowhook.membership.failure_detector import FailureDetector
+from willowhook.membership.timing_wheel import TimingWheel
 
 
 def timed(work: Callable[[], object], runs: int = 5) -> float:
@@ -27,13 +27,13 @@
     names, fleet = [f"director-{k}" for k in range(directors)], [f"proxy-{k}" for k in range(proxies)]
 
     def ring(names: Sequence[str]) -> dict[str, str]:
-        made = Ring(names)
-        return {proxy: made.first(proxy) for proxy in fleet}
+        made = HashRing(names)
+        return {proxy: made.owner(proxy) for proxy in fleet}
 
     ways: dict[str, Callable[[Sequence[str]], dict[str, str]]] = {
-        "rendezvous": lambda names: rendezvous(fleet, names),
+        "rendezvous": lambda names: assign_by_rendezvous(fleet, names),
         "ring of 100 points": ring,
-        "ring, loads bounded to 1.1": lambda names: Ring(names).bounded(fleet, 0.1),
+        "ring, loads bounded to 1.1": lambda names: HashRing(names).assign_with_bounded_load(fleet, 0.1),
         "modulo (plain)": lambda names: {p: names[k % len(names)] for k, p in enumerate(fleet)},
     }
     for way, make in ways.items():
@@ -86,7 +86,7 @@
         def overdue(self, now: int) -> list[str]:
             return [name for name, at in self.due.items() if at <= now]
 
-    def run(made: Wheel | Heap | Scan) -> None:
+    def run(made: TimingWheel | Heap | Scan) -> None:
         looks.clear()
         for tick in range(beats * 10):
             for k in groups[tick % 10]:
@@ -98,8 +98,8 @@
     groups: list[list[int]] = [[] for _ in range(10)]
     for k, at in enumerate(when):
         groups[at].append(k)
-    makes: dict[str, Callable[[], Wheel | Heap | Scan]] = {
-        "scan (plain)": Scan, "heap": Heap, "wheel": lambda: Wheel(1, 64, 0)
+    makes: dict[str, Callable[[], TimingWheel | Heap | Scan]] = {
+        "scan (plain)": Scan, "heap": Heap, "wheel": lambda: TimingWheel(1, 64, 0)
     }  # fmt: skip
     plain = 0.0
     for name, make in makes.items():
@@ -126,16 +126,16 @@
         at += 0.2
         heard.append(max(heard[-1] + 0.001, at + delay()))
     for name, make in (
-        ("suspicion", lambda: Suspicion(0.2, 0.4, 1.5)),
-        ("0.5 s fixed", lambda: Suspicion(0.2, 0.5, 0.5)),
-        ("1.0 s fixed", lambda: Suspicion(0.2, 1.0, 1.0)),
+        ("suspicion", lambda: FailureDetector(0.2, 0.4, 1.5)),
+        ("0.5 s fixed", lambda: FailureDetector(0.2, 0.5, 0.5)),
+        ("1.0 s fixed", lambda: FailureDetector(0.2, 1.0, 1.0)),
     ):
         peer, false = make(), 0
         for one, two in pairwise(heard):
-            peer.heard(one)
-            false += peer.suspected(two - 0.0005)
+            peer.record_heartbeat(one)
+            false += peer.is_suspected(two - 0.0005)
         last, silent = heard[-2], 0.0
-        while not peer.suspected(last + silent):
+        while not peer.is_suspected(last + silent):
             silent += 0.005
         print(f"{jitter}, {name}: {false} false alarms in an hour, a death seen after {silent:.2f} s")
 
--- a/tests/broken_director.py
+++ b/tests/broken_director.py
@@ -23,7 +23,7 @@
 
 def rule_2() -> None:
     """Everything is tried again after any failure."""
-    render.safe_tries = lambda semantics, tries: tries
+    render.publishable_retries = lambda semantics, retries: retries
     set_admission = book.OrderBook.set_admission
 
     def three_retries(self: Any, table: int, route: int, admission: AdmissionLimit) -> None:
--- a/willowhook/cli/trial.py
+++ b/willowhook/cli/trial.py
@@ -179,13 +179,16 @@
 )
 def claims(proxies: int, directors: int, terms: int, orders: int, kills: int, without: str) -> None:
     """Explore all that can happen between few proxies and directors, and check who rules."""
-    from ..membership.explore import Bounds, explore
+    from ..membership.model_checker import explore
+    from ..membership.takeover_model import Bounds, safeguards_in
 
-    done = explore(Bounds(proxies, directors, terms, orders, kills), without)
-    click.echo(f"{done.worlds} worlds, {done.steps} steps; {done.broken or 'all invariants hold'}")
+    done = explore(Bounds(proxies, directors, terms, orders, kills), safeguards_in(without))
+    click.echo(
+        f"{done.world_count} worlds, {done.step_count} steps; {done.violation or 'all invariants hold'}"
+    )
     for row in done.path:
         click.echo(f"  {row}")
-    sys.exit(1 if done.broken else 0)
+    sys.exit(1 if done.violation else 0)
 
 
 @trial.command()
--- a/willowhook/controlplane/intake.py
+++ b/willowhook/controlplane/intake.py
@@ -13,8 +13,9 @@
 import xxhash
 
 from ..files.layout import LOAD, PROXY_NAME, STATUS
-from ..membership.claim import VersionError, names_me, read_version
-from ..membership.wheel import Wheel
+from ..membership.ownership import OwnershipClaim, check_claim
+from ..membership.timing_wheel import TimingWheel
+from ..membership.version import VersionError, parse_version
 from ..reports.read import Report, read
 from ..reports.sample import Whole, whole
 from ..reports.windows import Windows
@@ -64,7 +65,7 @@
         self._numbers: dict[str, int] = {}
         self.present: dict[str, Presence] = {}
         self._bad: dict[str, str] = {}  # by proxy: the file that was last found bad
-        self._overdue = Wheel(max(lost_after // 20, 1), 64, 0)
+        self._overdue = TimingWheel(max(lost_after // 20, 1), 64, 0)
         self._newest = newest
         self.windows = Windows()
         self.last_fault = ""  # why the last that was found bad was so
@@ -177,7 +178,7 @@
         """None if the group is of another stay, or is no whole group."""
         try:
             envelopes = [read_response(lies[f"{kind}.json"], url) for kind, url in forms.FILES.items()]
-            if any(read_version(envelope.version_info).term != term for envelope in envelopes):
+            if any(parse_version(envelope.version_info).term != term for envelope in envelopes):
                 return None
             return read_held([(row.type_url, bytes(raw)) for row in envelopes for raw in row.resources])
         except (KeyError, FormError, VersionError):
@@ -195,10 +196,10 @@
         """Whether this file is of the proxy's stay with this director, by what the proxy says itself."""
         self._check_node(presence.name, node)
         told = str(node.metadata.get("director", ""))
-        said = names_me(self._director, told, presence.term, self._term(node))
-        if said == "left":
+        said = check_claim(self._director, told, presence.term, self._term(node))
+        if said is OwnershipClaim.RELEASED:
             self.gone(now, presence.name, f"follows {told or 'another'} in term {self._term(node)}")
-        return said == "mine"
+        return said is OwnershipClaim.OWNED
 
     def _request(self, presence: Presence, kind: str, request: forms.DiscoveryRequest) -> None:
         if request.type_url != forms.FILES[kind]:
@@ -206,7 +207,7 @@
         if not request.response_nonce:
             return
         try:
-            version = read_version(request.response_nonce)
+            version = parse_version(request.response_nonce)
         except VersionError as fault:
             raise FormError(f"response_nonce: {fault}") from fault
         if version.epoch > self._epoch or version.term > presence.term:
--- a/willowhook/controlplane/links.py
+++ b/willowhook/controlplane/links.py
@@ -13,7 +13,7 @@
 import trio
 
 from ..config.terms import LinkTerms
-from ..membership.handoff import Hint, Packet, Sums
+from ..membership.handoff import EndpointSums, Hint, Packet
 from ..reports.read import LATENCY
 from ..web.wire import Broken, Call, Caller, Reply, answer_calls, dial
 from ..xds import forms
@@ -27,7 +27,7 @@
 def write(packet: Packet, address_of: dict[str, tuple[str, int, str]]) -> bytes:
     """Hosts go by address; one without is left out."""
     rows = []
-    for host, (tries, errors, mean) in packet.hint.hosts.items():
+    for host, (tries, errors, mean) in packet.hint.endpoints.items():
         if host in address_of:
             address, port, _ = address_of[host]
             at = forms.Address(forms.SocketAddress(address, port))
@@ -60,7 +60,7 @@
         (stats,) = report.cluster_stats
     except (KeyError, ValueError) as fault:
         raise FormError(f"no handoff: {fault}") from fault
-    hosts: dict[str, Sums] = {}
+    hosts: dict[str, EndpointSums] = {}
     for zone in stats.upstream_locality_stats:
         for row in zone.upstream_endpoint_stats:
             good, bad, at = (
@@ -73,7 +73,7 @@
             host = host_at.get(f"{at.address}:{at.port_value}")
             spent = sum(m.total_metric_value for m in row.load_metric_stats if m.metric_name == LATENCY)
             if host is not None and good + bad and 0 <= spent < 1e9:
-                hosts[host] = (good + bad, bad, round(spent / good * SECOND) if good else 0)
+                hosts[host] = EndpointSums(good + bad, bad, round(spent / good * SECOND) if good else 0)
     window = round(seconds(stats.load_report_interval) * SECOND)
     return Packet(sender, epoch, number, Hint(report.node.id, term, max(window, 1), hosts))
 
--- a/willowhook/controlplane/outlets.py
+++ b/willowhook/controlplane/outlets.py
@@ -10,7 +10,7 @@
 from typing import Protocol
 
 from ..files.swap import Shelf
-from ..membership.claim import Version
+from ..membership.version import Version
 from ..versions.core import Core, Part, Resource
 from ..versions.desk import Desk
 from ..xds import forms
--- a/willowhook/controlplane/render.py
+++ b/willowhook/controlplane/render.py
@@ -12,7 +12,7 @@
 
 from ..config.deployment import SEMANTICS, ordered_paths
 from ..config.terms import ClosedTerms, PathTerms, RouteTerms, Terms
-from ..membership.claim import safe_tries
+from ..membership.retries import publishable_retries
 from ..versions.core import Resource
 from ..xds import forms, tables
 from ..xds.codec import FormError, decode, encode
@@ -196,7 +196,7 @@
             if len(self._rows) > 5000:  # levels of long ago
                 self._rows.clear()
             policy = tables.retry(
-                safe_tries(SEMANTICS[route.semantics], tries),
+                publishable_retries(SEMANTICS[route.semantics], tries),
                 round(fleet.try_factor * route.slo_time_ms * 10),
             )
             filters = tables.level(fleet.admit, level, fleet.come_back_s)
--- a/willowhook/controlplane/service.py
+++ b/willowhook/controlplane/service.py
@@ -41,8 +41,8 @@
 from ..files.ops import DiskOps, FileOps, remove
 from ..files.swap import Shelf, swap_file
 from ..files.watch import Watch, open_watch
-from ..membership.handoff import Hint, Listener, Packet, Teller
-from ..membership.tiers import Tiers
+from ..membership.handoff import EndpointSums, Hint, HintReceiver, HintSender, Packet
+from ..membership.priority_tiers import PriorityTiers, TieredEndpoint
 from ..records.writer import Records
 from ..reports.sample import Whole
 from ..roster.forms import Host
@@ -142,7 +142,7 @@
         self._hosts: dict[str, Host] = {}
         self._list: list[Host] = []
         self._pools_of: dict[str, tuple[str, ...]] = {}  # by kind
-        self.tiers = Tiers(self, ticks(terms.rules.cold_ms))
+        self.tiers = PriorityTiers(self, ticks(terms.rules.cold_ms))
         self._reshow = False  # a tier was let in or held: the list must be shown again
         self._by_address: dict[str, str] = {}
         self._joins = 0
@@ -155,9 +155,9 @@
         ] = {}  # by proxy and host: tries, errors, time of the answered
         links = terms.links
         lasts = ticks(links.lasts_ms)
-        self._hints = Listener(lasts)
+        self._hints = HintReceiver(lasts)
         self._posts = [Post(url, links.timeout_ms / 1000) for url in links.peers]
-        self._tellers: list[Teller] = []
+        self._tellers: list[HintSender] = []
         self.link_port = self.front_port = 0
         self._known: dict[str, Address] = {}  # of all hosts ever listed
         self._modes: dict[str, bool] = {}
@@ -236,7 +236,9 @@
                 nursery.start_soon(self._decide)
                 for k in range(len(self._posts)):
                     first, lasts = SECOND // 5, ticks(terms.links.lasts_ms)
-                    self._tellers.append(Teller(terms.name, epoch, partial(self._hand_on, k), first, lasts))
+                    self._tellers.append(
+                        HintSender(terms.name, epoch, partial(self._hand_on, k), first, lasts)
+                    )
                 if self.web is not None:
                     front: Any = await nursery.start(self.web.run)
                     self.front_port = int(front)
@@ -320,7 +322,7 @@
             more = self.reports.work()
             self.reports.look(now, len(self.book.members))
             if now - last_look >= SECOND // 10:
-                self.tiers.look(now)
+                self.tiers.evaluate(now)
             if self._reshow:
                 self._show(now)
             while self._timers and self._timers[0] <= now:
@@ -334,7 +336,7 @@
                 self.intake.look(now)
                 self._drain(now)
                 for teller in self._tellers:
-                    teller.look(now)
+                    teller.resend_due(now)
                 self._compare(now)
             await trio.lowlevel.checkpoint()
 
@@ -421,7 +423,9 @@
         self._list = hosts
         self.reports.sums.keep(frozenset(host.id for host in hosts))
         start = self.clock.start_of
-        self.tiers.listed(now, [(h.id, self._pools(h.kind), h.tier, h.draining, start(h)) for h in hosts])
+        self.tiers.update_list(
+            now, [TieredEndpoint(h.id, self._pools(h.kind), h.tier, h.draining, start(h)) for h in hosts]
+        )
         self._show(now)
         if self.memory is not None:
             self._recall(now, hosts)
@@ -434,15 +438,19 @@
             if not route.allowed_classes or kind in route.allowed_classes
         )))  # fmt: skip
 
-    def let_in(self, host: str, on: bool, cause: str) -> None:
+    def set_active(self, endpoint: str, is_active: bool, reason: str) -> None:
         self._reshow = True
-        self.records.note(self.clock.now(), "tier", host=host, on=on, cause=cause)
-        self.log.info("a later tier is let in" if on else "a later tier is held", host=host, cause=cause)
+        self.records.note(self.clock.now(), "tier", host=endpoint, on=is_active, cause=reason)
+        self.log.info(
+            "a later tier is let in" if is_active else "a later tier is held", host=endpoint, cause=reason
+        )
 
     def _show(self, now: int) -> None:
         """The list to the guard and the module; what is held drains."""
         self._reshow = False
-        hosts = [replace(host, draining=True) if self.tiers.held(host.id) else host for host in self._list]
+        hosts = [
+            replace(host, draining=True) if self.tiers.is_standby(host.id) else host for host in self._list
+        ]
         self._hosts = {host.id: host for host in hosts}
         self.publisher.tell_guard(self.watchman.listed, now, hosts, self.clock.start_of)
         self.director.handle(now, EndpointListReceived(True, tuple(map(self._entry, hosts))))
@@ -551,11 +559,11 @@
         for host, ring in self._met.pop(proxy, {}).items():
             tries, errors, spent = ring.total(now, MET_BUCKETS)
             if tries:
-                hosts[host] = (int(tries), int(errors), round(spent / max(tries - errors, 1)))
+                hosts[host] = EndpointSums(int(tries), int(errors), round(spent / max(tries - errors, 1)))
         if hosts:
             hint = Hint(name, self._terms_of[proxy], MET_BUCKETS * SECOND, hosts)
             for teller in self._tellers:
-                teller.tell(now, hint)
+                teller.send(now, hint)
 
     def _hand_on(self, k: int, packet: Packet) -> None:
         if self._nursery is not None:
@@ -564,7 +572,7 @@
     async def _post(self, k: int, packet: Packet, body: bytes) -> None:
         if await self._posts[k].send(body):
             teller = self._tellers[k]
-            await self._send.send(lambda now: teller.answered(packet.epoch, packet.number))
+            await self._send.send(lambda now: teller.acknowledge(packet.epoch, packet.number))
 
     async def _handed(self, body: bytes) -> bool:
         try:
@@ -581,9 +589,9 @@
         hint = self._hints.claim(now, name, term)
         if hint is None:
             return
-        for host, (tries, errors, mean) in hint.hosts.items():
+        for host, (tries, errors, mean) in hint.endpoints.items():
             self.director.handle(now, EndpointReport(host, tries, errors, mean, None))
-        self.records.note(now, "hint", proxy=name, term=hint.term, hosts=len(hint.hosts))
+        self.records.note(now, "hint", proxy=name, term=hint.term, hosts=len(hint.endpoints))
 
     def met(self, proxy: int, whole: Whole) -> None:
         """What a proxy met with hosts, of all its reports of a stretch."""
@@ -604,7 +612,7 @@
         tries, errors = (sum(sums[k] for sums in by_host.values()) for k in (0, 1))
         self.publisher.rollout.met(now, proxy, round(tries), round(errors))
         for host, (came, failed, spent) in by_host.items():
-            self.tiers.heard(now, host, round(came), round(failed))
+            self.tiers.record_attempts(now, host, round(came), round(failed))
             if self.memory is not None:
                 mean = round(spent / (came - failed)) if came > failed else 0
                 self.memory.met(now, host, zone, round(came), round(failed), mean)
--- a/willowhook/front/discovery.py
+++ b/willowhook/front/discovery.py
@@ -16,7 +16,7 @@
 import trio
 
 from ..clock import monotonic_ticks
-from ..membership.claim import names_me
+from ..membership.ownership import OwnershipClaim, check_claim
 from ..ticks import TICKS_PER_SECOND
 from ..versions.desk import KINDS, Answer, Ask, Desk
 from ..web.wire import Call, Reply
@@ -179,14 +179,14 @@
         term = node.metadata.get("term", 0)
         if here is not None and here[1] and isinstance(term, int | float):
             told = str(node.metadata.get("director", ""))
-            mine = names_me(self._director, told, here[0], int(term))
-            if mine == "older":
+            mine = check_claim(self._director, told, here[0], int(term))
+            if mine is OwnershipClaim.OUTDATED:
                 return refusal(409, 9, f"term {int(term)} is over, {here[0]} is now", 0, True)
-            if mine == "mine" and said.desk is not None:
+            if mine is OwnershipClaim.OWNED and said.desk is not None:
                 if self._hall.desk(name) is said.desk:
                     return None
                 return refusal(503, 14, "this stay is over", self._back_s, True)
-            if mine == "mine":
+            if mine is OwnershipClaim.OWNED:
                 said.desk = self._hall.desk(name)
                 if said.desk is not None:
                     return None
--- a/willowhook/membership/handoff.py
+++ b/willowhook/membership/handoff.py
@@ -1,100 +1,157 @@
-"""Direct handoff, where an installation allows links: what a director knew of a proxy, told to who may
-get it.
+"""Hinted handoff, where controllers are linked: what one knew of a proxy, sent to those that may get it next.
 
-A hint is evidence and nothing else.  It makes nobody the ruler of a proxy: that is the proxy's claim
-alone.  A director that gets a proxy without a hint does the same, only with less known.  So the link may
-lose, double and reorder: a packet is sent again until it is answered or of no more use, and taken once.
+A hint is evidence and nothing else. It makes no controller the owner of a proxy, which only the proxy does. A
+controller that gets a proxy without a hint does the same, only with less known. So the link may lose, double
+and reorder packets: a packet is sent again until it is acknowledged or too old, and taken once.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
+from typing import NamedTuple
 
-Sums = tuple[int, int, int]  # tries, errors, mean time of the answered in tenths of a millisecond
+KEPT_HINTS = 10_000
+BACKOFF_FACTOR = 2
+
+
+class EndpointSums(NamedTuple):
+    """What a proxy met at one endpoint.
+
+    Attributes:
+        attempts: that have ended.
+        failures: among them.
+        mean_latency_ticks: of the attempts that succeeded.
+    """
+
+    attempts: int
+    failures: int
+    mean_latency_ticks: int
 
 
 @dataclass(frozen=True, slots=True)
 class Hint:
-    """What was met by one proxy in one stay, by host, over the last `window`."""
+    """What a proxy met in one session.
+
+    Attributes:
+        proxy: its name.
+        term: its fencing term in that session.
+        window: the time that this covers, in ticks.
+        endpoints: by name.
+    """
 
     proxy: str
     term: int
     window: int
-    hosts: Mapping[str, Sums]
+    endpoints: Mapping[str, EndpointSums]
 
 
 @dataclass(frozen=True, slots=True)
 class Packet:
+    """A hint on its way.
+
+    Attributes:
+        sender: the name of the controller that sends it.
+        epoch: of the sender; its numbers begin anew with each.
+        number: of the packet.
+        hint: that it carries.
+    """
+
     sender: str
-    epoch: int  # of the sender's start: its numbers begin anew with each
+    epoch: int
     number: int
     hint: Hint
 
 
-class Teller:
-    """The side that tells: each packet until it is answered, ever more seldom, for `lasts` at the most."""
+@dataclass(slots=True)
+class _PendingPacket:
+    packet: Packet
+    sent_at: int  # for the first time
+    backoff: int
+    resend_at: int
+
+
+class HintSender:
+    """Sends each packet to one peer until it is acknowledged, with exponential backoff. Times in ticks."""
 
     def __init__(
-        self, sender: str, epoch: int, send: Callable[[Packet], None], first: int, lasts: int
+        self, sender: str, epoch: int, send: Callable[[Packet], None], first_backoff: int, lifetime: int
     ) -> None:
-        self._sender, self._epoch, self._send = sender, epoch, send
-        self._first, self._lasts = first, lasts
-        self._open: dict[int, tuple[Packet, int, int, int]] = {}  # packet, since, wait, when next
+        """Sends as this controller; a hint that is older than `lifetime` is given up."""
+        self._sender = sender
+        self._epoch = epoch
+        self._send = send
+        self._first_backoff = first_backoff
+        self._lifetime = lifetime
+        self._pending: dict[int, _PendingPacket] = {}
         self._count = 0
 
-    def tell(self, now: int, hint: Hint) -> None:
-        for number, (packet, *_) in list(self._open.items()):
-            if packet.hint.proxy == hint.proxy:  # the newer is all that is of use
-                del self._open[number]
+    def __len__(self) -> int:
+        """The packets that are not acknowledged yet."""
+        return len(self._pending)
+
+    def send(self, now: int, hint: Hint) -> None:
+        """Sends a hint, in place of an older one of the same proxy."""
+        for number, pending in list(self._pending.items()):
+            if pending.packet.hint.proxy == hint.proxy:
+                del self._pending[number]
         self._count += 1
         packet = Packet(self._sender, self._epoch, self._count, hint)
-        self._open[self._count] = (packet, now, self._first, now + self._first)
+        self._pending[self._count] = _PendingPacket(
+            packet, now, self._first_backoff, now + self._first_backoff
+        )
         self._send(packet)
 
-    def answered(self, epoch: int, number: int) -> None:
+    def acknowledge(self, epoch: int, number: int) -> None:
+        """Ends the sending of a packet; an acknowledgement of an earlier epoch counts for nothing."""
         if epoch == self._epoch:
-            self._open.pop(number, None)
-
-    def look(self, now: int) -> None:
-        for number, (packet, since, wait, due) in list(self._open.items()):
-            if now - since >= self._lasts:
-                del self._open[number]
-            elif now >= due:
-                self._open[number] = (packet, since, 2 * wait, now + 2 * wait)
-                self._send(packet)
+            self._pending.pop(number, None)
 
-    def __len__(self) -> int:
-        return len(self._open)
+    def resend_due(self, now: int) -> None:
+        """Sends again what is due, and gives up what is too old."""
+        for number, pending in list(self._pending.items()):
+            if now - pending.sent_at >= self._lifetime:
+                del self._pending[number]
+            elif now >= pending.resend_at:
+                pending.backoff *= BACKOFF_FACTOR
+                pending.resend_at = now + pending.backoff
+                self._send(pending.packet)
 
 
-class Listener:
-    """The side that is told: the newest hint of each proxy, for `lasts`, given out once."""
+class HintReceiver:
+    """Keeps the newest hint of each proxy until it is claimed or too old. Times in ticks."""
 
-    def __init__(self, lasts: int, most: int = 10_000) -> None:
-        self._lasts, self._most = lasts, most
-        self._hints: dict[str, tuple[int, Hint]] = {}
-        self._last: dict[str, tuple[int, int]] = {}  # by proxy: term and packet's place that were given out
+    def __init__(self, lifetime: int, most_kept: int = KEPT_HINTS) -> None:
+        """Keeps this many hints at the most, the newest, for this long."""
+        self._lifetime = lifetime
+        self._most_kept = most_kept
+        self._hints: dict[str, tuple[int, Hint]] = {}  # by proxy: when it came, and the hint
+        self._claimed_terms: dict[str, int] = {}  # by proxy: of the hint that was claimed last
 
     def take(self, now: int, packet: Packet) -> None:
-        """Any packet, in any order, any number of times.  All are to be answered."""
+        """Takes any packet, in any order and any number of times; all are to be acknowledged."""
         hint = packet.hint
-        known = self._hints.get(hint.proxy)
-        used = self._last.get(hint.proxy)
-        if (known is not None and known[1].term >= hint.term) or (used is not None and used[0] >= hint.term):
+        if self._knows_newer(hint):
             return
-        self._hints.pop(hint.proxy, None)
+        self._hints.pop(hint.proxy, None)  # the newest comes last
         self._hints[hint.proxy] = (now, hint)
-        while len(self._hints) > self._most:
+        while len(self._hints) > self._most_kept:
             del self._hints[next(iter(self._hints))]
 
     def claim(self, now: int, proxy: str, term: int) -> Hint | None:
-        """What is known of this proxy from before this stay; given out once, and never late."""
+        """Gives out, once, what is known of a proxy from before this term; None: nothing that is of use."""
         found = self._hints.pop(proxy, None)
         if found is None:
             return None
-        at, hint = found
-        self._last[proxy] = (hint.term, 0)
-        if len(self._last) > self._most:
-            del self._last[next(iter(self._last))]
-        return hint if hint.term < term and now - at <= self._lasts else None
+        received_at, hint = found
+        self._claimed_terms[proxy] = hint.term
+        if len(self._claimed_terms) > self._most_kept:
+            del self._claimed_terms[next(iter(self._claimed_terms))]
+        return hint if hint.term < term and now - received_at <= self._lifetime else None
+
+    def _knows_newer(self, hint: Hint) -> bool:
+        kept = self._hints.get(hint.proxy)
+        if kept is not None and kept[1].term >= hint.term:
+            return True
+        claimed_term = self._claimed_terms.get(hint.proxy)
+        return claimed_term is not None and claimed_term >= hint.term
--- /dev/null
+++ b/willowhook/membership/ownership.py
@@ -0,0 +1,104 @@
+"""Which one controller owns a proxy, by fencing terms, and which updates the proxy may apply.
+
+The proxy alone decides. Each time it joins a controller it raises its term, keeps it on its own disk, and
+states it in all that it publishes. A controller puts that term into the version of every update. An update
+takes effect only if it lies in the folder of the controller that the proxy follows *now* and carries the
+proxy's term of *now*; so whatever a controller wrote, queued or renamed before is void, however late it
+lands.
+
+No clock is compared with any other. A lease by time would need clocks that run alike, and a controller that
+pauses between the check of its lease and the rename would break it all the same.
+"""
+
+from __future__ import annotations
+
+from enum import Enum
+
+from .version import Version
+
+
+class UpdateVerdict(Enum):
+    """What a proxy does with an update of the controller that it follows."""
+
+    APPLY = "apply"
+    OLD = "old"  # applied already, or overtaken by a newer one
+    STALE = "stale"  # of a term that is over
+    AHEAD = "ahead"  # of a term that the proxy never began: two folders were mixed up
+
+
+class OwnershipClaim(Enum):
+    """What a proxy's file says of its owner, as a controller reads it."""
+
+    OWNED = "owned"
+    OUTDATED = "outdated"  # a late copy of an older term, no news
+    RELEASED = "released"
+
+
+def check_update(
+    term: int, applied: Version | None, version: Version, is_fenced: bool = True
+) -> UpdateVerdict:
+    """What to do with an update of this version, by the proxy's term and the version applied last.
+
+    `is_fenced` False leaves the term unchecked; the model checker shows with it what the term is for.
+    """
+    if is_fenced and version.term < term:
+        return UpdateVerdict.STALE
+    if is_fenced and version.term > term:
+        return UpdateVerdict.AHEAD
+    if applied is not None and (version.epoch, version.number) <= (applied.epoch, applied.number):
+        return UpdateVerdict.OLD
+    return UpdateVerdict.APPLY
+
+
+def check_claim(controller: str, claimed_controller: str, term: int, claimed_term: int) -> OwnershipClaim:
+    """Reads a proxy's claim that it belongs to a controller in a term; '' names whoever reads it.
+
+    A controller owns a proxy while the newest claim names it.
+    """
+    if claimed_term < term:
+        return OwnershipClaim.OUTDATED
+    if claimed_controller in ("", controller) and claimed_term == term:
+        return OwnershipClaim.OWNED
+    return OwnershipClaim.RELEASED
+
+
+class ProxyOwnership:
+    """The proxy's side of the protocol.
+
+    Attributes:
+        term: of now.
+        controller: that the proxy follows; '': none.
+        applied: the version that was applied last in this term; None: none.
+    """
+
+    def __init__(self, term: int = 0) -> None:
+        """Starts with the last term that the proxy's disk holds."""
+        self.term = term
+        self.controller = ""
+        self.applied: Version | None = None
+
+    def next_term(self) -> int:
+        """The term of the next `join`; it must be on disk before, as a term is never used twice."""
+        return self.term + 1
+
+    def join(self, controller: str, term: int) -> None:
+        """Follows a controller in a new term. Raises ValueError if the term was used before."""
+        if term <= self.term:
+            raise ValueError(f"term {term} is not above {self.term}")
+        self.term = term
+        self.controller = controller
+        self.applied = None
+
+    def leave(self) -> None:
+        """Follows nobody; the term stays until the next `join`."""
+        self.controller = ""
+
+    def check(self, version: Version, is_fenced: bool = True) -> UpdateVerdict:
+        """What to do with an update; unfenced, whatever is new is applied, as a plain reader would."""
+        if not is_fenced:
+            return UpdateVerdict.OLD if version == self.applied else UpdateVerdict.APPLY
+        return check_update(self.term, self.applied, version)
+
+    def record_applied(self, version: Version) -> None:
+        """Notes that an update has been applied."""
+        self.applied = version
--- /dev/null
+++ b/willowhook/membership/reconnect.py
@@ -0,0 +1,83 @@
+"""When a proxy reconnects and when it fails back: spread without coordination, at a pace that binds allow.
+
+Every proxy draws its own delay from the same settings, so that together they come at about the stated pace,
+in place of a thundering herd. Busy proxies draw from the early part of the time; nobody is without a table in
+the meantime, as a proxy goes on with what it holds. Times are in any one unit.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass
+
+
+@dataclass(frozen=True, slots=True)
+class ReconnectPace:
+    """How fast proxies may come to a controller.
+
+    Attributes:
+        proxy_count: proxies that may come at one time.
+        joins_per_time: in a unit of time, at all controllers together.
+        settling_time: how long a controller must have been alive before any proxy fails back to it.
+        minimum_stay: how long a proxy stays with one controller at the least.
+    """
+
+    proxy_count: int
+    joins_per_time: float
+    settling_time: float
+    minimum_stay: float
+
+    def window(self) -> float:
+        """The time that all proxies together take."""
+        return self.proxy_count / self.joins_per_time
+
+
+def reconnect_delay(pace: ReconnectPace, relative_load: float, draw: Callable[[], float]) -> float:
+    """How long a proxy waits that has lost its controller.
+
+    `relative_load` is its share of all requests times the number of proxies, 1 for a usual proxy: one with
+    twice the usual requests waits in the first half of the time. `draw` gives a random number from 0 to 1.
+    """
+    return pace.window() * draw() / max(relative_load, 1.0)
+
+
+class FailbackPolicy:
+    """Whether a proxy should go back to a controller that it prefers. One for each proxy."""
+
+    def __init__(self, pace: ReconnectPace, preference: Sequence[str], draw: Callable[[], float]) -> None:
+        """`preference` is the proxy's order of controllers, `draw` gives a random number from 0 to 1."""
+        self._pace = pace
+        self._preference = list(preference)
+        self._draw = draw
+        self._alive_since: dict[str, float] = {}
+        self._joined_at = 0.0
+        self._target = ""
+        self._due_at = 0.0  # of the move to the target
+
+    def record_join(self, now: float) -> None:
+        """Notes that the proxy has joined a controller."""
+        self._joined_at = now
+        self._target = ""
+
+    def record_liveness(self, controller: str, is_alive: bool, now: float) -> None:
+        """Notes whether the proxy sees a controller alive."""
+        if is_alive:
+            self._alive_since.setdefault(controller, now)
+        else:
+            self._alive_since.pop(controller, None)
+
+    def target(self, current: str, now: float) -> str:
+        """The controller to go to now, or '' to stay. One that flaps never settles."""
+        target = self._settled_controller(current, now)
+        if target != self._target:  # a new target, a new delay
+            self._target = target
+            self._due_at = now + self._pace.window() * self._draw() if target else 0.0
+        return target if target and now >= self._due_at else ""
+
+    def _settled_controller(self, current: str, now: float) -> str:
+        if now - self._joined_at < self._pace.minimum_stay:
+            return ""
+        for name in self._preference[: self._preference.index(current)]:
+            if now - self._alive_since.get(name, now) >= self._pace.settling_time:
+                return name
+        return ""
--- /dev/null
+++ b/willowhook/membership/takeover_model.py
@@ -0,0 +1,299 @@
+"""A model of the ownership protocol: few proxies, few controllers, and all that can happen to them.
+
+A proxy has its term and what it applied. A controller is up, hangs or is dead, and believes of each proxy
+that it owns it in a term, or that it does not. Between an update and its file lies a rename that can be late
+by any time, also beyond the controller's death. A step is one thing that happens; the checks of versions and
+claims are those of the program itself.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from dataclasses import dataclass, replace
+from enum import Enum
+from typing import NamedTuple, TypeVar
+
+from ..errors import WillowhookError
+from .ownership import OwnershipClaim, UpdateVerdict, check_claim, check_update
+from .version import Version
+
+T = TypeVar("T")
+NO_TERM = -1  # in place of a term: the controller does not own the proxy, or the proxy has no file there
+NOBODY = -1  # in place of a controller's index
+
+
+class Safeguard(Enum):
+    """What keeps the invariants; the model can go without some, to show that they are needed."""
+
+    TERM = "term"  # the term of an update is checked
+    ORDER = "order"  # updates are applied forward only
+    NAME = "name"  # a controller stamps no term but the one that the proxy's own file told it
+    FOLDER = "folder"  # a proxy reads the folder of the controller that it follows, and no other
+
+
+Safeguards = frozenset[Safeguard]
+ALL_PRESENT: Safeguards = frozenset()
+NEEDED_SAFEGUARDS: tuple[Safeguards, ...] = (
+    frozenset((Safeguard.TERM,)),
+    frozenset((Safeguard.ORDER,)),
+    frozenset((Safeguard.NAME,)),
+    frozenset((Safeguard.FOLDER, Safeguard.NAME)),
+)
+
+
+def safeguards_in(text: str) -> Safeguards:
+    """The safeguards that a text such as `folder+name` names."""
+    return frozenset(safeguard for safeguard in Safeguard if safeguard.value in text)
+
+
+class ControllerState(Enum):
+    """What has become of a controller's process."""
+
+    UP = "up"
+    HUNG = "hung"
+    DEAD = "dead"
+
+
+@dataclass(frozen=True)
+class Update:
+    """An update as a file.
+
+    Attributes:
+        controller: the index of the controller that gave it.
+        version: that it carries.
+        intended_term: the term of the proxy that the controller had in mind.
+    """
+
+    controller: int
+    version: Version
+    intended_term: int
+
+
+@dataclass(frozen=True)
+class Proxy:
+    """A proxy.
+
+    Attributes:
+        term: of now.
+        follows: the index of its controller.
+        applied: the update that was applied last in this term.
+        history: all updates that were applied in this term.
+    """
+
+    term: int = 0
+    follows: int = NOBODY
+    applied: Update | None = None
+    history: tuple[Update, ...] = ()
+
+
+class PendingRename(NamedTuple):
+    """An update whose file is not in its place yet."""
+
+    proxy: int
+    update: Update
+
+
+@dataclass(frozen=True)
+class Controller:
+    """A controller.
+
+    Attributes:
+        state: of its process.
+        epoch: its starts.
+        update_count: updates of this epoch.
+        believed_terms: by proxy: the term in which it owns the proxy.
+        pending: renames that may happen at any time.
+    """
+
+    state: ControllerState = ControllerState.UP
+    epoch: int = 1
+    update_count: int = 0
+    believed_terms: tuple[int, ...] = ()
+    pending: tuple[PendingRename, ...] = ()
+
+
+@dataclass(frozen=True)
+class World:
+    """A state of the model.
+
+    Attributes:
+        proxies: by index.
+        controllers: by index.
+        claimed_terms: by controller and proxy: the term in the proxy's file there.
+        updates: by controller and proxy: the update that lies there.
+        failures: of controllers so far.
+    """
+
+    proxies: tuple[Proxy, ...]
+    controllers: tuple[Controller, ...]
+    claimed_terms: tuple[tuple[int, ...], ...]
+    updates: tuple[tuple[Update | None, ...], ...]
+    failures: int = 0
+
+
+@dataclass(frozen=True)
+class Bounds:
+    """How much of it is modelled: a limit each, `updates` for one epoch of a controller."""
+
+    proxies: int = 2
+    controllers: int = 2
+    terms: int = 2
+    updates: int = 2
+    failures: int = 1
+
+
+class Step(NamedTuple):
+    """Something that can happen, in words, and the world after it."""
+
+    text: str
+    world: World
+
+
+class InvariantError(WillowhookError):
+    """An invariant does not hold; the message says which."""
+
+
+def initial_world(bounds: Bounds) -> World:
+    """The world before anything has happened."""
+    no_terms = (NO_TERM,) * bounds.proxies
+    return World(
+        proxies=(Proxy(),) * bounds.proxies,
+        controllers=(Controller(believed_terms=no_terms),) * bounds.controllers,
+        claimed_terms=(no_terms,) * bounds.controllers,
+        updates=((None,) * bounds.proxies,) * bounds.controllers,
+    )
+
+
+def next_steps(world: World, bounds: Bounds, without: Safeguards = ALL_PRESENT) -> Iterator[Step]:
+    """Everything that can happen next. Raises InvariantError if it must not."""
+    for proxy in range(bounds.proxies):
+        for controller in range(bounds.controllers):
+            yield from _joins(world, bounds, proxy, controller)
+            yield from _applications(world, proxy, controller, without)
+    for controller in range(bounds.controllers):
+        yield from _renames(world, controller)
+        yield from _process_changes(world, bounds, controller)
+        if world.controllers[controller].state is ControllerState.UP:
+            for proxy in range(bounds.proxies):
+                yield from _reads(world, controller, proxy)
+                yield from _new_updates(world, bounds, controller, proxy, without)
+
+
+def _replaced(row: tuple[T, ...], index: int, value: T) -> tuple[T, ...]:
+    return (*row[:index], value, *row[index + 1 :])
+
+
+def _with_proxy(world: World, index: int, proxy: Proxy) -> World:
+    return replace(world, proxies=_replaced(world.proxies, index, proxy))
+
+
+def _with_controller(world: World, index: int, controller: Controller) -> World:
+    return replace(world, controllers=_replaced(world.controllers, index, controller))
+
+
+def _with_claim(world: World, controller: int, proxy: int, term: int) -> World:
+    row = _replaced(world.claimed_terms[controller], proxy, term)
+    return replace(world, claimed_terms=_replaced(world.claimed_terms, controller, row))
+
+
+def _joins(world: World, bounds: Bounds, index: int, controller: int) -> Iterator[Step]:
+    """A proxy cannot tell a hung controller from one that is up, so it may change at any time."""
+    proxy = world.proxies[index]
+    if controller == proxy.follows or proxy.term >= bounds.terms:
+        return
+    joined = Proxy(proxy.term + 1, controller)
+    moved = _with_claim(_with_proxy(world, index, joined), controller, index, joined.term)
+    text = f"p{index} joins d{controller}"
+    if proxy.follows != NOBODY:  # it takes its old file away where it can be reached
+        yield Step(text, _with_claim(moved, proxy.follows, index, NO_TERM))
+    yield Step(f"{text}, its old file stays", moved)
+
+
+def _applications(world: World, index: int, controller: int, without: Safeguards) -> Iterator[Step]:
+    proxy = world.proxies[index]
+    update = world.updates[controller][index]
+    if update is None or (controller != proxy.follows and Safeguard.FOLDER not in without):
+        return
+    applied = proxy.applied.version if proxy.applied and Safeguard.ORDER not in without else None
+    verdict = check_update(proxy.term, applied, update.version, Safeguard.TERM not in without)
+    if verdict is not UpdateVerdict.APPLY or update == proxy.applied:
+        return
+    _check_invariants(proxy, update)
+    after = replace(proxy, applied=update, history=(*proxy.history, update))
+    yield Step(f"p{index} applies {update.version} of d{controller}", _with_proxy(world, index, after))
+
+
+def _check_invariants(proxy: Proxy, update: Update) -> None:
+    """Checks the invariants at the instant at which an update takes effect."""
+    if any(earlier.controller != update.controller for earlier in proxy.history):
+        raise InvariantError("one ruler: orders of two directors took effect in one term")
+    if update.intended_term != proxy.term:
+        raise InvariantError("this stay: an order took effect that was given for another stay")
+    place = (update.version.epoch, update.version.number)
+    if any((earlier.version.epoch, earlier.version.number) > place for earlier in proxy.history):
+        raise InvariantError("forward: an older order took effect after a newer one")
+
+
+def _renames(world: World, index: int) -> Iterator[Step]:
+    """A rename happens whatever has become of the controller."""
+    controller = world.controllers[index]
+    for position, (proxy, update) in enumerate(controller.pending):
+        pending = (*controller.pending[:position], *controller.pending[position + 1 :])
+        after = _with_controller(world, index, replace(controller, pending=pending))
+        row = _replaced(world.updates[index], proxy, update)
+        yield Step(
+            f"{update.version} lands in d{index}'s folder of p{proxy}",
+            replace(after, updates=_replaced(world.updates, index, row)),
+        )
+
+
+def _process_changes(world: World, bounds: Bounds, index: int) -> Iterator[Step]:
+    controller = world.controllers[index]
+    if controller.state is ControllerState.DEAD:
+        restarted = Controller(
+            epoch=controller.epoch + 1,
+            believed_terms=(NO_TERM,) * bounds.proxies,
+            pending=controller.pending,
+        )
+        yield Step(f"d{index} starts again", _with_controller(world, index, restarted))
+        return
+    if world.failures < bounds.failures:
+        failed = replace(world, failures=world.failures + 1)
+        dead = replace(controller, state=ControllerState.DEAD)
+        yield Step(f"d{index} is killed", _with_controller(failed, index, dead))
+        if controller.state is ControllerState.UP:
+            hung = replace(controller, state=ControllerState.HUNG)
+            yield Step(f"d{index} hangs", _with_controller(failed, index, hung))
+    if controller.state is ControllerState.HUNG:
+        resumed = replace(controller, state=ControllerState.UP)
+        yield Step(f"d{index} goes on", _with_controller(world, index, resumed))
+
+
+def _reads(world: World, index: int, proxy: int) -> Iterator[Step]:
+    """The controller reads a proxy's file, or sees that it has none."""
+    controller = world.controllers[index]
+    claimed = world.claimed_terms[index][proxy]
+    believed = controller.believed_terms[proxy]
+    claimed_controller = str(index) if claimed != NO_TERM else "nobody"
+    claim = check_claim(str(index), claimed_controller, max(believed, 0), max(claimed, 0))
+    read = claimed if claim is not OwnershipClaim.OUTDATED else NO_TERM
+    if read != believed:
+        believed_terms = _replaced(controller.believed_terms, proxy, read)
+        after = replace(controller, believed_terms=believed_terms)
+        yield Step(f"d{index} reads p{proxy}", _with_controller(world, index, after))
+
+
+def _new_updates(world: World, bounds: Bounds, index: int, proxy: int, without: Safeguards) -> Iterator[Step]:
+    controller = world.controllers[index]
+    believed = controller.believed_terms[proxy]
+    if believed == NO_TERM or controller.update_count >= bounds.updates:
+        return
+    term = believed if Safeguard.NAME not in without else max(believed, world.proxies[proxy].term)
+    version = Version(term, controller.epoch, controller.update_count + 1)
+    rename = PendingRename(proxy, Update(index, version, believed))
+    after = replace(
+        controller,
+        update_count=controller.update_count + 1,
+        pending=(*controller.pending, rename),
+    )
+    yield Step(f"d{index} orders {version} for p{proxy}", _with_controller(world, index, after))
--- /dev/null
+++ b/willowhook/membership/version.py
@@ -0,0 +1,44 @@
+"""The version of an update, by which a proxy tells what is newer and whose it is."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from ..errors import WillowhookError
+
+NUMBERS = 3
+LONGEST_TEXT = 60  # characters
+SHOWN_CHARACTERS = 60  # of a malformed version
+
+
+class VersionError(WillowhookError):
+    """A text that is no version."""
+
+
+@dataclass(frozen=True, slots=True, order=True)
+class Version:
+    """The version of an update; its text is `TERM.EPOCH.NUMBER`.
+
+    Attributes:
+        term: the fencing term of the proxy that it is for.
+        epoch: of the controller: its starts in the folder that it writes to.
+        number: of the update, counted from the controller's start.
+    """
+
+    term: int
+    epoch: int
+    number: int
+
+    def __str__(self) -> str:
+        """Its text, as it is published."""
+        return f"{self.term}.{self.epoch}.{self.number}"
+
+
+def parse_version(text: str) -> Version:
+    """Reads a version. Raises VersionError."""
+    parts = text.split(".")
+    are_numbers = all(part.isascii() and part.isdigit() for part in parts)
+    if len(parts) != NUMBERS or not are_numbers or len(text) > LONGEST_TEXT:
+        raise VersionError(f"version {text[:SHOWN_CHARACTERS]!r} is no TERM.EPOCH.NUMBER")
+    term, epoch, number = parts
+    return Version(int(term), int(epoch), int(number))
--- a/willowhook/nginx/result.py
+++ b/willowhook/nginx/result.py
@@ -14,7 +14,7 @@
 from ..config.deployment import SEMANTICS, ordered_paths
 from ..config.example import EXAMPLE
 from ..config.terms import ClosedTerms, FileTerms, RecordTerms, Terms
-from ..membership.claim import safe_tries
+from ..membership.retries import publishable_retries
 from ..ticks import ticks_from_milliseconds
 from ..xds import forms, tables
 from ..xds.codec import encode, response
@@ -98,7 +98,8 @@
         pick = "ring" if route.hash_by else group.pick
         clusters[to] = encode(tables.cluster(to, group.name, "eds.json", pick, ticks, terms.fleet.strikes))
         tries = min(
-            safe_tries(SEMANTICS[route.semantics], 2 if route.semantics == "repeatable" else 1), route.tries
+            publishable_retries(SEMANTICS[route.semantics], 2 if route.semantics == "repeatable" else 1),
+            route.tries,
         )
         filters = tables.level("rps", route.most_per_s or float("inf"), 1)
         rows.append(
--- a/willowhook/trial/standin_link.py
+++ b/willowhook/trial/standin_link.py
@@ -95,7 +95,7 @@
         """The acknowledgement of this type is on its way."""
         if kind not in self.versions:
             return  # it has begun another stay meanwhile
-        self.kept.director = self.proxy.claim.director
+        self.kept.director = self.proxy.claim.controller
         self.kept.versions[kind] = self.versions[kind]
         self.kept.rows[kind] = {n: (v, msgspec.Raw(body)) for n, (v, body) in self.rows[kind].items()}
         folder, _, name = self.path.rpartition("/")
--- a/willowhook/trial/standin_proxy.py
+++ b/willowhook/trial/standin_proxy.py
@@ -29,10 +29,12 @@
 from ..files.layout import DOWN, LOAD, PACE, STATUS, UP, last_beat
 from ..files.ops import DiskOps
 from ..files.swap import swap_file
-from ..membership.assign import order
-from ..membership.claim import APPLY, Claim, Version, VersionError, narrower, read_version
-from ..membership.spread import Home, Pace, dial_wait
-from ..membership.suspicion import Suspicion
+from ..membership.assignment import preference_order
+from ..membership.failure_detector import FailureDetector
+from ..membership.ownership import ProxyOwnership, UpdateVerdict
+from ..membership.reconnect import FailbackPolicy, ReconnectPace, reconnect_delay
+from ..membership.retries import stricter_retries
+from ..membership.version import Version, VersionError, parse_version
 from ..ticks import TICKS_PER_SECOND, ticks_from_milliseconds, ticks_from_seconds
 from ..web.wire import Broken, Call, Caller, Reply, answer_calls, dial
 from ..xds import forms, orca, tables
@@ -124,7 +126,7 @@
     plan: ProxyPlan
     crew: Crew
     notes: Notes
-    claim: Claim
+    claim: ProxyOwnership
     avoided: dict[str, int]
     director: DirectorPlace | None
     lines: dict[str, list[tuple[str, float]]]
@@ -141,14 +143,14 @@
         self.buckets: dict[str, tuple[object, Bucket]] = {}
         self.director = None
         self.state = f"{os.path.dirname(orders.notes)}/terms"
-        self.claim = Claim(self.last_term())
+        self.claim = ProxyOwnership(self.last_term())
         self.versions: dict[str, tuple[str, str]] = {}  # by kind: version and nonce applied
         self.avoided = {}  # directors that sent it away, until when
         near = frozenset(place.name for place in orders.directors if place.zone == plan.zone)
-        names = order(plan.id, [place.name for place in orders.directors], near)
+        names = preference_order(plan.id, [place.name for place in orders.directors], near)
         self.order = [place for name in names for place in orders.directors if place.name == name]
-        pace = Pace(orders.fleet, orders.joins_per_s, orders.settle_s, orders.stay_s)
-        self.pace, self.home = pace, Home(pace, names, self.chance.random)
+        pace = ReconnectPace(orders.fleet, orders.joins_per_s, orders.settle_s, orders.stay_s)
+        self.pace, self.home = pace, FailbackPolicy(pace, names, self.chance.random)
         self.away_until = 0
         self.link = WebLink(self) if plan.form != "files" else None
         self.stand()
@@ -217,13 +219,13 @@
                     continue
                 envelope = read_response(data, type_url)
                 kinds[kind] = (envelope.version_info, envelope.nonce)
-            versions = [read_version(version) for version, _ in kinds.values()]
+            versions = [parse_version(version) for version, _ in kinds.values()]
             newest = max(versions, default=Version(0, 0, 0))
-            verdict = self.claim.look(newest, self.o.fenced)
-            if verdict != APPLY:
-                if verdict != "old":
+            verdict = self.claim.check(newest, self.o.fenced)
+            if verdict is not UpdateVerdict.APPLY:
+                if verdict is not UpdateVerdict.OLD:
                     self.crew.void += 1
-                    self.notes.note("void", p=self.plan.id, d=place.name, v=str(newest), why=verdict)
+                    self.notes.note("void", p=self.plan.id, d=place.name, v=str(newest), why=verdict.value)
                 return
             if self.o.refuse and self.chance.random() < self.o.refuse:
                 raise FormError("refused by chance")
@@ -252,7 +254,7 @@
         used = {clusters[r.route.cluster].eds_cluster_config.service_name for r in tables.leading(routes)}
         self.assignments = {name: table for name, table in assignments.items() if name in used}
         self.clusters, self.routes = clusters, routes
-        self.claim.apply(newest)
+        self.claim.record_applied(newest)
         self.settle()
         self.crew.applied += 1
         told = {"v": [newest.epoch, newest.number], "term": self.claim.term, **self.runs()}
@@ -284,7 +286,7 @@
     def node(self) -> forms.Node:
         told: dict[str, Any] = {
             "usual_calls_per_s": self.o.usual_calls_per_s * self.plan.share,
-            "director": self.claim.director,
+            "director": self.claim.controller,
             "term": self.claim.term,
         }
         return forms.Node(self.plan.id, "calls", forms.Locality(zone=self.plan.zone), told)
@@ -383,7 +385,7 @@
         self.claim.join(place.name, term)
         if self.link is not None:
             self.director = place
-            self.home.joined(monotonic_ticks() / TICKS_PER_SECOND)
+            self.home.record_join(monotonic_ticks() / TICKS_PER_SECOND)
             self.notes.note("joined", p=self.plan.id, d=place.name, term=term)
             self.link.begin(place)
             return
@@ -399,7 +401,7 @@
         self.versions = {}
         os.rename(temp, home)
         self.director = place
-        self.home.joined(monotonic_ticks() / TICKS_PER_SECOND)
+        self.home.record_join(monotonic_ticks() / TICKS_PER_SECOND)
         self.notes.note("joined", p=self.plan.id, d=place.name, term=term)
         self.report()
         self.crew.follow(self.plan.id, place)
@@ -425,7 +427,7 @@
         while True:
             now = monotonic_ticks() / TICKS_PER_SECOND
             for place in self.order:
-                self.home.shown(place.name, self.reachable(place), now)
+                self.home.record_liveness(place.name, self.reachable(place), now)
             if self.director is None:
                 for place in self.order:
                     if self.reachable(place):
@@ -443,9 +445,9 @@
                 await trio.sleep(self.o.redial_s * (0.5 + self.chance.random()))
             elif not self.reachable(self.director):
                 self.leave("no sign of life")
-                wait = dial_wait(self.pace, share, self.chance.random)
+                wait = reconnect_delay(self.pace, share, self.chance.random)
                 await trio.sleep(wait + self.o.redial_s * (0.5 + self.chance.random()))
-            elif self.home.better(self.director.name, now):
+            elif self.home.target(self.director.name, now):
                 self.leave("goes back")
                 continue
             await trio.sleep(0.05)
@@ -516,12 +518,12 @@
                     if not tried:
                         self.notes.note("no_host", p=self.plan.id, c=attempt, r=row.name)
                     return reply
-                # of the order at its start and that of now, the narrower
-                tries = narrower(tries, self.tries_now(row.name))
+                # of the order at its start and that of now, the stricter_retries
+                tries = stricter_retries(tries, self.tries_now(row.name))
                 again = len(tried) < (1 if tries == 1 else max(tries - 1, 0))
                 tried.append(host)
                 reply, proof = await self.try_at(row, cluster, host, call, patience if again else math.inf)
-                tries = narrower(tries, self.tries_now(row.name))
+                tries = stricter_retries(tries, self.tries_now(row.name))
                 if reply.status < 500 or not again or not tries or (tries == 1 and not proof):
                     return reply
         if limit.cancelled_caught:
@@ -649,7 +651,7 @@
         self.followers = Followers(orders.watch, orders.poll_s, self.seen)
         self.places = {place.name: place for place in orders.directors}
         most = orders.lost_after_s
-        self.signs = {name: Suspicion(orders.beat_s, most / 2, most) for name in self.places}
+        self.signs = {name: FailureDetector(orders.beat_s, most / 2, most) for name in self.places}
         self.beats: dict[str, float] = {}
         self.proxies = {plan.id: StandInProxy(orders, plan, self) for plan in orders.proxies}
         self.scopes: dict[str, trio.CancelScope] = {}
@@ -665,7 +667,7 @@
         self.followers.drop(f"{proxy}|{place.name}")
 
     def alive(self, director: str) -> bool:
-        return director in self.beats and not self.signs[director].suspected(
+        return director in self.beats and not self.signs[director].is_suspected(
             monotonic_ticks() / TICKS_PER_SECOND
         )
 
@@ -677,7 +679,7 @@
                 beat = last_beat(place.folder)
                 if beat != self.beats.get(name) and time.time() - beat < self.o.lost_after_s:
                     self.beats[name] = beat
-                    self.signs[name].heard(now)
+                    self.signs[name].record_heartbeat(now)
             await trio.sleep(self.o.beat_s / 4)
 
     def unreachable(self, one: str, other: str) -> bool:
