--- a/benchmarks/estimates.py
+++ b/benchmarks/estimates.py
@@ -11,11 +11,11 @@
 import random
 import statistics
 
-from willowhook.reports.queue import Queue
+from willowhook.reports.queue import ReportQueue
 from willowhook.reports.read import Report
-from willowhook.reports.sample import whole
-from willowhook.reports.sums import Row
-from willowhook.reports.windows import Windows
+from willowhook.reports.sample import sum_sample
+from willowhook.reports.sums import AttemptSums, ReportCells
+from willowhook.reports.windows import ReportWindows
 
 ROUTES = {"load": 1.0, "save": 0.8, "submit": 0.3}
 PERIOD = 5000
@@ -31,25 +31,28 @@
     truth: dict[tuple[str, str], float] = {}
     made: dict[tuple[str, str], list[float]] = {}
     for _ in range(proxies):
-        queue, windows = Queue(chance.randrange), Windows()
-        first = Report(Row(), {}, PERIOD, "a", 10**6 - PERIOD, 10**6)
-        whole(0, "p", windows, [(0, 0, first)], 1, True)
+        queue, windows = ReportQueue(chance.randrange), ReportWindows()
+        first = Report(ReportCells(), {}, PERIOD, "a", 10**6 - PERIOD, 10**6)
+        sum_sample(0, "p", windows, [(0, 0, first)], 1, True)
         size, rows = chance.lognormvariate(0, 0.6), list[Report]()
         for j in range(k + 1):  # the last by itself: it tells of what came behind the newest of the sample
             cells = {
-                (f"h{h}", route): (count(chance, 6 * size * share * (1 + h % 3)), 0.0, 0.0)
-                for h in range(hosts) for route, share in ROUTES.items()
-            }  # fmt: skip
+                (f"h{h}", route): AttemptSums(count(chance, 6 * size * share * (1 + h % 3)), 0.0, 0.0)
+                for h in range(hosts)
+                for route, share in ROUTES.items()
+            }
             for key, row in cells.items():
                 truth[key] = truth.get(key, 0.0) + row[0]
-            rows.append(Report(Row(cells), {}, PERIOD, "a", 10**6 + j * PERIOD, 10**6 + (j + 1) * PERIOD))
+            rows.append(
+                Report(ReportCells(cells), {}, PERIOD, "a", 10**6 + j * PERIOD, 10**6 + (j + 1) * PERIOD)
+            )
             queue.offer((j + 1) * PERIOD + chance.randrange(400), "p", b"%d" % j)
             if j < k - 1:
                 continue
             taken = queue.take((j + 2) * PERIOD)
             assert taken is not None
             sample = [(at, int(data), rows[int(data)]) for at, data in taken.rows]
-            got = whole((j + 2) * PERIOD, "p", windows, sample, taken.came, True)
+            got = sum_sample((j + 2) * PERIOD, "p", windows, sample, taken.came, True)
             for key, row in got.cells.items() if got is not None else ():
                 pair = made.setdefault(key, [0.0, 0.0])
                 pair[0] += row[0]
--- a/benchmarks/intake.py
+++ b/benchmarks/intake.py
@@ -17,15 +17,15 @@
 from collections.abc import Callable
 
 from willowhook.decisions.windows import WindowedSums
-from willowhook.reports.fading import Landmark
-from willowhook.reports.queue import Queue
+from willowhook.reports.fading import ForwardDecay
+from willowhook.reports.queue import ReportQueue
 
 HALF = 20_000
 FIGURES = 36  # of one report, which share its window
 
 
 def landmark(rows: list[tuple[int, int]]) -> object:
-    made = Landmark(HALF)
+    made = ForwardDecay(HALF)
     cells: dict[int, float] = {}
     gain = 1.0
     for k, (now, key) in enumerate(rows):
@@ -58,7 +58,7 @@
 
 
 def held_two(rows: list[tuple[int, int]]) -> object:
-    queue = Queue(random.Random(1).randrange)
+    queue = ReportQueue(random.Random(1).randrange)
     for now, key in rows:
         queue.offer(now, f"p{key}", b"x" * 100)
     while queue.take(0):
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -11,14 +11,19 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from willowhook.reports.budget import LOOK, Budget
-from willowhook.reports.fading import Landmark
-from willowhook.reports.quarantine import LONG, ON_END, REST, Quarantine
-from willowhook.reports.queue import Queue
+from willowhook.reports.budget import DECREASE_DELAY_TICKS, ReportBudget
+from willowhook.reports.fading import ForwardDecay
+from willowhook.reports.quarantine import (
+    FAULT_WINDOW_TICKS,
+    FAULTS_IN_A_ROW,
+    SHORTEST_QUARANTINE_TICKS,
+    Quarantine,
+)
+from willowhook.reports.queue import ReportQueue
 from willowhook.reports.read import MOST_ROWS, Report, read
-from willowhook.reports.sample import whole
-from willowhook.reports.sums import Row, Sums, combined
-from willowhook.reports.windows import BACK, KEEP, Windows
+from willowhook.reports.sample import sum_sample
+from willowhook.reports.sums import AttemptSums, ReportCells, ReportSums, combine_reports
+from willowhook.reports.windows import CLOCK_RESET_TICKS, RETENTION_TICKS, ReportWindows
 from willowhook.ticks import TICKS_PER_SECOND
 from willowhook.xds import forms
 from willowhook.xds.codec import FormError
@@ -46,30 +51,30 @@
     ),
     st.randoms(use_true_random=False),
 )  # fmt: skip
-def test_faded_sums_are_those_of_a_replay_in_any_order(
+def test_decayed_sums_are_those_of_a_replay_in_any_order(
     rows: list[tuple[int, int, float]], chance: random.Random
 ) -> None:
-    made, kept = Landmark(HALF), 0.0
+    made, kept = ForwardDecay(HALF), 0.0
     windows = [(since + 200_000, since + 200_000 + length, value) for since, length, value in rows]
     now = max(until for _, until, _ in windows) + chance.randrange(30_000)
     chance.shuffle(windows)
     for since, until, value in windows:
-        kept *= made.move(until)
+        kept *= made.move_landmark(until)
         kept += value * made.gain(since, until)
-    assert math.isclose(kept * made.at(now), by_hand(windows, now), rel_tol=1e-4)
+    assert math.isclose(kept * made.scale(now), by_hand(windows, now), rel_tol=1e-4)
 
 
-def test_the_stated_rate_is_the_measured_one() -> None:
+def test_attempts_are_handed_over_with_the_weight_of_their_age() -> None:
     for age in (0, HALF // 2, HALF, 3 * HALF):
         heard: list[int] = []
-        sums = Sums(HALF, lambda host, zone, tries, *rest, told=heard: told.append(tries))
+        sums = ReportSums(HALF, lambda host, zone, tries, *rest, told=heard: told.append(tries))
         now = 100 * TICKS_PER_SECOND
-        sums.add(now, "z", now - age - 100, now - age, {("h", "r"): (1e6, 0.0, 0.0, 0.0)}, {})
+        sums.add(now, "z", now - age - 100, now - age, {("h", "r"): AttemptSums(1e6, 0.0, 0.0, 0.0)}, {})
         sums.flush()
         assert abs(heard[0] / 1e6 / 2 ** (-age / HALF) - 1) < 0.001
 
 
-# Windows.
+# ReportWindows.
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
@@ -79,62 +84,69 @@
     ),
     st.integers(-1_000_000, 1_000_000),
 )
-def test_every_moment_counts_once_whatever_comes_again(rows: list[tuple[int, int, str]], skew: int) -> None:
+def test_every_part_of_the_time_counts_once_whatever_is_repeated(
+    rows: list[tuple[int, int, str]], skew: int
+) -> None:
     """Beside a replay that marks each tenth of a second; with few enough gaps that none is forgotten."""
-    windows, marked, now = Windows(), set[int](), 10_000_000
+    windows, marked, now = ReportWindows(), set[int](), 10_000_000
     for since, length, process in rows:
         now += 50
         cells = set(range(since, since + length))
         new = len(cells - marked) / length
         marked |= cells
         since_t, until_t = 5_000_000 + skew + since * 1000, 5_000_000 + skew + (since + length) * 1000
-        covered = windows.told(now, "p", process, since_t, until_t)
+        covered = windows.record_timed(now, "p", process, since_t, until_t)
         assert math.isclose(covered.part, new, abs_tol=1e-9)
 
 
-def test_a_report_that_comes_again_after_a_restart_counts_for_nothing() -> None:
-    windows = Windows()
-    assert windows.told(100_000, "p", "one", 40_000, 50_000).part == 1
-    assert windows.told(110_000, "p", "one", 50_000, 60_000).part == 1
+def test_a_report_that_is_repeated_after_a_restart_counts_for_nothing() -> None:
+    windows = ReportWindows()
+    assert windows.record_timed(100_000, "p", "one", 40_000, 50_000).part == 1
+    assert windows.record_timed(110_000, "p", "one", 50_000, 60_000).part == 1
     for process in ("one", "two", ""):
-        assert windows.told(111_000, "p", process, 50_000, 60_000).part == 0
-        assert windows.told(111_000, "p", process, 40_000, 50_000).part == 0
-    assert windows.told(111_000, "p", "two", 55_000, 65_000).part == 0.5
+        assert windows.record_timed(111_000, "p", process, 50_000, 60_000).part == 0
+        assert windows.record_timed(111_000, "p", process, 40_000, 50_000).part == 0
+    assert windows.record_timed(111_000, "p", "two", 55_000, 65_000).part == 0.5
     assert windows.repeats == 6
-    assert windows.untold(1, "q", 5000, 77).part == 1 and windows.untold(2, "q", 5000, 77).part == 0
+    assert (
+        windows.record_untimed(1, "q", 5000, 77).part == 1
+        and windows.record_untimed(2, "q", 5000, 77).part == 0
+    )
 
 
-def test_what_is_known_of_a_proxy_outlives_its_stay_but_not_for_ever() -> None:
-    windows = Windows()
-    windows.told(TICKS_PER_SECOND, "p", "one", 40_000, 50_000)
-    windows.look(KEEP // 2)
-    assert windows.told(KEEP // 2, "p", "two", 40_000, 50_000).part == 0 and len(windows) == 1
-    windows.look(2 * KEEP)
+def test_the_windows_of_a_proxy_outlive_its_session_until_their_retention_ends() -> None:
+    windows = ReportWindows()
+    windows.record_timed(TICKS_PER_SECOND, "p", "one", 40_000, 50_000)
+    windows.look(RETENTION_TICKS // 2)
+    assert (
+        windows.record_timed(RETENTION_TICKS // 2, "p", "two", 40_000, 50_000).part == 0 and len(windows) == 1
+    )
+    windows.look(2 * RETENTION_TICKS)
     assert len(windows) == 0
 
 
-def test_lateness_is_told_from_clocks_that_differ() -> None:
-    windows = Windows()
-    assert windows.told(1_000_000, "p", "a", 2_000_000, 2_005_000).until == 1_000_000
-    late = windows.told(1_035_000, "p", "a", 2_005_000, 2_010_000)
+def test_a_late_report_is_told_from_a_clock_that_differs() -> None:
+    windows = ReportWindows()
+    assert windows.record_timed(1_000_000, "p", "a", 2_000_000, 2_005_000).until == 1_000_000
+    late = windows.record_timed(1_035_000, "p", "a", 2_005_000, 2_010_000)
     assert late.until == 1_005_000 + 3  # three seconds late, but for the drift that is allowed for
-    windows.told(1_040_000, "p", "a", 2_010_000, 2_015_000)
-    assert windows.told(1_045_000, "p", "b", 2_015_000, 2_020_000).until == 1_045_000
+    windows.record_timed(1_040_000, "p", "a", 2_010_000, 2_015_000)
+    assert windows.record_timed(1_045_000, "p", "b", 2_015_000, 2_020_000).until == 1_045_000
 
 
-def test_a_clock_that_was_set_back_is_told_from_old_reports() -> None:
-    def play(step: int) -> Windows:
-        windows, now, at = Windows(), 1_000_000, 1_000_000
+def test_a_clock_that_was_set_back_is_told_from_repeated_reports() -> None:
+    def play(step: int) -> ReportWindows:
+        windows, now, at = ReportWindows(), 1_000_000, 1_000_000
         for _ in range(40):
-            windows.told(now, "p", "a", at - 5000, at)
+            windows.record_timed(now, "p", "a", at - 5000, at)
             now, at = now + 5000, at + 5000
         at -= 190_000
         for _ in range(60):
-            windows.told(now, "p", "a", at - 5000, at)
+            windows.record_timed(now, "p", "a", at - 5000, at)
             now, at = now + 5000, at + step
         return windows
 
-    assert play(5000).clocks_set == 1 and BACK < 60 * 5000
+    assert play(5000).clocks_set == 1 and CLOCK_RESET_TICKS < 60 * 5000
     assert play(0).clocks_set == 0 and play(0).repeats == 60  # the same old one, again and again
 
 
@@ -142,19 +154,19 @@
 
 
 def report(tries: int, since: int, length: int = 5000) -> Report:
-    row = Row({("h", "r"): (float(tries), 0.0, float(tries * 10))})
+    row = ReportCells({("h", "r"): AttemptSums(float(tries), 0.0, float(tries * 10))})
     return Report(row, {"r": (float(tries), 0.0)}, length, "a", since, since + length)
 
 
 @pytest.mark.parametrize("k", [1, 2, 3, 5, 20, 100])
-def test_samples_are_unbiased_and_their_bars_hold(k: int) -> None:
+def test_samples_are_unbiased_and_their_intervals_hold_the_truth(k: int) -> None:
     chance = random.Random(k)
     ratios, covered, rounds = [], 0, 120
     for _ in range(rounds):
         truth = estimate = variance = 0.0
         for p in range(40):
-            queue, windows = Queue(chance.randrange), Windows()
-            whole(0, "p", windows, [(0, 0, report(0, 1_000_000 - 5000))], 1, False)
+            queue, windows = ReportQueue(chance.randrange), ReportWindows()
+            sum_sample(0, "p", windows, [(0, 0, report(0, 1_000_000 - 5000))], 1, False)
             rows, mean = {}, 5 + 3 * p
             for j in range(k):
                 made = report(max(0, round(chance.gauss(mean, math.sqrt(mean)))), 1_000_000 + 5000 * j)
@@ -170,7 +182,7 @@
                 taken = queue.take((k + last) * 5000)
                 assert taken is not None and taken.came == (1 if last else k) and len(taken.rows) <= 2
                 sample = [(at, 0, rows[data]) for at, data in taken.rows]
-                got = whole(k * 5000, "p", windows, sample, taken.came, True)
+                got = sum_sample(k * 5000, "p", windows, sample, taken.came, True)
                 assert got is not None
                 estimate += got.cells["h", "r"][0]
                 variance += got.cells["h", "r"][3]
@@ -180,35 +192,57 @@
     assert covered / rounds > (0.999 if k <= 2 else 0.88)
 
 
-def test_a_flood_of_copies_or_of_short_reports_does_not_swell_a_sum() -> None:
-    windows = Windows()
-    whole(0, "p", windows, [(0, 0, report(50, 0))], 1, True)
+def test_copies_and_short_reports_do_not_inflate_a_sum() -> None:
+    windows = ReportWindows()
+    sum_sample(0, "p", windows, [(0, 0, report(50, 0))], 1, True)
     copy = report(50, 5000)
-    got = whole(5000, "p", windows, [(5000, 0, copy), (5000, 0, copy)], 400, True)
+    got = sum_sample(5000, "p", windows, [(5000, 0, copy), (5000, 0, copy)], 400, True)
     assert got is not None and got.cells["h", "r"][0] == 50
-    assert whole(6000, "p", windows, [(6000, 0, copy)], 100, True) is None
+    assert sum_sample(6000, "p", windows, [(6000, 0, copy)], 100, True) is None
     tenths = [(10_000, 0, report(5, 10_000 + 500 * k, 500)) for k in (3, 8)]
-    got = whole(15_000, "p", windows, tenths, 10, True)
+    got = sum_sample(15_000, "p", windows, tenths, 10, True)
     assert got is not None and got.cells["h", "r"][0] == 45  # nine tenths, as the last was not looked at
-    got = whole(15_000, "p", windows, [(15_000, 0, report(5, 14_500, 500))], 1, True)
+    got = sum_sample(15_000, "p", windows, [(15_000, 0, report(5, 14_500, 500))], 1, True)
     assert got is not None and got.cells["h", "r"][0] == 5
 
 
-def test_what_a_proxy_replaced_before_it_was_read_is_told_by_what_was() -> None:
-    windows = Windows()
-    whole(0, "p", windows, [(0, 0, report(50, 0))], 1, True)
-    got = whole(20_000, "p", windows, [(20_000, 0, report(40, 15_000))], 1, True)  # two were never read
+def test_reports_that_were_replaced_unread_are_estimated_from_those_read() -> None:
+    windows = ReportWindows()
+    sum_sample(0, "p", windows, [(0, 0, report(50, 0))], 1, True)
+    got = sum_sample(20_000, "p", windows, [(20_000, 0, report(40, 15_000))], 1, True)  # two were never read
     assert got is not None and got.cells["h", "r"][0] == 120 and got.came["r"] == (120, 0)
     assert got.cells["h", "r"][3] > 0  # and how sure that is
     assert (
-        whole(20_001, "p", windows, [(20_001, 0, report(45, 10_000))], 1, True) is None
+        sum_sample(20_001, "p", windows, [(20_001, 0, report(45, 10_000))], 1, True) is None
     )  # it comes after all
-    got = whole(40_000, "q", windows, [(0, 0, report(50, 0)), (9, 1, report(40, 15_000))], 2, False)
+    got = sum_sample(40_000, "q", windows, [(0, 0, report(50, 0)), (9, 1, report(40, 15_000))], 2, False)
     assert got is not None and got.cells["h", "r"][0] == 90  # where nothing can be lost nothing is made up
 
 
-def test_combined_of_one_alone_goes_by_its_count() -> None:
-    assert combined([Row({("h", "r"): (9.0, 0.0, 0.0)})], 4.0) == {("h", "r"): (36.0, 0.0, 0.0, 108.0)}
+def test_the_variance_of_a_single_report_goes_by_its_count() -> None:
+    assert combine_reports([ReportCells({("h", "r"): AttemptSums(9.0, 0.0, 0.0)})], 4.0) == {
+        ("h", "r"): (36.0, 0.0, 0.0, 108.0)
+    }
+
+
+def test_the_estimate_of_attempts_decays_and_keeps_its_interval() -> None:
+    sums = ReportSums(HALF, lambda *_: None)
+    sums.add(HALF, "z", HALF - 100, HALF, {("h", "r"): AttemptSums(100.0, 10.0, 0.0, 25.0)}, {})
+    now = sums.estimate_attempts(HALF, "h", "z", "r")
+    later = sums.estimate_attempts(2 * HALF, "h", "z", "r")
+    assert math.isclose(now.value, 100.0, rel_tol=0.01) and math.isclose(later.value, now.value / 2)
+    assert math.isclose(now.half_width, 1.96 * 5, rel_tol=0.01)
+    assert now.holds(95.0) and not now.holds(80.0)
+    assert sums.estimate_attempts(HALF, "other", "z", "r").value == 0.0
+
+
+def test_sums_of_endpoints_that_are_not_kept_are_dropped() -> None:
+    handed_over: list[str] = []
+    sums = ReportSums(HALF, lambda endpoint, *_: handed_over.append(endpoint))
+    cells = {(name, "r"): AttemptSums(9.0, 0.0, 0.0, 0.0) for name in ("h", "other")}
+    sums.add(HALF, "z", HALF - 100, HALF, cells, {})
+    sums.keep(frozenset({"h"}))
+    assert len(sums) == 1 and sums.flush() == 1 and handed_over == ["h"]
 
 
 # The queue.
@@ -216,8 +250,8 @@
 
 @settings(derandomize=True, max_examples=100, deadline=None)
 @given(st.lists(st.one_of(st.sampled_from("abcd"), st.just("take"), st.just("gone")), max_size=80))
-def test_nobody_waits_twice_and_memory_is_bounded(steps: list[str]) -> None:
-    queue, waiting = Queue(random.Random(1).randrange), dict[str, int]()
+def test_a_proxy_waits_once_and_memory_is_bounded(steps: list[str]) -> None:
+    queue, waiting = ReportQueue(random.Random(1).randrange), dict[str, int]()
     for now, step in enumerate(steps):
         if step == "take":
             taken = queue.take(now)
@@ -233,8 +267,8 @@
         assert len(queue) == len(waiting) and queue.bytes <= 20 * len(waiting)
 
 
-def test_heavier_proxies_are_looked_at_sooner_and_the_lightest_too() -> None:
-    queue, served = Queue(random.Random(1).randrange), dict.fromkeys("abc", 0)
+def test_heavier_proxies_are_served_more_often_and_the_lightest_too() -> None:
+    queue, served = ReportQueue(random.Random(1).randrange), dict.fromkeys("abc", 0)
     for name in "abc":
         queue.offer(0, name, b"")
     while queue.take(0):
@@ -250,12 +284,12 @@
     assert served["a"] > 1.5 * served["b"] > 2 * served["c"] > 0
 
 
-# Budget and quarantine.
+# ReportBudget and quarantine.
 
 
-def test_more_than_fits_slows_proxies_down_and_room_brings_them_back() -> None:
+def test_the_interval_rises_under_load_and_falls_back_when_there_is_room() -> None:
     told: list[int] = []
-    budget = Budget(100, 0.5, 5000, 40_000, told.append)
+    budget = ReportBudget(100, 0.5, 5000, 40_000, told.append)
     assert sum(budget.spend(TICKS_PER_SECOND, 1) for _ in range(50)) == 10
     assert sum(budget.spend(TICKS_PER_SECOND + k, 1) for k in range(TICKS_PER_SECOND)) in (99, 100, 101)
     budget.look(0, 150, 40)
@@ -263,14 +297,14 @@
     budget.look(0, 400, 200)
     assert told[-1] == 25_000
     for k in range(60):
-        budget.look(k * LOOK, 10, 10)
+        budget.look(k * DECREASE_DELAY_TICKS, 10, 10)
     assert told[-1] == 5000 and told[1:] == sorted(told[1:], reverse=True)
     budget.look(0, 400, 100_000)
     assert told[-1] == 40_000
 
 
-def test_time_is_a_budget_too() -> None:
-    budget, used = Budget(1e6, 0.25, 5000, 40_000, print), 0
+def test_processing_time_is_bounded_by_its_share() -> None:
+    budget, used = ReportBudget(1e6, 0.25, 5000, 40_000, print), 0
     for now in range(0, 10 * TICKS_PER_SECOND, 5):
         if budget.spend(now, 1):
             budget.took(10)  # a millisecond each
@@ -278,7 +312,7 @@
     assert 0.24 < used / (10 * TICKS_PER_SECOND) < 0.27
 
 
-class Told:
+class RecordingListener:
     def __init__(self) -> None:
         self.rows: list[tuple[Any, ...]] = []
 
@@ -289,23 +323,25 @@
         self.rows.append((proxy,))
 
 
-def test_a_proxy_that_is_bad_rests_longer_each_time_and_is_released() -> None:
-    told = Told()
+def test_a_quarantine_doubles_each_time_and_is_released() -> None:
+    told = RecordingListener()
     quarantine, now = Quarantine(told), 0
-    for k in range(ON_END):
+    for k in range(FAULTS_IN_A_ROW):
         assert not quarantine.rests(now, "p")
         quarantine.bad(now, "p", f"bad {k}", b"\xff" * 500)
-    assert quarantine.rests(now, "p") and told.rows == [("p", REST, "bad 2", b"\xff" * 200)]
-    now += REST
+    assert quarantine.rests(now, "p") and told.rows == [
+        ("p", SHORTEST_QUARANTINE_TICKS, "bad 2", b"\xff" * 200)
+    ]
+    now += SHORTEST_QUARANTINE_TICKS
     quarantine.look(now)
     assert not quarantine.rests(now, "p") and told.rows[-1] == ("p",)
     quarantine.bad(now, "p", "again", b"")
-    assert told.rows[-1][1] == 2 * REST and not quarantine.rests(now, "other")
-    now += 2 * REST
+    assert told.rows[-1][1] == 2 * SHORTEST_QUARANTINE_TICKS and not quarantine.rests(now, "other")
+    now += 2 * SHORTEST_QUARANTINE_TICKS
     quarantine.rests(now, "p")
-    quarantine.good(now + LONG, "p")
-    quarantine.bad(now + LONG, "p", "once", b"")
-    assert not quarantine.rests(now + LONG, "p")
+    quarantine.good(now + FAULT_WINDOW_TICKS, "p")
+    quarantine.bad(now + FAULT_WINDOW_TICKS, "p", "once", b"")
+    assert not quarantine.rests(now + FAULT_WINDOW_TICKS, "p")
 
 
 def test_a_report_is_bounded_and_its_times_are_checked() -> None:
--- a/willowhook/controlplane/intake.py
+++ b/willowhook/controlplane/intake.py
@@ -17,8 +17,8 @@
 from ..membership.timing_wheel import TimingWheel
 from ..membership.version import VersionError, parse_version
 from ..reports.read import Report, read
-from ..reports.sample import Whole, whole
-from ..reports.windows import Windows
+from ..reports.sample import SampleSums, sum_sample
+from ..reports.windows import ReportWindows
 from ..xds import forms
 from ..xds.codec import FormError, decode, read_response
 from .render import Held, read_held
@@ -37,7 +37,7 @@
     def left(self, proxy: int, name: str, why: str) -> None: ...
     def applied(self, proxy: int, number: int) -> None: ...
     def refused(self, proxy: int, kind: str, number: int, cause: str) -> None: ...
-    def met(self, proxy: int, whole: Whole) -> None: ...
+    def met(self, proxy: int, whole: SampleSums) -> None: ...
     def came(self, proxy: int, route: str, calls: int, dropped: int, window: int) -> None: ...
     def fault(self, name: str, cause: str) -> None: ...
 
@@ -67,7 +67,7 @@
         self._bad: dict[str, str] = {}  # by proxy: the file that was last found bad
         self._overdue = TimingWheel(max(lost_after // 20, 1), 64, 0)
         self._newest = newest
-        self.windows = Windows()
+        self.windows = ReportWindows()
         self.last_fault = ""  # why the last that was found bad was so
 
     def appeared(
@@ -253,7 +253,7 @@
             return bad
         presence.heard_at = now
         self._overdue.set(name, now + self._lost_after + 1)
-        made = whole(now, name, self.windows, good, came, not presence.web)
+        made = sum_sample(now, name, self.windows, good, came, not presence.web)
         if made is not None:
             if made.cells:
                 self._ear.met(presence.number, made)
--- a/willowhook/controlplane/report_desk.py
+++ b/willowhook/controlplane/report_desk.py
@@ -12,10 +12,10 @@
 
 from ..config.terms import IntakeTerms
 from ..records.writer import Records
-from ..reports.budget import Budget
+from ..reports.budget import ReportBudget
 from ..reports.quarantine import Quarantine
-from ..reports.queue import Queue
-from ..reports.sums import Heard, Sums
+from ..reports.queue import ReportQueue
+from ..reports.sums import Heard, ReportSums
 from .intake import Intake
 
 SECOND = 10_000
@@ -43,11 +43,11 @@
         self._flush_every = min(every // 4, SECOND // 4)
         self._flushed_at = self._looked_at = 0
         self._came_before = 0
-        self.queue = Queue(draw)
+        self.queue = ReportQueue(draw)
         # a proxy that reports less often than that is taken for lost
-        self.budget = Budget(per_s, terms.share, every, lost_after * 2 // 5, self._pace)
+        self.budget = ReportBudget(per_s, terms.share, every, lost_after * 2 // 5, self._pace)
         self.quarantine = Quarantine(self)
-        self.sums = Sums(round(terms.half_life_ms * 10), heard)
+        self.sums = ReportSums(round(terms.half_life_ms * 10), heard)
         self.looked_at = self.handed = 0
         self._read_at: dict[str, int] = {}  # when a proxy's file was read last
         self.spent_ns = 0
--- a/willowhook/controlplane/service.py
+++ b/willowhook/controlplane/service.py
@@ -44,7 +44,7 @@
 from ..membership.handoff import EndpointSums, Hint, HintReceiver, HintSender, Packet
 from ..membership.priority_tiers import PriorityTiers, TieredEndpoint
 from ..records.writer import Records
-from ..reports.sample import Whole
+from ..reports.sample import SampleSums
 from ..roster.forms import Host
 from ..store.store import StoreError
 from ..ticks import ticks_from_milliseconds as ticks
@@ -593,7 +593,7 @@
             self.director.handle(now, EndpointReport(host, tries, errors, mean, None))
         self.records.note(now, "hint", proxy=name, term=hint.term, hosts=len(hint.endpoints))
 
-    def met(self, proxy: int, whole: Whole) -> None:
+    def met(self, proxy: int, whole: SampleSums) -> None:
         """What a proxy met with hosts, of all its reports of a stretch."""
         now, member = self.clock.now(), self.book.members.get(proxy)
         if member is None:
--- a/willowhook/reports/budget.py
+++ b/willowhook/reports/budget.py
@@ -1,9 +1,9 @@
-"""How many reports may be looked at now, and how often proxies should report.
+"""How many reports may be processed now, and how often proxies should report.
 
-Two buckets, of reports at the stated rate and of time at the stated share: what is over waits, and is sampled
-where it waits.  The interval that proxies are asked for rises as soon as more come than fit, by what is
-missing, and falls by small steps when there is room for long: proxies that change their pace together would
-otherwise swing.
+There are two token buckets, of reports at the stated rate and of time at the stated share: what is over
+waits, and is sampled where it waits. The interval that proxies are asked for rises as soon as more arrive
+than fit, by what is missing, and falls in small steps when there has been room for some time: proxies that
+change their pace together would otherwise swing. Times are ticks.
 """
 
 from __future__ import annotations
@@ -12,68 +12,98 @@
 
 from ..ticks import TICKS_PER_SECOND
 
-LONGEST_TURN = TICKS_PER_SECOND // 20  # of time that may be saved up
-TARGET = 0.8  # of the rate, that reports at the asked interval should take
-STEP, LOOK = 0.8, 2 * TICKS_PER_SECOND  # one change, and how long there must have been room before one down
-CLOSE = 1.1  # a change under a tenth is not told
+TIME_BURST_TICKS = TICKS_PER_SECOND // 20  # of processing time that may be saved up
+RATE_BURST_FRACTION = 10  # a second's reports have so many of a burst
+LEAST_BURST = 2.0  # reports
+TARGET_LOAD = 0.8  # of the rate, by reports at the interval that was asked for
+DECREASE_FACTOR = 0.8  # of the interval, in one step
+DECREASE_DELAY_TICKS = 2 * TICKS_PER_SECOND  # of room, before each step down
+CHANGE_THRESHOLD = 1.1  # a smaller change is not passed on
 
 
-class Budget:
+class ReportBudget:
+    """Admits reports to processing and controls the interval at which proxies send them.
+
+    Attributes:
+        interval: that proxies are asked for, in ticks.
+    """
+
     def __init__(
-        self, per_s: float, share: float, every: int, most: int, told: Callable[[int], None]
+        self,
+        rate_per_second: float,
+        time_share: float,
+        usual_interval: int,
+        longest_interval: int,
+        set_interval: Callable[[int], None],
     ) -> None:
-        """`share`: of all time; `every`: the interval that proxies have by themselves, `most`: the longest
-        that may be asked for; `told(interval)`: it is another one.
+        """Starts with full buckets.
+
+        Args:
+            rate_per_second: of reports.
+            time_share: of all time, for processing.
+            usual_interval: that proxies have by themselves.
+            longest_interval: that they may be asked for.
+            set_interval: is called with each new interval.
         """
-        self._rate, self._every, self._told = per_s / TICKS_PER_SECOND, every, told
-        self._longest = float(max(most, every))
-        self._most = max(2.0, per_s / 10)  # a tenth of a second of work may be done on end
-        self._tokens, self._at = self._most, -1
-        self._share, self._time = share, float(LONGEST_TURN)
-        self.interval = every
-        self._room_since = -1
+        self._rate = rate_per_second / TICKS_PER_SECOND
+        self._time_share = time_share
+        self._usual_interval = usual_interval
+        self._longest_interval = float(max(longest_interval, usual_interval))
+        self._set_interval = set_interval
+        self._burst = max(LEAST_BURST, rate_per_second / RATE_BURST_FRACTION)
+        self._report_tokens = self._burst
+        self._time_tokens = float(TIME_BURST_TICKS)
+        self._filled_at: int | None = None
+        self._room_since: int | None = None
+        self.interval = usual_interval
 
     def spend(self, now: int, count: int) -> bool:
-        """Whether so many may be looked at."""
-        if self._at >= 0:
-            passed = now - self._at
-            self._tokens = min(self._most, self._tokens + passed * self._rate)
-            self._time = min(LONGEST_TURN, self._time + passed * self._share)
-        self._at = now
-        if self._tokens < 1 or self._time <= 0:
+        """Takes so many reports from the budget; False: none may be processed now."""
+        if self._filled_at is not None:
+            elapsed = now - self._filled_at
+            self._report_tokens = min(self._burst, self._report_tokens + elapsed * self._rate)
+            self._time_tokens = min(TIME_BURST_TICKS, self._time_tokens + elapsed * self._time_share)
+        self._filled_at = now
+        if self._report_tokens < 1 or self._time_tokens <= 0:
             return False
-        self._tokens -= count
+        self._report_tokens -= count
         return True
 
-    def took(self, time: float) -> None:
-        """So long was looked at what was allowed."""
-        self._time -= time
-
-    def look(self, now: int, came_per_s: float, proxies: int, each: float = 0.0) -> None:
-        """Once in a while: how many came, from how many, and how long one takes."""
-        able = self._rate * TICKS_PER_SECOND
-        if each > 0:
-            able = min(able, self._share * TICKS_PER_SECOND / each)
-        wanted = proxies / (able * TARGET) * TICKS_PER_SECOND
-        interval = float(min(max(wanted, self._every), self._longest))
-        if came_per_s > able and interval <= self.interval:
-            # more come than these proxies should send: some are faster than they were asked to be
-            interval = min(self.interval / STEP, self._longest)
-        if interval > self.interval * CLOSE:
-            self._room_since = -1
+    def took(self, ticks: float) -> None:
+        """Takes the time that processing took from the budget."""
+        self._time_tokens -= ticks
+
+    def look(self, now: int, arrived_per_second: float, proxies: int, ticks_per_report: float = 0.0) -> None:
+        """Adapts the interval to how many reports arrived, from how many proxies, and to what one takes."""
+        capacity = self._rate * TICKS_PER_SECOND
+        if ticks_per_report > 0:
+            capacity = min(capacity, self._time_share * TICKS_PER_SECOND / ticks_per_report)
+        interval = self._wanted_interval(arrived_per_second, proxies, capacity)
+        if interval > self.interval * CHANGE_THRESHOLD:
+            self._room_since = None
             self._change(interval)
-        elif self._falls(interval) and came_per_s <= able * TARGET:
-            if self._room_since < 0:
+        elif self._is_decrease(interval) and arrived_per_second <= capacity * TARGET_LOAD:
+            if self._room_since is None:
                 self._room_since = now
-            elif now - self._room_since >= LOOK:
+            elif now - self._room_since >= DECREASE_DELAY_TICKS:
                 self._room_since = now
-                self._change(max(interval, self.interval * STEP))
+                self._change(max(interval, self.interval * DECREASE_FACTOR))
         else:
-            self._room_since = -1
+            self._room_since = None
+
+    def _wanted_interval(self, arrived_per_second: float, proxies: int, capacity: float) -> float:
+        wanted = proxies / (capacity * TARGET_LOAD) * TICKS_PER_SECOND
+        interval = float(min(max(wanted, self._usual_interval), self._longest_interval))
+        if arrived_per_second > capacity and interval <= self.interval:
+            # more arrive than these proxies should send: some report faster than they were asked to
+            interval = min(self.interval / DECREASE_FACTOR, self._longest_interval)
+        return interval
 
-    def _falls(self, interval: float) -> bool:
-        return interval * CLOSE < self.interval or interval <= self._every < self.interval
+    def _is_decrease(self, interval: float) -> bool:
+        if interval * CHANGE_THRESHOLD < self.interval:
+            return True
+        return interval <= self._usual_interval < self.interval
 
     def _change(self, interval: float) -> None:
         self.interval = round(interval)
-        self._told(self.interval)
+        self._set_interval(self.interval)
--- a/willowhook/reports/quarantine.py
+++ b/willowhook/reports/quarantine.py
@@ -1,8 +1,8 @@
-"""Proxies whose reports are bad again and again: not looked at for a while, with what they sent as evidence.
+"""Quarantine of proxies whose reports are malformed again and again; what they sent is kept as evidence.
 
-Nothing but their reports is left aside: they are served, and what they apply counts.  A rest begins after
-three bad reports on end, or five within a minute, is five seconds and doubles each time up to a minute; a
-minute of good ones and it is forgotten.
+Only their reports are left out: they are served, and what they apply counts. A quarantine begins after some
+malformed reports in a row, or more within a minute, and doubles each time up to a minute. After a minute of
+well-formed reports it is forgotten. Times are ticks.
 """
 
 from __future__ import annotations
@@ -13,71 +13,92 @@
 
 from ..ticks import TICKS_PER_SECOND
 
-ON_END, WITHIN, LONG = 3, 5, 60 * TICKS_PER_SECOND
-REST, MOST_REST = 5 * TICKS_PER_SECOND, 60 * TICKS_PER_SECOND
-EVIDENCE = 200  # bytes
+FAULTS_IN_A_ROW = 3
+FAULTS_IN_WINDOW = 5
+FAULT_WINDOW_TICKS = 60 * TICKS_PER_SECOND
+SHORTEST_QUARANTINE_TICKS = 5 * TICKS_PER_SECOND
+LONGEST_QUARANTINE_TICKS = 60 * TICKS_PER_SECOND
+EVIDENCE_BYTES = 200
 
 
-class Ear(Protocol):
-    def quarantined(self, proxy: str, rest: int, cause: str, evidence: bytes) -> None: ...
-    def released(self, proxy: str) -> None: ...
+class QuarantineListener(Protocol):
+    """Is told of the beginning and the end of each quarantine."""
+
+    def quarantined(self, proxy: str, rest: int, cause: str, evidence: bytes) -> None:
+        """Says that reports of a proxy are left out for `rest` ticks."""
+
+    def released(self, proxy: str) -> None:
+        """Says that reports of a proxy are processed again."""
 
 
 @dataclass(slots=True)
-class Record:
-    on_end: int = 0
-    bad: deque[int] = field(default_factory=deque)  # when
-    until: int = -1  # it rests
-    rest: int = 0  # the last one
+class _FaultRecord:
+    in_a_row: int = 0
+    fault_times: deque[int] = field(default_factory=deque)
+    quarantined_until: int | None = None
+    duration: int = 0  # of the last quarantine
 
 
 class Quarantine:
-    def __init__(self, ear: Ear) -> None:
-        self._ear = ear
-        self._records: dict[str, Record] = {}  # of proxies that were bad lately
+    """Keeps the faults of each proxy.
+
+    Attributes:
+        left_aside: reports that were left out.
+    """
+
+    def __init__(self, listener: QuarantineListener) -> None:
+        """Starts without a fault."""
+        self._listener = listener
+        self._records: dict[str, _FaultRecord] = {}  # of proxies with faults of late
         self.left_aside = 0
 
     def rests(self, now: int, proxy: str) -> bool:
+        """Whether a proxy is in quarantine; counts the report that was asked for."""
         record = self._records.get(proxy)
-        if record is None or record.until < 0:
+        if record is None or record.quarantined_until is None:
             return False
-        if now < record.until:
+        if now < record.quarantined_until:
             self.left_aside += 1
             return True
         self._release(proxy, record)
         return False
 
-    def _release(self, proxy: str, record: Record) -> None:
-        record.until, record.on_end = -1, ON_END - 1  # one more bad one, and it rests again
-        record.bad.clear()
-        self._ear.released(proxy)
-
     def bad(self, now: int, proxy: str, cause: str, data: bytes) -> None:
-        record = self._records.setdefault(proxy, Record())
-        record.on_end += 1
-        record.bad.append(now)
-        while record.bad and record.bad[0] <= now - LONG:
-            record.bad.popleft()
-        if record.until < 0 and (record.on_end >= ON_END or len(record.bad) >= WITHIN):
-            record.rest = min(max(REST, 2 * record.rest), MOST_REST)
-            record.until = now + record.rest
-            self._ear.quarantined(proxy, record.rest, cause, data[:EVIDENCE])
+        """Records a malformed report."""
+        record = self._records.setdefault(proxy, _FaultRecord())
+        record.in_a_row += 1
+        record.fault_times.append(now)
+        while record.fault_times and record.fault_times[0] <= now - FAULT_WINDOW_TICKS:
+            record.fault_times.popleft()
+        is_due = record.in_a_row >= FAULTS_IN_A_ROW or len(record.fault_times) >= FAULTS_IN_WINDOW
+        if record.quarantined_until is None and is_due:
+            doubled = max(SHORTEST_QUARANTINE_TICKS, 2 * record.duration)
+            record.duration = min(doubled, LONGEST_QUARANTINE_TICKS)
+            record.quarantined_until = now + record.duration
+            self._listener.quarantined(proxy, record.duration, cause, data[:EVIDENCE_BYTES])
 
     def good(self, now: int, proxy: str) -> None:
+        """Records a well-formed report."""
         record = self._records.get(proxy)
         if record is not None:
-            record.on_end = 0
-            if not record.bad or record.bad[-1] <= now - LONG:
+            record.in_a_row = 0
+            if not record.fault_times or record.fault_times[-1] <= now - FAULT_WINDOW_TICKS:
                 del self._records[proxy]
 
     def look(self, now: int) -> None:
-        """Releases whose rest is over, also if nothing comes from them."""
+        """Releases proxies whose quarantine is over, also if nothing comes from them."""
         for proxy, record in list(self._records.items()):
-            if 0 <= record.until <= now:
+            if record.quarantined_until is not None and record.quarantined_until <= now:
                 self._release(proxy, record)
 
     def forget(self, proxy: str) -> None:
-        """It has left: a rest stays, as one that comes again is the same."""
+        """Drops the record of a proxy that has left, but for a quarantine: it may come again."""
         record = self._records.get(proxy)
-        if record is not None and record.until < 0:
+        if record is not None and record.quarantined_until is None:
             del self._records[proxy]
+
+    def _release(self, proxy: str, record: _FaultRecord) -> None:
+        record.quarantined_until = None
+        record.in_a_row = FAULTS_IN_A_ROW - 1  # one more fault begins the next quarantine
+        record.fault_times.clear()
+        self._listener.released(proxy)
--- a/willowhook/reports/queue.py
+++ b/willowhook/reports/queue.py
@@ -1,9 +1,10 @@
-"""Reports that wait to be looked at: bounded, fair among proxies, an unbiased sample if too many come.
+"""The queue of reports: bounded, fair among proxies, and an unbiased sample if too many arrive.
 
-Each proxy has room for two reports.  Of `k` that came since it was last served, any two are kept with the
+Each proxy has room for two reports. Of `k` that arrived since it was last served, any two are kept with the
 same chance (reservoir sampling, Vitter 1985), so `k / 2` times their sum is unbiased whatever was dropped,
-and the two tell how far apart reports of that time are.  Proxies are served by deficit round robin (Shreedhar
-and Varghese 1996), with shares by what their calls weigh; those that were never heard go first.
+and the two tell how far apart reports of that time are. Proxies are served by deficit round robin (Shreedhar
+and Varghese 1996), with shares by the priority weight of their requests; those that were never served go
+first.
 """
 
 from __future__ import annotations
@@ -11,94 +12,123 @@
 from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
-ROOM = 2
-LEAST, MOST = 0.25, 4.0  # of a proxy's share beside the mean one
-COST = 1.0  # of one report
+SAMPLE_SIZE = 2
+LEAST_SHARE = 0.25  # the mean proxy's is 1
+MOST_SHARE = 4.0
+REPORT_COST = 1.0  # of a proxy's deficit
 
 
-@dataclass(slots=True)
-class Held:
-    """What one proxy has waiting."""
+class ArrivedReport(NamedTuple):
+    """A report as it arrived: when, in ticks, and its bytes."""
+
+    arrived_at: int
+    data: bytes
+
 
-    rows: list[tuple[int, bytes]] = field(default_factory=list)  # when it came, the report
-    came: int = 0  # since it was last served
+@dataclass(slots=True)
+class _ProxyReports:
+    sample: list[ArrivedReport] = field(default_factory=list)
+    arrived: int = 0  # since it was last served
     deficit: float = 0.0
     share: float = 1.0
-    heard: bool = False  # ever
+    was_served: bool = False  # ever
 
 
 @dataclass(frozen=True, slots=True)
 class Taken:
-    proxy: str
-    rows: tuple[tuple[int, bytes], ...]
-    came: int  # of so many these are a sample
+    """The reports of one proxy.
 
+    Attributes:
+        proxy: its name.
+        rows: the sample, in no order.
+        came: of so many reports these are a sample.
+    """
 
-class Queue:
-    """`draw(n)`: a whole number under `n`, by chance."""
-
-    def __init__(self, draw: Callable[[int], int], room: int = ROOM) -> None:
-        self._draw, self._room = draw, room
-        self._held: dict[str, Held] = {}
-        self._first: deque[str] = deque()  # never heard
-        self._turn: deque[str] = deque()
-        self.came = self.dropped = 0
+    proxy: str
+    rows: tuple[ArrivedReport, ...]
+    came: int
+
+
+class ReportQueue:
+    """Reports that wait to be processed.
+
+    Attributes:
+        came: reports that ever arrived.
+        dropped: among them.
+        bytes: that wait.
+    """
+
+    def __init__(self, draw: Callable[[int], int], sample_size: int = SAMPLE_SIZE) -> None:
+        """Samples with `draw(n)`, which gives a random whole number below `n`."""
+        self._draw = draw
+        self._sample_size = sample_size
+        self._proxies: dict[str, _ProxyReports] = {}
+        self._never_served: deque[str] = deque()
+        self._round: deque[str] = deque()
+        self.came = 0
+        self.dropped = 0
         self.bytes = 0
 
     def __len__(self) -> int:
         """Proxies that wait."""
-        return len(self._first) + len(self._turn)
+        return len(self._never_served) + len(self._round)
 
     def offer(self, now: int, proxy: str, data: bytes) -> None:
-        held = self._held.get(proxy)
-        if held is None:
-            held = self._held[proxy] = Held()
+        """Takes in a report, or drops one."""
+        reports = self._proxies.get(proxy)
+        if reports is None:
+            reports = self._proxies[proxy] = _ProxyReports()
         self.came += 1
-        held.came += 1
-        if held.came == 1:
-            (self._turn if held.heard else self._first).append(proxy)
-        if len(held.rows) < self._room:
-            held.rows.append((now, data))
+        reports.arrived += 1
+        if reports.arrived == 1:
+            (self._round if reports.was_served else self._never_served).append(proxy)
+        if len(reports.sample) < self._sample_size:
+            reports.sample.append(ArrivedReport(now, data))
             self.bytes += len(data)
             return
         self.dropped += 1
-        at = self._draw(held.came)
-        if at < self._room:
-            self.bytes += len(data) - len(held.rows[at][1])
-            held.rows[at] = (now, data)
+        place = self._draw(reports.arrived)
+        if place < self._sample_size:
+            self.bytes += len(data) - len(reports.sample[place].data)
+            reports.sample[place] = ArrivedReport(now, data)
 
     def take(self, now: int) -> Taken | None:
-        """The next proxy's; None if nobody waits."""
-        if self._first:
-            return self._serve(now, self._first.popleft())
-        while self._turn:
-            proxy = self._turn.popleft()
-            held = self._held[proxy]
-            held.deficit += held.share
-            if held.deficit >= COST * len(held.rows) or len(self._turn) == 0:
-                held.deficit = max(0.0, held.deficit - COST * len(held.rows))
-                return self._serve(now, proxy)
-            self._turn.append(proxy)
+        """The reports of the proxy whose turn it is; None if nobody waits."""
+        if self._never_served:
+            return self._serve(self._never_served.popleft())
+        while self._round:
+            proxy = self._round.popleft()
+            reports = self._proxies[proxy]
+            reports.deficit += reports.share
+            cost = REPORT_COST * len(reports.sample)
+            if reports.deficit >= cost or not self._round:
+                reports.deficit = max(0.0, reports.deficit - cost)
+                return self._serve(proxy)
+            self._round.append(proxy)
         return None
 
-    def _serve(self, now: int, proxy: str) -> Taken:
-        held = self._held[proxy]
-        taken = Taken(proxy, tuple(held.rows), held.came)
-        self.bytes -= sum(len(data) for _, data in held.rows)
-        held.rows, held.came, held.heard = [], 0, True
-        return taken
-
     def weigh(self, proxy: str, share: float) -> None:
-        """`share`: what its calls weigh beside the mean proxy's."""
-        held = self._held.get(proxy)
-        if held is not None:
-            held.share = min(max(share, LEAST), MOST)
+        """Sets a proxy's share: the weight of its requests beside those of the mean proxy."""
+        reports = self._proxies.get(proxy)
+        if reports is not None:
+            reports.share = min(max(share, LEAST_SHARE), MOST_SHARE)
 
     def forget(self, proxy: str) -> None:
-        held = self._held.pop(proxy, None)
-        if held is not None and held.came:
-            self.bytes -= sum(len(data) for _, data in held.rows)
-            for line in (self._first, self._turn):
-                if proxy in line:
-                    line.remove(proxy)
+        """Drops all of a proxy that has left."""
+        reports = self._proxies.pop(proxy, None)
+        if reports is not None and reports.arrived:
+            self.bytes -= sum(len(data) for _, data in reports.sample)
+            for waiting in (self._never_served, self._round):
+                if proxy in waiting:
+                    waiting.remove(proxy)
+
+    def _serve(self, proxy: str) -> Taken:
+        reports = self._proxies[proxy]
+        taken = Taken(proxy, tuple(reports.sample), reports.arrived)
+        self.bytes -= sum(len(data) for _, data in reports.sample)
+        reports.sample = []
+        reports.arrived = 0
+        reports.was_served = True
+        return taken
--- a/willowhook/reports/read.py
+++ b/willowhook/reports/read.py
@@ -1,4 +1,4 @@
-"""One report in the published form as sums: everything is checked before any of it counts, within bounds."""
+"""Reads one load report in its published form: all is checked, within bounds, before any of it counts."""
 
 from __future__ import annotations
 
@@ -8,20 +8,31 @@
 from ..xds import forms
 from ..xds.codec import FormError, seconds
 from ..xds.orca import load
-from .sums import Row
+from .sums import AttemptSums, ReportCells
 
-LATENCY = "latency_seconds"  # the named metric in which a proxy sums the time of what was answered
-MOST_CALLS = 1e9  # of one report; more is no count
-MOST_SUM = 1e12
+LATENCY = "latency_seconds"  # the named metric that sums the latency of the attempts that succeeded
+MOST_REQUESTS = 1e9  # of one count; more is malformed
+MOST_METRIC = 1e12
 MOST_ROWS = 5_000  # endpoints of one report, over all clusters
-LONGEST_S = 3600
+LONGEST_WINDOW_S = 3600
+LATEST_TIME_S = 1e12
+LONGEST_PROCESS = 64  # characters
 
 
 @dataclass(slots=True)
 class Report:
-    """`came`: by route its calls and errors; `since`, `until`: by the proxy's clock, -1 if not told."""
+    """One load report.
 
-    row: Row = field(default_factory=Row)
+    Attributes:
+        row: what it says of attempts and of load, by endpoint.
+        came: by route: requests and failures.
+        length: of the time that it covers, in ticks; 0: it says nothing of a cluster.
+        process: names one run of the proxy's program.
+        since: the begin of that time by the proxy's clock, in ticks; -1: it tells no times.
+        until: its end; -1: it tells no times.
+    """
+
+    row: ReportCells = field(default_factory=ReportCells)
     came: dict[str, tuple[float, float]] = field(default_factory=dict)
     length: int = 0
     process: str = ""
@@ -29,78 +40,127 @@
     until: int = -1
 
 
-def _times(made: Report, node: forms.Node) -> None:
-    """`load_from` and `load_until`, seconds of the proxy's calendar, and `process`, of this life of it."""
-    since, until = node.metadata.get("load_from"), node.metadata.get("load_until")
-    if since is None or until is None:
-        return
-    if not (isinstance(since, int | float) and isinstance(until, int | float)):
-        raise FormError("node.metadata.load_from and load_until are no numbers")
-    if not (0 <= since < until < 1e12 and until - since <= LONGEST_S):
-        raise FormError(f"node.metadata.load_from is {since:g} and load_until {until:g}")
-    made.since = ticks_from_seconds(since)
-    made.until = max(ticks_from_seconds(until), made.since + 1)
-    made.process = str(node.metadata.get("process", ""))[:64]
+@dataclass(slots=True)
+class _CellSums:
+    """Of one endpoint and route."""
+
+    successes: int = 0
+    failures: int = 0
+    latency_s: float = 0.0
+    timed: int = 0  # successes with a latency
+
+
+@dataclass(slots=True)
+class _MetricSums:
+    """Of one load metric of an endpoint."""
+
+    total: float = 0.0
+    count: float = 0.0
 
 
 def read(report: forms.LoadStatsRequest, routes: frozenset[str]) -> Report:
-    """Raises FormError."""
-    made, rows = Report(), 0
-    _times(made, report.node)
-    spent: dict[tuple[str, str], list[float]] = {}  # answered, errors, time, answered with a time
-    told: dict[tuple[str, str], list[float]] = {}
-    for cluster in report.cluster_stats:
-        made.length = round(seconds(cluster.load_report_interval) * TICKS_PER_SECOND)
-        if not 0 < made.length <= LONGEST_S * TICKS_PER_SECOND:
+    """Reads a report about these routes; what it says of others counts for none. Raises FormError."""
+    return _ReportReader(routes).read(report)
+
+
+class _ReportReader:
+    """Adds up the clusters of one report."""
+
+    def __init__(self, routes: frozenset[str]) -> None:
+        self._routes = routes
+        self._report = Report()
+        self._row_count = 0
+        self._cells: dict[tuple[str, str], _CellSums] = {}  # by address and route
+        self._metrics: dict[tuple[str, str], _MetricSums] = {}  # by address and metric
+
+    def read(self, report: forms.LoadStatsRequest) -> Report:
+        self._read_times(report.node)
+        for cluster in report.cluster_stats:
+            self._read_cluster(cluster)
+        cells = self._report.row.cells
+        for key, cell in self._cells.items():
+            attempts = cell.successes + cell.failures
+            if attempts:
+                mean_latency_s = cell.latency_s / cell.timed if cell.timed else 0.0
+                latency_sum = mean_latency_s * cell.successes * TICKS_PER_SECOND
+                cells[key] = AttemptSums(attempts, cell.failures, latency_sum)
+        self._report.row.loads = self._loads()
+        return self._report
+
+    def _read_times(self, node: forms.Node) -> None:
+        """Reads `load_from` and `load_until`, seconds of the proxy's calendar, and `process`."""
+        since = node.metadata.get("load_from")
+        until = node.metadata.get("load_until")
+        if since is None or until is None:
+            return
+        if not (isinstance(since, int | float) and isinstance(until, int | float)):
+            raise FormError("node.metadata.load_from and load_until are no numbers")
+        if not (0 <= since < until < LATEST_TIME_S and until - since <= LONGEST_WINDOW_S):
+            raise FormError(f"node.metadata.load_from is {since:g} and load_until {until:g}")
+        self._report.since = ticks_from_seconds(since)
+        self._report.until = max(ticks_from_seconds(until), self._report.since + 1)
+        self._report.process = str(node.metadata.get("process", ""))[:LONGEST_PROCESS]
+
+    def _read_cluster(self, cluster: forms.ClusterStats) -> None:
+        self._report.length = ticks_from_seconds(seconds(cluster.load_report_interval))
+        if not 0 < self._report.length <= LONGEST_WINDOW_S * TICKS_PER_SECOND:
             raise FormError(f"load_report_interval is {cluster.load_report_interval}")
         name = cluster.cluster_name.partition("@")[0]
-        route = name if name in routes else ""
-        calls = errors = 0
+        route = name if name in self._routes else ""
+        requests = 0
+        failures = 0
         for locality in cluster.upstream_locality_stats:
             for row in locality.upstream_endpoint_stats:
-                rows += 1
-                if rows > MOST_ROWS:
-                    raise FormError(f"more than {MOST_ROWS} endpoints")
-                good, bad = row.total_successful_requests, row.total_error_requests
-                if not (0 <= good < MOST_CALLS and 0 <= bad < MOST_CALLS):
-                    raise FormError(f"{cluster.cluster_name}: {good} answered and {bad} errors")
-                at = row.address.socket_address
-                if at is None:
-                    raise FormError(f"{cluster.cluster_name}: an endpoint has no address")
-                address = f"{at.address}:{at.port_value}"
-                mine = spent.get((address, route))
-                if mine is None:
-                    mine = spent[address, route] = [0, 0, 0.0, 0]
-                mine[0] += good
-                mine[1] += bad
-                calls += good + bad
-                errors += bad
-                for metric in row.load_metric_stats:
-                    name, n = metric.metric_name, metric.num_requests_finished_with_metric
-                    total = metric.total_metric_value
-                    if not (0 <= n < MOST_CALLS and -MOST_SUM < total < MOST_SUM):
-                        raise FormError(f"{cluster.cluster_name}: {name} of {total} over {n}")
-                    if name == LATENCY:
-                        mine[2] += max(total, 0.0)
-                        mine[3] += n
-                    elif n:
-                        pair = told.get((address, name))
-                        if pair is None:
-                            pair = told[address, name] = [0.0, 0.0]
-                        pair[0] += total
-                        pair[1] += n
+                self._read_endpoint(cluster.cluster_name, route, row)
+                requests += row.total_successful_requests + row.total_error_requests
+                failures += row.total_error_requests
         dropped = cluster.total_dropped_requests
-        if not 0 <= dropped < MOST_CALLS:
+        if not 0 <= dropped < MOST_REQUESTS:
             raise FormError(f"{cluster.cluster_name}: {dropped} dropped")
         if route:
-            old = made.came.get(route, (0.0, 0.0))
-            made.came[route] = (old[0] + calls + dropped, old[1] + errors)
-    for (address, route), (answered, failed, took, timed) in spent.items():
-        if answered + failed:
-            time = took / timed * answered * TICKS_PER_SECOND if timed else 0.0
-            made.row.cells[address, route] = (answered + failed, failed, time)
-    means: dict[str, dict[str, float]] = {}
-    for (address, name), pair in told.items():
-        means.setdefault(address, {})[name] = pair[0] / pair[1]
-    made.row.loads = {address: load(rows_) for address, rows_ in means.items()}
-    return made
+            old = self._report.came.get(route, (0.0, 0.0))
+            self._report.came[route] = (old[0] + requests + dropped, old[1] + failures)
+
+    def _read_endpoint(self, cluster: str, route: str, row: forms.UpstreamEndpointStats) -> None:
+        self._row_count += 1
+        if self._row_count > MOST_ROWS:
+            raise FormError(f"more than {MOST_ROWS} endpoints")
+        successes = row.total_successful_requests
+        failures = row.total_error_requests
+        if not (0 <= successes < MOST_REQUESTS and 0 <= failures < MOST_REQUESTS):
+            raise FormError(f"{cluster}: {successes} answered and {failures} errors")
+        socket = row.address.socket_address
+        if socket is None:
+            raise FormError(f"{cluster}: an endpoint has no address")
+        address = f"{socket.address}:{socket.port_value}"
+        cell = self._cells.get((address, route))
+        if cell is None:
+            cell = self._cells[address, route] = _CellSums()
+        cell.successes += successes
+        cell.failures += failures
+        self._read_metrics(cluster, address, cell, row.load_metric_stats)
+
+    def _read_metrics(
+        self, cluster: str, address: str, cell: _CellSums, metrics: list[forms.LoadMetricStats]
+    ) -> None:
+        for metric in metrics:
+            name = metric.metric_name
+            count = metric.num_requests_finished_with_metric
+            total = metric.total_metric_value
+            if not (0 <= count < MOST_REQUESTS and -MOST_METRIC < total < MOST_METRIC):
+                raise FormError(f"{cluster}: {name} of {total} over {count}")
+            if name == LATENCY:
+                cell.latency_s += max(total, 0.0)
+                cell.timed += count
+            elif count:
+                sums = self._metrics.get((address, name))
+                if sums is None:
+                    sums = self._metrics[address, name] = _MetricSums()
+                sums.total += total
+                sums.count += count
+
+    def _loads(self) -> dict[str, dict[str, float]]:
+        means: dict[str, dict[str, float]] = {}
+        for (address, name), sums in self._metrics.items():
+            means.setdefault(address, {})[name] = sums.total / sums.count
+        return {address: load(metrics) for address, metrics in means.items()}
--- a/willowhook/reports/sample.py
+++ b/willowhook/reports/sample.py
@@ -1,4 +1,10 @@
-"""What a sample of one proxy's reports comes to: what each stands for, by the time covered and by count."""
+"""What a sample of one proxy's reports comes to: what each stands for, by the time covered or by count.
+
+A proxy that tells its times begins each report where the last one ended. So where some were dropped or
+replaced, it reported all the time from the latest end known before to the latest of the sample: the sample
+stands for that time, and a copy for none. What came after it is told by the next. Of proxies that tell no
+times each report stands for as many as arrived over their number. Times are ticks.
+"""
 
 from __future__ import annotations
 
@@ -7,74 +13,113 @@
 
 from ..ticks import TICKS_PER_SECOND
 from .read import Report
-from .sums import Row, combined
-from .windows import Covered, Windows
+from .sums import AttemptSums, Cell, ReportCells, combine_reports
+from .windows import Covered, ReportWindows
 
-LONGEST = 120 * TICKS_PER_SECOND  # of a stretch that a sample stands for
-Cells = dict[tuple[str, str], tuple[float, float, float, float]]
+LONGEST_STRETCH_TICKS = 120 * TICKS_PER_SECOND  # that a sample stands for
+ReceivedReport = tuple[int, int, Report]  # when it arrived, a hash of its bytes, and itself
 
 
 @dataclass(slots=True)
-class Whole:
-    """Of all reports of one stretch; by host and route tries, errors, time and the variance of the tries."""
+class SampleSums:
+    """What all reports of one stretch of time come to, as estimated from the sample.
+
+    Attributes:
+        cells: attempts by endpoint and route.
+        loads: load metrics by endpoint.
+        came: requests and failures by route.
+        since: the begin of the stretch, by this clock.
+        until: its end.
+        window: the time that the sums stand for.
+    """
 
-    cells: Cells = field(default_factory=dict)
+    cells: dict[Cell, AttemptSums] = field(default_factory=dict)
     loads: dict[str, dict[str, float]] = field(default_factory=dict)
     came: dict[str, tuple[float, float]] = field(default_factory=dict)
     since: int = 0
     until: int = 0
-    window: int = 0  # that the sums stand for
+    window: int = 0
+
+
+@dataclass(frozen=True, slots=True)
+class _NewReport:
+    report: Report
+    covered: Covered  # some of it is new
 
+    def covered_ticks(self) -> float:
+        return (self.covered.until - self.covered.since) * self.covered.part
 
-def whole(
-    now: int, proxy: str, windows: Windows, reports: Sequence[tuple[int, int, Report]], came: int, gaps: bool
-) -> Whole | None:
-    """`reports`: when each came, a hash of its bytes, itself: all that came, or two drawn of them.  None if
-    none of it is new.  `gaps`: some may have been replaced in their place before they were read.
+    def cells(self) -> ReportCells:
+        """The part of its sums that is new."""
+        part = self.covered.part
+        if part >= 1:
+            return self.report.row
+        cells = {
+            cell: AttemptSums(sums.attempts * part, sums.failures * part, sums.latency_sum * part)
+            for cell, sums in self.report.row.cells.items()
+        }
+        return ReportCells(cells, self.report.row.loads)
 
-    A proxy that tells its times begins each report where the last one ended.  So where some were dropped or
-    replaced, it reported all the time from the latest end known before to the latest of these: the sample
-    stands for that time, and a copy for none.  What came after it is told by the next.  Of proxies that tell
-    no times each stands for `came` over their number.
+
+def sum_sample(
+    now: int,
+    proxy: str,
+    windows: ReportWindows,
+    reports: Sequence[ReceivedReport],
+    arrived: int,
+    has_gaps: bool,
+) -> SampleSums | None:
+    """Sums up a sample; None if none of it is new.
+
+    Args:
+        now: in ticks.
+        proxy: its name.
+        windows: what of the proxy's time is counted already.
+        reports: all that arrived, or two drawn of them.
+        arrived: how many did.
+        has_gaps: whether reports may have been replaced in their place before they were read.
     """
-    process, before = windows.before(proxy)
-    kept: list[tuple[Report, Covered]] = []
-    for at, content, report in sorted(reports, key=lambda row: (row[2].until, row[0])):
-        if report.until >= 0:
-            covered = windows.told(at, proxy, report.process, report.since, report.until)
-        else:
-            covered = windows.untold(at, proxy, max(report.length, 1), content)
-        if covered.part > 0:
-            kept.append((report, covered))
-    if not kept:
+    process, latest_end = windows.before(proxy)
+    new_reports = _find_new(proxy, windows, reports)
+    if not new_reports:
         return None
-    looked_at = sum((covered.until - covered.since) * covered.part for _, covered in kept)
-    told = [report for report, _ in kept if report.until >= 0]
-    if not told:
-        factor = came / len(reports)
-    elif before >= 0 and (gaps or came > len(reports)) and all(row.process == process for row in told):
-        newest = max(report.until for report in told)
-        factor = min(newest - before, LONGEST) / max(looked_at, 1.0)
+    covered_ticks = sum(new.covered_ticks() for new in new_reports)
+    timed = [new.report for new in new_reports if new.report.until >= 0]
+    may_lack_some = has_gaps or arrived > len(reports)
+    if not timed:
+        factor = arrived / len(reports)
+    elif latest_end >= 0 and may_lack_some and all(report.process == process for report in timed):
+        newest = max(report.until for report in timed)
+        factor = min(newest - latest_end, LONGEST_STRETCH_TICKS) / max(covered_ticks, 1.0)
         if factor > 1:  # what was never read is told by these, and counts no more if it comes after all
-            windows.cover(proxy, before, newest)
+            windows.cover(proxy, latest_end, newest)
     else:
-        factor = 1.0  # of another life: it told of nothing in between
-    factor = max(factor, 1.0)
-    rows = [_part(report.row, covered.part) for report, covered in kept]
-    made = Whole(combined(rows, factor))
-    for report, covered in kept:
-        made.loads.update(report.row.loads)
-        for route, (calls, errors) in report.came.items():
-            old = made.came.get(route, (0.0, 0.0))
-            part = covered.part * factor
-            made.came[route] = (old[0] + calls * part, old[1] + errors * part)
-    made.window = max(1, round(looked_at * factor))
-    made.until = max(covered.until for _, covered in kept)
-    made.since = min(made.until - made.window, min(covered.since for _, covered in kept))
-    return made
-
-
-def _part(row: Row, part: float) -> Row:
-    if part >= 1:
-        return row
-    return Row({key: (a * part, b * part, c * part) for key, (a, b, c) in row.cells.items()}, row.loads)
+        factor = 1.0  # of another process, which told of nothing in between
+    return _scale(new_reports, max(factor, 1.0), covered_ticks)
+
+
+def _find_new(proxy: str, windows: ReportWindows, reports: Sequence[ReceivedReport]) -> list[_NewReport]:
+    found = []
+    for arrived_at, content, report in sorted(reports, key=lambda row: (row[2].until, row[0])):
+        if report.until >= 0:
+            covered = windows.record_timed(arrived_at, proxy, report.process, report.since, report.until)
+        else:
+            covered = windows.record_untimed(arrived_at, proxy, max(report.length, 1), content)
+        if covered.part > 0:
+            found.append(_NewReport(report, covered))
+    return found
+
+
+def _scale(new_reports: Sequence[_NewReport], factor: float, covered_ticks: float) -> SampleSums:
+    """The sums of the sample, of which each report stands for `factor`."""
+    sums = SampleSums(combine_reports([new.cells() for new in new_reports], factor))
+    for new in new_reports:
+        sums.loads.update(new.report.row.loads)
+        for route, (requests, failures) in new.report.came.items():
+            old = sums.came.get(route, (0.0, 0.0))
+            part = new.covered.part * factor
+            sums.came[route] = (old[0] + requests * part, old[1] + failures * part)
+    sums.window = max(1, round(covered_ticks * factor))
+    sums.until = max(new.covered.until for new in new_reports)
+    sums.since = min(sums.until - sums.window, *(new.covered.since for new in new_reports))
+    return sums
--- a/willowhook/reports/sums.py
+++ b/willowhook/reports/sums.py
@@ -1,161 +1,229 @@
-"""What reports say, summed by host, zone and route, with how sure each sum is; handed on in a few calls.
+"""What reports say, summed by endpoint, zone and route, with how sure each sum is.
 
-A served proxy's two reports stand for `k`: each figure is `k / 2` times their sum.  Its variance is estimated
-from the two, `k^2 (1 - 2/k) d^2 / 4` with `d` their difference (simple random sampling without replacement,
-Cochran 1977, theorem 2.2), and variances of proxies add up.  Nothing is guessed where all were looked at.
+The two reports that are kept of a proxy stand for `k`: each figure is `k / 2` times their sum. Its variance
+is estimated from the two, `k^2 (1 - 2/k) d^2 / 4` with `d` their difference (simple random sampling without
+replacement, Cochran 1977, theorem 2.2), and variances of proxies add up. Nothing is estimated where all
+reports were processed.
 
-What is late is scaled by what counts of it at its age.  The decisions are given one call a host and zone each
-time they are to hear, not one for each report and host; whole numbers, with the rest carried over.
+What is late is scaled by what counts of it at its age. The decisions get one call for each endpoint and zone
+each time, not one for each report; in whole numbers, with the rest carried over. Times are ticks.
 """
 
 from __future__ import annotations
 
 import math
-from collections.abc import Callable
+from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
-from .fading import Fading, Landmark
+from .fading import Decay, ForwardDecay
 
-TRIES, ERRORS, SPENT = range(3)
-SURE = 1.96  # standard errors, for 95 of 100
+STANDARD_ERRORS = 1.96  # of an interval that holds 95 of 100
+ROUNDING = 1e-9  # a count this little under a whole number is one
+MOST_PENDING = 50_000  # endpoints and zones; above it those without a whole attempt are dropped
+LEAST_SUCCESSES = 0.5  # for a mean latency
+LEAST_PENDING_ATTEMPTS = 0.5
+
+
+class AttemptSums(NamedTuple):
+    """What reports say of the attempts at an endpoint for a route.
+
+    Attributes:
+        attempts: that have ended.
+        failures: among them.
+        latency_sum: over the attempts that succeeded, in ticks.
+        variance: of the attempts, where they are estimated from a sample; 0: they were counted.
+    """
+
+    attempts: float
+    failures: float
+    latency_sum: float
+    variance: float = 0.0
+
+
+NO_ATTEMPTS = AttemptSums(0.0, 0.0, 0.0)
+Cell = tuple[str, str]  # an endpoint (by address, or by name) and a route
+Loads = Mapping[str, dict[str, float]]  # by endpoint: load metrics by name
 
 
 @dataclass(frozen=True, slots=True)
 class Estimate:
-    """A figure and the half width of its bar, at 95 of 100."""
+    """A figure and the half width of its interval of 95 of 100."""
 
     value: float
-    bar: float
+    half_width: float
 
     def holds(self, truth: float) -> bool:
-        return abs(truth - self.value) <= self.bar
+        """Whether the interval holds this value."""
+        return abs(truth - self.value) <= self.half_width
 
 
 @dataclass(slots=True)
-class Row:
-    """Of one report: by host and route tries, errors, time; by host what was told of load."""
+class ReportCells:
+    """What one report says.
 
-    cells: dict[tuple[str, str], tuple[float, float, float]] = field(default_factory=dict)
+    Attributes:
+        cells: attempts by endpoint and route.
+        loads: load metrics by endpoint.
+    """
+
+    cells: dict[Cell, AttemptSums] = field(default_factory=dict)
     loads: dict[str, dict[str, float]] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
-class Pending:
-    """Of one host and zone, since the decisions last heard."""
+class _DecayedSums:
+    """Of one endpoint, zone and route, as of the landmark."""
+
+    attempts: float = 0.0
+    failures: float = 0.0
+    latency_sum: float = 0.0
+    variance: float = 0.0
+
+    def scale(self, factor: float) -> None:
+        self.attempts *= factor
+        self.failures *= factor
+        self.latency_sum *= factor
+        self.variance = self.variance * factor * factor
+
+
+@dataclass(slots=True)
+class _PendingSums:
+    """Of one endpoint and zone, since they were handed over last."""
 
-    tries: float = 0.0
-    errors: float = 0.0
-    spent: float = 0.0
+    attempts: float = 0.0
+    failures: float = 0.0
+    latency_sum: float = 0.0
     window: int = 0
     load: dict[str, float] = field(default_factory=dict)
 
 
 Heard = Callable[[str, str, int, int, int, int, dict[str, float]], None]
+"""Endpoint, zone, attempts, failures, mean latency, window and load metrics, handed over to the decisions."""
 
 
-def combined(rows: list[Row], factor: float) -> dict[tuple[str, str], tuple[float, float, float, float]]:
-    """By host and route the estimates, and the variance of the tries; each row stands for `factor` of them.
+def combine_reports(reports: Sequence[ReportCells], factor: float) -> dict[Cell, AttemptSums]:
+    """Sums over reports of which each stands for `factor` of them.
 
-    `rows`: all there are (`factor` 1), two drawn evenly, or one.  Of one alone nothing is known of the rest:
-    its count is taken for that of events that come by themselves.
+    `reports` are all there are (`factor` 1), two drawn evenly, or one. Of one alone nothing is known of the
+    rest: its count is taken for that of events that happen independently.
     """
-    found = dict[tuple[str, str], tuple[float, float, float, float]]()
-    if factor <= 1 and len(rows) == 1:
-        return {key: (*row, 0.0) for key, row in rows[0].cells.items()}
-    n, all_of_them = len(rows), factor * len(rows)
-    for key in dict.fromkeys(key for row in rows for key in row.cells):
-        each = [row.cells.get(key, (0.0, 0.0, 0.0)) for row in rows]
-        tries, errors, spent = (factor * sum(column) for column in zip(*each, strict=True))
-        variance = 0.0
-        if factor > 1 and n > 1:
-            mean = sum(row[0] for row in each) / n
-            spread = sum((row[0] - mean) ** 2 for row in each) / (n - 1)
-            variance = all_of_them**2 * (1 - n / all_of_them) * spread / n
-        elif factor > 1:
-            variance = factor * (factor - 1) * each[0][0]
-        found[key] = (tries, errors, spent, variance)
-    return found
-
-
-class Sums:
-    """`heard(host, zone, tries, errors, mean, window, load)`: the decisions' ear."""
-
-    def __init__(self, half: int, heard: Heard) -> None:
-        self._fading, self._landmark, self._heard = Fading(half), Landmark(half), heard
-        self._cells: dict[tuple[str, str, str], list[float]] = {}  # tries, errors, time, variance of tries
-        self._pending: dict[tuple[str, str], Pending] = {}
+    if factor <= 1 and len(reports) == 1:
+        return reports[0].cells
+    return {
+        cell: _combine_cell([report.cells.get(cell, NO_ATTEMPTS) for report in reports], factor)
+        for cell in dict.fromkeys(cell for report in reports for cell in report.cells)
+    }
+
+
+def _combine_cell(sample: Sequence[AttemptSums], factor: float) -> AttemptSums:
+    attempts, failures, latency_sum, _ = (factor * sum(column) for column in zip(*sample, strict=True))
+    size = len(sample)
+    variance = 0.0
+    if factor > 1 and size > 1:
+        population = factor * size
+        mean = sum(sums.attempts for sums in sample) / size
+        spread = sum((sums.attempts - mean) ** 2 for sums in sample) / (size - 1)
+        variance = population**2 * (1 - size / population) * spread / size
+    elif factor > 1:
+        variance = factor * (factor - 1) * sample[0].attempts
+    return AttemptSums(attempts, failures, latency_sum, variance)
+
+
+class ReportSums:
+    """Sums by endpoint, zone and route, for the decisions and for estimates."""
+
+    def __init__(self, half_life: int, hand_over: Heard) -> None:
+        """Sums decay with this half-life and go to `hand_over` at each `flush`."""
+        self._decay = Decay(half_life)
+        self._forward_decay = ForwardDecay(half_life)
+        self._hand_over = hand_over
+        self._cells: dict[tuple[str, str, str], _DecayedSums] = {}
+        self._pending: dict[tuple[str, str], _PendingSums] = {}
 
     def __len__(self) -> int:
+        """Endpoints, zones and routes of which there are sums."""
         return len(self._cells)
 
     def add(
-        self, now: int, zone: str, since: int, until: int,
-        cells: dict[tuple[str, str], tuple[float, float, float, float]], loads: dict[str, dict[str, float]],
-    ) -> None:  # fmt: skip
-        """What came evenly from `since` to `until`, by this clock."""
-        factor = self._landmark.move(now)
+        self,
+        now: int,
+        zone: str,
+        since: int,
+        until: int,
+        cells: Mapping[Cell, AttemptSums],
+        loads: Loads,
+    ) -> None:
+        """Adds what happened evenly from `since` to `until`, by this clock, seen from a zone."""
+        factor = self._forward_decay.move_landmark(now)
         if factor != 1:
-            for cell in self._cells.values():
-                cell[:] = (*(value * factor for value in cell[:3]), cell[3] * factor * factor)
-        late, gain, window = self._fading.of(now - until), self._landmark.gain(since, until), until - since
-        for (host, route), (tries, errors, spent, variance) in cells.items():
-            cell = self._cells.get((host, zone, route)) or self._new(host, zone, route)
-            cell[0] += tries * gain
-            cell[1] += errors * gain
-            cell[2] += spent * gain
-            if variance:
-                cell[3] += variance * gain * gain
-            row = self._pending.get((host, zone)) or self._wait(host, zone)
-            row.tries += tries * late
-            row.errors += errors * late
-            row.spent += spent * late
-            if window > row.window:
-                row.window = window
-        for host, load in loads.items():
-            if (host, zone) in self._pending:
-                self._pending[host, zone].load = load
-
-    def _new(self, host: str, zone: str, route: str) -> list[float]:
-        cell = self._cells[host, zone, route] = [0.0, 0.0, 0.0, 0.0]
-        return cell
-
-    def _wait(self, host: str, zone: str) -> Pending:
-        row = self._pending[host, zone] = Pending()
-        return row
+            for kept in self._cells.values():
+                kept.scale(factor)
+        gain = self._forward_decay.gain(since, until)
+        weight = self._decay.weight(now - until)
+        window = until - since
+        for (endpoint, route), (attempts, failures, latency_sum, variance) in cells.items():
+            kept = self._cells.get((endpoint, zone, route)) or self._new_cell((endpoint, zone, route))
+            kept.attempts += attempts * gain
+            kept.failures += failures * gain
+            kept.latency_sum += latency_sum * gain
+            kept.variance += variance * gain * gain
+            pending = self._pending.get((endpoint, zone)) or self._new_pending((endpoint, zone))
+            pending.attempts += attempts * weight
+            pending.failures += failures * weight
+            pending.latency_sum += latency_sum * weight
+            if window > pending.window:
+                pending.window = window
+        for endpoint, load in loads.items():
+            if (endpoint, zone) in self._pending:
+                self._pending[endpoint, zone].load = load
 
     def flush(self) -> int:
-        """Hands on all that is new; how many calls that took."""
+        """Hands over all that is new; the number of calls."""
         count = 0
-        for (host, zone), row in self._pending.items():
-            tries, errors = int(row.tries + 1e-9), int(row.errors + 1e-9)
-            errors = min(errors, tries)
-            if not tries:
-                continue
-            good = row.tries - row.errors
-            mean = round(row.spent / good) if good > 0.5 else 0
-            self._heard(host, zone, tries, errors, mean, row.window, row.load)
-            count += 1
-            answered = tries - errors
-            row.tries -= tries
-            row.errors -= errors
-            row.spent = max(0.0, row.spent - mean * answered)
-            row.window, row.load = 0, {}
-        if len(self._pending) > 50_000:
-            self._pending = {key: row for key, row in self._pending.items() if row.tries > 0.5}
+        for (endpoint, zone), pending in self._pending.items():
+            count += self._flush_one(endpoint, zone, pending)
+        if len(self._pending) > MOST_PENDING:
+            self._pending = {
+                key: pending
+                for key, pending in self._pending.items()
+                if pending.attempts > LEAST_PENDING_ATTEMPTS
+            }
         return count
 
-    def estimate(self, now: int, host: str, zone: str, route: str, field_: int = TRIES) -> Estimate:
-        """A faded sum and how sure it is; the bar of tries is the sample's, of others it is in proportion."""
-        cell = self._cells.get((host, zone, route))
-        if cell is None:
+    def estimate_attempts(self, now: int, endpoint: str, zone: str, route: str) -> Estimate:
+        """The decayed sum of attempts and how sure it is."""
+        sums = self._cells.get((endpoint, zone, route))
+        if sums is None:
             return Estimate(0.0, 0.0)
-        counts = self._landmark.at(now)
-        bar = SURE * math.sqrt(cell[3]) * counts
-        if field_ != TRIES:
-            bar *= cell[field_] / cell[TRIES] if cell[TRIES] else 0.0
-        return Estimate(cell[field_] * counts, bar)
-
-    def keep(self, hosts: frozenset[str]) -> None:
-        """Of hosts that are not listed any more nothing is kept."""
-        self._cells = {key: cell for key, cell in self._cells.items() if key[0] in hosts}
-        self._pending = {key: row for key, row in self._pending.items() if key[0] in hosts}
+        scale = self._forward_decay.scale(now)
+        half_width = STANDARD_ERRORS * math.sqrt(sums.variance) * scale
+        return Estimate(sums.attempts * scale, half_width)
+
+    def keep(self, endpoints: frozenset[str]) -> None:
+        """Drops all of endpoints that are not among these."""
+        self._cells = {key: sums for key, sums in self._cells.items() if key[0] in endpoints}
+        self._pending = {key: sums for key, sums in self._pending.items() if key[0] in endpoints}
+
+    def _new_cell(self, key: tuple[str, str, str]) -> _DecayedSums:
+        cell = self._cells[key] = _DecayedSums()
+        return cell
+
+    def _new_pending(self, key: tuple[str, str]) -> _PendingSums:
+        pending = self._pending[key] = _PendingSums()
+        return pending
+
+    def _flush_one(self, endpoint: str, zone: str, pending: _PendingSums) -> int:
+        attempts = int(pending.attempts + ROUNDING)
+        failures = min(int(pending.failures + ROUNDING), attempts)
+        if not attempts:
+            return 0
+        successes = pending.attempts - pending.failures
+        mean_latency = round(pending.latency_sum / successes) if successes > LEAST_SUCCESSES else 0
+        self._hand_over(endpoint, zone, attempts, failures, mean_latency, pending.window, pending.load)
+        pending.attempts -= attempts
+        pending.failures -= failures
+        pending.latency_sum = max(0.0, pending.latency_sum - mean_latency * (attempts - failures))
+        pending.window = 0
+        pending.load = {}
+        return 1
