--- a/tests/test_controlplane_components.py
+++ b/tests/test_controlplane_components.py
@@ -19,7 +19,7 @@
 from willowhook.controlplane.handoff_codec import decode_packet, encode_packet
 from willowhook.controlplane.inbound_events import ProxyFolderRemoved, WorkAvailable
 from willowhook.decisions.events import EndpointListLost, EvaluationDue
-from willowhook.membership.handoff import Hint, Packet
+from willowhook.membership.handoff import EndpointSums, Hint, Packet
 from willowhook.records.writer import Records, read_records
 from willowhook.roster.forms import Host
 from willowhook.ticks import TICKS_PER_SECOND
@@ -111,14 +111,15 @@
 
 def test_handoff_packet_is_read_as_it_was_written_without_unknown_endpoints() -> None:
     addresses = {"a": ("127.0.0.1", 9000, "north"), "b": ("127.0.0.1", 9001, "south")}
-    evidence = {"a": (10, 2, 5000), "b": (3, 3, 0), "no address": (1, 0, 1)}
+    known = {"a": EndpointSums(10, 2, 5000), "b": EndpointSums(3, 3, 0)}
+    evidence = {**known, "no address": EndpointSums(1, 0, 1)}
     packet = Packet("c1", 4, 17, Hint("p1", 3, 5 * TICKS_PER_SECOND, evidence))
     data = encode_packet(packet, addresses)
     names = {"127.0.0.1:9000": "a", "127.0.0.1:9001": "b"}
     read = decode_packet(data, names)
     assert (read.sender, read.epoch, read.number) == ("c1", 4, 17)
-    assert read.hint == Hint("p1", 3, 5 * TICKS_PER_SECOND, {"a": (10, 2, 5000), "b": (3, 3, 0)})
-    assert decode_packet(data, {"127.0.0.1:9001": "b"}).hint.hosts == {"b": (3, 3, 0)}
+    assert read.hint == Hint("p1", 3, 5 * TICKS_PER_SECOND, known)
+    assert decode_packet(data, {"127.0.0.1:9001": "b"}).hint.endpoints == {"b": known["b"]}
     with pytest.raises(FormError, match=r"node\.metadata has a director"):
         decode_packet(data.replace(b'"number":17', b'"number":-1'), names)
 
--- a/willowhook/controlplane/endpoint_directory.py
+++ b/willowhook/controlplane/endpoint_directory.py
@@ -100,7 +100,7 @@
         """The name of the endpoint that was listed last with each `ADDRESS:PORT`."""
         return self._names_by_address
 
-    # PriorityTiers.
+    # Priority tiers.
 
     def record_attempts(self, now: int, name: str, attempts: int, failures: int) -> None:
         """Takes in what proxies met at an endpoint: tiers whose endpoints all fail are replaced."""
