--- a/benchmarks/estimates.py
+++ b/benchmarks/estimates.py
@@ -51,8 +51,8 @@
                 continue
             taken = queue.take((j + 2) * PERIOD)
             assert taken is not None
-            sample = [(at, int(data), rows[int(data)]) for at, data in taken.rows]
-            got = sum_sample((j + 2) * PERIOD, "p", windows, sample, taken.came, True)
+            sample = [(at, int(data), rows[int(data)]) for at, data in taken.reports]
+            got = sum_sample((j + 2) * PERIOD, "p", windows, sample, taken.arrived, True)
             for key, row in got.cells.items() if got is not None else ():
                 pair = made.setdefault(key, [0.0, 0.0])
                 pair[0] += row[0]
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -117,11 +117,11 @@
 def test_the_windows_of_a_proxy_outlive_its_session_until_their_retention_ends() -> None:
     windows = ReportWindows()
     windows.record_timed(TICKS_PER_SECOND, "p", "one", 40_000, 50_000)
-    windows.look(RETENTION_TICKS // 2)
+    windows.drop_expired(RETENTION_TICKS // 2)
     assert (
         windows.record_timed(RETENTION_TICKS // 2, "p", "two", 40_000, 50_000).part == 0 and len(windows) == 1
     )
-    windows.look(2 * RETENTION_TICKS)
+    windows.drop_expired(2 * RETENTION_TICKS)
     assert len(windows) == 0
 
 
@@ -170,7 +170,7 @@
             rows, mean = {}, 5 + 3 * p
             for j in range(k):
                 made = report(max(0, round(chance.gauss(mean, math.sqrt(mean)))), 1_000_000 + 5000 * j)
-                truth += made.row.cells["h", "r"][0]
+                truth += made.contents.cells["h", "r"][0]
                 rows[b"%d" % j] = made
                 at = (j + 1) * 5000 + chance.randrange(400)  # on the way for a while
                 queue.offer(at, "p", b"%d" % j)
@@ -180,9 +180,9 @@
                     truth += mean
                     queue.offer((k + 1) * 5000, "p", b"last")
                 taken = queue.take((k + last) * 5000)
-                assert taken is not None and taken.came == (1 if last else k) and len(taken.rows) <= 2
-                sample = [(at, 0, rows[data]) for at, data in taken.rows]
-                got = sum_sample(k * 5000, "p", windows, sample, taken.came, True)
+                assert taken is not None and taken.arrived == (1 if last else k) and len(taken.reports) <= 2
+                sample = [(at, 0, rows[data]) for at, data in taken.reports]
+                got = sum_sample(k * 5000, "p", windows, sample, taken.arrived, True)
                 assert got is not None
                 estimate += got.cells["h", "r"][0]
                 variance += got.cells["h", "r"][3]
@@ -210,7 +210,7 @@
     windows = ReportWindows()
     sum_sample(0, "p", windows, [(0, 0, report(50, 0))], 1, True)
     got = sum_sample(20_000, "p", windows, [(20_000, 0, report(40, 15_000))], 1, True)  # two were never read
-    assert got is not None and got.cells["h", "r"][0] == 120 and got.came["r"] == (120, 0)
+    assert got is not None and got.cells["h", "r"][0] == 120 and got.requests["r"] == (120, 0)
     assert got.cells["h", "r"][3] > 0  # and how sure that is
     assert (
         sum_sample(20_001, "p", windows, [(20_001, 0, report(45, 10_000))], 1, True) is None
@@ -257,14 +257,14 @@
             taken = queue.take(now)
             assert (taken is None) == (not waiting)
             if taken is not None:
-                assert waiting.pop(taken.proxy) == taken.came >= len(taken.rows)
+                assert waiting.pop(taken.proxy) == taken.arrived >= len(taken.reports)
         elif step == "gone":
-            queue.forget("a")
+            queue.remove_proxy("a")
             waiting.pop("a", None)
         else:
             queue.offer(now, step, b"x" * 10)
             waiting[step] = waiting.get(step, 0) + 1
-        assert len(queue) == len(waiting) and queue.bytes <= 20 * len(waiting)
+        assert len(queue) == len(waiting) and queue.waiting_bytes <= 20 * len(waiting)
 
 
 def test_heavier_proxies_are_served_more_often_and_the_lightest_too() -> None:
@@ -273,8 +273,8 @@
         queue.offer(0, name, b"")
     while queue.take(0):
         pass
-    queue.weigh("a", 4.0)
-    queue.weigh("c", 0.01)
+    queue.set_share("a", 4.0)
+    queue.set_share("c", 0.01)
     for now in range(3000):
         for name in "abc":
             queue.offer(now, name, b"")
@@ -292,14 +292,14 @@
     budget = ReportBudget(100, 0.5, 5000, 40_000, told.append)
     assert sum(budget.spend(TICKS_PER_SECOND, 1) for _ in range(50)) == 10
     assert sum(budget.spend(TICKS_PER_SECOND + k, 1) for k in range(TICKS_PER_SECOND)) in (99, 100, 101)
-    budget.look(0, 150, 40)
+    budget.adapt_interval(0, 150, 40)
     assert told == [6250]  # faster than they should be: one step
-    budget.look(0, 400, 200)
+    budget.adapt_interval(0, 400, 200)
     assert told[-1] == 25_000
     for k in range(60):
-        budget.look(k * DECREASE_DELAY_TICKS, 10, 10)
+        budget.adapt_interval(k * DECREASE_DELAY_TICKS, 10, 10)
     assert told[-1] == 5000 and told[1:] == sorted(told[1:], reverse=True)
-    budget.look(0, 400, 100_000)
+    budget.adapt_interval(0, 400, 100_000)
     assert told[-1] == 40_000
 
 
@@ -307,7 +307,7 @@
     budget, used = ReportBudget(1e6, 0.25, 5000, 40_000, print), 0
     for now in range(0, 10 * TICKS_PER_SECOND, 5):
         if budget.spend(now, 1):
-            budget.took(10)  # a millisecond each
+            budget.record_time(10)  # a millisecond each
             used += 10
     assert 0.24 < used / (10 * TICKS_PER_SECOND) < 0.27
 
@@ -316,8 +316,8 @@
     def __init__(self) -> None:
         self.rows: list[tuple[Any, ...]] = []
 
-    def quarantined(self, proxy: str, rest: int, cause: str, evidence: bytes) -> None:
-        self.rows.append((proxy, rest, cause, evidence))
+    def quarantined(self, proxy: str, duration: int, cause: str, evidence: bytes) -> None:
+        self.rows.append((proxy, duration, cause, evidence))
 
     def released(self, proxy: str) -> None:
         self.rows.append((proxy,))
@@ -327,21 +327,21 @@
     told = RecordingListener()
     quarantine, now = Quarantine(told), 0
     for k in range(FAULTS_IN_A_ROW):
-        assert not quarantine.rests(now, "p")
-        quarantine.bad(now, "p", f"bad {k}", b"\xff" * 500)
-    assert quarantine.rests(now, "p") and told.rows == [
+        assert not quarantine.should_skip(now, "p")
+        quarantine.record_malformed(now, "p", f"bad {k}", b"\xff" * 500)
+    assert quarantine.should_skip(now, "p") and told.rows == [
         ("p", SHORTEST_QUARANTINE_TICKS, "bad 2", b"\xff" * 200)
     ]
     now += SHORTEST_QUARANTINE_TICKS
-    quarantine.look(now)
-    assert not quarantine.rests(now, "p") and told.rows[-1] == ("p",)
-    quarantine.bad(now, "p", "again", b"")
-    assert told.rows[-1][1] == 2 * SHORTEST_QUARANTINE_TICKS and not quarantine.rests(now, "other")
+    quarantine.release_due(now)
+    assert not quarantine.should_skip(now, "p") and told.rows[-1] == ("p",)
+    quarantine.record_malformed(now, "p", "again", b"")
+    assert told.rows[-1][1] == 2 * SHORTEST_QUARANTINE_TICKS and not quarantine.should_skip(now, "other")
     now += 2 * SHORTEST_QUARANTINE_TICKS
-    quarantine.rests(now, "p")
-    quarantine.good(now + FAULT_WINDOW_TICKS, "p")
-    quarantine.bad(now + FAULT_WINDOW_TICKS, "p", "once", b"")
-    assert not quarantine.rests(now + FAULT_WINDOW_TICKS, "p")
+    quarantine.should_skip(now, "p")
+    quarantine.record_valid(now + FAULT_WINDOW_TICKS, "p")
+    quarantine.record_malformed(now + FAULT_WINDOW_TICKS, "p", "once", b"")
+    assert not quarantine.should_skip(now + FAULT_WINDOW_TICKS, "p")
 
 
 def test_a_report_is_bounded_and_its_times_are_checked() -> None:
--- a/willowhook/controlplane/intake.py
+++ b/willowhook/controlplane/intake.py
@@ -310,7 +310,7 @@
             return
         if sample.cells:
             self._emit(AttemptsReported(proxy.number, sample))
-        for route, (requests, failures) in sample.came.items():
+        for route, (requests, failures) in sample.requests.items():
             event = RequestsReported(proxy.number, route, round(requests), round(failures), sample.window)
             self._emit(event)
 
--- a/willowhook/controlplane/report_processor.py
+++ b/willowhook/controlplane/report_processor.py
@@ -78,7 +78,7 @@
 
     def offer(self, now: int, name: str, data: bytes) -> None:
         """Queues a report; one of a proxy that has no session or is in quarantine is dropped."""
-        if name not in self._intake.sessions or self.quarantine.rests(now, name):
+        if name not in self._intake.sessions or self.quarantine.should_skip(now, name):
             return
         self._intake.record_activity(now, name)
         if not self.has_waiting():
@@ -87,7 +87,7 @@
 
     def is_quarantined(self, name: str) -> bool:
         """Whether the reports of this proxy need not be read now."""
-        return self.quarantine.rests(self._context.now(), name)
+        return self.quarantine.should_skip(self._context.now(), name)
 
     def readable_at(self, now: int, name: str) -> int:
         """The tick from which a proxy's report file may be read: hardly more often than it should report."""
@@ -100,12 +100,12 @@
 
     def reject_unreadable(self, now: int, name: str, cause: str) -> None:
         """Counts a report file that could not be read as malformed."""
-        self.quarantine.bad(now, name, cause, b"")
+        self.quarantine.record_malformed(now, name, cause, b"")
 
     def drop_proxy(self, name: str) -> None:
         """Drops what waits of a proxy that has left."""
-        self.queue.forget(name)
-        self.quarantine.forget(name)
+        self.queue.remove_proxy(name)
+        self.quarantine.remove_proxy(name)
         self._read_at.pop(name, None)
 
     # Processing, in the decision task.
@@ -126,7 +126,7 @@
             if not self.budget.spend(now, 1) or not self._process_next(now):
                 break
             ended = time.perf_counter_ns()
-            self.budget.took((ended - last) / NANOSECONDS_PER_TICK)
+            self.budget.record_time((ended - last) / NANOSECONDS_PER_TICK)
             last = ended
             if ended - began > self._slice_nanoseconds:
                 break
@@ -138,19 +138,19 @@
         taken = self.queue.take(now)
         if taken is None:
             return False
-        self.processed += len(taken.rows)
-        malformed = self._intake.process_reports(now, taken.proxy, taken.rows, taken.came)
+        self.processed += len(taken.reports)
+        malformed = self._intake.process_reports(now, taken.proxy, taken.reports, taken.arrived)
         if malformed:
             cause, data = malformed[0]
-            self.quarantine.bad(now, taken.proxy, cause, data)
+            self.quarantine.record_malformed(now, taken.proxy, cause, data)
         else:
-            self.quarantine.good(now, taken.proxy)
+            self.quarantine.record_valid(now, taken.proxy)
         return True
 
     def update_share(self, name: str, rate_per_second: float) -> None:
         """Gives a proxy its share of the budget, by its weighted request rate beside the mean."""
         self._mean_rate_per_second += (rate_per_second - self._mean_rate_per_second) * MEAN_RATE_SMOOTHING
-        self.queue.weigh(name, rate_per_second / max(self._mean_rate_per_second, 1e-9))
+        self.queue.set_share(name, rate_per_second / max(self._mean_rate_per_second, 1e-9))
 
     def maintain(self, now: int, proxies: int) -> None:
         """Hands sums over to the controller, and adapts the pace of reports, when it is time."""
@@ -163,27 +163,27 @@
             self._update_pace(now, elapsed_ticks, proxies)
 
     def _update_pace(self, now: int, elapsed_ticks: int, proxies: int) -> None:
-        arrived = self.queue.came - self._arrived_before
-        self._arrived_before = self.queue.came
+        arrived = self.queue.arrived - self._arrived_before
+        self._arrived_before = self.queue.arrived
         ticks_per_report = 0.0
         if self.processed:
             ticks_per_report = self.spent_nanoseconds / NANOSECONDS_PER_TICK / self.processed
-        self.budget.look(now, arrived * TICKS_PER_SECOND / elapsed_ticks, proxies, ticks_per_report)
-        self.quarantine.look(now)
-        self._intake.windows.look(now)
+        self.budget.adapt_interval(now, arrived * TICKS_PER_SECOND / elapsed_ticks, proxies, ticks_per_report)
+        self.quarantine.release_due(now)
+        self._intake.windows.drop_expired(now)
         self._context.records.note(
             now,
             "intake",
-            came=self.queue.came,
+            came=self.queue.arrived,
             dropped=self.queue.dropped,
             looked_at=self.processed,
             handed=self.handed_over,
             repeats=self._intake.windows.repeats,
             waiting=len(self.queue),
-            bytes=self.queue.bytes,
+            bytes=self.queue.waiting_bytes,
             interval=self.budget.interval,
             spent_us=self.spent_nanoseconds // NANOSECONDS_PER_MICROSECOND,
-            aside=self.quarantine.left_aside,
+            aside=self.quarantine.skipped,
         )
 
     def _hand_over(
@@ -206,15 +206,15 @@
         self._context.records.note(self._context.now(), "pace", every=interval_ticks)
         self._set_interval(interval_ticks)
 
-    def quarantined(self, proxy: str, rest: int, cause: str, evidence: bytes) -> None:
-        """Is called by the quarantine: the reports of a proxy are not read for `rest` ticks."""
-        seconds = rest / TICKS_PER_SECOND
+    def quarantined(self, proxy: str, duration: int, cause: str, evidence: bytes) -> None:
+        """Is called by the quarantine: the reports of a proxy are not read for `duration` ticks."""
+        seconds = duration / TICKS_PER_SECOND
         self._context.log.warning(
             "reports of a proxy quarantined", proxy=proxy, cause=cause, duration_s=seconds
         )
         shown = evidence.decode("latin-1")
         self._context.records.note(
-            self._context.now(), "quarantined", proxy=proxy, rest=rest, cause=cause, evidence=shown
+            self._context.now(), "quarantined", proxy=proxy, rest=duration, cause=cause, evidence=shown
         )
 
     def released(self, proxy: str) -> None:
--- a/willowhook/reports/budget.py
+++ b/willowhook/reports/budget.py
@@ -69,11 +69,13 @@
         self._report_tokens -= count
         return True
 
-    def took(self, ticks: float) -> None:
+    def record_time(self, ticks: float) -> None:
         """Takes the time that processing took from the budget."""
         self._time_tokens -= ticks
 
-    def look(self, now: int, arrived_per_second: float, proxies: int, ticks_per_report: float = 0.0) -> None:
+    def adapt_interval(
+        self, now: int, arrived_per_second: float, proxies: int, ticks_per_report: float = 0.0
+    ) -> None:
         """Adapts the interval to how many reports arrived, from how many proxies, and to what one takes."""
         capacity = self._rate * TICKS_PER_SECOND
         if ticks_per_report > 0:
--- a/willowhook/reports/quarantine.py
+++ b/willowhook/reports/quarantine.py
@@ -24,8 +24,8 @@
 class QuarantineListener(Protocol):
     """Is told of the beginning and the end of each quarantine."""
 
-    def quarantined(self, proxy: str, rest: int, cause: str, evidence: bytes) -> None:
-        """Says that reports of a proxy are left out for `rest` ticks."""
+    def quarantined(self, proxy: str, duration: int, cause: str, evidence: bytes) -> None:
+        """Says that reports of a proxy are left out for `duration` ticks."""
 
     def released(self, proxy: str) -> None:
         """Says that reports of a proxy are processed again."""
@@ -43,27 +43,27 @@
     """Keeps the faults of each proxy.
 
     Attributes:
-        left_aside: reports that were left out.
+        skipped: reports that were left out.
     """
 
     def __init__(self, listener: QuarantineListener) -> None:
         """Starts without a fault."""
         self._listener = listener
         self._records: dict[str, _FaultRecord] = {}  # of proxies with faults of late
-        self.left_aside = 0
+        self.skipped = 0
 
-    def rests(self, now: int, proxy: str) -> bool:
-        """Whether a proxy is in quarantine; counts the report that was asked for."""
+    def should_skip(self, now: int, proxy: str) -> bool:
+        """Whether to leave out a report of a proxy, which is counted then."""
         record = self._records.get(proxy)
         if record is None or record.quarantined_until is None:
             return False
         if now < record.quarantined_until:
-            self.left_aside += 1
+            self.skipped += 1
             return True
         self._release(proxy, record)
         return False
 
-    def bad(self, now: int, proxy: str, cause: str, data: bytes) -> None:
+    def record_malformed(self, now: int, proxy: str, cause: str, data: bytes) -> None:
         """Records a malformed report."""
         record = self._records.setdefault(proxy, _FaultRecord())
         record.in_a_row += 1
@@ -77,7 +77,7 @@
             record.quarantined_until = now + record.duration
             self._listener.quarantined(proxy, record.duration, cause, data[:EVIDENCE_BYTES])
 
-    def good(self, now: int, proxy: str) -> None:
+    def record_valid(self, now: int, proxy: str) -> None:
         """Records a well-formed report."""
         record = self._records.get(proxy)
         if record is not None:
@@ -85,13 +85,13 @@
             if not record.fault_times or record.fault_times[-1] <= now - FAULT_WINDOW_TICKS:
                 del self._records[proxy]
 
-    def look(self, now: int) -> None:
+    def release_due(self, now: int) -> None:
         """Releases proxies whose quarantine is over, also if nothing comes from them."""
         for proxy, record in list(self._records.items()):
             if record.quarantined_until is not None and record.quarantined_until <= now:
                 self._release(proxy, record)
 
-    def forget(self, proxy: str) -> None:
+    def remove_proxy(self, proxy: str) -> None:
         """Drops the record of a proxy that has left, but for a quarantine: it may come again."""
         record = self._records.get(proxy)
         if record is not None and record.quarantined_until is None:
--- a/willowhook/reports/queue.py
+++ b/willowhook/reports/queue.py
@@ -42,22 +42,22 @@
 
     Attributes:
         proxy: its name.
-        rows: the sample, in no order.
-        came: of so many reports these are a sample.
+        reports: the sample, in no order.
+        arrived: of so many reports these are a sample.
     """
 
     proxy: str
-    rows: tuple[ArrivedReport, ...]
-    came: int
+    reports: tuple[ArrivedReport, ...]
+    arrived: int
 
 
 class ReportQueue:
     """Reports that wait to be processed.
 
     Attributes:
-        came: reports that ever arrived.
+        arrived: reports, ever.
         dropped: among them.
-        bytes: that wait.
+        waiting_bytes: of the reports that wait.
     """
 
     def __init__(self, draw: Callable[[int], int], sample_size: int = SAMPLE_SIZE) -> None:
@@ -67,9 +67,9 @@
         self._proxies: dict[str, _ProxyReports] = {}
         self._never_served: deque[str] = deque()
         self._round: deque[str] = deque()
-        self.came = 0
+        self.arrived = 0
         self.dropped = 0
-        self.bytes = 0
+        self.waiting_bytes = 0
 
     def __len__(self) -> int:
         """Proxies that wait."""
@@ -80,18 +80,18 @@
         reports = self._proxies.get(proxy)
         if reports is None:
             reports = self._proxies[proxy] = _ProxyReports()
-        self.came += 1
+        self.arrived += 1
         reports.arrived += 1
         if reports.arrived == 1:
             (self._round if reports.was_served else self._never_served).append(proxy)
         if len(reports.sample) < self._sample_size:
             reports.sample.append(ArrivedReport(now, data))
-            self.bytes += len(data)
+            self.waiting_bytes += len(data)
             return
         self.dropped += 1
         place = self._draw(reports.arrived)
         if place < self._sample_size:
-            self.bytes += len(data) - len(reports.sample[place].data)
+            self.waiting_bytes += len(data) - len(reports.sample[place].data)
             reports.sample[place] = ArrivedReport(now, data)
 
     def take(self, now: int) -> Taken | None:
@@ -109,17 +109,17 @@
             self._round.append(proxy)
         return None
 
-    def weigh(self, proxy: str, share: float) -> None:
+    def set_share(self, proxy: str, share: float) -> None:
         """Sets a proxy's share: the weight of its requests beside those of the mean proxy."""
         reports = self._proxies.get(proxy)
         if reports is not None:
             reports.share = min(max(share, LEAST_SHARE), MOST_SHARE)
 
-    def forget(self, proxy: str) -> None:
+    def remove_proxy(self, proxy: str) -> None:
         """Drops all of a proxy that has left."""
         reports = self._proxies.pop(proxy, None)
         if reports is not None and reports.arrived:
-            self.bytes -= sum(len(data) for _, data in reports.sample)
+            self.waiting_bytes -= sum(len(data) for _, data in reports.sample)
             for waiting in (self._never_served, self._round):
                 if proxy in waiting:
                     waiting.remove(proxy)
@@ -127,7 +127,7 @@
     def _serve(self, proxy: str) -> Taken:
         reports = self._proxies[proxy]
         taken = Taken(proxy, tuple(reports.sample), reports.arrived)
-        self.bytes -= sum(len(data) for _, data in reports.sample)
+        self.waiting_bytes -= sum(len(data) for _, data in reports.sample)
         reports.sample = []
         reports.arrived = 0
         reports.was_served = True
--- a/willowhook/reports/read.py
+++ b/willowhook/reports/read.py
@@ -24,16 +24,16 @@
     """One load report.
 
     Attributes:
-        row: what it says of attempts and of load, by endpoint.
-        came: by route: requests and failures.
+        contents: what it says of attempts and of load, by endpoint.
+        requests: by route: requests and failures.
         length: of the time that it covers, in ticks; 0: it says nothing of a cluster.
         process: names one run of the proxy's program.
         since: the begin of that time by the proxy's clock, in ticks; -1: it tells no times.
         until: its end; -1: it tells no times.
     """
 
-    row: ReportCells = field(default_factory=ReportCells)
-    came: dict[str, tuple[float, float]] = field(default_factory=dict)
+    contents: ReportCells = field(default_factory=ReportCells)
+    requests: dict[str, tuple[float, float]] = field(default_factory=dict)
     length: int = 0
     process: str = ""
     since: int = -1
@@ -77,14 +77,14 @@
         self._read_times(report.node)
         for cluster in report.cluster_stats:
             self._read_cluster(cluster)
-        cells = self._report.row.cells
+        cells = self._report.contents.cells
         for key, cell in self._cells.items():
             attempts = cell.successes + cell.failures
             if attempts:
                 mean_latency_s = cell.latency_s / cell.timed if cell.timed else 0.0
                 latency_sum = mean_latency_s * cell.successes * TICKS_PER_SECOND
                 cells[key] = AttemptSums(attempts, cell.failures, latency_sum)
-        self._report.row.loads = self._loads()
+        self._report.contents.loads = self._loads()
         return self._report
 
     def _read_times(self, node: forms.Node) -> None:
@@ -118,8 +118,8 @@
         if not 0 <= dropped < MOST_REQUESTS:
             raise FormError(f"{cluster.cluster_name}: {dropped} dropped")
         if route:
-            old = self._report.came.get(route, (0.0, 0.0))
-            self._report.came[route] = (old[0] + requests + dropped, old[1] + failures)
+            old = self._report.requests.get(route, (0.0, 0.0))
+            self._report.requests[route] = (old[0] + requests + dropped, old[1] + failures)
 
     def _read_endpoint(self, cluster: str, route: str, row: forms.UpstreamEndpointStats) -> None:
         self._row_count += 1
--- a/willowhook/reports/sample.py
+++ b/willowhook/reports/sample.py
@@ -27,7 +27,7 @@
     Attributes:
         cells: attempts by endpoint and route.
         loads: load metrics by endpoint.
-        came: requests and failures by route.
+        requests: and failures, by route.
         since: the begin of the stretch, by this clock.
         until: its end.
         window: the time that the sums stand for.
@@ -35,7 +35,7 @@
 
     cells: dict[Cell, AttemptSums] = field(default_factory=dict)
     loads: dict[str, dict[str, float]] = field(default_factory=dict)
-    came: dict[str, tuple[float, float]] = field(default_factory=dict)
+    requests: dict[str, tuple[float, float]] = field(default_factory=dict)
     since: int = 0
     until: int = 0
     window: int = 0
@@ -53,12 +53,12 @@
         """The part of its sums that is new."""
         part = self.covered.part
         if part >= 1:
-            return self.report.row
+            return self.report.contents
         cells = {
             cell: AttemptSums(sums.attempts * part, sums.failures * part, sums.latency_sum * part)
-            for cell, sums in self.report.row.cells.items()
+            for cell, sums in self.report.contents.cells.items()
         }
-        return ReportCells(cells, self.report.row.loads)
+        return ReportCells(cells, self.report.contents.loads)
 
 
 def sum_sample(
@@ -79,7 +79,7 @@
         arrived: how many did.
         has_gaps: whether reports may have been replaced in their place before they were read.
     """
-    process, latest_end = windows.before(proxy)
+    process, latest_end = windows.last_known(proxy)
     new_reports = _find_new(proxy, windows, reports)
     if not new_reports:
         return None
@@ -92,7 +92,7 @@
         newest = max(report.until for report in timed)
         factor = min(newest - latest_end, LONGEST_STRETCH_TICKS) / max(covered_ticks, 1.0)
         if factor > 1:  # what was never read is told by these, and counts no more if it comes after all
-            windows.cover(proxy, latest_end, newest)
+            windows.count(proxy, latest_end, newest)
     else:
         factor = 1.0  # of another process, which told of nothing in between
     return _scale(new_reports, max(factor, 1.0), covered_ticks)
@@ -114,11 +114,11 @@
     """The sums of the sample, of which each report stands for `factor`."""
     sums = SampleSums(combine_reports([new.cells() for new in new_reports], factor))
     for new in new_reports:
-        sums.loads.update(new.report.row.loads)
-        for route, (requests, failures) in new.report.came.items():
-            old = sums.came.get(route, (0.0, 0.0))
+        sums.loads.update(new.report.contents.loads)
+        for route, (requests, failures) in new.report.requests.items():
+            old = sums.requests.get(route, (0.0, 0.0))
             part = new.covered.part * factor
-            sums.came[route] = (old[0] + requests * part, old[1] + failures * part)
+            sums.requests[route] = (old[0] + requests * part, old[1] + failures * part)
     sums.window = max(1, round(covered_ticks * factor))
     sums.until = max(new.covered.until for new in new_reports)
     sums.since = min(sums.until - sums.window, *(new.covered.since for new in new_reports))
--- a/willowhook/reports/windows.py
+++ b/willowhook/reports/windows.py
@@ -134,18 +134,18 @@
         """Proxies of which something is known."""
         return len(self._clocks)
 
-    def before(self, proxy: str) -> tuple[str, int]:
+    def last_known(self, proxy: str) -> tuple[str, int]:
         """The process and the latest end that a proxy told, by its clock; ('', -1) if none."""
         clock = self._clocks.get(proxy)
         return (clock.process, clock.newest) if clock is not None and clock.newest else ("", -1)
 
-    def cover(self, proxy: str, since: int, until: int) -> None:
+    def count(self, proxy: str, since: int, until: int) -> None:
         """Counts a stretch, by the proxy's clock, without a report of it."""
         clock = self._clocks.get(proxy)
         if clock is not None and until > since:
             clock.spans.add(since, until)
 
-    def look(self, now: int) -> None:
+    def drop_expired(self, now: int) -> None:
         """Drops proxies that have been silent for long.
 
         What is known of a proxy outlives its session, as old reports may come with the next.
