--- a/tests/broken_controller.py
+++ b/tests/broken_controller.py
@@ -23,7 +23,7 @@
 
 def rule_2() -> None:
     """Everything is tried again after any failure."""
-    resource_renderer.safe_tries = lambda semantics, tries: tries
+    resource_renderer.publishable_retries = lambda semantics, retries: retries
     set_admission = proxy_state.ProxyStateBook.set_admission
 
     def three_retries(self: Any, table: int, route: int, admission: AdmissionLimit) -> None:
--- a/willowhook/controlplane/endpoint_directory.py
+++ b/willowhook/controlplane/endpoint_directory.py
@@ -9,7 +9,7 @@
 from dataclasses import replace
 
 from ..decisions.events import EndpointEntry, EndpointListReceived, EndpointState
-from ..membership.tiers import Tiers
+from ..membership.priority_tiers import PriorityTiers, TieredEndpoint
 from ..roster.forms import Host
 from ..ticks import ticks_from_milliseconds
 from .context import ServiceContext
@@ -36,7 +36,7 @@
         self._renderer = renderer
         self._shown_to = shown
         slow_start_ticks = ticks_from_milliseconds(context.terms.rules.cold_ms)
-        self._tiers = Tiers(self, slow_start_ticks)
+        self._tiers = PriorityTiers(self, slow_start_ticks)
         self._listed: Sequence[Host] = ()  # as discovery gave them
         self._shown: dict[str, Host] = {}  # as the decisions see them
         self._has_tier_changes = False  # since the endpoints were shown
@@ -55,8 +55,10 @@
         self._record(endpoints)
         self._listed = endpoints
         start_of = self._context.clock.start_of
-        rows = [(e.id, self._pools_of(e.kind), e.tier, e.draining, start_of(e)) for e in endpoints]
-        self._tiers.listed(now, rows)
+        rows = [
+            TieredEndpoint(e.id, self._pools_of(e.kind), e.tier, e.draining, start_of(e)) for e in endpoints
+        ]
+        self._tiers.update_list(now, rows)
         self._show(now)
 
     def _record(self, endpoints: Sequence[Host]) -> None:
@@ -94,22 +96,22 @@
         """The name of the endpoint that was listed last with each `ADDRESS:PORT`."""
         return self._names_by_address
 
-    # Tiers.
+    # Priority tiers.
 
     def record_attempts(self, now: int, name: str, attempts: int, failures: int) -> None:
         """Takes in what proxies met at an endpoint: tiers whose endpoints all fail are replaced."""
-        self._tiers.heard(now, name, attempts, failures)
+        self._tiers.record_attempts(now, name, attempts, failures)
 
     def update_tiers(self, now: int) -> None:
         """Activates and deactivates the tiers for which the time has come."""
-        self._tiers.look(now)
+        self._tiers.evaluate(now)
 
-    def let_in(self, host: str, on: bool, cause: str) -> None:
-        """Is called by `Tiers` when it activates or deactivates an endpoint."""
+    def set_active(self, endpoint: str, is_active: bool, reason: str) -> None:
+        """Is called by `PriorityTiers` when it activates or deactivates an endpoint."""
         self._has_tier_changes = True
-        self._context.records.note(self._context.now(), "tier", host=host, on=on, cause=cause)
-        event = "endpoint of a later tier activated" if on else "endpoint of a later tier deactivated"
-        self._context.log.info(event, endpoint=host, cause=cause)
+        self._context.records.note(self._context.now(), "tier", host=endpoint, on=is_active, cause=reason)
+        event = "endpoint of a later tier activated" if is_active else "endpoint of a later tier deactivated"
+        self._context.log.info(event, endpoint=endpoint, cause=reason)
 
     def show_tier_changes(self, now: int) -> None:
         """Shows the endpoints again if a tier has changed since they were shown."""
@@ -119,7 +121,7 @@
     def _show(self, now: int) -> None:
         self._has_tier_changes = False
         endpoints = [
-            replace(each, draining=True) if self._tiers.held(each.id) else each for each in self._listed
+            replace(each, draining=True) if self._tiers.is_standby(each.id) else each for each in self._listed
         ]
         self._shown = {each.id: each for each in endpoints}
         self._shown_to(now, endpoints)
--- a/willowhook/controlplane/handoff_codec.py
+++ b/willowhook/controlplane/handoff_codec.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Mapping
 
-from ..membership.handoff import Hint, Packet, Sums
+from ..membership.handoff import EndpointSums, Hint, Packet
 from ..reports.read import LATENCY
 from ..ticks import TICKS_PER_SECOND
 from ..xds import forms
@@ -24,7 +24,7 @@
     """Writes a packet. Endpoints go by address; one whose address is not known is left out."""
     rows = [
         _encode_endpoint(addresses[endpoint], sums)
-        for endpoint, sums in packet.hint.hosts.items()
+        for endpoint, sums in packet.hint.endpoints.items()
         if endpoint in addresses
     ]
     metadata = {
@@ -39,7 +39,7 @@
     return encode(forms.LoadStatsRequest(forms.Node(packet.hint.proxy, metadata=metadata), [stats]))
 
 
-def _encode_endpoint(address: Address, sums: Sums) -> forms.UpstreamEndpointStats:
+def _encode_endpoint(address: Address, sums: EndpointSums) -> forms.UpstreamEndpointStats:
     host, port, _ = address
     attempts, failures, mean_latency_ticks = sums
     successes = attempts - failures
@@ -66,7 +66,7 @@
         (stats,) = report.cluster_stats
     except (KeyError, ValueError) as error:
         raise FormError(f"no handoff: {error}") from error
-    endpoints: dict[str, Sums] = {}
+    endpoints: dict[str, EndpointSums] = {}
     for locality in stats.upstream_locality_stats:
         for row in locality.upstream_endpoint_stats:
             _decode_endpoint(row, names_by_address, endpoints)
@@ -75,7 +75,7 @@
 
 
 def _decode_endpoint(
-    row: forms.UpstreamEndpointStats, names_by_address: Mapping[str, str], endpoints: dict[str, Sums]
+    row: forms.UpstreamEndpointStats, names_by_address: Mapping[str, str], endpoints: dict[str, EndpointSums]
 ) -> None:
     """Adds one row to `endpoints`. Raises FormError if it is malformed."""
     successes = row.total_successful_requests
@@ -90,4 +90,4 @@
     if name is None or not attempts or not 0 <= latency_sum_seconds < MAX_LATENCY_SUM_SECONDS:
         return
     mean_latency_ticks = round(latency_sum_seconds / successes * TICKS_PER_SECOND) if successes else 0
-    endpoints[name] = (attempts, failures, mean_latency_ticks)
+    endpoints[name] = EndpointSums(attempts, failures, mean_latency_ticks)
--- a/willowhook/controlplane/handoff_peers.py
+++ b/willowhook/controlplane/handoff_peers.py
@@ -11,7 +11,7 @@
 
 from ..decisions.events import EndpointReport
 from ..decisions.windows import WindowedSums
-from ..membership.handoff import Hint, Listener, Packet, Teller
+from ..membership.handoff import EndpointSums, Hint, HintReceiver, HintSender, Packet
 from ..ticks import TICKS_PER_SECOND, ticks_from_milliseconds
 from ..xds.codec import FormError
 from .context import ServiceContext
@@ -37,10 +37,10 @@
         controller, epoch = context.terms.name, context.epoch
         settings = context.terms.links
         lifetime_ticks = ticks_from_milliseconds(settings.lasts_ms)
-        self._hints = Listener(lifetime_ticks)
+        self._hints = HintReceiver(lifetime_ticks)
         self._clients = [PeerClient(url, settings.timeout_ms / 1000) for url in settings.peers]
         self._senders = [
-            Teller(controller, epoch, partial(self._start_sending, k), FIRST_RETRY_TICKS, lifetime_ticks)
+            HintSender(controller, epoch, partial(self._start_sending, k), FIRST_RETRY_TICKS, lifetime_ticks)
             for k in range(len(self._clients))
         ]
         # by proxy and endpoint: attempts, failures, sum of latency in ticks
@@ -90,7 +90,7 @@
 
     def acknowledge(self, event: HandoffAcknowledged) -> None:
         """Ends the sending of a packet that a peer has accepted."""
-        self._senders[event.peer].answered(event.epoch, event.number)
+        self._senders[event.peer].acknowledge(event.epoch, event.number)
 
     def record_attempts(
         self, now: int, proxy: int, endpoint: str, attempts: float, failures: float, latency_sum_ticks: float
@@ -110,22 +110,22 @@
             attempts, failures, latency_sum_ticks = ring.total(now, EVIDENCE_BUCKETS)
             if attempts:
                 mean_latency_ticks = round(latency_sum_ticks / max(attempts - failures, 1))
-                endpoints[endpoint] = (int(attempts), int(failures), mean_latency_ticks)
+                endpoints[endpoint] = EndpointSums(int(attempts), int(failures), mean_latency_ticks)
         if endpoints:
             hint = Hint(name, term, EVIDENCE_BUCKETS * TICKS_PER_SECOND, endpoints)
             for sender in self._senders:
-                sender.tell(now, hint)
+                sender.send(now, hint)
 
     def resend_unanswered(self, now: int) -> None:
         """Sends packets that no peer has answered once more, with exponential backoff."""
         for sender in self._senders:
-            sender.look(now)
+            sender.resend_due(now)
 
     def use_evidence(self, now: int, name: str, term: int) -> None:
         """Hands the controller what a joining proxy met in its session with a peer, if one sent it."""
         hint = self._hints.claim(now, name, term)
         if hint is None:
             return
-        for endpoint, (attempts, failures, mean_latency_ticks) in hint.hosts.items():
+        for endpoint, (attempts, failures, mean_latency_ticks) in hint.endpoints.items():
             self._context.handle(now, EndpointReport(endpoint, attempts, failures, mean_latency_ticks, None))
-        self._context.records.note(now, "hint", proxy=name, term=hint.term, hosts=len(hint.hosts))
+        self._context.records.note(now, "hint", proxy=name, term=hint.term, hosts=len(hint.endpoints))
--- a/willowhook/controlplane/intake.py
+++ b/willowhook/controlplane/intake.py
@@ -12,11 +12,11 @@
 import xxhash
 
 from ..files.layout import LOAD, STATUS
-from ..membership.claim import names_me
-from ..membership.wheel import Wheel
+from ..membership.ownership import OwnershipClaim, check_claim
+from ..membership.timing_wheel import TimingWheel
 from ..reports.read import Report, read
-from ..reports.sample import whole
-from ..reports.windows import Windows
+from ..reports.sample import sum_sample
+from ..reports.windows import ReportWindows
 from ..ticks import TICKS_PER_SECOND
 from ..xds import forms
 from ..xds.codec import FormError, decode
@@ -110,9 +110,9 @@
         self._numbers: dict[str, int] = {}
         self._rejected_files: dict[str, str] = {}  # by proxy: the file that was found malformed last
         slot_ticks = max(session_timeout_ticks // TIMEOUT_WHEEL_RESOLUTION, 1)
-        self._timeouts = Wheel(slot_ticks, TIMEOUT_WHEEL_SLOTS, 0)
+        self._timeouts = TimingWheel(slot_ticks, TIMEOUT_WHEEL_SLOTS, 0)
         self.sessions: dict[str, SessionState] = {}
-        self.windows = Windows()
+        self.windows = ReportWindows()
         self.last_fault = ""
 
     # Sessions.
@@ -235,10 +235,10 @@
         check_node(proxy.name, node)
         named = read_controller(node)
         term = read_term(node)
-        claim = names_me(self._controller, named, proxy.term, term)
-        if claim == "left":
+        claim = check_claim(self._controller, named, proxy.term, term)
+        if claim is OwnershipClaim.RELEASED:
             self.close_session(proxy.name, f"follows {named or 'another'} in term {term}")
-        return claim == "mine"
+        return claim is OwnershipClaim.OWNED
 
     def _process_request(self, proxy: SessionState, kind: str, request: forms.DiscoveryRequest) -> None:
         """Takes in a proxy's answer to an update: applied or rejected."""
@@ -305,12 +305,12 @@
     def _emit_reported(
         self, now: int, proxy: SessionState, reports: Sequence[tuple[int, int, Report]], arrived: int
     ) -> None:
-        sample = whole(now, proxy.name, self.windows, reports, arrived, not proxy.uses_discovery)
+        sample = sum_sample(now, proxy.name, self.windows, reports, arrived, not proxy.uses_discovery)
         if sample is None:
             return
         if sample.cells:
             self._emit(AttemptsReported(proxy.number, sample))
-        for route, (requests, failures) in sample.came.items():
+        for route, (requests, failures) in sample.requests.items():
             event = RequestsReported(proxy.number, route, round(requests), round(failures), sample.window)
             self._emit(event)
 
--- a/willowhook/controlplane/load_recorder.py
+++ b/willowhook/controlplane/load_recorder.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from ..decisions.events import RequestReport
-from ..reports.sample import Whole
+from ..reports.sample import SampleSums
 from ..ticks import TICKS_PER_SECOND
 from .context import ServiceContext
 from .endpoint_directory import EndpointDirectory
@@ -67,7 +67,7 @@
         for endpoint, met in by_endpoint.items():
             self._record_endpoint(now, event.proxy, member.zone, endpoint, met)
 
-    def _aggregate(self, now: int, zone: str, sample: Whole) -> Mapping[str, EndpointAttempts]:
+    def _aggregate(self, now: int, zone: str, sample: SampleSums) -> Mapping[str, EndpointAttempts]:
         """Adds a sample to the aggregation; the result is its sum over routes, by endpoint."""
         names = self._directory.names_by_address
         cells = {}
--- a/willowhook/controlplane/proxy_events.py
+++ b/willowhook/controlplane/proxy_events.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-from ..reports.sample import Whole
+from ..reports.sample import SampleSums
 from .proxy_resources import ProxyResources
 
 
@@ -82,7 +82,7 @@
     """What a proxy met at endpoints, from all its load reports of a stretch of time."""
 
     proxy: int
-    sample: Whole
+    sample: SampleSums
 
 
 @dataclass(frozen=True, slots=True)
--- a/willowhook/controlplane/proxy_files.py
+++ b/willowhook/controlplane/proxy_files.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from ..files.layout import LOAD, PROXY_NAME, STATUS
-from ..membership.claim import Version, VersionError, read_version
+from ..membership.version import Version, VersionError, parse_version
 from ..xds import forms
 from ..xds.codec import FormError, decode, read_response
 from .proxy_resources import ProxyResources, read_proxy_resources
@@ -103,7 +103,7 @@
     """The resources of a complete group of files; None if it is of another session or incomplete."""
     try:
         responses = [read_response(files[f"{kind}.json"], url) for kind, url in forms.FILES.items()]
-        if any(read_version(response.version_info).term != term for response in responses):
+        if any(parse_version(response.version_info).term != term for response in responses):
             return None
         return read_proxy_resources(
             [(row.type_url, bytes(raw)) for row in responses for raw in row.resources]
@@ -130,6 +130,6 @@
     if not request.response_nonce:
         return None
     try:
-        return read_version(request.response_nonce)
+        return parse_version(request.response_nonce)
     except VersionError as error:
         raise FormError(f"response_nonce: {error}") from error
--- a/willowhook/controlplane/resource_renderer.py
+++ b/willowhook/controlplane/resource_renderer.py
@@ -14,7 +14,7 @@
 from ..config.deployment import SEMANTICS, ordered_paths
 from ..config.terms import ClosedTerms, PathTerms, RouteTerms, Terms
 from ..decisions.runtime import AdmissionLimit
-from ..membership.claim import safe_tries
+from ..membership.retries import publishable_retries
 from ..ticks import ticks_from_milliseconds
 from ..versions.resources import CLUSTERS, ROUTES, TABLES, Resource
 from ..xds import forms, tables
@@ -197,7 +197,7 @@
     ) -> forms.Route:
         fleet = self._terms.fleet
         attempt_timeout_ticks = ticks_from_milliseconds(fleet.try_factor * route.slo_time_ms)
-        retries = safe_tries(SEMANTICS[route.semantics], limit.retries)
+        retries = publishable_retries(SEMANTICS[route.semantics], limit.retries)
         return tables.route(
             route.name,
             tables.match(path.match, path.path),
--- a/willowhook/controlplane/update_sinks.py
+++ b/willowhook/controlplane/update_sinks.py
@@ -10,7 +10,7 @@
 from typing import Protocol
 
 from ..files.swap import Shelf
-from ..membership.claim import Version
+from ..membership.version import Version
 from ..versions.discovery_session import DiscoverySession
 from ..versions.resources import TABLES, Resource, ResourceSet, ResourceStore
 from ..xds import forms
