--- a/tests/decisions/test_locality.py
+++ b/tests/decisions/test_locality.py
@@ -29,6 +29,7 @@
     harness.flush()
     while not harness.runtime.excluded.get("h6"):
         harness.advance(SECOND // 10)
+        assert harness.now < 20 * SECOND, "h6 is never excluded"
     assert before < 0.2
     assert north.remote_factor > 2 * before
     assert harness.usable_weights(north.number)["h1"] > 2 * before  # in the same message
--- a/tests/decisions/test_table_updates.py
+++ b/tests/decisions/test_table_updates.py
@@ -97,5 +97,6 @@
         harness.flush()
         while "h8" not in harness.usable_weights():
             harness.advance(SECOND // 10)
+            assert harness.now < start + 60 * SECOND, "h8 never enters"
         waits.append(harness.now - start)
     assert waits[1] <= SECOND < 8 * SECOND < waits[0]
