--- a/willowhook/config/deployment.py
+++ b/willowhook/config/deployment.py
@@ -7,6 +7,7 @@
 
 from typing import NamedTuple
 
+from ..decisions.runtime import RetryMode
 from ..decisions.settings import (
     ChannelSettings,
     DeploymentSettings,
@@ -102,7 +103,7 @@
         avoidance_failures=fleet.strikes,
         default_table_size=fleet.standing,
         admission_unit=admission_unit(fleet.admit),
-        default_retries=fleet.usual_tries,
+        default_retries=RetryMode(fleet.usual_tries),
         report_interval_ticks=ticks_from_milliseconds(fleet.report_every_ms),
         cross_zone_price=fleet.cross_zone_price,
         load_source=load_source(fleet.load_reports),
--- a/willowhook/controlplane/resource_renderer.py
+++ b/willowhook/controlplane/resource_renderer.py
@@ -13,7 +13,7 @@
 
 from ..config.deployment import SEMANTICS, ordered_paths
 from ..config.terms import ClosedTerms, PathTerms, RouteTerms, Terms
-from ..decisions.runtime import AdmissionLimit
+from ..decisions.runtime import AdmissionLimit, RetryMode
 from ..membership.retries import publishable_retries
 from ..ticks import ticks_from_milliseconds
 from ..versions.resources import CLUSTERS, ROUTES, TABLES, Resource
@@ -135,11 +135,11 @@
         """The ordered limit, within the caps of the configuration."""
         route = self._terms.routes[index]
         fleet = self._terms.fleet
-        ordered = table.limits.get(index, AdmissionLimit(fleet.usual_tries, inf))
+        ordered = table.limits.get(index, AdmissionLimit(RetryMode(fleet.usual_tries), inf))
         limit = ordered.limit
         if route.most_per_s and fleet.admit == "rps":
             limit = min(limit, route.most_per_s)
-        return AdmissionLimit(min(ordered.retries, route.tries), limit)
+        return AdmissionLimit(RetryMode(min(ordered.retries, route.tries)), limit)
 
     # Bodies.
 
--- a/willowhook/decisions/admission.py
+++ b/willowhook/decisions/admission.py
@@ -14,9 +14,9 @@
 from .arithmetic import even_allowance
 from .context import ControllerContext
 from .demand import RequestDemand
-from .load import FULL_UTILIZATION, IDLE_UTILIZATION, LATE_FRACTION, LoadSample
+from .load import HIGH_UTILIZATION, IDLE_UTILIZATION, LATE_FRACTION, LoadSample
 from .model import EndpointTable
-from .runtime import AdmissionLimit
+from .runtime import AdmissionLimit, RetryMode
 from .settings import AdmissionUnit, Route
 from .timing import EVALUATION_INTERVAL_TICKS
 from .windows import IntervalHistory
@@ -24,30 +24,32 @@
 # Utilization, as a share of cores in use.
 SHED_UTILIZATION = 0.93  # over it, load is shed
 SHED_PROJECTED_UTILIZATION = 1.02  # the same, for what a rise leads to
-TARGET_UTILIZATION = FULL_UTILIZATION  # what shedding aims at
+TARGET_UTILIZATION = HIGH_UTILIZATION  # what shedding aims at
 RAISE_UTILIZATION = 0.75  # what the way back aims at
 
-# The control step.
-FALL_GAIN = 5.0  # of the way down, over the feedback time
-RISE_GAIN = 4.0  # of the way up, over the feedback time
-MAX_GROWTH = 1.5  # over the feedback time
+# The control step. The gains are multiples of the gap to the wanted fraction, covered in one feedback time.
+FALL_GAIN = 5.0
+RISE_GAIN = 4.0  # lower than the way down: shedding too little costs more than shedding too long
+MAX_GROWTH = 1.5  # factor by which the admitted fraction may grow in one feedback time
 MAX_FEEDBACK_TICKS = 30 * EVALUATION_INTERVAL_TICKS  # as far back as the fractions are kept
 HISTORY_INTERVALS = 32
 
-# Admitted fractions: of the demand that was known when shedding began, so one may pass 1.
-OPEN_FRACTION = 1.4  # from here on nothing is shed
-NEARLY_OPEN = 0.97  # of that: as good as open
-MIN_FRACTION = 0.1  # of a route, whatever happens
+# Admitted fractions are relative to the demand known when shedding began, which may have grown since. So the
+# limits stay in force above 1 until the fraction reaches OPEN_FRACTION.
+OPEN_FRACTION = 1.4  # no limits are in force
+NEARLY_OPEN = 0.97  # share of OPEN_FRACTION that counts as open
+MIN_FRACTION = 0.1  # every route keeps this much
 RETRY_FRACTION = 1.0  # from here on a retry is allowed
 WHOLE_FRACTION = 0.999  # from here on a route has no limit
+MIN_RATE_PER_SECOND = 0.1  # the least allowance of a proxy, in requests per second
 UNLIMITED_RATE = 1e6  # requests per second
 
 
 class AdmissionController:
-    """Keeps the admitted fraction and makes the limits of a table.
+    """Keeps the admitted fraction and derives the limits of each table.
 
     Attributes:
-        admitted_fraction: of the demand known when shedding began; `OPEN_FRACTION` if nothing is shed.
+        admitted_fraction: share of the demand known when shedding began; `OPEN_FRACTION` without shedding.
     """
 
     def __init__(self, context: ControllerContext, demand: RequestDemand) -> None:
@@ -60,16 +62,16 @@
 
     @property
     def is_shedding(self) -> bool:
-        """Whether some requests are rejected to keep the others in time."""
+        """Whether limits are in force that keep requests in time."""
         return self.admitted_fraction < OPEN_FRACTION
 
     def evaluate(self, now: int, sample: LoadSample, feedback_ticks: int) -> None:
-        """Sets the admitted fraction anew.
+        """Updates the admitted fraction.
 
         Args:
             now: the time.
             sample: what the reports say.
-            feedback_ticks: from a command to reports that show it, without the requests' own latency.
+            feedback_ticks: the time from a command to reports that show it, without the requests' latency.
         """
         # failures where responses are in time are no overload
         is_late = sample.latency_fraction > LATE_FRACTION
@@ -84,24 +86,31 @@
             self._log_change(before, sample, success)
 
     def record(self, now: int) -> None:
-        """Keeps the admitted fraction, for the reports that will answer to it."""
+        """Stores the admitted fraction, for the reports that will be its effect."""
         self._history.record(now, self.admitted_fraction)
 
     def route_fractions(self) -> list[float]:
-        """What is let in of each route, by index: most priority for its latency objective first."""
+        """The fraction admitted of each route, by index.
+
+        Work is estimated as demand times latency objective, as the true cost of a request is not reported. It
+        is admitted by priority weight per latency objective, the highest first, above a floor for each route.
+        """
         routes = self._fleet.settings.routes
         work = [route.latency_objective_ticks * self._demand.total(route) for route in routes]
         left = (self.admitted_fraction - MIN_FRACTION) * sum(work)
         fractions = [MIN_FRACTION] * len(work)
         for index in sorted(range(len(routes)), key=lambda index: -_priority(routes[index])):
             part = min(max(left, 0.0), (1 - MIN_FRACTION) * work[index])
-            fractions[index] += part / work[index] if work[index] else 1.0
+            if work[index]:
+                fractions[index] += part / work[index]
+            else:
+                fractions[index] += 1.0  # without known demand nothing is limited
             left -= part
         return fractions
 
     def limits(self, table: EndpointTable, fractions: list[float]) -> dict[int, AdmissionLimit]:
         """The admission limits of a table, by route index, for these route fractions."""
-        retries = 1 if self.admitted_fraction >= RETRY_FRACTION else 0
+        retries = RetryMode.IF_NOT_EXECUTED if self.admitted_fraction >= RETRY_FRACTION else RetryMode.NEVER
         unit = self._fleet.settings.fleet.admission_unit
         if unit is AdmissionUnit.REQUESTS_PER_SECOND:
             return {k: AdmissionLimit(retries, self._rate_limit(k, fractions[k])) for k in table.routes}
@@ -112,7 +121,7 @@
         rates = list(self._demand.by_proxy(self._fleet.settings.routes[index]).values())
         if fraction >= WHOLE_FRACTION or not rates:
             return UNLIMITED_RATE
-        return max(even_allowance(rates, fraction), MIN_FRACTION)
+        return max(even_allowance(rates, fraction), MIN_RATE_PER_SECOND)
 
     def _step(self, now: int, sample: LoadSample, success: float, feedback: int) -> None:
         if self._must_shed(sample, success):
@@ -123,37 +132,37 @@
         self.admitted_fraction = OPEN_FRACTION if is_open else max(self.admitted_fraction, MIN_FRACTION)
 
     def _must_shed(self, sample: LoadSample, success: float) -> bool:
-        """At once when full or late; while load is shed already, by the target that it is shed for."""
+        """Whether to admit less: when full or late; under shedding already over the target utilization."""
         has_room = self.admitted_fraction >= RETRY_FRACTION
         highest = SHED_UTILIZATION if has_room else TARGET_UTILIZATION
         highest_projected = SHED_PROJECTED_UTILIZATION if has_room else TARGET_UTILIZATION
         return (
             sample.utilization > highest
             or sample.projected_utilization > highest_projected
-            or self._easing(sample, success) < 1
+            or self._reduction_factor(sample, success) < 1
         )
 
-    def _easing(self, sample: LoadSample, success: float) -> float:
-        """What lateness and failures ask to cut the admitted fraction by, as a factor."""
+    def _reduction_factor(self, sample: LoadSample, success: float) -> float:
+        """The factor, at most 1, by which lateness and failures reduce the admitted fraction."""
         if self.is_shedding and sample.projected_utilization <= IDLE_UTILIZATION:
-            return 1.0  # what is late or failed is left over from before
+            return 1.0  # late and failed requests are left over from before
         return success * min(1.0, LATE_FRACTION / sample.latency_fraction)
 
     def _shed(self, now: int, sample: LoadSample, success: float, feedback: int) -> None:
         by_load = min(1.0, TARGET_UTILIZATION / sample.projected_utilization)
-        wanted = self._answered_fraction(now, feedback) * by_load * self._easing(sample, success)
+        wanted = self._fraction_in_effect(now, feedback) * by_load * self._reduction_factor(sample, success)
         start = min(self.admitted_fraction, 1.0)
         gain = min(FALL_GAIN * EVALUATION_INTERVAL_TICKS / feedback, 1.0)
         self.admitted_fraction = start + min(wanted - start, 0.0) * gain
 
     def _raise(self, now: int, sample: LoadSample, feedback: int) -> None:
         growth = min(RAISE_UTILIZATION / sample.projected_utilization, MAX_GROWTH)
-        wanted = self._answered_fraction(now, feedback) * growth
+        wanted = self._fraction_in_effect(now, feedback) * growth
         gain = min(RISE_GAIN * EVALUATION_INTERVAL_TICKS / feedback, 1.0)
         self.admitted_fraction += max(wanted - self.admitted_fraction, 0.0) * gain
 
-    def _answered_fraction(self, now: int, feedback: int) -> float:
-        """The admitted fraction that today's reports answer to, at most 1."""
+    def _fraction_in_effect(self, now: int, feedback: int) -> float:
+        """The admitted fraction whose effect the reports show now, at most 1."""
         fractions = [self._history.at(now - feedback, offset) for offset in (-1, 0, 1)]
         return min(1.0, sum(fractions) / len(fractions))
 
--- a/willowhook/decisions/channel.py
+++ b/willowhook/decisions/channel.py
@@ -2,19 +2,19 @@
 
 The channel carries entries at a stated rate, and messages leave it in the order in which they were sent. So
 an acknowledgement proves that everything sent before that message's flush has left. It proves nothing of its
-own flush: a large one takes a second to leave, and its first acknowledgement comes early.
+own flush: if one flush sends to 300 proxies, the first acknowledgement comes while most of them still wait.
 """
 
 from __future__ import annotations
 
-from collections.abc import Sequence
+from collections.abc import Iterator, Sequence
 from typing import NamedTuple
 
 from ..ticks import TICKS_PER_SECOND
 from .settings import ChannelSettings
 from .update_cost import SYNC_MARKER_ENTRIES, message_overhead
 
-MARKERS = 1 << 16  # a sync marker has two bytes on the wire
+MARKERS = 1 << 16  # number of sync markers: two bytes on the wire
 
 
 class SentMessage(NamedTuple):
@@ -33,13 +33,13 @@
     flush: int
 
 
-class UpdateChannel:
-    """What waits in the channel: entries sent, at its stated rate, and those that are overdue.
+class ChannelEstimate:
+    """Estimates the entries that wait in the channel.
 
     Attributes:
-        entries_per_tick: the stated rate.
+        entries_per_tick: the channel's stated rate.
         overhead_entries: the cost of a message with its marker, before it carries anything.
-        queued: entries that wait, by the stated rate alone.
+        queued: entries that would wait if the channel kept its stated rate.
         last_marker: the marker of the last flush.
         overdue: entries of messages whose acknowledgement is overdue.
         pending: entries by proxy, charged since the last flush.
@@ -52,7 +52,7 @@
         self.pending: dict[int, int] = {}
         self.unacknowledged: dict[int, list[SentMessage]] = {}
         self._max_delay_ticks = settings.max_delay_ticks
-        self.queued = 0.0  # by the stated rate
+        self.queued = 0.0
         self.overdue = 0.0
         self._possibly_waiting = 0.0  # not proven to have left
         self._certainly_waiting = 0.0  # of these, what cannot be on its way even at the stated rate
@@ -64,11 +64,11 @@
         self._flushes_proven = 0  # these have left whole
 
     def add_proxy(self, proxy: int) -> None:
-        """A proxy has joined: it has acknowledgements to give from now on."""
+        """Starts to track the acknowledgements of a proxy that has joined."""
         self.unacknowledged[proxy] = []
 
     def remove_proxy(self, proxy: int) -> None:
-        """A proxy has left: what was sent to it does not count any more."""
+        """Forgets what was sent to a proxy that has left."""
         self.unacknowledged.pop(proxy, None)
 
     def queue_estimate(self) -> float:
@@ -76,16 +76,16 @@
         return max(self.queued + self.overdue, self._certainly_waiting)
 
     def queue_ceiling(self) -> float:
-        """Entries that wait at the most, however slow the channel has become: its limit is held by this."""
+        """The most entries that can wait, however slow the channel has become; checked against its limit."""
         return max(self.queue_estimate(), self._possibly_waiting)
 
     def cost(self, proxies: Sequence[int], entries: int) -> int:
-        """What so many entries at each of these proxies would cost, with new messages where needed."""
+        """The cost of this many entries for each proxy, with the overhead of messages not pending yet."""
         new_messages = sum(proxy not in self.pending for proxy in proxies)
         return entries * len(proxies) + self.overhead_entries * new_messages
 
     def charge(self, proxies: Sequence[int], entries: int) -> None:
-        """Counts so many entries at each of these proxies, to be sent by the next flush."""
+        """Adds this number of entries for each of these proxies to the next flush."""
         cost = self.cost(proxies, entries)
         self.queued += cost
         self._certainly_waiting += cost
@@ -94,7 +94,7 @@
             self.pending[proxy] = self.pending.get(proxy, self.overhead_entries) + entries
 
     def drain(self, now: int) -> None:
-        """Takes off what has left since the last call."""
+        """Subtracts what has left since the last call."""
         self.queued = max(0.0, self.queued - self.entries_per_tick * (now - self._drained_at))
         self._drained_at = now
         self._possibly_waiting = self.unproven_entries()
@@ -123,25 +123,21 @@
                 return
 
     def unproven_entries(self) -> int:
-        """Entries of which no acknowledgement shows yet that they have left."""
-        return sum(
-            message.entries
-            for messages in self.unacknowledged.values()
-            for message in messages
-            if message.flush > self._flushes_proven and message.due_at > self._lost_before
-        )
+        """Entries that no acknowledgement has proven to have left."""
+        return sum(message.entries for message in self._unproven_messages())
 
     def update_overdue(self, now: int, lost_after_ticks: int) -> None:
-        """Sums what is overdue, and gives up what has been so for too long.
+        """Sums what is overdue, and gives up what has been overdue for too long.
 
-        While acknowledgements come, however late, the channel is slow, and what has none still waits in its
-        turn. Once none has come for `lost_after_ticks`, what has been overdue for so long is lost.
+        While acknowledgements come, however late, the channel is slow, and unacknowledged messages still wait
+        in it. When none has come for `lost_after_ticks`, messages overdue for as long count as lost.
         """
         if now - self._heard_at >= lost_after_ticks:
             self._lost_before = now - lost_after_ticks
-        self.overdue = sum(
-            message.entries
-            for messages in self.unacknowledged.values()
-            for message in messages
-            if message.flush > self._flushes_proven and self._lost_before < message.due_at < now
-        )
+        self.overdue = sum(message.entries for message in self._unproven_messages() if message.due_at < now)
+
+    def _unproven_messages(self) -> Iterator[SentMessage]:
+        for messages in self.unacknowledged.values():
+            for message in messages:
+                if message.flush > self._flushes_proven and message.due_at > self._lost_before:
+                    yield message
--- a/willowhook/decisions/conditions.py
+++ b/willowhook/decisions/conditions.py
@@ -1,4 +1,4 @@
-"""What the latest reports say of the fleet as a whole; written by admission control, read by the others."""
+"""What the latest reports say of the fleet as a whole: set by load.py and admission.py, read by others."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
     """The state of the fleet, as far as this controller hears of it.
 
     Attributes:
-        pressure: how late responses are, over the latency objective, plus the share of attempts that fail
-            under overload; 0.0 until there are reports.
-        success_fraction: of attempts; 0.0 until there are reports.
+        pressure: latency over the latency objective, plus the share of attempts that fail under overload;
+            0.0 until there are reports.
+        success_fraction: the share of attempts that succeed; 0.0 until there are reports.
     """
 
     pressure: float = 0.0
--- a/willowhook/decisions/context.py
+++ b/willowhook/decisions/context.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from .channel import UpdateChannel
+from .channel import ChannelEstimate
 from .conditions import FleetConditions
 from .fleet import FleetState
 from .queue_limits import QueueLimits
@@ -33,7 +33,7 @@
     runtime: ControllerRuntime
     fleet: FleetState
     conditions: FleetConditions
-    channel: UpdateChannel
+    channel: ChannelEstimate
     limits: QueueLimits
     random_fraction: Callable[[], float]
     bucket_ticks: int
--- a/willowhook/decisions/controller.py
+++ b/willowhook/decisions/controller.py
@@ -23,7 +23,7 @@
 from ..ticks import TICKS_PER_SECOND
 from .admission import AdmissionController
 from .binding import ProxyBinder
-from .channel import UpdateChannel
+from .channel import ChannelEstimate
 from .conditions import FleetConditions
 from .context import ControllerContext
 from .demand import RequestDemand
@@ -226,7 +226,7 @@
         self._runtime.schedule_evaluation(EVALUATION_INTERVAL_TICKS)
 
     def _evaluate_load(self, now: int) -> None:
-        sample = self._load.sample(now)
+        sample = self._load.evaluate(now)
         if sample is not None:
             if self.subsets.refuses_connections(sample):
                 self.subsets.limit_connections(now, sample)
@@ -286,7 +286,7 @@
     runtime: ControllerRuntime, settings: DeploymentSettings, seed: int, now: int
 ) -> ControllerContext:
     fleet = FleetState(settings)
-    channel = UpdateChannel(settings.channel, now)
+    channel = ChannelEstimate(settings.channel, now)
     return ControllerContext(
         settings=settings,
         runtime=runtime,
--- a/willowhook/decisions/health_checks.py
+++ b/willowhook/decisions/health_checks.py
@@ -1,4 +1,4 @@
-"""Active health checks: when to send them, and what their ends tell of load.
+"""Active health checks: when to send them, and what their results tell of load.
 
 They are sent only where endpoints report their load with health checks. They tell of load and of partitions;
 whether an endpoint serves requests is judged by the requests (see outliers.py).
@@ -17,11 +17,11 @@
 INTERVAL_TICKS = 2 * TICKS_PER_SECOND
 BUSY_INTERVAL_TICKS = INTERVAL_TICKS // 2
 MISSED = frozenset({HealthCheckOutcome.TIMED_OUT, HealthCheckOutcome.UNREACHABLE})
-FULL_UTILIZATION = 1.0
+SATURATED_UTILIZATION = 1.0  # assumed of an overloaded endpoint that reports nothing
 
 
 class HealthChecks:
-    """Sends health checks and takes their ends in."""
+    """Sends health checks and handles their results."""
 
     def __init__(self, context: ControllerContext, partitions: PartitionDetector) -> None:
         self._fleet = context.fleet
@@ -45,7 +45,7 @@
                 endpoint.next_health_check_at = now + int(interval * (0.5 + self._random_fraction()))
 
     def record(self, now: int, event: HealthCheckCompleted) -> None:
-        """Takes the end of a health check in; one of an unknown endpoint, of before a restart, is ignored."""
+        """Handles the result of a health check; that of an endpoint no longer known is ignored."""
         endpoint = self._fleet.endpoints.get(event.endpoint)
         if endpoint is None:
             return
@@ -54,7 +54,7 @@
             endpoint.utilization = event.cpu_utilization
             endpoint.utilization_at = now
         elif self._is_overloaded(now, endpoint, event.outcome):
-            endpoint.utilization = FULL_UTILIZATION
+            endpoint.utilization = SATURATED_UTILIZATION
             endpoint.utilization_at = now
 
     def _is_overloaded(self, now: int, endpoint: Endpoint, outcome: HealthCheckOutcome) -> bool:
--- a/willowhook/decisions/load.py
+++ b/willowhook/decisions/load.py
@@ -19,15 +19,17 @@
 from .windows import IntervalHistory, WindowedSums
 
 MAX_LOAD_AGE_TICKS = 5 * TICKS_PER_SECOND  # how long a reported utilization counts
-LATE_FRACTION = 0.45  # of the latency objective: from here on responses are late
-IDLE_UTILIZATION = 0.65  # under it, late responses are no overload
-FULL_UTILIZATION = 0.88  # what shedding aims at; assumed where nothing reports load
-CALM_UTILIZATION = 0.5  # under it, before the first reports, requests count as answered
-MIN_WEIGHT_FRACTION = 0.1  # of an endpoint with a recent report, in the mean
+LATE_FRACTION = 0.45  # share of the latency objective; under it, as a limit shows only seconds later
+IDLE_UTILIZATION = 0.65  # below it, late responses are not taken for overload
+HIGH_UTILIZATION = 0.88  # busy, with a reserve for bursts; assumed where nothing reports load
+CALM_UTILIZATION = 0.5  # below it, before the first reports, attempts count as successful
+MIN_WEIGHT_FRACTION = 0.1  # least slow-start fraction with which a reporting endpoint counts in the mean
 MIN_UTILIZATION = 0.1
-TREND_INTERVALS = 4  # over which a rise is measured
-PROJECTED_LAG_FRACTION = 0.7  # how far ahead a rise is followed, of the time until a command shows
-SETTLING_INTERVALS = 10  # after a start, reports only fill in
+INITIAL_UTILIZATION = 1.0  # so that the first reports do not read as a rise
+HISTORY_INTERVALS = 8  # intervals kept; more than TREND_INTERVALS
+TREND_INTERVALS = 4  # intervals over which a rise is measured
+PROJECTED_LAG_FRACTION = 0.7  # share of the feedback time over which a rise is projected
+SETTLING_INTERVALS = 10  # intervals after a start in which a rise only means that reports arrive
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,7 +42,7 @@
         mean_latency_ticks: of the middle endpoint.
         latency_fraction: that latency over the latency objective.
         median_success_fraction: of attempts, at the middle endpoint.
-        overall_success_fraction: of attempts, over all.
+        overall_success_fraction: of attempts, over all endpoints.
     """
 
     utilization: float
@@ -60,7 +62,7 @@
     """Makes a `LoadSample` of what endpoints and proxies reported.
 
     Attributes:
-        feedback_ticks: from a command to reports that show it.
+        feedback_ticks: the time from a command to reports that show it.
     """
 
     def __init__(self, context: ControllerContext, slow_start: SlowStart, demand: RequestDemand) -> None:
@@ -70,7 +72,9 @@
         self._demand = demand
         self._started_at = context.started_at
         self._attempts = WindowedSums(context.bucket_ticks, REPORT_BUCKETS, 2)  # successes, attempts
-        self._utilizations = IntervalHistory(EVALUATION_INTERVAL_TICKS, 8, 1.0)
+        self._utilizations = IntervalHistory(
+            EVALUATION_INTERVAL_TICKS, HISTORY_INTERVALS, INITIAL_UTILIZATION
+        )
         delay = context.settings.channel.typical_delay_ticks
         self.feedback_ticks = delay + context.bucket_ticks * 3 // 2 + TICKS_PER_SECOND
 
@@ -79,11 +83,11 @@
         self._attempts.add(now, successes, attempts)
 
     def last_utilization(self, now: int) -> float:
-        """The utilization that the evaluation before this one found."""
+        """The utilization that the last evaluation found."""
         return self._utilizations.at(now, -1)
 
-    def sample(self, now: int) -> LoadSample | None:
-        """What the reports say now; None while they have stopped, or not begun."""
+    def evaluate(self, now: int) -> LoadSample | None:
+        """Records the utilization and returns what the reports say; None while there are none."""
         utilization = max(self.utilization_of(now, table) for table in self._fleet.default_tables)
         self._assume_success_if_calm(utilization)
         projected = self._project(now, utilization)
@@ -122,14 +126,14 @@
             busy = sum(utilization * weight for utilization, weight in rows)
             return max(busy / sum(weight for _, weight in rows), MIN_UTILIZATION)
         nothing_reports = self._fleet.settings.fleet.load_source is LoadSource.NONE
-        return FULL_UTILIZATION if nothing_reports else IDLE_UTILIZATION
+        return HIGH_UTILIZATION if nothing_reports else IDLE_UTILIZATION
 
     def _load_weight(self, now: int, endpoint: Endpoint) -> float:
         fraction = max(self._slow_start.weight_fraction(now, endpoint), MIN_WEIGHT_FRACTION)
         return endpoint.capacity * endpoint.latency_factor * fraction
 
     def _assume_success_if_calm(self, utilization: float) -> None:
-        """Before the first reports on attempts, reported load says as much."""
+        """Before the first reports on attempts, low utilization is taken as success."""
         if self._conditions.pressure or utilization >= CALM_UTILIZATION:
             return
         if any(endpoint.utilization_at is not None for endpoint in self._fleet.endpoints.values()):
--- a/willowhook/decisions/locality.py
+++ b/willowhook/decisions/locality.py
@@ -7,8 +7,8 @@
 from .model import EndpointTable
 from .weights import EndpointWeights
 
-MAX_KEPT_FRACTION = 0.95  # of a zone's requests, so that the others are tried too
-MIN_DEMAND_FRACTION = 0.01  # of all requests, that a zone counts with
+MAX_KEPT_FRACTION = 0.95  # share of a zone's requests kept local; the rest still reaches other zones
+MIN_ZONE_DEMAND_FRACTION = 0.01  # least share of all requests that a zone is assumed to have
 
 
 class LocalitySpillover:
@@ -22,14 +22,14 @@
         self._weights = weights
 
     def rebalance(self, now: int, table: EndpointTable) -> None:
-        """Sets the remote factor of a table anew. While load is shed, every endpoint serves all zones."""
+        """Updates the remote factor of a table. Under load shedding every endpoint serves all zones."""
         table.remote_factor = 1.0
         if table.zone is None or self._admission.is_shedding:
             return
         local, remote = self._capacity_by_side(now, table)
         if not local or not remote:
             return
-        demand = max(self._demand_fraction(table.zone), MIN_DEMAND_FRACTION)
+        demand = max(self._demand_fraction(table.zone), MIN_ZONE_DEMAND_FRACTION)
         kept = min(MAX_KEPT_FRACTION, local / (local + remote) / demand)
         table.remote_factor = min(1.0, local * (1 - kept) / (kept * remote))
 
--- a/willowhook/decisions/partitions.py
+++ b/willowhook/decisions/partitions.py
@@ -6,7 +6,7 @@
 from .model import Endpoint
 from .slow_start import SlowStart
 
-MISSED_FRACTION = 0.7  # of a zone's endpoints that missed their last health check: it is cut off
+MISSED_FRACTION = 0.7  # share of a zone's endpoints that missed their last check when it is cut off
 
 
 class PartitionDetector:
@@ -26,13 +26,13 @@
         self.unreachable_zones: list[str] = []
 
     def update(self, now: int) -> bool:
-        """Judges all zones again; whether another set of zones is unreachable now."""
+        """Judges all zones again; returns whether the set of unreachable zones has changed."""
         checked = self._checked_endpoints(now)
         zones = self._find_unreachable(checked)
         if zones == self.unreachable_zones:
             return False
         self.unreachable_zones = zones
-        self._slow_start.hold(now)
+        self._slow_start.hold_warming_endpoints(now)
         self._runtime.log(
             f"zones unreachable zones={','.join(zones) or 'none'} checked_endpoints={len(checked)}"
         )
--- a/willowhook/decisions/queue_limits.py
+++ b/willowhook/decisions/queue_limits.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from .channel import UpdateChannel
+from .channel import ChannelEstimate
 from .fleet import FleetState
 
 EXCLUSION_FRACTION = 0.95  # of the queue's limit
@@ -19,7 +19,7 @@
 class QueueLimits:
     """Limits of the queue, in entries."""
 
-    def __init__(self, fleet: FleetState, channel: UpdateChannel) -> None:
+    def __init__(self, fleet: FleetState, channel: ChannelEstimate) -> None:
         self._fleet = fleet
         self._channel = channel
         self._settings = fleet.settings.channel
--- a/willowhook/decisions/runtime.py
+++ b/willowhook/decisions/runtime.py
@@ -4,19 +4,29 @@
 
 from collections.abc import Sequence
 from dataclasses import dataclass
+from enum import IntEnum
 from typing import Protocol
 
 
+class RetryMode(IntEnum):
+    """When a proxy may retry a request at another endpoint. The values are those of all wires."""
+
+    NEVER = 0
+    IF_NOT_EXECUTED = 1  # once, after proof that the first attempt was never executed
+    ONCE_AFTER_ANY_FAILURE = 2
+    TWICE_AFTER_ANY_FAILURE = 3
+
+
 @dataclass(frozen=True, slots=True)
 class AdmissionLimit:
-    """What proxies admit of a route.
+    """What proxies admit of a route, and when they retry it.
 
     Attributes:
-        retries: after a failed attempt, where repeating is safe; 0: none.
-        limit: in the unit of `FleetSettings.admission_unit`.
+        retries: when a request may be retried.
+        limit: the admission limit, in the unit of `FleetSettings.admission_unit`.
     """
 
-    retries: int
+    retries: RetryMode
     limit: float
 
 
@@ -42,10 +52,10 @@
         """Sends a health check; its end comes as a `HealthCheckCompleted`."""
 
     def set_weight(self, table: int, endpoint: str, weight: float) -> None:
-        """Sets the weight of an endpoint in a table; 0 takes its entry out."""
+        """Sets the weight of an endpoint in a table; 0 removes its entry."""
 
     def clear_table(self, table: int) -> None:
-        """Takes out all entries and limits of a table."""
+        """Removes all entries and limits of a table."""
 
     def bind(self, proxy: int, table: int, routes: Sequence[int]) -> None:
         """Makes a proxy use a table for these routes, in place of what it used."""
@@ -57,13 +67,13 @@
         """Tells all proxies that may hold an entry for an endpoint not to use it, whatever the table says."""
 
     def readmit_endpoint(self, endpoint: str) -> None:
-        """Takes `exclude_endpoint` back."""
+        """Reverts `exclude_endpoint`."""
 
     def exclude_for_proxy(self, proxy: int, endpoints: Sequence[str]) -> None:
-        """Excludes endpoints at one proxy, which joined after they were excluded."""
+        """Excludes endpoints at one proxy that joined after the exclusion was sent."""
 
     def readmit_for_proxy(self, proxy: int, endpoints: Sequence[str]) -> None:
-        """Readmits endpoints at one proxy, where another controller may have excluded them."""
+        """Readmits endpoints at one proxy that may hold exclusions of another controller."""
 
     def forget_endpoint(self, endpoint: str) -> None:
         """Says that an endpoint is gone for good and will not be named again."""
--- a/willowhook/decisions/settings.py
+++ b/willowhook/decisions/settings.py
@@ -10,6 +10,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
+from .runtime import RetryMode
+
 
 class RequestSemantics(Enum):
     """What running a request a second time does. The values are those of the settings document."""
@@ -115,7 +117,7 @@
         avoidance_failures: failures in a row after which a proxy avoids an endpoint by itself; 0: never.
         default_table_size: endpoints of the table that a proxy starts with; 0: it starts with none.
         admission_unit: how proxies read admission limits.
-        default_retries: what a proxy does before it is told otherwise.
+        default_retries: when a proxy retries before a controller sets it.
         report_interval_ticks: between two reports of one sender.
         cross_zone_price: what a request to an endpoint in another zone costs, in the unit of
             `Route.priority_weight`.
@@ -126,7 +128,7 @@
     avoidance_failures: int
     default_table_size: int
     admission_unit: AdmissionUnit
-    default_retries: int
+    default_retries: RetryMode
     report_interval_ticks: int
     cross_zone_price: float
     load_source: LoadSource
--- a/willowhook/decisions/subsets.py
+++ b/willowhook/decisions/subsets.py
@@ -11,16 +11,16 @@
 
 from ..ticks import TICKS_PER_SECOND
 from .context import ControllerContext
-from .load import FULL_UTILIZATION, LATE_FRACTION, LoadSample
+from .load import HIGH_UTILIZATION, LATE_FRACTION, LoadSample
 from .model import Endpoint, EndpointTable
 from .update_cost import BIND_ENTRIES
 from .weights import EndpointWeights
 
-MIN_ENDPOINTS = 2  # in a subset table
+MIN_ENDPOINTS = 2  # endpoints in a subset table, so that one may fail
 FIRST_CONNECTION_LIMIT_TICKS = 30 * TICKS_PER_SECOND
-MIN_SUCCESS_FRACTION = 0.4  # under it, of idle endpoints that answer in time: they refuse connections
-TABLE_OVERHEAD_ENTRIES = BIND_ENTRIES + 1  # of a bind, one entry on the safe side
-GRACE_FRACTION = 0.5  # of the drain grace, within which all who join are to be bound
+REFUSED_SUCCESS_FRACTION = 0.4  # below it, idle endpoints that answer in time refuse connections
+TABLE_OVERHEAD_ENTRIES = BIND_ENTRIES + 1  # estimated cost of a bind without its entries; one in reserve
+GRACE_FRACTION = 0.5  # share of the drain grace within which all joining proxies should be bound
 
 
 class SubsetMode(Enum):
@@ -47,9 +47,9 @@
         self._last_table = len(context.fleet.default_tables)
         self._limited_until: int | None = None
         self._next_limit_ticks = FIRST_CONNECTION_LIMIT_TICKS
-        # as many as any proxy uses: those of one zone
+        # those of one zone: every proxy uses as many
         tables = context.fleet.default_tables
-        self._tables_of_one = [table for table in tables if table.zone == tables[0].zone]
+        self._tables_of_one_proxy = [table for table in tables if table.zone == tables[0].zone]
 
     @property
     def mode(self) -> SubsetMode:
@@ -74,7 +74,8 @@
         if self.mode is SubsetMode.CONNECTION_LIMIT or not waiting:
             return False
         entries = sum(
-            len(table.entries) + len(table.limits) + TABLE_OVERHEAD_ENTRIES for table in self._tables_of_one
+            len(table.entries) + len(table.limits) + TABLE_OVERHEAD_ENTRIES
+            for table in self._tables_of_one_proxy
         )
         cost = self._channel.cost(waiting, entries)
         return self._channel.queue_estimate() + cost > self._entries_in_time()
@@ -91,7 +92,7 @@
         self._assigned = drawn | self._assigned
         routes = len(self._fleet.settings.routes)
         table_cost = TABLE_OVERHEAD_ENTRIES + self._endpoints_each + routes
-        cost = self._channel.overhead_entries + len(self._tables_of_one) * table_cost
+        cost = self._channel.overhead_entries + len(self._tables_of_one_proxy) * table_cost
         room = self._limits.for_exclusions() - self._channel.queue_ceiling()
         return waiting[: max(0, int(room / cost))]
 
@@ -105,7 +106,7 @@
         """So large that all who may still come are bound in time, and as a default table at least."""
         expected = waiting + self._fleet.absent_proxies
         entries = self._entries_in_time() / expected - self._channel.overhead_entries
-        affordable = int(entries / len(self._tables_of_one)) - TABLE_OVERHEAD_ENTRIES
+        affordable = int(entries / len(self._tables_of_one_proxy)) - TABLE_OVERHEAD_ENTRIES
         return max(MIN_ENDPOINTS, self._fleet.settings.fleet.default_table_size, affordable)
 
     def _entries_in_time(self) -> float:
@@ -119,8 +120,8 @@
         """Whether idle endpoints fail most attempts and answer the others in time: too many connections."""
         return (
             self.mode is not SubsetMode.CONNECTION_LIMIT
-            and sample.best_success_fraction < MIN_SUCCESS_FRACTION
-            and sample.utilization < FULL_UTILIZATION
+            and sample.best_success_fraction < REFUSED_SUCCESS_FRACTION
+            and sample.utilization < HIGH_UTILIZATION
             and sample.latency_fraction < LATE_FRACTION
         )
 
--- a/willowhook/decisions/table_updates.py
+++ b/willowhook/decisions/table_updates.py
@@ -21,18 +21,18 @@
 from .update_cost import UPDATE_ENTRIES
 from .weights import EndpointWeights
 
-MIN_CHANGE = 0.1  # logarithm of the ratio of new to old weight: a smaller change is not sent
-ENTERS_OR_LEAVES = 9.0  # what counts as the logarithm where there is no ratio
+MIN_CHANGE = 0.1  # a smaller change is not sent; logarithm of the ratio of new to old weight
+ENTERS_OR_LEAVES = 9.0  # stands for that logarithm when an entry is added or removed
 MIN_LIMIT_CHANGE = MIN_CHANGE / 2  # of an admission limit, relative
-PAYBACK_TICKS = 2 * TICKS_PER_SECOND  # by when a change must earn its price
-MIN_DEMAND_FRACTION = 0.1  # a table with less traffic counts with this much
-RESEND_RATE = 0.05  # of the channel's rate
+PAYBACK_TICKS = 2 * TICKS_PER_SECOND  # time within which a change must earn its price
+MIN_TRAFFIC_FRACTION = 0.1  # least share of all requests that a table is assumed to carry
+RESEND_RATE = 0.05  # share of the channel's rate that resends may take
 
 
 class Urgency(IntEnum):
     """The order in which changes go out."""
 
-    LEAVES_OR_NEEDED = 0  # out of a table, or into one that has nothing open
+    LEAVES_OR_NEEDED = 0  # leaves its table, or enters one without a usable endpoint
     CHANGED = 1
     RESEND = 2
 
@@ -42,9 +42,9 @@
 
     Attributes:
         urgency: the order in which it goes out.
-        magnitude: how far it moved, by the traffic that it is for.
+        magnitude: how far the weight moved, multiplied by the share of requests that use the table.
         endpoint: its name.
-        weight: the new one; 0 takes the entry out.
+        weight: the new weight; 0 removes the entry.
     """
 
     urgency: Urgency
@@ -54,9 +54,16 @@
 
 
 class PlannedChange(NamedTuple):
-    """A weight change with its table, and with what orders it among those of all tables."""
+    """A weight change with its table and its place among the changes of all tables.
 
-    order: tuple[int, float, float]  # urgency, then the table that moved most, then the change that did
+    Attributes:
+        order: sort key: urgency, then the table that moved most, then the change that moved most.
+        table: the table to change.
+        users: the proxies that use the table.
+        change: the weight change.
+    """
+
+    order: tuple[int, float, float]
     table: EndpointTable
     users: list[int]
     change: WeightChange
@@ -66,7 +73,7 @@
     """Brings tables up to date, within a limit of the queue.
 
     Attributes:
-        has_changes: whether weights may have moved since they were sent.
+        has_changes: whether weights may differ from those that were sent.
     """
 
     def __init__(
@@ -94,8 +101,8 @@
 
         Args:
             now: the time.
-            tables: those to look at.
-            limit: of the queue, in entries.
+            tables: the tables to bring up to date.
+            limit: entries that may wait in the queue.
 
         Returns:
             Whether changed weights are left.
@@ -114,12 +121,12 @@
         for table in self._fleet.tables:
             if self._fleet.is_without_open_entry(table):
                 if table.entries:
-                    table.members = []  # a subset table that lost its endpoints takes all
+                    table.members = []  # a subset table whose endpoints are all gone may use any
                 self._locality.rebalance(now, table)
                 self.update(now, [table], limit)
 
     def set_weight(self, table: EndpointTable, users: list[int], endpoint: str, weight: float) -> None:
-        """Sends one weight; 0 takes the entry out."""
+        """Sends one weight; 0 removes the entry."""
         self._runtime.set_weight(table.number, endpoint, weight)
         self._channel.charge(users, UPDATE_ENTRIES)
         table.pending_resend.pop(endpoint, None)
@@ -164,7 +171,7 @@
         weights = self._weights.weights(now, table)
         traffic = self._traffic_fraction(table, users)
         threshold = self._change_threshold(len(users), len(weights), traffic)
-        # a table with nothing open waits for nothing, nor does one under overload
+        # a table without a usable endpoint waits for nothing, nor does one under load shedding
         is_needed = self._fleet.is_without_open_entry(table) or self._admission.is_shedding
         changes: list[WeightChange] = []
         for name, weight in weights.items():
@@ -189,7 +196,7 @@
     def _change_threshold(self, users: int, endpoints: int, traffic: float) -> float:
         """How far a weight must move to earn what it costs at all users."""
         price = self._fleet.settings.channel.entry_price * users * endpoints
-        payback = self._channel.entries_per_tick * PAYBACK_TICKS * max(traffic, MIN_DEMAND_FRACTION)
+        payback = self._channel.entries_per_tick * PAYBACK_TICKS * max(traffic, MIN_TRAFFIC_FRACTION)
         return max(MIN_CHANGE, math.sqrt(price / payback))
 
 
--- a/willowhook/settings_codec.py
+++ b/willowhook/settings_codec.py
@@ -11,6 +11,7 @@
 from collections.abc import Mapping, Sequence
 from typing import Any
 
+from .decisions.runtime import RetryMode
 from .decisions.settings import (
     AdmissionUnit,
     ChannelSettings,
@@ -27,6 +28,7 @@
 CAPACITY_WEIGHTS = frozenset({"nominal", "rough"})
 ADMISSION_UNITS = {"ratio": AdmissionUnit.FRACTION, "rps": AdmissionUnit.REQUESTS_PER_SECOND}
 SEMANTICS = {semantics.value: semantics for semantics in RequestSemantics}
+RETRY_CODES = frozenset(RetryMode)
 LOAD_SOURCES = {"probe": LoadSource.HEALTH_CHECKS, "none": LoadSource.NONE}
 
 Document = Mapping[str, Any]  # a JSON object as it was decoded
@@ -60,6 +62,11 @@
     return LOAD_SOURCES.get(word, LoadSource.RESPONSES)
 
 
+def retry_mode(code: int) -> RetryMode:
+    """The retry mode with this code; an unknown one allows no retry."""
+    return RetryMode(code) if code in RETRY_CODES else RetryMode.NEVER
+
+
 def admission_unit(word: str) -> AdmissionUnit:
     """The admission unit that a settings document or a configuration names."""
     return ADMISSION_UNITS.get(word, AdmissionUnit.NONE)
@@ -125,7 +132,7 @@
         avoidance_failures=int(extra.get("strikes") or 0),
         default_table_size=int(extra.get("default-size") or 0),
         admission_unit=admission_unit(str(extra.get("admit", "none"))),
-        default_retries=int(extra.get("retry-default") or 0),
+        default_retries=retry_mode(int(extra.get("retry-default") or 0)),
         report_interval_ticks=ticks_from_seconds(extra.get("period") or 1),
         cross_zone_price=float(document.get("deductions", {}).get("cross-zone") or 0),
         load_source=load_source(str(document.get("load-info", {}).get("how", "none"))),
