--- a/tests/decisions/test_binding.py
+++ b/tests/decisions/test_binding.py
@@ -15,7 +15,7 @@
 
 def test_proxy_with_an_earlier_table_is_bound_after_the_first_weight_update() -> None:
     """Guards against binding a fleet to equal weights, where other controllers have learnt better ones."""
-    harness = ControllerHarness(settings_with(fleet__default_table_size=5))
+    harness = ControllerHarness(settings_with(fleet__bootstrap_table_size=5))
     harness.receive_endpoint_list({f"h{k}": WARM for k in range(8)})
     harness.join_proxy(0, is_fresh=False)
     harness.join_proxy(1)  # its default table serves as well until then
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -55,7 +55,7 @@
 def test_rules_hold_in_a_large_fleet(steps: list[tuple[int, int, int, float]]) -> None:
     channel = {"channel__queue_limit_entries": 5000, "channel__entries_per_second": 1700}
     deployment = settings_with(
-        fleet__proxy_count=200, fleet__default_table_size=5, lists_capacity=False, **channel
+        fleet__proxy_count=200, fleet__bootstrap_table_size=5, lists_capacity=False, **channel
     )
     joins = [(JOIN, k, 500, 1.0) for k in range(10)]
     RuleRun(ControllerHarness(deployment), 20).play(joins + steps)
--- a/tests/test_settings_codec.py
+++ b/tests/test_settings_codec.py
@@ -75,7 +75,7 @@
         (("contract", "fall-multiple"), 3, "rules.recovery_overload_factor", 3.0, 1.0),
         (("extra", "proxies"), 6, "fleet.proxy_count", 6, 1),
         (("extra", "strikes"), 3, "fleet.avoidance_failures", 3, 0),
-        (("extra", "default-size"), 5, "fleet.default_table_size", 5, 0),
+        (("extra", "default-size"), 5, "fleet.bootstrap_table_size", 5, 0),
         (("extra", "retry-default"), 1, "fleet.default_retries", 1, 0),
         (("extra", "period"), 2, "fleet.report_interval_ticks", 20_000, 10_000),
         (("deductions", "cross-zone"), 0.08, "fleet.cross_zone_price", 0.08, 0.0),
--- a/willowhook/config/deployment.py
+++ b/willowhook/config/deployment.py
@@ -101,7 +101,7 @@
     return FleetSettings(
         proxy_count=fleet.proxies,
         avoidance_failures=fleet.strikes,
-        default_table_size=fleet.standing,
+        bootstrap_table_size=fleet.standing,
         admission_unit=admission_unit(fleet.admit),
         default_retries=RetryMode(fleet.usual_tries),
         report_interval_ticks=ticks_from_milliseconds(fleet.report_every_ms),
--- a/willowhook/decisions/binding.py
+++ b/willowhook/decisions/binding.py
@@ -1,7 +1,7 @@
 """Binding: which joining proxy gets its tables when.
 
-A controller that has just started knows no endpoint's latency. A proxy that holds a table of another
-controller, or a default one that knows as much, keeps it until the first step of the weight solver.
+A controller that has just started knows no endpoint's latency. A proxy with a table of another controller, or
+with a bootstrap table that is as good, keeps it until the first step of the weight solver.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from .update_cost import bind_cost
 from .weight_solver import STEP_INTERVAL_TICKS
 
-SAFETY_ENTRIES = 1  # of a bind, over what the channel will carry
+SAFETY_ENTRIES = 1  # added to the estimated cost of a bind, to err on the safe side
 
 
 class ProxyBinder:
@@ -37,21 +37,21 @@
         self._readmissions = readmissions
         self._subsets = subsets
         self._updater = updater
-        self._learning_until = context.started_at + STEP_INTERVAL_TICKS
+        self._holds_back_until = context.started_at + STEP_INTERVAL_TICKS
 
-    def end_learning(self) -> None:
-        """Weights are known, or binds are needed to keep the drain rule: nobody is held back any more."""
-        self._learning_until = 0
+    def stop_holding_back(self) -> None:
+        """Weights are known, or binds are needed to keep the drain rule: no proxy is held back any more."""
+        self._holds_back_until = 0
 
     def due(self, now: int) -> list[int]:
         """The proxies that may be bound now, the most urgent first."""
         endpoints = self._fleet.endpoints.values()
         excluded = sum(endpoint.is_excluded for endpoint in endpoints)
-        if now >= self._learning_until or 2 * excluded >= len(endpoints):
+        if now >= self._holds_back_until or 2 * excluded >= len(endpoints):
             return self._pending_binds.in_order(with_earlier_table=True)
         settings = self._fleet.settings
-        default_table_is_as_good = settings.fleet.default_table_size and not settings.lists_capacity
-        if default_table_is_as_good:
+        bootstrap_table_is_as_good = settings.fleet.bootstrap_table_size and not settings.lists_capacity
+        if bootstrap_table_is_as_good:
             return []
         return self._pending_binds.in_order(with_earlier_table=False)
 
--- a/willowhook/decisions/controller.py
+++ b/willowhook/decisions/controller.py
@@ -50,7 +50,7 @@
 from .pacing import UpdatePacer
 from .partitions import PartitionDetector
 from .pending_binds import PendingBinds
-from .queue_limits import QueueLimits
+from .queue_limits import CALM_FRACTION, QueueLimits
 from .readmissions import SessionReadmissions
 from .reminders import ExclusionReminders
 from .runtime import ControllerRuntime
@@ -63,7 +63,7 @@
 from .weight_solver import WeightSolver
 from .weights import EndpointWeights
 
-LOST_AFTER_GRACES = 2  # drain graces after which an overdue message is lost
+LOST_AFTER_GRACES = 2  # drain graces without any acknowledgement after which overdue messages are lost
 
 
 class Controller:
@@ -72,7 +72,7 @@
     Args:
         runtime: carries out the commands.
         settings: the deployment's.
-        seed: of the chance that spreads retries in time and draws subsets.
+        seed: seed for retry jitter and subset selection.
         now: the time, in ticks.
 
     Attributes:
@@ -142,7 +142,7 @@
         )
 
     def handle(self, now: int, event: Event) -> None:
-        """Takes one event in; what follows from it is commanded by the next `flush`."""
+        """Handles one event; the commands that follow from it are given by the next `flush`."""
         match event:
             case EndpointReport():
                 self._record_endpoint_report(now, event)
@@ -166,40 +166,46 @@
                 assert_never(event)
 
     def flush(self, now: int) -> None:
-        """Gives the commands of a batch of events: what keeps the rules first, then binds, then tables."""
+        """Gives the commands of a batch of events: what keeps the rules first, then binds, then tables.
+
+        Order: join bursts to subsets, exclusions and readmissions, reminders, tables without a usable
+        endpoint, binds, table updates, the end of a join burst. Binds and table updates wait for exclusions
+        that are left.
+        """
         self._endpoint_list.watch_if_due(now)
         if not self._pacer.can_send(now):
             return
         self.channel.drain(now)
         queue_before = self.channel.queue_estimate()
         due = self._binder.due(now)
+        # a subset table holds nothing that is excluded, so these binds need not wait for exclusions
         self._binder.bind_burst(now, due)
-        self._keep_endpoint_rules(now)
+        self._send_exclusions(now)
         # where messages go to most proxies anyway, changed weights go with them
         is_broadcast = 2 * len(self.channel.pending) > len(self.fleet.proxies)
         if is_broadcast or (self.admission.is_shedding and self._pacer.are_tables_due(now)):
             self.updater.has_changes = True
-        # nothing else may fill the queue before exclusions
-        limit = 0.0 if self.exclusions.has_pending_exclusions() else self._limits.for_binds()
+        bind_limit = 0.0 if self.exclusions.has_pending_exclusions() else self._limits.for_binds()
         waiting = [proxy for proxy in due if proxy in self.pending_binds]
-        self._binder.bind_in_order(now, waiting, limit)
-        self._update_tables(now, is_broadcast, limit, queue_before)
-        self._binder.end_burst(now, limit / 2)
+        self._binder.bind_in_order(now, waiting, bind_limit)
+        self._update_tables(now, is_broadcast, CALM_FRACTION * bind_limit, queue_before)
+        self._binder.end_burst(now, CALM_FRACTION * bind_limit)
         if self.channel.pending:
             self._runtime.send_sync_marker(self.channel.flush(now))
             self._pacer.note_messages(now)
 
-    def _keep_endpoint_rules(self, now: int) -> None:
+    def _send_exclusions(self, now: int) -> None:
         self.exclusions.send(now)
-        if not self._reminders.send_if_due(now):
-            self._binder.end_learning()  # binds tell less, and must not wait then
+        all_reminded = self._reminders.send_if_due(now)
+        if not all_reminded:
+            self._binder.stop_holding_back()  # a bind carries the exclusions that did not fit
         self.updater.fill_empty_tables(now, self._limits.for_exclusions())
 
-    def _update_tables(self, now: int, is_broadcast: bool, limit: float, queue_before: float) -> None:
+    def _update_tables(self, now: int, is_broadcast: bool, calm_limit: float, queue_before: float) -> None:
         if is_broadcast:
             self._rebalance_zones(now)
         table_limit = self._limits.for_table_updates()
-        is_queue_short = self.channel.queue_estimate() < limit / 2
+        is_queue_short = self.channel.queue_estimate() < calm_limit
         is_calm = self._pacer.are_tables_due(now) and is_queue_short
         # a table update also waits for acknowledgements: a channel that has become slow shows late
         if not (is_broadcast or is_calm) or self.channel.unproven_entries() >= table_limit:
@@ -239,7 +245,7 @@
             return
         if self.solver.step(now):
             self._rebalance_zones(now)
-            self._binder.end_learning()
+            self._binder.stop_holding_back()
         if self.solver.takes_changes(now):
             self.updater.has_changes = True
 
--- a/willowhook/decisions/demand.py
+++ b/willowhook/decisions/demand.py
@@ -6,7 +6,7 @@
 from .events import RequestReport
 from .settings import Route
 
-SMOOTHING = 0.5  # of the gap to the newest report
+SMOOTHING = 0.5  # share of the gap to the newest report by which a rate moves
 
 
 class RequestDemand:
@@ -16,7 +16,7 @@
         self._rates: dict[str, dict[int, float]] = {route.name: {} for route in routes}
 
     def record(self, report: RequestReport, is_shedding: bool) -> None:
-        """Takes a proxy's report in.
+        """Updates the rate of a route at a proxy.
 
         While load is shed, clients that retry swell the count, so a known rate stays as it is.
         """
--- a/willowhook/decisions/endpoint_list.py
+++ b/willowhook/decisions/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: what it changes, when it is doubted, and when it is asked for again."""
+"""The endpoint list: what it changes, when it is doubted, and when it is requested again."""
 
 from __future__ import annotations
 
@@ -7,17 +7,19 @@
 from .events import EndpointEntry, EndpointListReceived, EndpointState
 from .exclusions import EndpointExclusions
 from .model import RECENT_BUCKETS, Endpoint
-from .queue_limits import REMINDER_DIVISOR
 
 FIRST_BACKOFF_TICKS = TICKS_PER_SECOND
-POLLS_PER_BACKOFF = 3  # the longest backoff is this part of the longest time between polls
+BACKOFFS_PER_POLL = 3  # maximum backoff = discovery_poll_ticks / 3
 STARTED_FACTOR = 0.5  # latency factor of a newly started endpoint
-FORGET_AFTER_TICKS = 30 * TICKS_PER_SECOND  # after its exclusion; no session waits so long for a table
-INITIAL_LISTS = 2  # the copy of before the start and the first answer: what they name is not new
+FORGET_AFTER_TICKS = 30 * TICKS_PER_SECOND  # after its exclusion; far longer than a proxy waits for a table
+INITIAL_LISTS = 2  # the saved copy and the first answer: endpoints named there are not new
+REFETCH_DIVISOR = 4  # a doubted list is fetched again after this part of the drain grace
+MIN_JITTER = 0.5  # factor on the backoff
+MAX_JITTER = 1.5
 
 
 class EndpointListTracker:
-    """Takes endpoint lists in, and asks discovery for them."""
+    """Handles endpoint lists, and requests them from discovery."""
 
     def __init__(self, context: ControllerContext, exclusions: EndpointExclusions) -> None:
         self._fleet = context.fleet
@@ -32,7 +34,7 @@
         self._refetch_at: int | None = None
 
     def handle_list(self, now: int, event: EndpointListReceived) -> None:
-        """Takes a list, or changes to it, in."""
+        """Applies a complete list, or changes to it."""
         self._lists += 1
         self._backoff_ticks = FIRST_BACKOFF_TICKS
         for entry in event.entries:
@@ -42,21 +44,21 @@
             self._remove_missing(now, {entry.name for entry in event.entries})
 
     def handle_loss(self, now: int) -> None:
-        """Discovery did not answer: asks again after a random time, which doubles up to a limit."""
-        longest = 2 * self._backoff_ticks // TICKS_PER_SECOND
-        self._runtime.log(f"endpoint list lost retry_within_seconds={longest}")
-        self._watch_at = now + int(self._backoff_ticks * (0.5 + self._random_fraction()))
-        limit = max(self._rules.discovery_poll_ticks // POLLS_PER_BACKOFF, FIRST_BACKOFF_TICKS)
+        """Discovery did not answer: requests the list again after a backoff with jitter."""
+        longest = MAX_JITTER * self._backoff_ticks / TICKS_PER_SECOND
+        self._runtime.log(f"endpoint list lost retry_within_seconds={longest:g}")
+        self._watch_at = now + int(self._backoff_ticks * (MIN_JITTER + self._random_fraction()))
+        limit = max(self._rules.discovery_poll_ticks // BACKOFFS_PER_POLL, FIRST_BACKOFF_TICKS)
         self._backoff_ticks = min(2 * self._backoff_ticks, limit)
 
     def watch_if_due(self, now: int) -> None:
-        """Asks discovery for the list and its changes, where that is due."""
+        """Requests the list and its changes when that is due."""
         if self._watch_at is not None and self._watch_at <= now:
             self._runtime.watch_endpoints()
             self._watch_at = None
 
     def refetch_if_due(self, now: int) -> None:
-        """Asks for the complete list while the last one is doubted."""
+        """Requests the complete list while the last one is doubted."""
         if self._refetch_at is not None and now >= self._refetch_at:
             self._refetch_at = now + self._refetch_ticks
             self._runtime.fetch_endpoint_list()
@@ -78,7 +80,7 @@
 
     @property
     def _refetch_ticks(self) -> int:
-        return self._rules.drain_grace_ticks // REMINDER_DIVISOR
+        return self._rules.drain_grace_ticks // REFETCH_DIVISOR
 
     def _update_endpoint(self, now: int, entry: EndpointEntry) -> None:
         endpoint = self._fleet.endpoints.get(entry.name)
@@ -98,7 +100,7 @@
 
     @staticmethod
     def _note_restart(endpoint: Endpoint, entry: EndpointEntry) -> None:
-        """What was reported is of the process before this one."""
+        """Resets what belongs to the process before this one."""
         endpoint.forget_attempts()
         endpoint.latency_factor = STARTED_FACTOR
         endpoint.is_ejected = False
@@ -107,10 +109,10 @@
         endpoint.restarted_in_service = stayed_in_service and not endpoint.is_excluded
 
     def _remove_missing(self, now: int, listed: set[str]) -> None:
-        """What a complete list lacks is removed, unless it lacks most endpoints.
+        """Removes endpoints that a complete list lacks, unless it lacks most of them.
 
         Discovery may lose its entries without an error. Then only endpoints that answer no requests any more
-        are taken for removed, and the complete list is asked for again.
+        count as removed, and the complete list is requested again.
         """
         missing = [name for name in self._fleet.endpoints if name not in listed]
         if not missing:
--- a/willowhook/decisions/events.py
+++ b/willowhook/decisions/events.py
@@ -37,7 +37,7 @@
     Attributes:
         proxy: its number.
         zone: its zone.
-        usual_rate_per_second: the requests that usually reach it.
+        usual_rate_per_second: the rate of requests that usually reach it.
         is_fresh: whether no controller has sent it a table since it started.
     """
 
@@ -81,7 +81,7 @@
 
     Attributes:
         is_complete: whether endpoints that have no entry are not listed any more.
-        entries: in the order of the list.
+        entries: the entries, in the order of the list.
     """
 
     is_complete: bool
@@ -99,10 +99,10 @@
 
     Attributes:
         endpoint: its name.
-        attempts: that have ended.
-        failures: among them.
-        mean_latency_ticks: of the attempts that succeeded.
-        cpu_utilization: share of its cores in use, as it reported last; None: it did not.
+        attempts: number of attempts that have ended.
+        failures: number of these that failed.
+        mean_latency_ticks: mean latency of those that succeeded.
+        cpu_utilization: share of its cores in use, as last reported; None: not reported.
     """
 
     endpoint: str
@@ -119,8 +119,8 @@
     Attributes:
         proxy: its number.
         route: the route's name.
-        requests: that reached it.
-        window_ticks: the time that this covers.
+        requests: number of requests that reached it.
+        window_ticks: length of the time window that the report covers.
     """
 
     proxy: int
@@ -135,8 +135,8 @@
 
     Attributes:
         endpoint: its name.
-        outcome: how it ended.
-        cpu_utilization: share of its cores in use, as it answered; None: it did not say.
+        outcome: its result.
+        cpu_utilization: share of the cores in use, as the endpoint answered; None: not reported.
     """
 
     endpoint: str
--- a/willowhook/decisions/exclusions.py
+++ b/willowhook/decisions/exclusions.py
@@ -1,11 +1,11 @@
 """The rule on draining and removed endpoints: nothing is sent to them after the drain grace.
 
-A proxy is told not to use an endpoint by an exclusion, which acts whatever its table says; the entry in the
-table goes later. Who is told of an endpoint that leaves, and by what:
+An exclusion notifies a proxy not to use an endpoint, whatever its table says; the entry in the table is
+removed later. How a proxy is notified of an endpoint that drains or is removed:
 
-| proxy                                    | told by                                                  |
+| proxy                                    | notified by                                              |
 | ---------------------------------------- | -------------------------------------------------------- |
-| bound here, its table has the endpoint   | the exclusion, once some have gathered                   |
+| bound here, its table has the endpoint   | the exclusion; while the queue is long, some gather      |
 | bound here, to another table or subset   | nothing: it holds no entry for the endpoint              |
 | joined, not bound yet                    | the exclusion, and a reminder of those before it joined  |
 | bound here later                         | the bind, which excludes what is out of its table        |
@@ -26,7 +26,7 @@
 from .update_cost import UPDATE_ENTRIES
 from .weights import EndpointWeights
 
-MAX_GATHERINGS = 3  # exclusions gather for so many gathering times at the most, while not all of them fit
+MAX_GATHERINGS = 3  # the most gathering times that exclusions wait while not all of them fit
 
 
 class EndpointExclusions:
@@ -59,7 +59,7 @@
         self._changed.pop(endpoint, None)
 
     def has_pending_exclusions(self) -> bool:
-        """Whether some that have changed are not excluded: nothing else may fill the queue before them."""
+        """Whether changed endpoints are not excluded yet: binds and table updates then wait."""
         return any(not self._fleet.endpoints[name].is_excluded for name in self._changed)
 
     def send(self, now: int) -> None:
@@ -81,7 +81,11 @@
         self._changed = left
 
     def holders(self, endpoint: str) -> list[int]:
-        """The proxies that may use an endpoint: all that wait to be bound, and the users of its tables."""
+        """The proxies that may use an endpoint: all that wait to be bound, and the users of its tables.
+
+        The runtimes send exclusions to the same proxies (`platform/proxy_updates.py`,
+        `controlplane/proxy_state.py`), so that the estimated and the real cost agree.
+        """
         tables = self._fleet.tables_with(endpoint)
         users = [proxy for table in tables for proxy in self._fleet.users(table)]
         return [*dict.fromkeys([*self._pending_binds, *users])]
@@ -108,7 +112,7 @@
         return len(self._pending_binds) > 0 and self._slow_start.is_warming_up(now, endpoint)
 
     def _exclude(self, now: int, endpoint: Endpoint) -> bool:
-        """Excludes an endpoint at all who may hold it; False if that does not fit."""
+        """Excludes an endpoint at all proxies that may use it; False if that does not fit in the queue."""
         holders = self.holders(endpoint.name)
         if not self._fits(self._channel.cost(holders, UPDATE_ENTRIES)):
             return False
@@ -119,9 +123,9 @@
         return True
 
     def _readmit(self, now: int, endpoint: Endpoint) -> bool:
-        """Readmits an endpoint at all proxies, its weights first; False if that does not fit.
+        """Readmits an endpoint at all proxies, its weights first; False if that does not fit in the queue.
 
-        What the process before was worth may be too much for this one.
+        The weights come first, as those of the process before may be too much for the new one.
         """
         proxies = list(self._fleet.proxies)
         tables = self._fleet.tables_with(endpoint.name)
--- a/willowhook/decisions/fleet.py
+++ b/willowhook/decisions/fleet.py
@@ -5,7 +5,7 @@
 from .model import Endpoint, EndpointTable, ProxySession
 from .settings import DeploymentSettings, Route
 
-ZONE_TABLES_FROM_PRICE = 0.05  # of a cross-zone request: from here on, each zone has tables of its own
+ZONE_TABLES_FROM_PRICE = 0.05  # price of a cross-zone request from which each zone has its own tables
 
 
 class FleetState:
@@ -16,7 +16,7 @@
         endpoints: all that are or were listed, by name.
         proxies: those that have joined, by number.
         default_tables: one for each group of routes that allow the same endpoints, and zone where needed.
-        tables: the default tables, and those of subsets while there are any.
+        tables: the default tables, and the subset tables while there are any.
         subset_of: by bound proxy, its subset; None: it uses the default tables.
     """
 
@@ -45,7 +45,7 @@
 
     def is_local(self, table: EndpointTable, proxy: int) -> bool:
         """Whether a table is for the zone of this proxy."""
-        return table.zone is None or table.zone == self.proxies[proxy].zone
+        return table.is_for_zone(self.proxies[proxy].zone)
 
     def tables_for(self, proxy: int, subset: int | None) -> list[EndpointTable]:
         """The tables that a proxy of this subset uses."""
--- a/willowhook/decisions/model.py
+++ b/willowhook/decisions/model.py
@@ -10,16 +10,22 @@
 from .settings import Route
 from .windows import WindowedSums
 
-REPORT_BUCKETS = 4  # of a report interval or a second, for a judgement of an endpoint
-RECENT_BUCKETS = 2  # of these, for a judgement of the fleet
+REPORT_BUCKETS = 4  # buckets kept, and used to judge one endpoint; see ControllerContext.bucket_ticks
+RECENT_BUCKETS = 2  # buckets used to judge the fleet, which needs less
 
 
 class AttemptSums(NamedTuple):
-    """What became of attempts, summed over a window."""
+    """Outcomes of attempts, summed over a window.
+
+    Attributes:
+        attempts: number of attempts.
+        failures: number of these that failed.
+        latency_ticks: sum of the latencies of those that succeeded.
+    """
 
     attempts: float
     failures: float
-    latency_ticks: float  # of those that succeeded, summed
+    latency_ticks: float
 
     @property
     def successes(self) -> float:
@@ -28,7 +34,7 @@
 
     @property
     def mean_latency_ticks(self) -> float:
-        """Of those that succeeded; there must be one."""
+        """Mean latency of the attempts that succeeded; there must be one."""
         return self.latency_ticks / (self.attempts - self.failures)
 
 
@@ -42,8 +48,8 @@
         endpoint_class: the kind of machine.
         zone: where it is.
         capacity: relative to the mean, as listed or as learnt.
-        latency_factor: what its latency has made of its base weight.
-        is_ejected, ejected_until, ejection_ticks: outlier ejection; how long the last one lasted.
+        latency_factor: factor on its capacity, learnt from its latency.
+        is_ejected, ejected_until, ejection_ticks: outlier ejection, its end, and its duration.
         utilization, utilization_at: share of cores in use as last reported, and when; None: never.
         next_health_check_at, missed_health_check: when the next is due; whether the last one failed.
         is_excluded, exclusion_changed_at: whether proxies were told not to use it, and since when.
@@ -84,11 +90,11 @@
         self._attempts.add(now, attempts, failures, latency_ticks)
 
     def attempts(self, now: int, buckets: int = REPORT_BUCKETS) -> AttemptSums:
-        """What became of the attempts of the last buckets."""
+        """The outcomes of the attempts in the last buckets."""
         return AttemptSums(*self._attempts.total(now, buckets))
 
     def forget_attempts(self) -> None:
-        """Drops what was reported: it is of another process, or of before an ejection."""
+        """Drops the sums: they are of an earlier process, or from before an ejection."""
         self._attempts.clear()
 
     def has_recent_utilization(self, now: int, max_age_ticks: int) -> bool:
@@ -103,14 +109,14 @@
     Attributes:
         number: as in commands.
         routes: the indexes of the routes that it serves.
-        requirements: one of these routes; all of them allow the same endpoints.
-        zone: of the proxies that use it; None: proxies of all zones.
+        requirements: one of these routes, for its placement constraints; all of them have the same.
+        zone: zone of the proxies that use it; None: proxies of all zones.
         subset: the subset of proxies that uses it; None: it is a default table.
         members: the endpoints of a subset table; empty: all that the requirements allow.
-        remote_factor: what the weight of an endpoint in another zone is multiplied by.
-        entries: weights as sent, by endpoint.
-        limits: admission limits as sent, by route.
-        pending_resend: entries to send again, as proxies were bound since they went out.
+        remote_factor: factor on the weights of endpoints in other zones.
+        entries: by endpoint, the weight that was sent last.
+        limits: by route, the admission limit that was sent last.
+        pending_resend: entries to send again: proxies were bound after these were sent.
     """
 
     number: int
@@ -135,7 +141,7 @@
 
     Attributes:
         zone: its zone.
-        usual_rate_per_second: the requests that usually reach it.
+        usual_rate_per_second: the rate of requests that usually reach it.
     """
 
     zone: str
--- a/willowhook/decisions/outliers.py
+++ b/willowhook/decisions/outliers.py
@@ -12,20 +12,20 @@
 
 MIN_ATTEMPTS = 3  # for an endpoint to count in what is usual
 MIN_FAILURES = 3  # for an endpoint to be ejected
-EXCESS_FAILURES = 0.75  # share of attempts that fail, above that at the better endpoints
+EXCESS_FAILURES = 0.75  # failure fraction above the usual one at which an endpoint is ejected
 FIRST_EJECTION_TICKS = 5 * TICKS_PER_SECOND
 MAX_EJECTION_TICKS = 4 * FIRST_EJECTION_TICKS
 
 
 class OutlierDetector:
-    """Ejects endpoints and readmits them when their ejection has ended."""
+    """Ejects endpoints, and ends ejections whose time is over."""
 
     def __init__(self, context: ControllerContext) -> None:
         self._fleet = context.fleet
         self._runtime = context.runtime
 
     def update(self, now: int) -> bool:
-        """Judges all endpoints in service; whether one was ejected."""
+        """Judges all endpoints in service; returns whether one was ejected."""
         judged = [
             (endpoint, endpoint.attempts(now))
             for endpoint in self._fleet.endpoints.values()
@@ -45,7 +45,7 @@
 
     @staticmethod
     def _usual_failure_fraction(judged: list[tuple[Endpoint, AttemptSums]]) -> float:
-        """That of the better quarter of the endpoints in use: half a fleet may be failing."""
+        """The failure fraction at the better quarter of the endpoints: half of a fleet may be failing."""
         fractions = sorted(
             sums.failures / sums.attempts
             for endpoint, sums in judged
--- a/willowhook/decisions/pacing.py
+++ b/willowhook/decisions/pacing.py
@@ -6,7 +6,7 @@
 from .settings import ChannelSettings
 from .timing import EVALUATION_INTERVAL_TICKS
 
-TABLE_RATE_FRACTION = 0.5  # of the channel's rate, that table updates may take
+TABLE_RATE_FRACTION = 0.5  # share of the channel's rate that table updates may take
 
 
 class UpdatePacer:
@@ -35,7 +35,13 @@
         self._next_tables_at = now
 
     def note_tables(self, now: int, entries: float, has_changes: bool) -> None:
-        """Table updates of so many entries were sent, and some are left or not."""
+        """Table updates of this cost were sent.
+
+        Args:
+            now: the time.
+            entries: their cost.
+            has_changes: whether some are left; then the next ones need not be paid for by a pause.
+        """
         paid_ticks = entries / (self._channel.entries_per_tick * TABLE_RATE_FRACTION)
         pause = EVALUATION_INTERVAL_TICKS
         if not has_changes:
--- a/willowhook/decisions/pending_binds.py
+++ b/willowhook/decisions/pending_binds.py
@@ -7,11 +7,11 @@
 
 from ..ticks import TICKS_PER_SECOND
 
-FRESH_ADVANTAGE_SECONDS = 2  # a proxy with few endpoints of its own may lose them all
+FRESH_HEAD_START_SECONDS = 2  # a proxy without a controller's table has few endpoints and may lose them all
 
 
 class BindPriority(NamedTuple):
-    """Orders waiting proxies: who waits longest first, then who has most traffic.
+    """Sort key of waiting proxies: the longest wait first, then the most traffic.
 
     Attributes:
         waiting_since_second: when it joined; earlier for a proxy that no controller has sent a table.
@@ -41,7 +41,7 @@
 
     def add(self, now: int, proxy: int, rate_per_second: float, is_fresh: bool) -> None:
         """A proxy has joined."""
-        since = now // TICKS_PER_SECOND - FRESH_ADVANTAGE_SECONDS * is_fresh
+        since = now // TICKS_PER_SECOND - FRESH_HEAD_START_SECONDS * is_fresh
         self._waiting[proxy] = BindPriority(since, -rate_per_second, not is_fresh)
 
     def rebind_all(self, now: int, proxies: Iterable[int]) -> None:
@@ -54,7 +54,7 @@
         self._waiting.pop(proxy, None)
 
     def in_order(self, *, with_earlier_table: bool) -> list[int]:
-        """Who waits, the most urgent first, with or without those that hold another controller's table."""
+        """The waiting proxies, the most urgent first, with or without those that have an earlier table."""
         due = [
             proxy
             for proxy, priority in self._waiting.items()
--- a/willowhook/decisions/queue_limits.py
+++ b/willowhook/decisions/queue_limits.py
@@ -9,11 +9,12 @@
 from .channel import ChannelEstimate
 from .fleet import FleetState
 
-EXCLUSION_FRACTION = 0.95  # of the queue's limit
-TABLE_FRACTION = 0.4  # of the queue's limit, at the most
-BIND_DIVISOR = 3  # of the queue's limit, or of what can leave within the grace
-EXCLUSION_GATHER_DIVISOR = 8  # exclusions gather for this part of the grace before they are sent
-REMINDER_DIVISOR = 4  # a proxy that waits for this part of the grace is told of earlier exclusions
+EXCLUSION_FRACTION = 0.95  # share of the queue's limit that exclusions may fill
+TABLE_FRACTION = 0.4  # share of the queue's limit that table updates may fill
+BIND_DIVISOR = 3  # binds may fill this part of the limit, or of what can leave within the grace
+EXCLUSION_GATHER_DIVISOR = 8  # while the queue is long, exclusions gather for this part of the grace
+REMINDER_DIVISOR = 4  # proxies that wait for this part of the grace are sent earlier exclusions
+CALM_FRACTION = 0.5  # share of the limit for binds below which tables may be sent for their own sake
 
 
 class QueueLimits:
@@ -26,11 +27,15 @@
         self._grace_ticks = fleet.settings.rules.drain_grace_ticks
 
     def for_exclusions(self) -> float:
-        """For what keeps the drain rule and the rule of empty tables."""
+        """For what keeps the rule on draining endpoints and the rule on empty tables."""
         return self._settings.queue_limit_entries * EXCLUSION_FRACTION
 
     def for_binds(self) -> float:
-        """For binds: a third of the queue; down to a sixth where two rounds of exclusions need the rest."""
+        """For binds: a third of the queue, or down to a sixth of it.
+
+        Two rounds of exclusions must still reach all in time: one to the proxies that have joined, one to all
+        of the deployment, should they join here. Each costs a proxy a message with one entry.
+        """
         reach = self._channel.entries_per_tick * (self._grace_ticks - self._settings.max_delay_ticks)
         proxies = self._fleet.settings.fleet.proxy_count + len(self._fleet.proxies)
         reach -= proxies * (self._channel.overhead_entries + 1)
@@ -38,7 +43,7 @@
         return min(limit, max(reach, limit / 2)) / BIND_DIVISOR
 
     def for_table_updates(self) -> float:
-        """For weights: exclusions that come next still reach all proxies in time."""
+        """For weights: the next exclusions must still reach all proxies within the grace."""
         gathering = self._grace_ticks / EXCLUSION_GATHER_DIVISOR
         in_time = self._grace_ticks - gathering - self._settings.max_delay_ticks
         reach = self._channel.entries_per_tick * in_time
@@ -46,7 +51,7 @@
         return max(self.for_binds(), min(self._settings.queue_limit_entries * TABLE_FRACTION, reach))
 
     def for_reminders(self) -> float:
-        """For earlier exclusions told to joining proxies: what is told after the grace is of no use."""
+        """For earlier exclusions sent to waiting proxies: after the grace they are of no use."""
         waited = self._grace_ticks / REMINDER_DIVISOR
         in_time = self._grace_ticks - waited - self._settings.max_delay_ticks
         reach = self._channel.entries_per_tick * in_time
--- a/willowhook/decisions/readmissions.py
+++ b/willowhook/decisions/readmissions.py
@@ -12,7 +12,7 @@
 
 
 class SessionReadmissions:
-    """Knows which proxies may hold exclusions of another controller."""
+    """Tracks the proxies that may hold exclusions of another controller."""
 
     def __init__(self, context: ControllerContext) -> None:
         self._fleet = context.fleet
@@ -21,7 +21,7 @@
         self._proxies: dict[int, None] = {}
 
     def add_proxy(self, proxy: int) -> None:
-        """A proxy has joined that another controller had before."""
+        """A proxy has joined that another controller served before."""
         if self._fleet.settings.exclusions_outlive_sessions:
             self._proxies[proxy] = None
 
@@ -49,6 +49,9 @@
 
 
 def _came_back_at(endpoint: Endpoint) -> int:
-    """When it may have come back unseen; nobody excluded one that was listed here for the first time."""
+    """When it may have returned unseen by this controller, in ticks.
+
+    One that was first listed while this controller was running cannot have been excluded by another before.
+    """
     started_at = 0 if endpoint.is_new else endpoint.started_at
     return max(started_at, endpoint.exclusion_changed_at)
--- a/willowhook/decisions/reminders.py
+++ b/willowhook/decisions/reminders.py
@@ -1,8 +1,9 @@
-"""Reminders: who joins and waits to be bound is told of the endpoints that were excluded before.
+"""Reminders: proxies that wait to be bound are sent the exclusions of before they joined.
 
-An exclusion is lost with the session that carried it, and a proxy that never had a table holds a default one
-that may name endpoints that are gone. A bind tells the same and more, so a proxy is reminded only if it waits
-for a part of the drain grace. Exclusions after it joined reach it as they are sent.
+An exclusion is lost with the session that carried it, and a proxy that never was bound has a bootstrap table
+that may name removed endpoints. A bind carries the same and more, so there is one reminder for all waiting
+proxies, a part of the drain grace after the first of them joined. Later exclusions reach them as they are
+sent.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class ExclusionReminders:
-    """Tells waiting proxies of the exclusions of before they joined."""
+    """Sends waiting proxies the exclusions of before they joined."""
 
     def __init__(
         self,
@@ -49,7 +50,11 @@
         self._unreminded.pop(proxy, None)
 
     def send_if_due(self, now: int) -> bool:
-        """Sends reminders, the last exclusions first; False if not all of them fit in the queue."""
+        """Sends reminders that are due, the last exclusions first.
+
+        Returns:
+            False if some were due and did not fit in the queue.
+        """
         if self._due_at is None or now < self._due_at:
             return True
         if self._channel.queue_estimate() >= self._limits.for_binds():
@@ -60,7 +65,7 @@
         return not waiting or self._send(waiting)
 
     def _is_waiting(self, proxy: int) -> bool:
-        """Whether a proxy waits for a bind that will not come at once, as one to a subset does."""
+        """Whether a proxy waits for a bind to whole tables; one to a subset comes at once."""
         return proxy in self._pending_binds and self._subsets.assigned(proxy) is None
 
     def _send(self, waiting: list[int]) -> bool:
--- a/willowhook/decisions/settings.py
+++ b/willowhook/decisions/settings.py
@@ -42,14 +42,14 @@
     """A class of requests.
 
     Attributes:
-        name: as in reports and commands.
+        name: the name used in reports.
         latency_objective_ticks: a response that is later earns less.
         deadline_ticks: a response that is later earns nothing.
-        priority_weight: what a response in time earns.
+        priority_weight: the value of a response within the latency objective.
         semantics: whether a request may run more than once.
         same_zone_only: whether only endpoints in the proxy's zone may serve it.
-        allowed_zones: of the endpoints that may serve it; empty: any.
-        allowed_classes: of the endpoints that may serve it; empty: any.
+        allowed_zones: zones whose endpoints may serve it; empty: any.
+        allowed_classes: endpoint classes that may serve it; empty: any.
     """
 
     name: str
@@ -68,13 +68,13 @@
 
     Attributes:
         entries_per_second: the rate at which it carries endpoint entries.
-        message_overhead_entries: what a message costs before it holds an entry.
-        queue_limit_entries: entries that may wait at any time.
+        message_overhead_entries: the cost of a message without its entries.
+        queue_limit_entries: the most entries that may wait in the channel.
         typical_delay_ticks: how long a message usually takes once it has left the queue.
         max_delay_ticks: how long one may take.
         message_cap: messages to one proxy within `message_cap_window_ticks`; 0: no cap.
         message_cap_window_ticks: the window of the cap.
-        entry_price: what an entry costs, in the unit of `Route.priority_weight`.
+        entry_price: price of one entry, in the unit of `Route.priority_weight`.
     """
 
     entries_per_second: float
@@ -93,10 +93,10 @@
 
     Attributes:
         empty_table_grace_ticks: how long a connected proxy may be without a usable endpoint.
-        drain_grace_ticks: after this, nothing may be sent to a draining or removed endpoint.
-        discovery_poll_ticks: the longest time between two questions for the endpoint list.
-        slow_start_fraction: of its capacity, what a newly started endpoint has at once.
-        slow_start_ticks: after this it has all of its capacity.
+        drain_grace_ticks: time after which no request may reach a draining or removed endpoint.
+        discovery_poll_ticks: the longest time between two requests for the endpoint list; bounds the backoff.
+        slow_start_fraction: share of its capacity that a newly started endpoint has at once.
+        slow_start_ticks: time after its start when an endpoint has all of its capacity.
         recovery_overload_factor: how far over its capacity a recovering endpoint may be loaded.
     """
 
@@ -115,7 +115,7 @@
     Attributes:
         proxy_count: in the whole deployment, over all controllers.
         avoidance_failures: failures in a row after which a proxy avoids an endpoint by itself; 0: never.
-        default_table_size: endpoints of the table that a proxy starts with; 0: it starts with none.
+        bootstrap_table_size: number of endpoints in the table that a proxy starts with; 0: it has none.
         admission_unit: how proxies read admission limits.
         default_retries: when a proxy retries before a controller sets it.
         report_interval_ticks: between two reports of one sender.
@@ -126,7 +126,7 @@
 
     proxy_count: int
     avoidance_failures: int
-    default_table_size: int
+    bootstrap_table_size: int
     admission_unit: AdmissionUnit
     default_retries: RetryMode
     report_interval_ticks: int
--- a/willowhook/decisions/subsets.py
+++ b/willowhook/decisions/subsets.py
@@ -107,7 +107,7 @@
         expected = waiting + self._fleet.absent_proxies
         entries = self._entries_in_time() / expected - self._channel.overhead_entries
         affordable = int(entries / len(self._tables_of_one_proxy)) - TABLE_OVERHEAD_ENTRIES
-        return max(MIN_ENDPOINTS, self._fleet.settings.fleet.default_table_size, affordable)
+        return max(MIN_ENDPOINTS, self._fleet.settings.fleet.bootstrap_table_size, affordable)
 
     def _entries_in_time(self) -> float:
         """Entries that the channel carries within the part of the grace that binds may take."""
--- a/willowhook/decisions/weight_solver.py
+++ b/willowhook/decisions/weight_solver.py
@@ -16,10 +16,10 @@
 from .timing import EVALUATION_INTERVAL_TICKS
 
 STEP_INTERVAL_TICKS = 3 * TICKS_PER_SECOND
-DAMPING = 0.5  # of the gap to the target, a step
-MAX_FACTOR = 2.0  # between a target and the base weight, either way
-MIN_SUCCESSES = 2  # for a latency to count
-MIN_UTILIZATION = 0.1  # an endpoint that reports less counts as this busy
+DAMPING = 0.5  # share of the gap to the target that one step covers
+MAX_FACTOR = 2.0  # most by which a target may differ from the base weight, as a factor
+MIN_SUCCESSES = 2  # successful attempts for a latency to count
+MIN_ASSUMED_UTILIZATION = 0.1  # an endpoint that reports less counts as this busy
 
 
 class WeightSolver:
@@ -45,7 +45,7 @@
         return is_done
 
     def takes_changes(self, now: int) -> bool:
-        """Whether changed weights are to be sent now: after a step, and as often where none can be made."""
+        """Whether to send changed weights now: after each step, or as often while no step is possible."""
         if now < self._next_changes_at:
             return False
         self._next_changes_at = now + STEP_INTERVAL_TICKS
@@ -84,13 +84,13 @@
             endpoint.latency_factor += DAMPING * (target - endpoint.latency_factor)
 
     def _learn_capacities(self, now: int, sums: dict[str, AttemptSums]) -> None:
-        """A class of endpoints is worth the requests that its middle one answers for its cores in use."""
+        """Learns the capacity of each endpoint class: the median of successes per core in use."""
         answered_per_core: dict[str, list[float]] = {}
         for name, row in sums.items():
             endpoint = self._fleet.endpoints[name]
             is_usable = row.attempts > row.failures and not self._slow_start.is_warming_up(now, endpoint)
             if is_usable and endpoint.has_recent_utilization(now, MAX_LOAD_AGE_TICKS):
-                rate = row.successes / max(endpoint.utilization, MIN_UTILIZATION)
+                rate = row.successes / max(endpoint.utilization, MIN_ASSUMED_UTILIZATION)
                 answered_per_core.setdefault(endpoint.endpoint_class, []).append(rate)
         worth = {endpoint_class: median(rates) for endpoint_class, rates in answered_per_core.items()}
         endpoints = self._fleet.endpoints.values()
--- a/willowhook/decisions/weights.py
+++ b/willowhook/decisions/weights.py
@@ -29,7 +29,7 @@
         if slow_start < 1:
             if table.subset is not None:
                 return 0.0  # too few others to share the requests with
-            # idle as it is, its latency would raise it over what it can serve
+            # its latency is low because it is idle, and must not raise it over its slow-start share
             latency_factor = min(latency_factor, 1.0)
         remote_factor = table.remote_factor if endpoint.zone != table.zone else 1.0
         return endpoint.capacity * latency_factor * slow_start * remote_factor
@@ -37,8 +37,8 @@
     def weights(self, now: int, table: EndpointTable) -> dict[str, float]:
         """The weights of all endpoints in a table.
 
-        If none has any, all that are allowed there count alike, warming ones only if there are no others: a
-        proxy must not be left without an endpoint.
+        If all weights are 0, the allowed endpoints count alike, ejected ones too, and warming ones only if
+        there are no others: a proxy must not be left without an endpoint.
         """
         endpoints = self._fleet.endpoints
         weigh = self.weight
--- a/willowhook/settings_codec.py
+++ b/willowhook/settings_codec.py
@@ -130,7 +130,7 @@
     return FleetSettings(
         proxy_count=int(extra.get("proxies") or 1),
         avoidance_failures=int(extra.get("strikes") or 0),
-        default_table_size=int(extra.get("default-size") or 0),
+        bootstrap_table_size=int(extra.get("default-size") or 0),
         admission_unit=admission_unit(str(extra.get("admit", "none"))),
         default_retries=retry_mode(int(extra.get("retry-default") or 0)),
         report_interval_ticks=ticks_from_seconds(extra.get("period") or 1),
