--- a/tests/test_platform_bytes.py
+++ b/tests/test_platform_bytes.py
@@ -27,7 +27,7 @@
 from willowhook.platform.address import Address
 from willowhook.platform.configuration import ControllerConfiguration
 from willowhook.platform.connection import Connection
-from willowhook.platform.fields import FieldError
+from willowhook.platform.fields import MalformedFieldError
 from willowhook.settings_codec import decode_settings
 
 Message = dict[str, Any]
@@ -138,7 +138,7 @@
         """Whether it was accepted; one that is of no use counts as discovery lost."""
         try:
             self._handle_answer(answer)
-        except FieldError as error:
+        except MalformedFieldError as error:
             self.discovery_lost(str(error))
             return False
         return True
--- a/tests/test_platform_discovery_watch.py
+++ b/tests/test_platform_discovery_watch.py
@@ -10,7 +10,7 @@
 
 from willowhook.platform.address import Address
 from willowhook.platform.discovery_watch import DiscoveryWatch
-from willowhook.platform.fields import FieldError, Fields
+from willowhook.platform.fields import Fields, MalformedFieldError
 
 Scenario = Callable[["FakeDiscovery", "WatchRecorder"], Awaitable[None]]
 
@@ -72,7 +72,7 @@
         self.while_handling = lambda: None
         act()
         if fields["seq"] < 0:
-            raise FieldError("seq")
+            raise MalformedFieldError("seq")
         return int(fields["seq"])
 
 
--- a/tests/test_platform_endpoint_list.py
+++ b/tests/test_platform_endpoint_list.py
@@ -11,7 +11,7 @@
     change_request_target,
     list_request_target,
 )
-from willowhook.platform.fields import FieldError
+from willowhook.platform.fields import MalformedFieldError
 
 IN_SERVICE = EndpointState.IN_SERVICE
 
@@ -35,12 +35,14 @@
         list_entry("d", "leaving"),
     ]
     answer = {"seq": 8, "whole": True, "hosts": malformed}
-    with pytest.raises(FieldError):  # an endpoint may be missing as its entry has no name: requested again
+    with pytest.raises(
+        MalformedFieldError
+    ):  # an endpoint may be missing as its entry has no name: requested again
         decoder.decode(answer)
     repeated = [(entry.name, entry.state) for entry in decoder.decode(answer).entries]
     assert repeated == [("a", IN_SERVICE), ("b", IN_SERVICE), ("d", EndpointState.DRAINING)]
     assert decoder.version == 8 and decoder.malformed_entries == 8
-    with pytest.raises(FieldError):
+    with pytest.raises(MalformedFieldError):
         decoder.decode({"seq": 9, "whole": True})
     assert decoder.version == 8
     change = decoder.decode({"seq": 9, "whole": False, "hosts": [list_entry("a", "left")]})
@@ -51,17 +53,17 @@
     decoder = EndpointListDecoder()
     decoder.decode({"seq": 7, "whole": True, "hosts": [list_entry("a"), list_entry("b")]})
     for _ in range(2):  # an old change never counts
-        with pytest.raises(FieldError):
+        with pytest.raises(MalformedFieldError):
             decoder.decode({"seq": 5, "whole": False, "hosts": [list_entry("a", "leaving")]})
     unchanged = decoder.decode({"seq": 5, "whole": False, "hosts": []})
     assert unchanged == EndpointListReceived(False, ())
     assert decoder.version == 7
     for _ in range(3):  # all entries malformed: no empty list
-        with pytest.raises(FieldError):
+        with pytest.raises(MalformedFieldError):
             decoder.decode({"seq": 8, "whole": True, "hosts": [{"host": 5}, None]})
     assert decoder.decode({"seq": 8, "whole": True, "hosts": []}) == EndpointListReceived(True, ())
     restarted = {"seq": 2, "whole": True, "hosts": [list_entry("a")]}  # discovery lost its versions
-    with pytest.raises(FieldError):
+    with pytest.raises(MalformedFieldError):
         decoder.decode(restarted)
     accepted = decoder.decode(restarted)
     assert accepted.is_complete and len(accepted.entries) == 1 and decoder.version == 2
--- a/tests/test_platform_messages.py
+++ b/tests/test_platform_messages.py
@@ -13,7 +13,7 @@
 from test_platform_framing import json_values
 
 from willowhook.decisions.events import EndpointReport, MessageAcknowledged, ProxyJoined, RequestReport
-from willowhook.platform.fields import FieldError, Fields
+from willowhook.platform.fields import Fields, MalformedFieldError
 from willowhook.platform.messages import CollectorJoined, Heartbeat, MessageDecoder
 
 DECODER = MessageDecoder(SETTINGS)
@@ -48,18 +48,20 @@
 
 @pytest.mark.parametrize("message_type", [None, 5, "", "odd", ["hb"], {"hb": 1}, True])
 def test_unknown_message_type_is_refused(message_type: object) -> None:
-    with pytest.raises(FieldError, match="^t: "):
+    with pytest.raises(MalformedFieldError, match="^t: "):
         DECODER.decode({**DONE, "t": message_type}, 4)
 
 
 def test_acknowledgement_from_a_connection_without_a_proxy_is_refused() -> None:
-    with pytest.raises(FieldError, match="^t: "):
+    with pytest.raises(MalformedFieldError, match="^t: "):
         DECODER.decode(DONE, None)
 
 
 def test_field_error_names_the_field_and_what_came_in_few_characters() -> None:
     for value in ("x" * 10_000, 10**300, [0] * 10_000, None, -1, 1.5, True):
-        with pytest.raises(FieldError, match="^mark: expected an integer from 0 to 65535, got ") as caught:
+        with pytest.raises(
+            MalformedFieldError, match="^mark: expected an integer from 0 to 65535, got "
+        ) as caught:
             DECODER.decode({**DONE, "mark": value}, 4)
         assert len(str(caught.value)) < 100
 
@@ -72,11 +74,11 @@
     key = data.draw(st.sampled_from(checked))
     without_key = {name: field for name, field in valid.items() if name != key}
     if key != "load":
-        with pytest.raises(FieldError):
+        with pytest.raises(MalformedFieldError):
             DECODER.decode(without_key, 4)
     try:
         event = DECODER.decode({**without_key, key: value}, 4)
-    except FieldError:
+    except MalformedFieldError:
         return
     attributes = astuple(event)
     assert all(type(each) in (int, float, str, bool) or each is None for each in attributes)
--- a/tests/test_platform_status_log.py
+++ b/tests/test_platform_status_log.py
@@ -10,9 +10,9 @@
 from willowhook.decisions.events import EndpointListLost, EndpointListReceived, Event
 from willowhook.decisions.status import ControllerStatus
 from willowhook.platform.clock import Clock
-from willowhook.platform.endpoint_list_feed import EndpointListFeed
+from willowhook.platform.discovery_events import DiscoveryEvents
 from willowhook.platform.evaluation_timer import EvaluationTimer
-from willowhook.platform.fields import FieldError
+from willowhook.platform.fields import MalformedFieldError
 from willowhook.platform.status_log import ServerStatus, format_status
 
 
@@ -64,17 +64,17 @@
     assert timer.take_due(1300) and timer.ticks_until_next() is None
 
 
-def test_endpoint_list_feed_logs_a_loss_once_and_its_recovery() -> None:
+def test_discovery_events_logs_a_loss_once_and_its_recovery() -> None:
     events: list[Event] = []
     log: list[str] = []
-    feed = EndpointListFeed(events.append, log.append)
+    feed = DiscoveryEvents(events.append, log.append)
     assert feed.load({"seq": 3, "whole": True, "hosts": [list_entry("a")]}) == 3
     assert isinstance(events[0], EndpointListReceived)
     feed.handle_loss("timeout")
     feed.handle_loss("timeout")
     assert events[1:] == [EndpointListLost(), EndpointListLost()]
     assert log == ["discovery lost error='timeout'"]
-    with pytest.raises(FieldError):
+    with pytest.raises(MalformedFieldError):
         feed.handle_answer({"seq": "x"})
     assert len(log) == 1
     assert feed.handle_answer({"seq": 3, "whole": False, "hosts": []}) == 3  # no change, and no event
--- a/willowhook/platform/endpoint_list_feed.py
+++ b/willowhook/platform/discovery_events.py
@@ -9,7 +9,7 @@
 from .runtime import WriteLog
 
 
-class EndpointListFeed:
+class DiscoveryEvents:
     """Submits the changes of the endpoint list, and logs when discovery is lost and when it recovers.
 
     Args:
@@ -24,14 +24,17 @@
         self._is_lost = False
 
     def load(self, answer: Fields) -> int | None:
-        """Takes a list that the configuration holds, and returns its version. Raises FieldError."""
+        """Takes a list that the configuration holds, and returns its version. Raises MalformedFieldError."""
         received = self._decoder.decode(answer)
         if received.is_complete or received.entries:
             self._submit(received)
         return self._decoder.version
 
     def handle_answer(self, answer: Fields) -> int | None:
-        """Takes an answer of discovery, and returns the version of the list then. Raises FieldError."""
+        """Handles an answer from discovery and returns the version of the list after it.
+
+        Raises MalformedFieldError.
+        """
         version = self.load(answer)
         if self._is_lost:
             self._is_lost = False
--- a/willowhook/platform/discovery_watch.py
+++ b/willowhook/platform/discovery_watch.py
@@ -9,7 +9,7 @@
 from ..web.wire import Broken, Caller, Reply, dial
 from .address import Address
 from .endpoint_list import change_request_target, list_request_target
-from .fields import FieldError, Fields
+from .fields import Fields, MalformedFieldError
 from .framing import FramingError, decode_object
 
 # How long a request waits for a change, and how much later its answer may come: together, how long it takes
@@ -31,7 +31,7 @@
 
     Args:
         address: of discovery.
-        handle_answer: takes an answer and returns the version of the list then. Raises FieldError.
+        handle_answer: takes an answer and returns the version of the list then. Raises MalformedFieldError.
         handle_loss: takes the reason for which there was no answer, or none of use.
 
     Attributes:
@@ -88,7 +88,7 @@
             return
         try:
             self.version = self._handle_answer(answer)
-        except FieldError as error:
+        except MalformedFieldError as error:
             self._pause()
             self._wants_complete_list = True
             self._handle_loss(f"malformed answer: {error}")
--- a/willowhook/platform/endpoint_list.py
+++ b/willowhook/platform/endpoint_list.py
@@ -10,7 +10,7 @@
 
 from ..decisions.events import EndpointEntry, EndpointListReceived, EndpointState
 from ..ticks import ticks_from_milliseconds
-from .fields import FieldError, Fields, describe, read_boolean, read_integer, read_number, read_text
+from .fields import Fields, MalformedFieldError, describe, read_boolean, read_integer, read_number, read_text
 
 LIST_PATH = "/v1/servers"
 STATES = {
@@ -59,12 +59,12 @@
         self._known: dict[str, EndpointEntry] = {}
 
     def decode(self, answer: Fields) -> EndpointListReceived:
-        """Decodes an answer. Raises FieldError if it is malformed or implausible as a whole."""
+        """Decodes an answer. Raises MalformedFieldError if it is malformed or implausible as a whole."""
         version = read_integer(answer, "seq", MAX_VERSION)
         is_complete = read_boolean(answer, "whole")
         listed = answer.get("hosts")
         if type(listed) is not list:
-            raise FieldError(f"hosts: expected a list, got {describe(listed)}")
+            raise MalformedFieldError(f"hosts: expected a list, got {describe(listed)}")
         if self._is_older(version) and not is_complete and not listed:
             return EndpointListReceived(False, ())  # no changes, from a replica that lags behind
         entries = self._decode_entries(listed)
@@ -82,7 +82,7 @@
         for fields in listed:
             try:
                 entry = _decode_entry(fields)
-            except FieldError:
+            except MalformedFieldError:
                 self.malformed_entries += 1
                 known = self._find_known(fields)
                 if known is None:
@@ -99,14 +99,16 @@
     def _check_plausibility(
         self, version: int, is_complete: bool, unidentified_count: int, entry_count: int
     ) -> None:
-        """Raises FieldError on an older list, and on a complete one whose gaps say nothing."""
+        """Raises MalformedFieldError on an older list, and on a complete one whose gaps say nothing."""
         is_older = self._is_older(version)
         is_repeated = self._is_doubtful
         self._is_doubtful = is_complete and (is_older or unidentified_count > 0)
         if is_older and not (is_complete and is_repeated):
-            raise FieldError(f"seq: {version} after {self.version}")
+            raise MalformedFieldError(f"seq: {version} after {self.version}")
         if is_complete and unidentified_count and (not is_repeated or 2 * unidentified_count >= entry_count):
-            raise FieldError(f"hosts: {unidentified_count} of {entry_count} entries name no known endpoint")
+            raise MalformedFieldError(
+                f"hosts: {unidentified_count} of {entry_count} entries name no known endpoint"
+            )
 
     def _remember(self, is_complete: bool, entries: dict[str, EndpointEntry]) -> None:
         if is_complete:
@@ -120,10 +122,10 @@
 
 def _decode_entry(fields: Any) -> EndpointEntry:
     if type(fields) is not dict:
-        raise FieldError(f"entry: expected an object, got {describe(fields)}")
+        raise MalformedFieldError(f"entry: expected an object, got {describe(fields)}")
     state = STATES.get(read_text(fields, "health"))
     if state is None:
-        raise FieldError("health: unknown state")
+        raise MalformedFieldError("health: unknown state")
     return EndpointEntry(
         started_at=ticks_from_milliseconds(read_number(fields, "born_ms", MAX_START_TIME_MS)),
         listed_weight=read_number(fields, "share", MAX_LISTED_WEIGHT),
--- a/willowhook/platform/fields.py
+++ b/willowhook/platform/fields.py
@@ -1,6 +1,6 @@
 """Checks of single fields of decoded JSON objects, as they come from peers.
 
-Every check raises FieldError on a value that is missing, of another type or out of range.
+Every check raises MalformedFieldError on a value that is missing, of another type or out of range.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 Fields = dict[str, Any]  # a JSON object as it was decoded, before its fields are checked
 
 
-class FieldError(WillowhookError):
+class MalformedFieldError(WillowhookError):
     """A message, or one entry of a message, is malformed; what surrounds it is not affected.
 
     The peer's fault. The text names the field and what was expected of it.
@@ -23,36 +23,38 @@
 
 
 def read_integer(fields: Fields, key: str, maximum: int) -> int:
-    """The integer from 0 to `maximum` that a field holds. Raises FieldError."""
+    """The integer from 0 to `maximum` that a field holds. Raises MalformedFieldError."""
     value = fields.get(key)
     if type(value) is not int or not 0 <= value <= maximum:
-        raise FieldError(f"{key}: expected an integer from 0 to {maximum}, got {describe(value)}")
+        raise MalformedFieldError(f"{key}: expected an integer from 0 to {maximum}, got {describe(value)}")
     return value
 
 
 def read_number(fields: Fields, key: str, maximum: float) -> float:
-    """The number from 0 to `maximum` that a field holds, integers included. Raises FieldError."""
+    """The number from 0 to `maximum` that a field holds, integers included. Raises MalformedFieldError."""
     value = fields.get(key)
     if isinstance(value, bool) or not isinstance(value, int | float):
-        raise FieldError(f"{key}: expected a number, got {describe(value)}")
+        raise MalformedFieldError(f"{key}: expected a number, got {describe(value)}")
     if not 0 <= value <= maximum:  # refuses infinities and NaN as well
-        raise FieldError(f"{key}: expected a number from 0 to {maximum:g}, got {describe(value)}")
+        raise MalformedFieldError(f"{key}: expected a number from 0 to {maximum:g}, got {describe(value)}")
     return float(value)
 
 
 def read_text(fields: Fields, key: str) -> str:
-    """The text that a field holds, neither empty nor over MAX_TEXT_CHARACTERS. Raises FieldError."""
+    """The text that a field holds, neither empty nor over MAX_TEXT_CHARACTERS. Raises MalformedFieldError."""
     value = fields.get(key)
     if type(value) is not str or not 0 < len(value) <= MAX_TEXT_CHARACTERS:
-        raise FieldError(f"{key}: expected 1 to {MAX_TEXT_CHARACTERS} characters, got {describe(value)}")
+        raise MalformedFieldError(
+            f"{key}: expected 1 to {MAX_TEXT_CHARACTERS} characters, got {describe(value)}"
+        )
     return value
 
 
 def read_boolean(fields: Fields, key: str) -> bool:
-    """The truth value that a field holds. Raises FieldError."""
+    """The truth value that a field holds. Raises MalformedFieldError."""
     value = fields.get(key)
     if type(value) is not bool:
-        raise FieldError(f"{key}: expected a boolean, got {describe(value)}")
+        raise MalformedFieldError(f"{key}: expected a boolean, got {describe(value)}")
     return value
 
 
--- a/willowhook/platform/messages.py
+++ b/willowhook/platform/messages.py
@@ -11,7 +11,7 @@
 from ..decisions.events import EndpointReport, MessageAcknowledged, ProxyJoined, RequestReport
 from ..decisions.settings import DeploymentSettings
 from ..ticks import TICKS_PER_MILLISECOND, ticks_from_milliseconds
-from .fields import FieldError, Fields, describe, read_boolean, read_integer, read_number, read_text
+from .fields import Fields, MalformedFieldError, describe, read_boolean, read_integer, read_number, read_text
 from .framing import encode_frame
 
 # Bounds, so that a malformed figure does not pass as a measurement.
@@ -94,12 +94,13 @@
             proxy: the proxy whose connection carried it; None: it is not a proxy's, or not identified.
 
         Raises:
-            FieldError: if the type is unknown, or a field is missing, of another type or out of range.
+            MalformedFieldError: if the message type is unknown, or a field is missing, has another type or is
+                out of range.
         """
         message_type = fields.get("t")
         decoder = self._decoders.get(message_type) if type(message_type) is str else None
         if decoder is None:
-            raise FieldError("t: unknown message type")
+            raise MalformedFieldError("t: unknown message type")
         return decoder(fields, proxy)
 
     def _decode_heartbeat(self, _fields: Fields, _proxy: int | None) -> Heartbeat:
@@ -118,7 +119,7 @@
 
     def _decode_acknowledgement(self, fields: Fields, proxy: int | None) -> MessageAcknowledged:
         if proxy is None:
-            raise FieldError("t: only a proxy acknowledges messages")
+            raise MalformedFieldError("t: only a proxy acknowledges messages")
         marker = read_integer(fields, "mark", MAX_SYNC_MARKER)
         read_number(fields, "took_ms", MAX_DURATION_MS)
         return MessageAcknowledged(proxy, marker)
@@ -139,7 +140,7 @@
         proxy = read_integer(fields, "proxy", self._last_proxy)
         route = read_text(fields, "class")
         if route not in self._routes:
-            raise FieldError("class: unknown route")
+            raise MalformedFieldError("class: unknown route")
         requests = read_integer(fields, "tries", MAX_REQUESTS)
         # not bounded by the requests: one that failed may have come in an earlier window
         read_integer(fields, "failed", MAX_REQUESTS)
@@ -148,14 +149,14 @@
     def _read_zone(self, fields: Fields) -> str:
         zone = read_text(fields, "zone")
         if zone not in self._zones:
-            raise FieldError("zone: unknown zone")
+            raise MalformedFieldError("zone: unknown zone")
         return zone
 
 
 def _read_window_ticks(fields: Fields) -> int:
     window_ms = read_number(fields, "span_ms", MAX_DURATION_MS)
     if window_ms <= 0:
-        raise FieldError("span_ms: expected a number over 0")
+        raise MalformedFieldError("span_ms: expected a number over 0")
     return ticks_from_milliseconds(window_ms)
 
 
@@ -165,7 +166,7 @@
     if load is None:
         return None
     if type(load) is not dict:
-        raise FieldError(f"load: expected an object, got {describe(load)}")
+        raise MalformedFieldError(f"load: expected an object, got {describe(load)}")
     cpu_utilization = None
     for key in load:
         maximum = MAX_LOAD_FIGURES.get(key)
--- a/willowhook/platform/proxy_sessions.py
+++ b/willowhook/platform/proxy_sessions.py
@@ -8,7 +8,7 @@
 from .configuration import ControllerConfiguration
 from .connection import Connection
 from .connection_server import ConnectionServer, IdentificationError
-from .fields import FieldError, Fields
+from .fields import Fields, MalformedFieldError
 from .messages import HEARTBEAT_REPLY, CollectorJoined, Heartbeat, Message, MessageDecoder
 from .proxy_updates import ProxyUpdates
 from .runtime import WriteLog
@@ -68,10 +68,10 @@
             elif not connection.is_identified:
                 self._identify(connection, message)
             elif isinstance(message, JOIN_MESSAGES):
-                raise FieldError("t: the peer has joined already")
+                raise MalformedFieldError("t: the peer has joined already")
             else:
                 self._submit(message)
-        except FieldError as error:
+        except MalformedFieldError as error:
             if not connection.is_identified:
                 raise IdentificationError(str(error)) from error
             self._record_malformed(fields, error)
@@ -83,7 +83,7 @@
             connection.zone = message.zone
             self._wake()
         else:
-            raise FieldError("t: the peer has not joined")
+            raise MalformedFieldError("t: the peer has not joined")
         self.connections.confirm_identity(connection)
 
     def _open_session(self, connection: Connection, joined: ProxyJoined) -> None:
@@ -93,7 +93,7 @@
         if previous is not None:
             if previous.sequence_number > connection.sequence_number:
                 # both became readable in the same turn, and are read in any order
-                raise FieldError("proxy: it has joined on a newer connection")
+                raise MalformedFieldError("proxy: it has joined on a newer connection")
             self.connections.close(previous)  # it reconnected before its old connection was seen to end
         connection.proxy = proxy
         self._connection_by_proxy[proxy] = connection
@@ -111,7 +111,7 @@
     def _send_update(self, proxy: int, update: EncodedParts) -> None:
         self.connections.send(self._connection_by_proxy[proxy], b"".join(update.frames))
 
-    def _record_malformed(self, fields: Fields, error: FieldError) -> None:
+    def _record_malformed(self, fields: Fields, error: MalformedFieldError) -> None:
         self.malformed_count += 1
         if self.malformed_count <= MAX_LOGGED_MALFORMED_MESSAGES:
             message_type = str(fields.get("t"))[:MAX_LOGGED_TYPE_CHARACTERS]
--- a/willowhook/platform/proxy_updates.py
+++ b/willowhook/platform/proxy_updates.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(slots=True)
-class TableState:
+class CommandedTable:
     """A table as it was commanded, and what has changed in it since the last flush.
 
     Attributes:
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True)
-class SessionState:
+class SessionUpdates:
     """What a proxy has been sent in its session, and what is pending until the next flush.
 
     Attributes:
@@ -65,7 +65,7 @@
         """The tables that it is bound to, each once, in the order of its routes."""
         return list(dict.fromkeys(self.table_by_route.values()))
 
-    def confirm_sent(self) -> None:
+    def mark_sent(self) -> None:
         """All that was pending has been sent."""
         for endpoint, is_excluded in self.pending_exclusions.items():
             self.excluded.pop(endpoint, None)
@@ -104,8 +104,8 @@
     def __init__(self, settings: DeploymentSettings, send: SendUpdate) -> None:
         self._encoder = UpdateEncoder(settings)
         self._send = send
-        self._tables: dict[int, TableState] = {}
-        self._sessions: dict[int, SessionState] = {}
+        self._tables: dict[int, CommandedTable] = {}
+        self._sessions: dict[int, SessionUpdates] = {}
         self._excluded: dict[str, None] = {}  # at all proxies; a dict for its order
         self._pending: dict[int, None] = {}  # proxies that updates are pending for; a dict for its order
         self._sync_marker: int | None = None
@@ -119,7 +119,7 @@
             proxy: its number.
             is_fresh: whether no controller has sent this proxy a table since it started.
         """
-        self._sessions[proxy] = SessionState(may_hold_exclusions=not is_fresh)
+        self._sessions[proxy] = SessionUpdates(may_hold_exclusions=not is_fresh)
 
     def close_session(self, proxy: int) -> None:
         """Forgets a session, if there is one."""
@@ -134,21 +134,21 @@
 
     def set_weight(self, table: int, endpoint: str, weight: float) -> None:
         """Sets the weight of an endpoint in a table; 0 takes its entry out."""
-        state = self._table(table)
-        state.weights.pop(endpoint, None)  # set again, it goes to the end of the table
+        commanded = self._table(table)
+        commanded.weights.pop(endpoint, None)  # set again, it goes to the end of the table
         if weight > 0:
-            state.weights[endpoint] = weight
-        state.changed_weights[endpoint] = weight
-        self._mark_users_pending(state)
+            commanded.weights[endpoint] = weight
+        commanded.changed_weights[endpoint] = weight
+        self._mark_users_pending(commanded)
 
     def clear_table(self, table: int) -> None:
         """Takes out all entries and limits of a table."""
-        state = self._table(table)
-        state.weights.clear()
-        state.admission.clear()
-        for proxy in state.routes_by_proxy:
+        commanded = self._table(table)
+        commanded.weights.clear()
+        commanded.admission.clear()
+        for proxy in commanded.routes_by_proxy:
             self._sessions[proxy].tables_to_replace[table] = None
-        self._mark_users_pending(state)
+        self._mark_users_pending(commanded)
 
     def bind(self, proxy: int, table: int, routes: Sequence[int]) -> None:
         """Makes a proxy use a table for these routes, in place of what it used."""
@@ -166,18 +166,18 @@
 
     def set_admission(self, table: int, route: int, admission: AdmissionLimit) -> None:
         """Sets what the proxies that use a table admit of a route."""
-        state = self._table(table)
-        state.admission[route] = admission
-        state.changed_routes[route] = None
-        self._mark_users_pending(state)
+        commanded = self._table(table)
+        commanded.admission[route] = admission
+        commanded.changed_routes[route] = None
+        self._mark_users_pending(commanded)
 
     def exclude_endpoint(self, endpoint: str) -> None:
         """Excludes an endpoint at all proxies that may hold an entry for it."""
         self._excluded[endpoint] = None
-        holding_tables = [state for state in self._tables.values() if state.holds(endpoint)]
+        holding_tables = [table for table in self._tables.values() if table.holds(endpoint)]
         for proxy, session in self._sessions.items():
             has_default_table = not session.table_by_route  # of unknown content
-            if has_default_table or any(proxy in state.routes_by_proxy for state in holding_tables):
+            if has_default_table or any(proxy in table.routes_by_proxy for table in holding_tables):
                 session.pending_exclusions[endpoint] = True
                 self._pending[proxy] = None
 
@@ -218,12 +218,12 @@
             if session is None:
                 continue  # closed as another one was sent to
             self._send_pending(proxy, session, cache)
-        for state in self._tables.values():
-            state.forget_changes()
+        for table in self._tables.values():
+            table.forget_changes()
         self._pending.clear()
         self._sync_marker = None
 
-    def _send_pending(self, proxy: int, session: SessionState, cache: FlushCache) -> None:
+    def _send_pending(self, proxy: int, session: SessionUpdates, cache: FlushCache) -> None:
         frames: list[bytes] = []
         entry_count = 0
         for table in session.bound_tables():
@@ -234,30 +234,34 @@
             return
         last_part = self._encode_last_part(session, cache)
         self._send(proxy, EncodedParts(frames + last_part.frames, entry_count + last_part.entry_count))
-        session.confirm_sent()
+        session.mark_sent()
 
-    def _encode_table(self, table: int, proxy: int, session: SessionState, cache: FlushCache) -> EncodedParts:
+    def _encode_table(
+        self, table: int, proxy: int, session: SessionUpdates, cache: FlushCache
+    ) -> EncodedParts:
         """What a proxy has to be sent of a table; a complete one comes with the exclusions of its entries."""
-        state = self._tables[table]
-        routes = state.routes_by_proxy[proxy]
+        commanded = self._tables[table]
+        routes = commanded.routes_by_proxy[proxy]
         is_complete = table in session.tables_to_replace
         key = (table, routes, is_complete)
         parts = cache.tables.get(key)
         if parts is None:
-            weights = state.weights if is_complete else state.changed_weights
+            weights = commanded.weights if is_complete else commanded.changed_weights
             sent_routes = (
-                routes if is_complete else [route for route in routes if route in state.changed_routes]
+                routes if is_complete else [route for route in routes if route in commanded.changed_routes]
             )
-            limits = {route: state.admission[route] for route in sent_routes if route in state.admission}
+            limits = {
+                route: commanded.admission[route] for route in sent_routes if route in commanded.admission
+            }
             parts = self._encoder.encode_table(routes, weights, limits, replaces_table=is_complete)
             cache.tables[key] = parts
         if is_complete:
-            for endpoint in state.weights:
+            for endpoint in commanded.weights:
                 if endpoint in self._excluded:
                     session.pending_exclusions[endpoint] = True
         return parts
 
-    def _encode_last_part(self, session: SessionState, cache: FlushCache) -> EncodedParts:
+    def _encode_last_part(self, session: SessionUpdates, cache: FlushCache) -> EncodedParts:
         key = tuple(session.pending_exclusions.items())
         part = cache.last_parts.get(key)
         if part is None:
@@ -267,16 +271,16 @@
 
     # Private helpers of the commands.
 
-    def _table(self, table: int) -> TableState:
-        state = self._tables.get(table)
-        if state is None:
-            state = self._tables[table] = TableState()
-        return state
+    def _table(self, table: int) -> CommandedTable:
+        commanded = self._tables.get(table)
+        if commanded is None:
+            commanded = self._tables[table] = CommandedTable()
+        return commanded
 
-    def _mark_users_pending(self, state: TableState) -> None:
-        self._pending.update(dict.fromkeys(state.routes_by_proxy))
+    def _mark_users_pending(self, commanded: CommandedTable) -> None:
+        self._pending.update(dict.fromkeys(commanded.routes_by_proxy))
 
-    def _update_users(self, table: int, proxy: int, session: SessionState) -> None:
+    def _update_users(self, table: int, proxy: int, session: SessionUpdates) -> None:
         """Notes which routes of a proxy use a table now; if none does, it need not be sent any more."""
         routes = tuple(route for route, used in sorted(session.table_by_route.items()) if used == table)
         if routes:
--- a/willowhook/platform/server.py
+++ b/willowhook/platform/server.py
@@ -17,10 +17,10 @@
 from .configuration import ControllerConfiguration
 from .configuration_reload import ConfigurationReloader, ReadConfiguration
 from .control_loop import ControlLoop
+from .discovery_events import DiscoveryEvents
 from .discovery_watch import DiscoveryWatch
-from .endpoint_list_feed import EndpointListFeed
 from .evaluation_timer import EvaluationTimer
-from .fields import FieldError, Fields
+from .fields import Fields, MalformedFieldError
 from .lifecycle import run_until_terminated
 from .proxy_sessions import ProxySessions
 from .runtime import PlatformRuntime, WriteLog
@@ -46,9 +46,9 @@
         self._write_log = write_log
         self._clock = Clock()
         self._sessions = ProxySessions(configuration, self._submit, self._wake, write_log)
-        self._list_feed = EndpointListFeed(self._submit, write_log)
+        self._discovery_events = DiscoveryEvents(self._submit, write_log)
         self._discovery = DiscoveryWatch(
-            configuration.discovery, self._list_feed.handle_answer, self._list_feed.handle_loss
+            configuration.discovery, self._discovery_events.handle_answer, self._discovery_events.handle_loss
         )
         self._reloader = ConfigurationReloader(read_again, self._apply_configuration, write_log)
         updates = self._sessions.updates
@@ -80,8 +80,8 @@
     def _load_endpoint_list(self, answer: Fields) -> None:
         """Starts from the configured list; a malformed one is left out."""
         try:
-            self._discovery.version = self._list_feed.load(answer)
-        except FieldError as error:
+            self._discovery.version = self._discovery_events.load(answer)
+        except MalformedFieldError as error:
             self._write_log(f"configured endpoint list refused error={str(error)!r}")
 
     def _apply_configuration(self, configuration: ControllerConfiguration) -> None:
