--- a/tests/test_platform_status_log.py
+++ b/tests/test_platform_status_log.py
@@ -1,4 +1,4 @@
-"""The status line, the evaluation timer and the feed of the endpoint list."""
+"""The status line of the platform server, and the events that come from discovery."""
 
 from __future__ import annotations
 
@@ -9,9 +9,7 @@
 
 from willowhook.decisions.events import EndpointListLost, EndpointListReceived, Event
 from willowhook.decisions.status import ControllerStatus
-from willowhook.platform.clock import Clock
 from willowhook.platform.discovery_events import DiscoveryEvents
-from willowhook.platform.evaluation_timer import EvaluationTimer
 from willowhook.platform.fields import MalformedFieldError
 from willowhook.platform.status_log import ServerStatus, format_status
 
@@ -41,29 +39,6 @@
     )
 
 
-class FakeClock(Clock):
-    def __init__(self) -> None:
-        self.ticks = 1000
-
-    def now(self) -> int:
-        return self.ticks
-
-
-def test_evaluations_fall_due_in_the_order_of_their_times() -> None:
-    clock = FakeClock()
-    timer = EvaluationTimer(clock)
-    assert timer.ticks_until_next() is None and not timer.take_due(10**9)
-    timer.schedule(300)
-    timer.schedule(100)
-    timer.schedule(-5)  # is due at once
-    assert timer.ticks_until_next() == 0
-    assert timer.take_due(1000) and not timer.take_due(1000)
-    clock.ticks = 1150
-    assert timer.ticks_until_next() == -50
-    assert timer.take_due(1150) and not timer.take_due(1150)
-    assert timer.take_due(1300) and timer.ticks_until_next() is None
-
-
 def test_discovery_events_logs_a_loss_once_and_its_recovery() -> None:
     events: list[Event] = []
     log: list[str] = []
--- a/willowhook/platform/control_loop.py
+++ b/willowhook/platform/control_loop.py
@@ -6,9 +6,9 @@
 
 from ..decisions.controller import Controller
 from ..decisions.events import EvaluationDue, Event
+from ..evaluation_timer import EvaluationTimer
 from ..ticks import TICKS_PER_SECOND
 from .clock import Clock
-from .evaluation_timer import EvaluationTimer
 from .proxy_updates import ProxyUpdates
 
 MIN_FLUSH_INTERVAL_S = 0.004  # events that are closer together are one batch
@@ -58,8 +58,10 @@
             await trio.sleep(max(MIN_FLUSH_INTERVAL_S, pause_s))
 
     async def _wait_for_work(self) -> None:
-        remaining_ticks = self._evaluations.ticks_until_next()
-        wait_s = MAX_WAIT_S if remaining_ticks is None else remaining_ticks / TICKS_PER_SECOND
+        due_at = self._evaluations.next_due()
+        wait_s = MAX_WAIT_S
+        if due_at is not None:
+            wait_s = (due_at - self._clock.now()) / TICKS_PER_SECOND
         with trio.move_on_after(max(wait_s, 0.0)):
             await self._woken.wait()
         self._woken = trio.Event()
@@ -67,7 +69,7 @@
     def _flush(self) -> int:
         """Runs due evaluations and ends the batch; returns how long it took, in ticks."""
         started_at = self._clock.now()
-        while self._evaluations.take_due(started_at):
+        while self._evaluations.pop_due(started_at):
             self._controller.handle(started_at, EvaluationDue())
         self._controller.flush(started_at)
         self._updates.flush()
--- a/willowhook/platform/runtime.py
+++ b/willowhook/platform/runtime.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Sequence
 
 from ..decisions.runtime import AdmissionLimit
+from ..evaluation_timer import EvaluationTimer
 from .discovery_watch import DiscoveryWatch
-from .evaluation_timer import EvaluationTimer
 from .proxy_updates import ProxyUpdates
 
 WriteLog = Callable[[str], None]
--- a/willowhook/platform/server.py
+++ b/willowhook/platform/server.py
@@ -13,13 +13,13 @@
 
 from ..decisions.controller import Controller
 from ..decisions.events import Event
+from ..evaluation_timer import EvaluationTimer
 from .clock import Clock
 from .configuration import ControllerConfiguration
 from .configuration_reload import ConfigurationReloader, ReadConfiguration
 from .control_loop import ControlLoop
 from .discovery_events import DiscoveryEvents
 from .discovery_watch import DiscoveryWatch
-from .evaluation_timer import EvaluationTimer
 from .fields import Fields, MalformedFieldError
 from .lifecycle import run_until_terminated
 from .proxy_sessions import ProxySessions
