--- a/tests/test_platform_connections.py
+++ b/tests/test_platform_connections.py
@@ -7,7 +7,7 @@
 import trio
 
 from willowhook.platform.address import Address
-from willowhook.platform.connection import MAX_FIRST_MESSAGE_BYTES, Connection
+from willowhook.platform.connection import MAX_FIRST_MESSAGE_BYTES, Connection, PeerRole
 from willowhook.platform.connection_server import ConnectionServer
 from willowhook.platform.fields import Fields
 from willowhook.platform.framing import encode_frame
@@ -54,7 +54,7 @@
     def handle(self, connection: Connection, fields: Fields) -> None:
         self.message_types.append(fields["t"])
         if self.identifies:
-            connection.zone = "north"
+            connection.role = PeerRole.COLLECTOR
             self.server.confirm_identity(connection)
 
 
--- a/willowhook/platform/connection.py
+++ b/willowhook/platform/connection.py
@@ -1,20 +1,28 @@
 """One TCP connection of a proxy or a collector: its identity, its decoder and its queue of unsent bytes.
 
-Sockets do not block and are written to where a message is made: no message waits for a slow proxy. What the
-kernel does not take at once is queued here, and a task of the connection's own sends it.
+Sockets do not block and are written to where a message is encoded: no message waits for a slow proxy. Bytes
+that the kernel does not accept at once are queued here, and a separate task of the connection sends them.
 """
 
 from __future__ import annotations
 
 import socket
 from collections import deque
+from enum import Enum
 
 import trio
 
 from .framing import MAX_MESSAGE_BYTES, FrameDecoder
 
-MAX_FIRST_MESSAGE_BYTES = 4 << 10  # until the peer is identified: messages that join are short
-MAX_QUEUED_BYTES = 256 << 10  # for a peer that reads nothing, behind the kernel's own buffer
+MAX_FIRST_MESSAGE_BYTES = 4 << 10  # until the peer is identified: the messages by which peers join are short
+MAX_QUEUED_BYTES = 256 << 10  # for a peer that reads nothing; the kernel has a buffer of its own in front
+
+
+class PeerRole(Enum):
+    """As what a peer has identified itself."""
+
+    PROXY = "proxy"
+    COLLECTOR = "collector"
 
 
 class Connection:
@@ -22,24 +30,26 @@
 
     Args:
         sock: the accepted socket, which does not block; the connection closes it.
-        accepted_at: in seconds of trio's clock.
-        sequence_number: counts accepted connections; a later one has a higher number.
+        accepted_at: the time of acceptance, in seconds of trio's clock.
+        sequence_number: the number of connections accepted so far; a later connection has a higher number.
 
     Attributes:
-        socket: as given, like the time and the number.
-        proxy: the number of the proxy whose session it carries; None: it is no proxy's, or not identified.
-        zone: of the collector that it belongs to; empty: it is no collector's, or not identified.
-        is_open: whether it has not been closed on this side.
+        socket: the argument `sock`.
+        accepted_at: as given.
+        sequence_number: as given.
+        role: as what the peer has identified itself; None if it has not.
+        proxy: the number of the proxy, if `role` is PROXY; else None.
+        is_open: whether this side has not closed the connection.
         is_sending_queue: whether a task is running `send_queue`.
-        decoder: of what the peer sends.
+        decoder: decodes the bytes that the peer sends.
     """
 
     def __init__(self, sock: socket.socket, accepted_at: float, sequence_number: int) -> None:
         self.socket = sock
         self.accepted_at = accepted_at
         self.sequence_number = sequence_number
+        self.role: PeerRole | None = None
         self.proxy: int | None = None
-        self.zone = ""
         self.is_open = True
         self.is_sending_queue = False
         self.decoder = FrameDecoder(MAX_FIRST_MESSAGE_BYTES)
@@ -49,21 +59,21 @@
     @property
     def is_identified(self) -> bool:
         """Whether the peer has said who it is."""
-        return self.proxy is not None or bool(self.zone)
+        return self.role is not None
 
     @property
     def has_queued_bytes(self) -> bool:
-        """Whether bytes wait for the kernel to take them."""
+        """Whether bytes wait until the kernel accepts them."""
         return bool(self._queue)
 
     def allow_long_messages(self) -> None:
-        """Lifts the limit for peers that are not identified."""
+        """Removes the length limit for peers that are not identified."""
         self.decoder.max_message_bytes = MAX_MESSAGE_BYTES
 
     def send(self, data: bytes) -> bool:
-        """Sends what the kernel takes now and queues the rest.
+        """Sends the bytes that the kernel accepts now and queues the rest.
 
-        Returns whether the connection is of further use; if not, it failed or too many bytes are queued.
+        Returns whether the connection can still be used; False if it has failed or too many bytes are queued.
         """
         if not self.is_open:
             return False
@@ -80,7 +90,7 @@
         return self._queued_bytes <= MAX_QUEUED_BYTES
 
     async def send_queue(self) -> None:
-        """Sends what is queued as the kernel takes it; ends when nothing is, or the connection has ended."""
+        """Sends the queued bytes as the kernel accepts them, until none is left or the connection ends."""
         try:
             while self._queue and self.is_open:
                 await trio.lowlevel.wait_writable(self.socket)
@@ -88,12 +98,12 @@
                     break  # closed between the wake-up of this task and its turn
                 self._send_queue_head()
         except (OSError, trio.ClosedResourceError):
-            pass  # the task that reads the connection meets the fault as well, and closes it
+            pass  # the task that reads the connection detects the fault as well, and closes the connection
         finally:
             self.is_sending_queue = False
 
     def close(self) -> None:
-        """Closes the socket and drops what is queued. Does nothing if it is closed."""
+        """Closes the socket and discards the queued bytes. Does nothing if the connection is closed."""
         if self.is_open:
             self.is_open = False
             trio.lowlevel.notify_closing(self.socket)
@@ -109,7 +119,7 @@
             self._queued_bytes += len(data) - sent_bytes
 
     def _send_now(self, data: bytes) -> int:
-        """The number of bytes that the kernel took. Raises OSError if the connection has failed."""
+        """Returns the number of bytes that the kernel accepted. Raises OSError if the connection failed."""
         try:
             return self.socket.send(data)
         except BlockingIOError:
--- a/willowhook/platform/messages.py
+++ b/willowhook/platform/messages.py
@@ -1,6 +1,6 @@
-"""Decodes the messages of proxies and collectors into typed events, and holds the replies to them.
+"""Decodes the messages of proxies and collectors into typed events, and defines the replies to them.
 
-The names of the protocol's fields stand here, in `endpoint_list` and in `update_encoder`, and nowhere else.
+The names of the protocol's fields are used only here, in `endpoint_list` and in `update_encoder`.
 """
 
 from __future__ import annotations
@@ -8,6 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
+from ..decisions.channel import MARKERS
 from ..decisions.events import EndpointReport, MessageAcknowledged, ProxyJoined, RequestReport
 from ..decisions.settings import DeploymentSettings
 from ..ticks import TICKS_PER_MILLISECOND, ticks_from_milliseconds
@@ -15,14 +16,17 @@
 from .framing import encode_frame
 
 # Bounds, so that a malformed figure does not pass as a measurement.
-MAX_SYNC_MARKER = (1 << 16) - 1  # the controller counts markers in two bytes
-MAX_REQUESTS = 100_000  # of one report, which covers about a second
+MAX_SYNC_MARKER = MARKERS - 1
+MAX_REQUESTS = 100_000  # in one report, which covers about a second
 MAX_DURATION_MS = 600_000.0
 MAX_REQUESTS_PER_SECOND = 1e6
-LATENCY_TOLERANCE = 2.0  # a mean latency lies under the longest deadline, but for the noise of a report
+LATENCY_TOLERANCE = 2.0  # factor over the longest deadline: a mean latency lies below it, apart from noise
 
 # Load figures and their upper bounds. The settings document and the protocol's specification name them
-# differently, and peers use either name.
+# differently, and peers use either name. Only the CPU utilization is used. The other figures are checked too:
+# one that is out of range shows that the report is malformed, and no other field of it is then used.
+# The CPU utilization is a share of cores, so 1 is full use. Its bound is higher because a measured share can
+# exceed 1 (its CPU time and its window are measured separately), which does not make the report malformed.
 CPU_UTILIZATION_KEYS = ("busy", "util")
 MAX_LOAD_FIGURES = {
     "busy": 4.0,
@@ -45,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """A peer asks whether the connection is alive; the answer is HEARTBEAT_REPLY."""
+    """A peer checks whether the connection is alive; the answer is HEARTBEAT_REPLY."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,7 +72,7 @@
     """Decodes messages and checks each field.
 
     Args:
-        settings: tell the known zones, routes and proxy numbers.
+        settings: the settings of the deployment, which define the valid zones, routes and proxy numbers.
     """
 
     def __init__(self, settings: DeploymentSettings) -> None:
@@ -90,8 +94,9 @@
         """Decodes a message.
 
         Args:
-            fields: of the message.
-            proxy: the proxy whose connection carried it; None: it is not a proxy's, or not identified.
+            fields: the message as a JSON object.
+            proxy: the number of the proxy whose connection carried the message; None if the peer is a
+                collector or has not identified itself.
 
         Raises:
             MalformedFieldError: if the message type is unknown, or a field is missing, has another type or is
@@ -137,12 +142,14 @@
         )
 
     def _decode_request_report(self, fields: Fields, _proxy: int | None) -> RequestReport:
+        # the proxy that the report concerns, not the one whose connection carried it: a collector may report
+        # for proxies
         proxy = read_integer(fields, "proxy", self._last_proxy)
         route = read_text(fields, "class")
         if route not in self._routes:
             raise MalformedFieldError("class: unknown route")
         requests = read_integer(fields, "tries", MAX_REQUESTS)
-        # not bounded by the requests: one that failed may have come in an earlier window
+        # not bounded by the number of requests: a failed one may have been received in an earlier window
         read_integer(fields, "failed", MAX_REQUESTS)
         return RequestReport(proxy, route, requests, _read_window_ticks(fields))
 
@@ -161,7 +168,10 @@
 
 
 def _read_cpu_utilization(fields: Fields) -> float | None:
-    """The last one of the load figures; all known ones are checked. None if there is none."""
+    """The CPU utilization, or None if the report has none; if it has several, the last one.
+
+    All known load figures are checked.
+    """
     load = fields.get("load")
     if load is None:
         return None
--- a/willowhook/platform/proxy_sessions.py
+++ b/willowhook/platform/proxy_sessions.py
@@ -1,4 +1,4 @@
-"""The sessions of proxies and collectors: their messages become events, and proxies get updates."""
+"""The sessions of proxies and collectors: their messages become events, and updates are sent to proxies."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from ..decisions.events import Event, ProxyJoined, ProxyLeft
 from .configuration import ControllerConfiguration
-from .connection import Connection
+from .connection import Connection, PeerRole
 from .connection_server import ConnectionServer, IdentificationError
 from .fields import Fields, MalformedFieldError
 from .messages import HEARTBEAT_REPLY, CollectorJoined, Heartbeat, Message, MessageDecoder
@@ -14,7 +14,7 @@
 from .runtime import WriteLog
 from .update_encoder import EncodedParts
 
-MAX_LOGGED_MALFORMED_MESSAGES = 20  # one by one; all are counted
+MAX_LOGGED_MALFORMED_MESSAGES = 20  # since the start; later ones are only counted
 MAX_LOGGED_TYPE_CHARACTERS = 40
 JOIN_MESSAGES = (ProxyJoined, CollectorJoined)
 
@@ -22,18 +22,18 @@
 
 
 class ProxySessions:
-    """Knows which connection belongs to which proxy.
+    """Records which connection belongs to which proxy.
 
     Args:
-        configuration: of the controller.
-        submit: takes the events that come from the messages.
-        wake: is called when a collector joins, which is no event.
-        write_log: writes a line of the log.
+        configuration: the configuration of the controller.
+        submit: handles the events that the messages are decoded to.
+        wake: is called when a collector joins, for which there is no event.
+        write_log: writes one line to the log.
 
     Attributes:
         connections: the server of all connections.
-        updates: what each proxy has been sent.
-        malformed_count: messages that were refused, since the start.
+        updates: the updates sent to and pending for each proxy.
+        malformed_count: number of messages refused since the start.
     """
 
     def __init__(
@@ -56,7 +56,7 @@
 
     @property
     def proxy_count(self) -> int:
-        """The proxies that have a session."""
+        """The number of proxies that have a session."""
         return len(self._connection_by_proxy)
 
     def _handle_message(self, connection: Connection, fields: Fields) -> None:
@@ -80,21 +80,24 @@
         if isinstance(message, ProxyJoined):
             self._open_session(connection, message)
         elif isinstance(message, CollectorJoined):
-            connection.zone = message.zone
+            connection.role = PeerRole.COLLECTOR
             self._wake()
         else:
             raise MalformedFieldError("t: the peer has not joined")
         self.connections.confirm_identity(connection)
 
     def _open_session(self, connection: Connection, joined: ProxyJoined) -> None:
-        """Gives a proxy its session; of two connections the one that was accepted last counts."""
+        """Opens the session of a proxy; of two connections, the one that was accepted last is used."""
         proxy = joined.proxy
         previous = self._connection_by_proxy.get(proxy)
         if previous is not None:
             if previous.sequence_number > connection.sequence_number:
-                # both became readable in the same turn, and are read in any order
+                # both became readable in the same turn, and the order in which they are read is not defined
                 raise MalformedFieldError("proxy: it has joined on a newer connection")
-            self.connections.close(previous)  # it reconnected before its old connection was seen to end
+            self.connections.close(
+                previous
+            )  # the proxy reconnected before the end of its old connection was seen
+        connection.role = PeerRole.PROXY
         connection.proxy = proxy
         self._connection_by_proxy[proxy] = connection
         self.updates.open_session(proxy, joined.is_fresh)
