--- a/willowhook/platform/__main__.py
+++ b/willowhook/platform/__main__.py
@@ -31,11 +31,11 @@
         sys.stderr.write(f"{time.time():.3f} {text}\n")
         sys.stderr.flush()
     except (OSError, ValueError):
-        pass  # a log that cannot be written must not end the controller
+        pass  # a log that cannot be written to must not end the controller
 
 
 def main() -> int:
-    """Runs a server until a signal ends it; returns an `ExitCode`."""
+    """Runs a server until a signal ends it. Returns an `ExitCode`."""
     read_again = partial(read_configuration, dict(os.environ))
     try:
         configuration = read_again()
--- a/willowhook/platform/address.py
+++ b/willowhook/platform/address.py
@@ -6,10 +6,10 @@
 
 
 class Address(NamedTuple):
-    """Where a socket listens.
+    """The host and port at which a socket listens.
 
     Attributes:
-        host: name or IPv4 address.
+        host: host name or IPv4 address.
         port: TCP port.
     """
 
@@ -17,5 +17,5 @@
     port: int
 
     def __str__(self) -> str:
-        """As `host:port`."""
+        """The address as `host:port`."""
         return f"{self.host}:{self.port}"
--- a/willowhook/platform/clock.py
+++ b/willowhook/platform/clock.py
@@ -1,4 +1,4 @@
-"""The clock of the controller: Unix time in ticks, as endpoint lists give the start of an endpoint."""
+"""The clock of the controller: Unix time in ticks, in which endpoint lists state the start of an endpoint."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Clock:
-    """A clock that never goes back; a step of the system's Unix clock does not move it."""
+    """A clock that never goes back. Steps of the system's Unix clock after its creation do not affect it."""
 
     def __init__(self) -> None:
         self._monotonic_epoch_s = time.time() - time.monotonic()
--- a/willowhook/platform/configuration.py
+++ b/willowhook/platform/configuration.py
@@ -1,6 +1,6 @@
-"""The configuration of a controller: one JSON file, which the environment names.
+"""The configuration of a controller: one JSON file, whose path is in the environment.
 
-The keys of the file stand here; those of the settings document are read by `willowhook.settings_codec`.
+The keys of the file are used only here; `willowhook.settings_codec` reads those of its settings document.
 """
 
 from __future__ import annotations
@@ -20,31 +20,31 @@
 from .framing import FramingError, decode_object
 
 PATH_VARIABLE = "ROUTER_CONFIG"
-NAME_VARIABLE = "ROUTER_NAME"  # of the controller, if the file does not say
+NAME_VARIABLE = "ROUTER_NAME"  # the controller's name, if the file does not contain one
 MAX_FILE_BYTES = 64 << 20
 DEFAULT_MAX_DESCRIPTORS = 1024
 MAX_PORT = 65535
-MAX_SHOWN_CHARACTERS = 60  # of a value, in the text of an error
+MAX_SHOWN_CHARACTERS = 60  # length limit of a value that is quoted in an error
 
 Value = TypeVar("Value")
 
 
 class ConfigurationError(WillowhookError):
-    """The configuration is of no use; the text says in one line what is wrong, and where."""
+    """The configuration is unusable; the text states in one line what is wrong, and where."""
 
 
 @dataclass(frozen=True, slots=True)
 class ControllerConfiguration:
-    """What a controller knows at its start.
+    """The configuration with which a controller starts.
 
     Attributes:
-        name: of the controller.
-        listen: where proxies and collectors connect.
-        discovery: where the endpoint list is.
-        seed: of the controller's random numbers.
-        max_descriptors: that the process may have open.
-        endpoint_list: as this controller last had it, in the form of discovery's answers.
-        settings: of the deployment.
+        name: the name of the controller.
+        listen: the address at which it listens for proxies and collectors.
+        discovery: the address of discovery, which serves the endpoint list.
+        seed: the seed of the controller's random numbers.
+        max_descriptors: the number of file descriptors that the process may have open.
+        endpoint_list: the last endpoint list of this controller, in the form of discovery's answers.
+        settings: the settings of the deployment.
     """
 
     name: str
@@ -57,7 +57,7 @@
 
 
 def read_configuration(environment: Mapping[str, str]) -> ControllerConfiguration:
-    """Reads the file that the environment names. Raises ConfigurationError."""
+    """Reads the file whose path is in the environment. Raises ConfigurationError."""
     document = _load_document(environment.get(PATH_VARIABLE, ""))
     try:
         settings = decode_settings(_read_field(document, "settings", dict))
--- a/willowhook/platform/configuration_reload.py
+++ b/willowhook/platform/configuration_reload.py
@@ -16,12 +16,12 @@
 
 
 class ConfigurationReloader:
-    """Reads the configuration and applies it; one that stays unusable leaves the present one in force.
+    """Reads the configuration and applies it. If it stays unusable, the present one stays in force.
 
     Args:
-        read: the configuration as it stands then. Raises ConfigurationError.
-        apply: takes over what may change while the server runs.
-        write_log: writes a line of the log.
+        read: reads the present content of the configuration file. Raises ConfigurationError.
+        apply: applies the values that may change while the server runs.
+        write_log: writes one line to the log.
     """
 
     def __init__(self, read: ReadConfiguration, apply: ApplyConfiguration, write_log: WriteLog) -> None:
@@ -30,7 +30,7 @@
         self._write_log = write_log
 
     async def reload(self) -> None:
-        """Reads at once, and again with backoff while the configuration is unusable."""
+        """Reads the configuration at once, and again with backoff while it is unusable."""
         configuration = self._try_read(logs_failure=True)
         for delay_s in RETRY_DELAYS_S:
             if configuration is not None:
--- a/willowhook/platform/connection_server.py
+++ b/willowhook/platform/connection_server.py
@@ -1,7 +1,7 @@
-"""Accepts the connections of proxies and collectors, and reads them.
+"""Accepts the connections of proxies and collectors, and reads from them.
 
-A connection is unidentified until its first message says who the peer is. Unidentified ones have a time
-limit, and are the first to go when the process runs out of descriptors.
+A connection is unidentified until its first message identifies the peer. Unidentified connections have a time
+limit, and are closed first when the process runs out of file descriptors.
 """
 
 from __future__ import annotations
@@ -19,22 +19,22 @@
 from .framing import FramingError
 from .messages import REJECTION
 
-RECEIVE_BYTES = 64 << 10  # per read
+RECEIVE_BYTES = 64 << 10  # maximum of one read
 IDENTIFICATION_TIMEOUT_S = 2.0
 OVERDUE_CHECK_INTERVAL_S = 0.25
 OUT_OF_DESCRIPTORS_PAUSE_S = 0.25  # before the next connection is accepted
-SEND_BUFFER_BYTES = 64 << 10  # of the kernel, per socket: peers that read nothing must cost little memory
+SEND_BUFFER_BYTES = 64 << 10  # the kernel's, per socket: peers that read nothing must cost little memory
 LISTEN_BACKLOG = 1024
-MAX_ACCEPTED_PER_TURN = 64  # so that other tasks have their turn
-RESERVED_DESCRIPTORS = 24  # listener, discovery (two while it moves), event loop, log, spare
+MAX_ACCEPTED_PER_TURN = 64  # so that other tasks can run in between
+RESERVED_DESCRIPTORS = 24  # listener, discovery (two while its address changes), event loop, log, spare
 OUT_OF_RESOURCES = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 
 
 class IdentificationError(WillowhookError):
-    """The first message of a connection does not say who the peer is. The peer's fault; it is rejected."""
+    """The first message of a connection does not identify the peer. The peer's fault; it is rejected."""
 
 
-MessageHandler = Callable[[Connection, Fields], None]  # raises FramingError, IdentificationError: reject it
+MessageHandler = Callable[[Connection, Fields], None]  # FramingError, IdentificationError: reject the peer
 CloseHandler = Callable[[Connection], None]  # for identified connections only
 
 
@@ -42,14 +42,14 @@
     """Listens at the controller's address and owns the connections that it accepts.
 
     Args:
-        address: where it listens, once it serves.
-        max_descriptors: the limit of the whole process.
-        handle_message: takes each message.
-        handle_close: takes each identified connection that was closed.
+        address: the address at which it listens while it serves.
+        max_descriptors: the maximum number of file descriptors of the whole process.
+        handle_message: handles each message that is received.
+        handle_close: handles the close of each identified connection.
 
     Attributes:
-        open_count: connections that are open.
-        rejected_count: connections that were rejected, since the start.
+        open_count: number of open connections.
+        rejected_count: number of connections rejected since the start.
     """
 
     def __init__(
@@ -63,14 +63,14 @@
         self._max_descriptors = max_descriptors
         self._handle_message = handle_message
         self._handle_close = handle_close
-        self._unidentified: dict[Connection, None] = {}  # the oldest first
+        self._unidentified: dict[Connection, None] = {}  # in the order of acceptance
         self._accepted_count = 0
         self._nursery: trio.Nursery | None = None
         self.open_count = 0
         self.rejected_count = 0
 
     def set_max_descriptors(self, max_descriptors: int) -> None:
-        """Changes the limit for connections to come."""
+        """Changes the limit, which is checked at each new connection."""
         self._max_descriptors = max_descriptors
 
     async def serve(self) -> None:
@@ -89,7 +89,7 @@
                         await trio.sleep(OUT_OF_DESCRIPTORS_PAUSE_S)
 
     def add_connection(self, sock: socket.socket) -> Connection:
-        """Takes over an accepted socket, whose peer is unidentified."""
+        """Adds the connection of an accepted socket; its peer is unidentified."""
         self._accepted_count += 1
         connection = Connection(sock, trio.current_time(), self._accepted_count)
         self.open_count += 1
@@ -116,19 +116,22 @@
             self.reject(connection)
 
     def confirm_identity(self, connection: Connection) -> None:
-        """The peer has said who it is: its time limit and the limit on its first message are off."""
+        """Removes the limits for unidentified peers, on time and message length, from a connection."""
         self._unidentified.pop(connection, None)
         connection.allow_long_messages()
 
     def reject(self, connection: Connection) -> None:
-        """Tells a peer that it is rejected, as far as it still listens, and closes the connection."""
+        """Sends the peer a rejection, if it can be sent, and closes the connection."""
         if connection.is_open:
             self.rejected_count += 1
             connection.send(REJECTION)
         self.close(connection)
 
     def close(self, connection: Connection) -> None:
-        """Closes a connection and reports it, if its peer was identified. Does nothing if it is closed."""
+        """Closes a connection, and calls `handle_close` if its peer was identified.
+
+        Does nothing if the connection is closed.
+        """
         self._unidentified.pop(connection, None)
         if not connection.is_open:
             return
@@ -138,7 +141,7 @@
             self._handle_close(connection)
 
     def _accept_pending(self, listener: socket.socket) -> bool:
-        """Accepts the connections that wait; False if descriptors have run out."""
+        """Accepts the waiting connections. Returns False if file descriptors have run out."""
         for _ in range(MAX_ACCEPTED_PER_TURN):
             try:
                 sock, _ = listener.accept()
@@ -148,11 +151,11 @@
                 if error.errno in OUT_OF_RESOURCES:
                     self._reject_oldest_unidentified()
                     return False
-                continue  # the peer was gone before it was accepted
+                continue  # the peer closed the connection before it was accepted
             try:
                 sock.setblocking(False)
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            except OSError:  # some kernels report a reset in the backlog here
+            except OSError:  # some kernels report here that a connection was reset in the backlog
                 sock.close()
                 continue
             self._start_connection(sock)
@@ -186,7 +189,7 @@
         self.close(connection)
 
     async def _reject_overdue_connections(self) -> None:
-        """Rejects, for ever, those that have not said in time who they are."""
+        """Rejects connections that are not identified within the time limit, until cancelled."""
         while True:
             await trio.sleep(OVERDUE_CHECK_INTERVAL_S)
             deadline = trio.current_time() - IDENTIFICATION_TIMEOUT_S
--- a/willowhook/platform/control_loop.py
+++ b/willowhook/platform/control_loop.py
@@ -1,4 +1,4 @@
-"""The loop that lets the controller decide: events are batched, and each batch ends with a flush."""
+"""The loop that runs the controller: events are batched, and each batch ends with a flush."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 from .clock import Clock
 from .proxy_updates import ProxyUpdates
 
-MIN_FLUSH_INTERVAL_S = 0.004  # events that are closer together are one batch
-PAUSE_PER_FLUSH_TIME = 3.0  # the pause in units of the last flush, so that connections are read in between
+MIN_FLUSH_INTERVAL_S = 0.004  # events within this interval form one batch
+PAUSE_PER_FLUSH_TIME = 3.0  # ratio of the pause to the last flush: connections are read in the pause
 MAX_WAIT_S = 10.0  # for an event, when no evaluation is scheduled
 
 
 class ControlLoop:
-    """Hands events to the controller, and its updates to the proxies.
+    """Submits events to the controller, and sends its updates to the proxies.
 
     Args:
-        controller: takes the events and gives commands.
-        updates: collects the commands on proxies until the flush.
-        evaluations: collects the times of evaluations.
-        clock: tells the time of events and flushes.
+        controller: handles the events and issues commands.
+        updates: collects the commands on tables and proxies until the flush.
+        evaluations: holds the times of scheduled evaluations.
+        clock: the clock for the times of events and flushes.
 
     Attributes:
-        longest_flush_ticks: the longest that evaluations and a flush have taken, since it was last reset.
+        longest_flush_ticks: the longest duration of a flush with its evaluations, since it was last reset.
     """
 
     def __init__(
@@ -40,16 +40,16 @@
         self._woken = trio.Event()
 
     def submit(self, event: Event) -> None:
-        """Hands an event to the controller, and has a flush follow."""
+        """Submits an event to the controller, and schedules a flush."""
         self._controller.handle(self._clock.now(), event)
         self._woken.set()
 
     def wake(self) -> None:
-        """Has a flush follow."""
+        """Schedules a flush."""
         self._woken.set()
 
     async def run(self) -> None:
-        """Flushes after events and evaluations until cancelled. A fault of the controller is raised."""
+        """Flushes after events and evaluations until cancelled. Errors of the controller are raised."""
         while True:
             await self._wait_for_work()
             duration_ticks = self._flush()
@@ -67,7 +67,7 @@
         self._woken = trio.Event()
 
     def _flush(self) -> int:
-        """Runs due evaluations and ends the batch; returns how long it took, in ticks."""
+        """Runs due evaluations and ends the batch. Returns the duration in ticks."""
         started_at = self._clock.now()
         while self._evaluations.pop_due(started_at):
             self._controller.handle(started_at, EvaluationDue())
--- a/willowhook/platform/discovery_events.py
+++ b/willowhook/platform/discovery_events.py
@@ -1,4 +1,4 @@
-"""Turns answers of discovery, and their absence, into events."""
+"""Turns answers from discovery, and their absence, into events."""
 
 from __future__ import annotations
 
@@ -12,9 +12,12 @@
 class DiscoveryEvents:
     """Submits the changes of the endpoint list, and logs when discovery is lost and when it recovers.
 
+    It logs one line when discovery is lost and one when it recovers. The decisions log a line of their own,
+    `endpoint list lost`, at each retry, with its backoff.
+
     Args:
-        submit: takes the events.
-        write_log: writes a line of the log.
+        submit: handles the events.
+        write_log: writes one line to the log.
     """
 
     def __init__(self, submit: SubmitEvent, write_log: WriteLog) -> None:
@@ -24,7 +27,7 @@
         self._is_lost = False
 
     def load(self, answer: Fields) -> int | None:
-        """Takes a list that the configuration holds, and returns its version. Raises MalformedFieldError."""
+        """Handles the list in the configuration and returns its version. Raises MalformedFieldError."""
         received = self._decoder.decode(answer)
         if received.is_complete or received.entries:
             self._submit(received)
@@ -42,7 +45,7 @@
         return version
 
     def handle_loss(self, reason: str) -> None:
-        """Takes note that discovery did not answer, or not with a list; only the first loss is logged."""
+        """Handles an answer that did not arrive or was unusable; only the first of several is logged."""
         if not self._is_lost:
             self._is_lost = True
             self._write_log(f"discovery lost error={reason!r}")
--- a/willowhook/platform/discovery_watch.py
+++ b/willowhook/platform/discovery_watch.py
@@ -1,4 +1,4 @@
-"""Follows the endpoint list by long polling: a request waits at discovery for what is newer."""
+"""Follows the endpoint list by long polling: a request waits at discovery for the next change."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from .fields import Fields, MalformedFieldError
 from .framing import FramingError, decode_object
 
-# How long a request waits for a change, and how much later its answer may come: together, how long it takes
-# to notice that discovery is silent. The rules allow for both, and for one more connection and request.
+# How long a request waits for a change, and how much later its answer may arrive. A silent discovery is
+# detected within the sum of both. The rules allow for it, and for one more connection and request.
 CHANGE_WAIT_MS = 2000
 ANSWER_TIMEOUT_S = 1.2
 CONNECT_TIMEOUT_S = 1.0
-MIN_REQUEST_INTERVAL_S = 0.1  # when an answer brought nothing new; rules ask for the next within 0.2 s
-IDLE_CLOSE_S = 0.1  # a request on a connection that the other side had just closed fails within this
+MIN_REQUEST_INTERVAL_S = 0.1  # after an answer without changes; the rules require a request within 0.2 s
+IDLE_CLOSE_S = 0.1  # a request on a connection that the peer has just closed fails within this time
 MAX_ANSWER_BYTES = 16 << 20
 STATUS_OK = 200
 
@@ -27,15 +27,16 @@
 
 
 class DiscoveryWatch:
-    """Requests the endpoint list until cancelled, once it is resumed; a loss pauses it.
+    """Requests the endpoint list from `resume` on, until cancelled; a loss of discovery pauses it.
 
     Args:
-        address: of discovery.
-        handle_answer: takes an answer and returns the version of the list then. Raises MalformedFieldError.
-        handle_loss: takes the reason for which there was no answer, or none of use.
+        address: the address of discovery.
+        handle_answer: handles an answer and returns the version of the list after it. Raises
+            MalformedFieldError.
+        handle_loss: handles the reason why there was no answer, or no usable one.
 
     Attributes:
-        version: of the list that changes are requested for; None: the complete list is requested.
+        version: the version after which changes are requested; None: the complete list is requested.
     """
 
     def __init__(self, address: Address, handle_answer: AnswerHandler, handle_loss: LossHandler) -> None:
@@ -44,17 +45,17 @@
         self._handle_answer = handle_answer
         self._handle_loss = handle_loss
         self._resumed = trio.Event()
-        self._exchange = trio.CancelScope()  # the request that is out, and the handling of its answer
+        self._exchange = trio.CancelScope()  # the request in flight, and the handling of its answer
         self._wants_complete_list = False
         self._caller: Caller | None = None
         self._connected_to = address
 
     def resume(self) -> None:
-        """Requests the list, and goes on until discovery is lost."""
+        """Starts or continues requesting the list, until discovery is lost."""
         self._resumed.set()
 
     def fetch_complete_list(self) -> None:
-        """Requests the complete list at once, in place of the request that is out."""
+        """Requests the complete list at once, in place of the request in flight."""
         self._wants_complete_list = True
         self._resumed.set()
         self._exchange.cancel()
@@ -76,7 +77,7 @@
                 await self._disconnect()
 
     def _pause(self) -> None:
-        """Requests nothing more until told to: the controller has its own backoff."""
+        """Sends no more requests until `resume`: the controller has its own backoff."""
         self._resumed = trio.Event()
 
     async def _exchange_once(self) -> None:
@@ -95,18 +96,18 @@
             return
         is_unchanged = self.version == version_before
         if is_unchanged and trio.current_time() - started_at < MIN_REQUEST_INTERVAL_S:
-            await trio.sleep(MIN_REQUEST_INTERVAL_S)  # discovery answers at once, without news
+            await trio.sleep(MIN_REQUEST_INTERVAL_S)  # discovery answered at once, without changes
 
     async def _request_answer(self) -> Fields | None:
-        """The answer to one request; None if there was none, which has then been handled."""
+        """Returns the answer to one request; None if there was none, and the loss has been handled."""
         is_complete = self._wants_complete_list or self.version is None
-        self._wants_complete_list = False  # one that is wanted from here on is for the next request
+        self._wants_complete_list = False  # if set from here on, it applies to the next request
         address = self._address
         answer = None
         try:
             answer = await self._request(is_complete)
         except (Broken, trio.TooSlowError, FramingError) as error:
-            with trio.CancelScope(shield=True):  # a move at this time must not hide the loss
+            with trio.CancelScope(shield=True):  # a change of address at this point must not hide the loss
                 await self._disconnect()
             if address == self._address:
                 self._pause()
@@ -117,7 +118,7 @@
         return answer
 
     async def _request(self, is_complete: bool) -> Fields:
-        """Raises Broken, TooSlowError or FramingError if no answer comes, or one that is no JSON object."""
+        """Raises Broken, TooSlowError or FramingError if no answer arrives, or one that is no JSON object."""
         if is_complete or self.version is None:
             target = list_request_target()
             timeout_s = ANSWER_TIMEOUT_S
@@ -131,7 +132,7 @@
         return decode_object(reply.body)
 
     async def _call(self, target: bytes) -> Reply:
-        """Sends the request on the connection that is there, or else on a new one. Raises Broken."""
+        """Sends the request on the existing connection, or else on a new one. Raises Broken."""
         caller = self._caller
         if caller is not None and caller.usable and self._connected_to == self._address:
             started_at = trio.current_time()
@@ -140,7 +141,7 @@
             except Broken:
                 if trio.current_time() - started_at > IDLE_CLOSE_S:
                     raise
-                # the other side closed an idle connection as the request was written: retried on a new one
+                # the peer closed an idle connection while the request was sent: retried on a new one
         caller = await self._connect()
         return await caller.call(b"GET", target, most=MAX_ANSWER_BYTES)
 
--- a/willowhook/platform/endpoint_list.py
+++ b/willowhook/platform/endpoint_list.py
@@ -1,6 +1,6 @@
-"""The platform's endpoint list: how it is requested, and how an answer of discovery is decoded.
+"""The platform's endpoint list: how it is requested, and how an answer from discovery is decoded.
 
-A controller's configuration brings a copy of the list, in the form of an answer.
+A controller's configuration contains a copy of the list, in the form of an answer.
 """
 
 from __future__ import annotations
@@ -19,43 +19,43 @@
     "left": EndpointState.REMOVED,
 }
 MAX_VERSION = 1 << 62
-EMPTY_LIST: Fields = {"seq": 0, "whole": True, "hosts": []}  # an answer that lists nothing
+EMPTY_LIST: Fields = {"seq": 0, "whole": True, "hosts": []}  # an answer with an empty list
 MAX_START_TIME_MS = 1e15  # since the Unix epoch
 MAX_LISTED_WEIGHT = 1e9
 
 
 def list_request_target() -> str:
-    """The request target that gets the complete list at once."""
+    """The request target for the complete list, which discovery answers at once."""
     return LIST_PATH
 
 
 def change_request_target(version: int, wait_ms: int) -> str:
-    """The request target that gets what is newer than a version, within `wait_ms` milliseconds."""
+    """The request target for the changes after a version; discovery waits `wait_ms` milliseconds for them."""
     return f"{LIST_PATH}?after={version}&wait_ms={wait_ms}"
 
 
 @dataclass(frozen=True, slots=True)
 class _DecodedEntries:
     by_name: dict[str, EndpointEntry]
-    unidentified_count: int  # malformed entries that belong to no known endpoint
+    unidentified_count: int  # number of malformed entries that name no known endpoint
 
 
 class EndpointListDecoder:
-    """Decodes answers of discovery, one after the other, and refuses implausible ones.
+    """Decodes answers from discovery, one after the other, and refuses implausible ones.
 
-    A malformed entry stands for what was last known of its endpoint: a bad field is no reason to take an
-    endpoint out. A complete list is refused if it is older than the last one or has entries that name no
-    known endpoint, unless the next answer is such a list as well.
+    A malformed entry is replaced by the last valid entry of its endpoint: a malformed field is no reason to
+    remove an endpoint. A complete list is refused if it is older than the last one or has entries that name
+    no known endpoint, unless the previous answer was such a list as well.
 
     Attributes:
-        version: of the newest list that was accepted; None: there was none yet.
-        malformed_entries: how many were met, in all answers.
+        version: the version of the last list that was accepted; None if there is none yet.
+        malformed_entries: number of malformed entries in all answers.
     """
 
     def __init__(self) -> None:
         self.version: int | None = None
         self.malformed_entries = 0
-        self._is_doubtful = False  # the last answer was a complete list that is older, or lacks endpoints
+        self._is_doubtful = False  # the last answer was a complete list that is older or lacks endpoints
         self._known: dict[str, EndpointEntry] = {}
 
     def decode(self, answer: Fields) -> EndpointListReceived:
@@ -66,7 +66,7 @@
         if type(listed) is not list:
             raise MalformedFieldError(f"hosts: expected a list, got {describe(listed)}")
         if self._is_older(version) and not is_complete and not listed:
-            return EndpointListReceived(False, ())  # no changes, from a replica that lags behind
+            return EndpointListReceived(False, ())  # no changes, from a replica with an older list
         entries = self._decode_entries(listed)
         self._check_plausibility(version, is_complete, entries.unidentified_count, len(listed))
         self.version = version
@@ -99,7 +99,7 @@
     def _check_plausibility(
         self, version: int, is_complete: bool, unidentified_count: int, entry_count: int
     ) -> None:
-        """Raises MalformedFieldError on an older list, and on a complete one whose gaps say nothing."""
+        """Raises MalformedFieldError if the list is older, or is complete but may lack endpoints."""
         is_older = self._is_older(version)
         is_repeated = self._is_doubtful
         self._is_doubtful = is_complete and (is_older or unidentified_count > 0)
--- a/willowhook/platform/fields.py
+++ b/willowhook/platform/fields.py
@@ -1,4 +1,4 @@
-"""Checks of single fields of decoded JSON objects, as they come from peers.
+"""Checks of single fields of decoded JSON objects that were received from peers.
 
 Every check raises MalformedFieldError on a value that is missing, of another type or out of range.
 """
@@ -10,20 +10,20 @@
 from ..errors import WillowhookError
 
 MAX_TEXT_CHARACTERS = 200
-MAX_SHOWN_FIGURE = 1e18  # larger ones are named by their type: an integer may have thousands of digits
+MAX_SHOWN_FIGURE = 1e18  # a larger figure is described by its type: an integer may have thousands of digits
 
-Fields = dict[str, Any]  # a JSON object as it was decoded, before its fields are checked
+Fields = dict[str, Any]  # a decoded JSON object whose fields have not been checked
 
 
 class MalformedFieldError(WillowhookError):
-    """A message, or one entry of a message, is malformed; what surrounds it is not affected.
+    """A message, or one entry of a message, is malformed; other messages and entries are not affected.
 
-    The peer's fault. The text names the field and what was expected of it.
+    The peer's fault. The text names the field and the expected value.
     """
 
 
 def read_integer(fields: Fields, key: str, maximum: int) -> int:
-    """The integer from 0 to `maximum` that a field holds. Raises MalformedFieldError."""
+    """Returns the value of a field, an integer from 0 to `maximum`. Raises MalformedFieldError."""
     value = fields.get(key)
     if type(value) is not int or not 0 <= value <= maximum:
         raise MalformedFieldError(f"{key}: expected an integer from 0 to {maximum}, got {describe(value)}")
@@ -31,7 +31,7 @@
 
 
 def read_number(fields: Fields, key: str, maximum: float) -> float:
-    """The number from 0 to `maximum` that a field holds, integers included. Raises MalformedFieldError."""
+    """Returns the value of a field, a number from 0 to `maximum`. Raises MalformedFieldError."""
     value = fields.get(key)
     if isinstance(value, bool) or not isinstance(value, int | float):
         raise MalformedFieldError(f"{key}: expected a number, got {describe(value)}")
@@ -41,7 +41,7 @@
 
 
 def read_text(fields: Fields, key: str) -> str:
-    """The text that a field holds, neither empty nor over MAX_TEXT_CHARACTERS. Raises MalformedFieldError."""
+    """Returns the value of a field, a text of 1 to MAX_TEXT_CHARACTERS. Raises MalformedFieldError."""
     value = fields.get(key)
     if type(value) is not str or not 0 < len(value) <= MAX_TEXT_CHARACTERS:
         raise MalformedFieldError(
@@ -51,7 +51,7 @@
 
 
 def read_boolean(fields: Fields, key: str) -> bool:
-    """The truth value that a field holds. Raises MalformedFieldError."""
+    """Returns the value of a field, a boolean. Raises MalformedFieldError."""
     value = fields.get(key)
     if type(value) is not bool:
         raise MalformedFieldError(f"{key}: expected a boolean, got {describe(value)}")
@@ -59,7 +59,7 @@
 
 
 def describe(value: object) -> str:
-    """A value as an error names it: short, whatever a peer has sent."""
+    """Describes a value for the text of an error, which stays short whatever a peer has sent."""
     if value is None:
         return "nothing"
     if isinstance(value, str):
--- a/willowhook/platform/framing.py
+++ b/willowhook/platform/framing.py
@@ -1,6 +1,6 @@
-"""Frames of the platform protocol: a length, then as many bytes that hold one JSON object.
+"""Frames of the platform protocol: a length prefix, then a body of that length, which is one JSON object.
 
-The length has four bytes, the least significant first.
+The prefix is an unsigned little-endian integer of four bytes.
 """
 
 from __future__ import annotations
@@ -12,24 +12,24 @@
 from ..errors import WillowhookError
 from .fields import Fields
 
-LENGTH_BYTES = 4  # of the prefix of a frame
-MAX_MESSAGE_BYTES = 1 << 20  # set by the protocol
+LENGTH_BYTES = 4  # size of the length prefix
+MAX_MESSAGE_BYTES = 1 << 20  # defined by the protocol
 
 _decode_json = msgspec.json.Decoder().decode
 _encode_json = msgspec.json.Encoder().encode
 
 
 class FramingError(WillowhookError):
-    """What a peer sent cannot be decoded, nor can anything that follows on the connection.
+    """The bytes that a peer sent cannot be decoded, nor can the bytes that follow them on the connection.
 
-    The peer's fault. The connection is of no more use.
+    The peer's fault. The connection cannot be used any more.
     """
 
 
 class FrameDecoder:
-    """Decodes the byte stream of one connection into messages, however the network has split it.
+    """Decodes the byte stream of one connection into messages, independent of how the network splits it.
 
-    It buffers less than one message of `max_message_bytes`, which may be changed between two messages.
+    It buffers less than one message of `max_message_bytes`. The limit may be changed between two messages.
 
     Args:
         max_message_bytes: a longer message raises FramingError.
@@ -42,7 +42,7 @@
     def feed(self, data: bytes) -> Iterator[Fields]:
         """Yields the messages that `data` completes, in order.
 
-        Raises FramingError in the place of the first message that cannot be decoded.
+        Raises FramingError in place of the first message that cannot be decoded.
         """
         buffer = self._buffer
         position = 0
@@ -63,7 +63,7 @@
 
 
 def decode_object(body: bytes) -> Fields:
-    """Decodes one JSON object. Raises FramingError if `body` does not hold one."""
+    """Decodes one JSON object. Raises FramingError if `body` is not one."""
     try:
         document = _decode_json(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
--- a/willowhook/platform/lifecycle.py
+++ b/willowhook/platform/lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of the server's process: its tasks run until a signal ends them."""
+"""The lifecycle of the server's process: its tasks run until a signal ends them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 async def run_until_terminated(tasks: Sequence[Task], reload: Task) -> None:
     """Runs tasks until SIGTERM or SIGINT cancels them, and `reload` at each SIGHUP.
 
-    What a task raises cancels the others and is raised in an exception group.
+    An exception of a task cancels the others and is raised in an exception group.
     """
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
         async with trio.open_nursery() as nursery:
--- a/willowhook/platform/proxy_sessions.py
+++ b/willowhook/platform/proxy_sessions.py
@@ -94,9 +94,8 @@
             if previous.sequence_number > connection.sequence_number:
                 # both became readable in the same turn, and the order in which they are read is not defined
                 raise MalformedFieldError("proxy: it has joined on a newer connection")
-            self.connections.close(
-                previous
-            )  # the proxy reconnected before the end of its old connection was seen
+            # the proxy reconnected before the end of its old connection was seen
+            self.connections.close(previous)
         connection.role = PeerRole.PROXY
         connection.proxy = proxy
         self._connection_by_proxy[proxy] = connection
--- a/willowhook/platform/proxy_updates.py
+++ b/willowhook/platform/proxy_updates.py
@@ -1,8 +1,8 @@
 """Turns the controller's commands on tables and proxies into one message per proxy and flush.
 
-The decisions own what each table should hold and who is bound to which. This module owns what each session
-has been sent, and so what is pending for it: complete tables for those newly bound, changes for the others.
-No I/O and no clock.
+The decisions determine the content of each table and which proxy is bound to which table. This module records
+what each session has been sent, and so what is pending for it: complete tables for newly bound proxies,
+changes for the others. It has no I/O and no clock.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 
 @dataclass(slots=True)
 class CommandedTable:
-    """A table as it was commanded, and what has changed in it since the last flush.
+    """The content of a table as the controller commanded it, and its changes since the last flush.
 
     Attributes:
-        weights: by endpoint, without those of weight 0; the order is that of the commands.
-        admission: limits by route.
-        routes_by_proxy: the proxies that are bound to the table, and the routes that each uses it for.
-        changed_weights: by endpoint; 0: its entry was taken out.
-        changed_routes: routes with a new limit; a dict for its order.
+        weights: weight by endpoint, without weights of 0, in the order of the commands.
+        admission: admission limit by route.
+        routes_by_proxy: the proxies that are bound to the table, and the routes for which each uses it.
+        changed_weights: changed weight by endpoint; 0 if the entry was removed.
+        changed_routes: routes with a new limit; a dict because it keeps the order.
     """
 
     weights: dict[str, float] = field(default_factory=dict)
@@ -34,24 +34,27 @@
     changed_routes: dict[int, None] = field(default_factory=dict)
 
     def holds(self, endpoint: str) -> bool:
-        """Whether a proxy that uses the table may have an entry for an endpoint, or is about to lose it."""
+        """Whether a proxy that uses the table may hold an entry for an endpoint.
+
+        An entry whose removal is still to be sent counts.
+        """
         return endpoint in self.weights or endpoint in self.changed_weights
 
     def forget_changes(self) -> None:
-        """All sessions have been sent the changes."""
+        """Discards the changes, once they have been sent to all sessions."""
         self.changed_weights.clear()
         self.changed_routes.clear()
 
 
 @dataclass(slots=True)
 class SessionUpdates:
-    """What a proxy has been sent in its session, and what is pending until the next flush.
+    """What a proxy has been sent in its session, and what is pending for the next flush.
 
     Attributes:
         may_hold_exclusions: whether other controllers may have excluded endpoints at this proxy.
-        table_by_route: what it is bound to.
-        excluded: endpoints that it was sent to exclude; a dict for its order.
-        tables_to_replace: tables that it has to be sent completely; a dict for its order.
+        table_by_route: the table that the proxy is bound to, by route.
+        excluded: endpoints whose exclusion has been sent to the proxy; a dict because it keeps the order.
+        tables_to_replace: tables that have to be sent completely; a dict because it keeps the order.
         pending_exclusions: by endpoint: True excludes it, False readmits it.
     """
 
@@ -62,11 +65,11 @@
     pending_exclusions: dict[str, bool] = field(default_factory=dict)
 
     def bound_tables(self) -> list[int]:
-        """The tables that it is bound to, each once, in the order of its routes."""
+        """The tables that the proxy is bound to, each once, in the order in which routes were first bound."""
         return list(dict.fromkeys(self.table_by_route.values()))
 
     def mark_sent(self) -> None:
-        """All that was pending has been sent."""
+        """Records that everything pending has been sent; it may not have been acknowledged."""
         for endpoint, is_excluded in self.pending_exclusions.items():
             self.excluded.pop(endpoint, None)
             if is_excluded:
@@ -77,11 +80,11 @@
 
 @dataclass(slots=True)
 class FlushCache:
-    """Parts that several proxies get in the same flush are encoded once.
+    """The parts encoded in one flush: parts that several proxies are sent are encoded once.
 
     Attributes:
-        tables: by table, the routes that use it, and whether it is sent completely.
-        last_parts: by the exclusions in them.
+        tables: parts of tables, by table, the routes that use it, and whether it is sent completely.
+        last_parts: last parts, by the exclusions in them.
     """
 
     tables: dict[tuple[int, tuple[int, ...], bool], EncodedParts] = field(default_factory=dict)
@@ -94,11 +97,11 @@
 class ProxyUpdates:
     """The part of `ControllerRuntime` that concerns tables and proxies.
 
-    Commands for a proxy without a session are ignored: it has left.
+    Commands for a proxy without a session are ignored: the proxy has left.
 
     Args:
-        settings: name the routes.
-        send: takes each message; it may close this or another session.
+        settings: the settings of the deployment, which define the names of the routes.
+        send: sends a message to a proxy; it may close this or another session.
     """
 
     def __init__(self, settings: DeploymentSettings, send: SendUpdate) -> None:
@@ -106,8 +109,8 @@
         self._send = send
         self._tables: dict[int, CommandedTable] = {}
         self._sessions: dict[int, SessionUpdates] = {}
-        self._excluded: dict[str, None] = {}  # at all proxies; a dict for its order
-        self._pending: dict[int, None] = {}  # proxies that updates are pending for; a dict for its order
+        self._excluded: dict[str, None] = {}  # at all proxies; a dict because it keeps the order
+        self._pending: dict[int, None] = {}  # proxies with pending updates; a dict because it keeps the order
         self._sync_marker: int | None = None
 
     # Sessions.
@@ -116,13 +119,13 @@
         """Starts a session that has been sent nothing.
 
         Args:
-            proxy: its number.
+            proxy: the number of the proxy.
             is_fresh: whether no controller has sent this proxy a table since it started.
         """
         self._sessions[proxy] = SessionUpdates(may_hold_exclusions=not is_fresh)
 
     def close_session(self, proxy: int) -> None:
-        """Forgets a session, if there is one."""
+        """Discards the state of a session, if there is one."""
         session = self._sessions.pop(proxy, None)
         self._pending.pop(proxy, None)
         if session is None:
@@ -130,19 +133,19 @@
         for table in session.bound_tables():
             self._tables[table].routes_by_proxy.pop(proxy, None)
 
-    # Commands, as `ControllerRuntime` describes them.
+    # Commands; `ControllerRuntime` documents them.
 
     def set_weight(self, table: int, endpoint: str, weight: float) -> None:
-        """Sets the weight of an endpoint in a table; 0 takes its entry out."""
+        """Sets the weight of an endpoint in a table; 0 removes its entry."""
         commanded = self._table(table)
-        commanded.weights.pop(endpoint, None)  # set again, it goes to the end of the table
+        commanded.weights.pop(endpoint, None)  # an endpoint that is set again moves to the end of the table
         if weight > 0:
             commanded.weights[endpoint] = weight
         commanded.changed_weights[endpoint] = weight
         self._mark_users_pending(commanded)
 
     def clear_table(self, table: int) -> None:
-        """Takes out all entries and limits of a table."""
+        """Removes all entries and limits of a table."""
         commanded = self._table(table)
         commanded.weights.clear()
         commanded.admission.clear()
@@ -151,7 +154,7 @@
         self._mark_users_pending(commanded)
 
     def bind(self, proxy: int, table: int, routes: Sequence[int]) -> None:
-        """Makes a proxy use a table for these routes, in place of what it used."""
+        """Makes a proxy use a table for these routes, in place of the table that it used."""
         session = self._sessions.get(proxy)
         if session is None:
             return
@@ -165,7 +168,7 @@
         self._pending[proxy] = None
 
     def set_admission(self, table: int, route: int, admission: AdmissionLimit) -> None:
-        """Sets what the proxies that use a table admit of a route."""
+        """Sets the admission limit of a route for the proxies that use a table."""
         commanded = self._table(table)
         commanded.admission[route] = admission
         commanded.changed_routes[route] = None
@@ -176,13 +179,13 @@
         self._excluded[endpoint] = None
         holding_tables = [table for table in self._tables.values() if table.holds(endpoint)]
         for proxy, session in self._sessions.items():
-            has_default_table = not session.table_by_route  # of unknown content
+            has_default_table = not session.table_by_route  # its content is unknown
             if has_default_table or any(proxy in table.routes_by_proxy for table in holding_tables):
                 session.pending_exclusions[endpoint] = True
                 self._pending[proxy] = None
 
     def readmit_endpoint(self, endpoint: str) -> None:
-        """Takes `exclude_endpoint` back at all proxies that any controller may have sent it to."""
+        """Revokes `exclude_endpoint` at all proxies where any controller may have excluded the endpoint."""
         self._excluded.pop(endpoint, None)
         for proxy, session in self._sessions.items():
             was_sent = endpoint in session.excluded or endpoint in session.pending_exclusions
@@ -199,7 +202,7 @@
         self._set_exclusions(proxy, endpoints, is_excluded=False)
 
     def forget_endpoint(self, endpoint: str) -> None:
-        """Forgets the exclusion of an endpoint, which neither a list nor a table names any more."""
+        """Discards the exclusion of an endpoint that neither a list nor a table names any more."""
         self._excluded.pop(endpoint, None)
         for session in self._sessions.values():
             session.excluded.pop(endpoint, None)
@@ -211,12 +214,12 @@
     # The end of a batch.
 
     def flush(self) -> None:
-        """Sends one message to each proxy that the commands since the last flush concern."""
+        """Sends one message to each proxy that is affected by the commands since the last flush."""
         cache = FlushCache()
         for proxy in list(self._pending):
             session = self._sessions.get(proxy)
             if session is None:
-                continue  # closed as another one was sent to
+                continue  # closed while a message was sent to another proxy
             self._send_pending(proxy, session, cache)
         for table in self._tables.values():
             table.forget_changes()
@@ -239,7 +242,7 @@
     def _encode_table(
         self, table: int, proxy: int, session: SessionUpdates, cache: FlushCache
     ) -> EncodedParts:
-        """What a proxy has to be sent of a table; a complete one comes with the exclusions of its entries."""
+        """Encodes what is pending of a table; for a complete table, the exclusions of its entries follow."""
         commanded = self._tables[table]
         routes = commanded.routes_by_proxy[proxy]
         is_complete = table in session.tables_to_replace
@@ -281,7 +284,7 @@
         self._pending.update(dict.fromkeys(commanded.routes_by_proxy))
 
     def _update_users(self, table: int, proxy: int, session: SessionUpdates) -> None:
-        """Notes which routes of a proxy use a table now; if none does, it need not be sent any more."""
+        """Records which routes of a proxy use a table now; if none does, the table need not be sent to it."""
         routes = tuple(route for route, used in sorted(session.table_by_route.items()) if used == table)
         if routes:
             self._tables[table].routes_by_proxy[proxy] = routes
--- a/willowhook/platform/runtime.py
+++ b/willowhook/platform/runtime.py
@@ -1,4 +1,4 @@
-"""Carries out the controller's commands on the platform: the `ControllerRuntime` of the server."""
+"""Executes the controller's commands on the platform: the `ControllerRuntime` of the server."""
 
 from __future__ import annotations
 
@@ -13,7 +13,14 @@
 
 
 class PlatformRuntime:
-    """Hands each command to the component that carries it out. `ControllerRuntime` describes them."""
+    """Hands each command to the component that executes it; `ControllerRuntime` documents the commands.
+
+    Args:
+        updates: executes the commands on tables and proxies.
+        discovery: executes the commands on the endpoint list.
+        evaluations: holds the times of scheduled evaluations.
+        write_log: writes one line to the log.
+    """
 
     def __init__(
         self,
@@ -28,60 +35,60 @@
         self._write_log = write_log
 
     def schedule_evaluation(self, delay_ticks: int) -> None:
-        """The evaluation is due after this delay."""
+        """Executed by `EvaluationTimer`."""
         self._evaluations.schedule(delay_ticks)
 
     def log(self, text: str) -> None:
-        """Writes one line to the log."""
+        """Executed by `write_log`."""
         self._write_log(text)
 
     def watch_endpoints(self) -> None:
-        """Requests the endpoint list and its changes."""
+        """Executed by `DiscoveryWatch`."""
         self._discovery.resume()
 
     def fetch_endpoint_list(self) -> None:
-        """Requests the complete endpoint list once."""
+        """Executed by `DiscoveryWatch`."""
         self._discovery.fetch_complete_list()
 
     def check_health(self, endpoint: str) -> None:
-        """Never commanded: the protocol has no health checks, and the settings of the server say so."""
+        """Never commanded: the protocol has no health checks, and `PlatformServer` disables them."""
 
     def set_weight(self, table: int, endpoint: str, weight: float) -> None:
-        """Sets a weight in a table."""
+        """Executed by `ProxyUpdates`."""
         self._updates.set_weight(table, endpoint, weight)
 
     def clear_table(self, table: int) -> None:
-        """Empties a table."""
+        """Executed by `ProxyUpdates`."""
         self._updates.clear_table(table)
 
     def bind(self, proxy: int, table: int, routes: Sequence[int]) -> None:
-        """Binds routes of a proxy to a table."""
+        """Executed by `ProxyUpdates`."""
         self._updates.bind(proxy, table, routes)
 
     def set_admission(self, table: int, route: int, admission: AdmissionLimit) -> None:
-        """Sets the limit of a route."""
+        """Executed by `ProxyUpdates`."""
         self._updates.set_admission(table, route, admission)
 
     def exclude_endpoint(self, endpoint: str) -> None:
-        """Excludes an endpoint everywhere."""
+        """Executed by `ProxyUpdates`."""
         self._updates.exclude_endpoint(endpoint)
 
     def readmit_endpoint(self, endpoint: str) -> None:
-        """Readmits an endpoint everywhere."""
+        """Executed by `ProxyUpdates`."""
         self._updates.readmit_endpoint(endpoint)
 
     def exclude_for_proxy(self, proxy: int, endpoints: Sequence[str]) -> None:
-        """Excludes endpoints at one proxy."""
+        """Executed by `ProxyUpdates`."""
         self._updates.exclude_for_proxy(proxy, endpoints)
 
     def readmit_for_proxy(self, proxy: int, endpoints: Sequence[str]) -> None:
-        """Readmits endpoints at one proxy."""
+        """Executed by `ProxyUpdates`."""
         self._updates.readmit_for_proxy(proxy, endpoints)
 
     def forget_endpoint(self, endpoint: str) -> None:
-        """Forgets an endpoint that is gone for good."""
+        """Executed by `ProxyUpdates`."""
         self._updates.forget_endpoint(endpoint)
 
     def send_sync_marker(self, marker: int) -> None:
-        """Adds a marker to the messages of this flush."""
+        """Executed by `ProxyUpdates`."""
         self._updates.send_sync_marker(marker)
--- a/willowhook/platform/server.py
+++ b/willowhook/platform/server.py
@@ -1,7 +1,7 @@
-"""A controller as a server on the platform: joins its connections, discovery and decisions.
+"""A controller as a server on the platform: connects its connections, discovery and decisions.
 
-Events reach the controller where they are read, and one task ends each batch of them. A fault of the
-controller ends the process.
+The task that reads a message or an answer submits its event to the controller, and a separate task ends each
+batch of events. An error of the controller ends the process.
 """
 
 from __future__ import annotations
@@ -31,15 +31,15 @@
     """Builds the components of a server and connects them; nothing listens before it runs.
 
     Args:
-        configuration: of the controller.
-        read_again: reads the configuration as it stands then. Raises ConfigurationError.
-        write_log: writes a line of the log.
+        configuration: the configuration of the controller.
+        read_again: reads the present content of the configuration file. Raises ConfigurationError.
+        write_log: writes one line to the log.
     """
 
     def __init__(
         self, configuration: ControllerConfiguration, read_again: ReadConfiguration, write_log: WriteLog
     ) -> None:
-        # the protocol has no health checks, and exclusions outlive sessions there
+        # the protocol has no health checks, and its proxies keep exclusions when they join another controller
         settings = replace(configuration.settings, health_checks=False, exclusions_outlive_sessions=True)
         configuration = replace(configuration, settings=settings)
         self._list_on_request = settings.list_on_request
@@ -78,14 +78,14 @@
         self._loop.wake()
 
     def _load_endpoint_list(self, answer: Fields) -> None:
-        """Starts from the configured list; a malformed one is left out."""
+        """Loads the configured list; a malformed one is logged and ignored."""
         try:
             self._discovery.version = self._discovery_events.load(answer)
         except MalformedFieldError as error:
             self._write_log(f"configured endpoint list refused error={str(error)!r}")
 
     def _apply_configuration(self, configuration: ControllerConfiguration) -> None:
-        """Takes over what may change while the server runs."""
+        """Applies the values that may change while the server runs."""
         self._discovery.move_to(configuration.discovery)
         self._sessions.connections.set_max_descriptors(configuration.max_descriptors)
 
@@ -105,7 +105,7 @@
 def run_server(
     configuration: ControllerConfiguration, read_again: ReadConfiguration, write_log: WriteLog
 ) -> None:
-    """Runs a server until SIGTERM or SIGINT. Raises what ends it before, in an exception group."""
+    """Runs a server until SIGTERM or SIGINT. An error that ends it earlier is raised, in a group."""
     trio.run(partial(_run, configuration, read_again, write_log))
 
 
--- a/willowhook/platform/status_log.py
+++ b/willowhook/platform/status_log.py
@@ -20,12 +20,12 @@
     """The figures of a status line.
 
     Attributes:
-        proxies: that have a session.
+        proxies: number of proxies that have a session.
         controller: the controller's own figures.
-        connections: that are open.
-        longest_flush_ticks: since the last status line.
-        malformed_messages: since the start.
-        rejected_connections: since the start.
+        connections: number of open connections.
+        longest_flush_ticks: the longest duration of a flush since the last status line.
+        malformed_messages: number of messages refused since the start.
+        rejected_connections: number of connections rejected since the start.
     """
 
     proxies: int
@@ -37,7 +37,7 @@
 
 
 def format_status(status: ServerStatus) -> str:
-    """The status line, with the CPU time and the peak memory of this process."""
+    """Formats the status line and adds the CPU time and the peak memory of this process."""
     controller = status.controller
     usage = resource.getrusage(resource.RUSAGE_SELF)
     peak_memory_mb = usage.ru_maxrss >> 10  # ru_maxrss is in KiB
--- a/willowhook/platform/update_encoder.py
+++ b/willowhook/platform/update_encoder.py
@@ -1,7 +1,7 @@
 """Encodes the parts of one `assign` message, which updates a proxy.
 
-The protocol lets a message come in several parts, one frame each; a proxy applies them at once when the last,
-the only one that is not marked as a part, has come.
+The protocol allows a message in several parts, one frame each. A proxy applies all parts together when it has
+received the last one, which is the only one not marked as a part.
 """
 
 from __future__ import annotations
@@ -16,11 +16,12 @@
 
 
 class EncodedParts(NamedTuple):
-    """Parts of a message.
+    """Encoded parts of a message, and their cost.
 
     Attributes:
-        frames: in the order in which they are sent.
-        entry_count: the entries that the platform charges for them.
+        frames: the encoded parts, in the order in which they are sent.
+        entry_count: the number of entries that the platform charges for the parts. It is not sent: the tests
+            compare it with the entries that the controller charged for its commands.
     """
 
     frames: list[bytes]
@@ -28,10 +29,10 @@
 
 
 class UpdateEncoder:
-    """Encodes parts of messages; it keeps nothing of them.
+    """Encodes parts of messages; it has no state of its own.
 
     Args:
-        settings: name the routes.
+        settings: the settings of the deployment, which define the names of the routes.
     """
 
     def __init__(self, settings: DeploymentSettings) -> None:
@@ -45,13 +46,14 @@
         *,
         replaces_table: bool,
     ) -> EncodedParts:
-        """Encodes what changes in the table that some routes use.
+        """Encodes the changes of a table, for the routes that use it.
 
         Args:
-            routes: by index; those that use the table.
-            weights: of endpoints, in the order of the table; 0 takes an entry out.
+            routes: the indices of the routes that use the table.
+            weights: weight by endpoint, in the order of the table; 0 removes the entry.
             admission: the new limits, by route.
-            replaces_table: whether the weights are the complete table, in place of what the routes used.
+            replaces_table: whether the weights are the complete table, which replaces the previous table of
+                the routes.
         """
         parts: list[Fields] = []
         entry_count = len(weights)
@@ -68,7 +70,7 @@
 
         Args:
             exclusions: by endpoint: True excludes it, False readmits it.
-            sync_marker: the proxy acknowledges it once it has applied the message; None: there is none.
+            sync_marker: the marker that the proxy acknowledges once it has applied the message, or None.
         """
         part: Fields = {"t": "assign"}
         entry_count = len(exclusions)
