--- a/tests/platform_process.py
+++ b/tests/platform_process.py
@@ -67,7 +67,7 @@
 
 
 class Peer:
-    """Whoever connects to the controller; acknowledges what it receives as proxy 0."""
+    """A peer of the controller, which acknowledges as proxy 0 the updates that it receives."""
 
     def __init__(self, stream: trio.SocketStream) -> None:
         self.stream = stream
--- a/tests/test_platform_connections.py
+++ b/tests/test_platform_connections.py
@@ -42,7 +42,7 @@
 
 
 class ConnectionHarness:
-    """A server with one connection, whose handler identifies the peer if it is told to."""
+    """A server with one connection, whose handler identifies the peer if `identifies` is true."""
 
     def __init__(self, *, identifies: bool) -> None:
         self.identifies = identifies
--- a/tests/test_platform_discovery_watch.py
+++ b/tests/test_platform_discovery_watch.py
@@ -16,7 +16,7 @@
 
 
 class FakeDiscovery:
-    """A discovery whose answers the scenario gives, one by one."""
+    """A discovery whose answers the scenario sends, one by one."""
 
     def __init__(self) -> None:
         channels = trio.open_memory_channel[tuple[str, trio.SocketStream]](99)
--- a/tests/test_platform_messages.py
+++ b/tests/test_platform_messages.py
@@ -34,7 +34,7 @@
     assert DECODER.decode(CLIENT_STATS, 4) == RequestReport(4, "read", 19, 5000)
 
 
-def test_endpoint_report_takes_load_under_either_name() -> None:
+def test_endpoint_report_accepts_load_under_either_name() -> None:
     report = EndpointReport("s-1", 212, 3, 417, 0.61)
     assert DECODER.decode(UPSTREAM_STATS, None) == report
     assert DECODER.decode({**UPSTREAM_STATS, "load": {"busy": 0.61, "q": 2}}, None) == report
