--- a/tests/test_platform_connections.py
+++ b/tests/test_platform_connections.py
@@ -7,7 +7,7 @@
 import trio
 
 from willowhook.platform.address import Address
-from willowhook.platform.connection import MAX_FIRST_MESSAGE_BYTES, Connection
+from willowhook.platform.connection import MAX_FIRST_MESSAGE_BYTES, Connection, PeerRole
 from willowhook.platform.connection_server import ConnectionServer
 from willowhook.platform.fields import Fields
 from willowhook.platform.framing import encode_frame
@@ -42,7 +42,7 @@
 
 
 class ConnectionHarness:
-    """A server with one connection, whose handler identifies the peer if it is told to."""
+    """A server with one connection, whose handler identifies the peer if `identifies` is true."""
 
     def __init__(self, *, identifies: bool) -> None:
         self.identifies = identifies
@@ -54,7 +54,7 @@
     def handle(self, connection: Connection, fields: Fields) -> None:
         self.message_types.append(fields["t"])
         if self.identifies:
-            connection.zone = "north"
+            connection.role = PeerRole.COLLECTOR
             self.server.confirm_identity(connection)
 
 
--- a/tests/test_platform_discovery_watch.py
+++ b/tests/test_platform_discovery_watch.py
@@ -10,13 +10,13 @@
 
 from willowhook.platform.address import Address
 from willowhook.platform.discovery_watch import DiscoveryWatch
-from willowhook.platform.fields import FieldError, Fields
+from willowhook.platform.fields import Fields, MalformedFieldError
 
 Scenario = Callable[["FakeDiscovery", "WatchRecorder"], Awaitable[None]]
 
 
 class FakeDiscovery:
-    """A discovery whose answers the scenario gives, one by one."""
+    """A discovery whose answers the scenario sends, one by one."""
 
     def __init__(self) -> None:
         channels = trio.open_memory_channel[tuple[str, trio.SocketStream]](99)
@@ -72,7 +72,7 @@
         self.while_handling = lambda: None
         act()
         if fields["seq"] < 0:
-            raise FieldError("seq")
+            raise MalformedFieldError("seq")
         return int(fields["seq"])
 
 
--- a/willowhook/platform/endpoint_list_feed.py
+++ b/willowhook/platform/discovery_events.py
@@ -1,4 +1,4 @@
-"""Turns answers of discovery, and their absence, into events."""
+"""Turns answers from discovery, and their absence, into events."""
 
 from __future__ import annotations
 
@@ -9,12 +9,15 @@
 from .runtime import WriteLog
 
 
-class EndpointListFeed:
+class DiscoveryEvents:
     """Submits the changes of the endpoint list, and logs when discovery is lost and when it recovers.
 
+    It logs one line when discovery is lost and one when it recovers. The decisions log a line of their own,
+    `endpoint list lost`, at each retry, with its backoff.
+
     Args:
-        submit: takes the events.
-        write_log: writes a line of the log.
+        submit: handles the events.
+        write_log: writes one line to the log.
     """
 
     def __init__(self, submit: SubmitEvent, write_log: WriteLog) -> None:
@@ -24,14 +27,17 @@
         self._is_lost = False
 
     def load(self, answer: Fields) -> int | None:
-        """Takes a list that the configuration holds, and returns its version. Raises FieldError."""
+        """Handles the list in the configuration and returns its version. Raises MalformedFieldError."""
         received = self._decoder.decode(answer)
         if received.is_complete or received.entries:
             self._submit(received)
         return self._decoder.version
 
     def handle_answer(self, answer: Fields) -> int | None:
-        """Takes an answer of discovery, and returns the version of the list then. Raises FieldError."""
+        """Handles an answer from discovery and returns the version of the list after it.
+
+        Raises MalformedFieldError.
+        """
         version = self.load(answer)
         if self._is_lost:
             self._is_lost = False
@@ -39,7 +45,7 @@
         return version
 
     def handle_loss(self, reason: str) -> None:
-        """Takes note that discovery did not answer, or not with a list; only the first loss is logged."""
+        """Handles an answer that did not arrive or was unusable; only the first of several is logged."""
         if not self._is_lost:
             self._is_lost = True
             self._write_log(f"discovery lost error={reason!r}")
