--- a/tests/controlplane_fixtures.py
+++ b/tests/controlplane_fixtures.py
@@ -12,7 +12,7 @@
 from willowhook.config.deployment import deployment_settings
 from willowhook.config.example import EXAMPLE
 from willowhook.controlplane.proxy_resources import ProxyResources, ResourcesByType
-from willowhook.controlplane.proxy_session import ProxySession
+from willowhook.controlplane.proxy_session import PublisherSession
 from willowhook.controlplane.proxy_state import ProxyStateBook
 from willowhook.controlplane.publisher import Publisher
 from willowhook.controlplane.resource_renderer import ResourceRenderer
@@ -130,10 +130,10 @@
         self.publisher.validation.update_endpoints(0, hosts, lambda host: 0)
         self.session = self.join(0)
 
-    def join(self, proxy: int) -> ProxySession:
+    def join(self, proxy: int) -> PublisherSession:
         """A proxy joins with nothing."""
         initial = ProxyResources()
-        session = ProxySession(proxy, f"p{proxy}", 1, initial, self.sink)
+        session = PublisherSession(proxy, f"p{proxy}", 1, initial, self.sink)
         self.publisher.add_session(session)
         self.book.add_proxy(proxy, "north", {})
         self.publisher.validation.add_proxy(proxy, "north", 5.0, initial)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -316,7 +316,7 @@
         key = key or path.decode()
         caller = self.callers.get(key)
         if caller is None or not caller.usable:
-            caller = self.callers[key] = await dial("127.0.0.1", self.service.front_port)
+            caller = self.callers[key] = await dial("127.0.0.1", self.service.discovery_port)
         return await caller.call(b"POST", path, self.headers if headers is None else headers, body)
 
     async def whole(self, kind: str, version: str = "", nonce: str = "", error: str = "") -> Reply:
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -22,7 +22,7 @@
 from willowhook.reports.queue import ReportQueue
 from willowhook.reports.read import MOST_ROWS, Report, read
 from willowhook.reports.sample import sum_sample
-from willowhook.reports.sums import AttemptSums, ReportCells, ReportSums, combine_reports
+from willowhook.reports.sums import ReportCells, ReportedAttempts, ReportSums, combine_reports
 from willowhook.reports.windows import CLOCK_RESET_TICKS, RETENTION_TICKS, ReportWindows
 from willowhook.ticks import TICKS_PER_SECOND
 from willowhook.xds import forms
@@ -69,7 +69,7 @@
         heard: list[int] = []
         sums = ReportSums(HALF, lambda host, zone, tries, *rest, told=heard: told.append(tries))
         now = 100 * TICKS_PER_SECOND
-        sums.add(now, "z", now - age - 100, now - age, {("h", "r"): AttemptSums(1e6, 0.0, 0.0, 0.0)}, {})
+        sums.add(now, "z", now - age - 100, now - age, {("h", "r"): ReportedAttempts(1e6, 0.0, 0.0, 0.0)}, {})
         sums.flush()
         assert abs(heard[0] / 1e6 / 2 ** (-age / HALF) - 1) < 0.001
 
@@ -154,7 +154,7 @@
 
 
 def report(tries: int, since: int, length: int = 5000) -> Report:
-    row = ReportCells({("h", "r"): AttemptSums(float(tries), 0.0, float(tries * 10))})
+    row = ReportCells({("h", "r"): ReportedAttempts(float(tries), 0.0, float(tries * 10))})
     return Report(row, {"r": (float(tries), 0.0)}, length, "a", since, since + length)
 
 
@@ -220,14 +220,14 @@
 
 
 def test_the_variance_of_a_single_report_goes_by_its_count() -> None:
-    assert combine_reports([ReportCells({("h", "r"): AttemptSums(9.0, 0.0, 0.0)})], 4.0) == {
+    assert combine_reports([ReportCells({("h", "r"): ReportedAttempts(9.0, 0.0, 0.0)})], 4.0) == {
         ("h", "r"): (36.0, 0.0, 0.0, 108.0)
     }
 
 
 def test_the_estimate_of_attempts_decays_and_keeps_its_interval() -> None:
     sums = ReportSums(HALF, lambda *_: None)
-    sums.add(HALF, "z", HALF - 100, HALF, {("h", "r"): AttemptSums(100.0, 10.0, 0.0, 25.0)}, {})
+    sums.add(HALF, "z", HALF - 100, HALF, {("h", "r"): ReportedAttempts(100.0, 10.0, 0.0, 25.0)}, {})
     now = sums.estimate_attempts(HALF, "h", "z", "r")
     later = sums.estimate_attempts(2 * HALF, "h", "z", "r")
     assert math.isclose(now.value, 100.0, rel_tol=0.01) and math.isclose(later.value, now.value / 2)
@@ -239,7 +239,7 @@
 def test_sums_of_endpoints_that_are_not_kept_are_dropped() -> None:
     handed_over: list[str] = []
     sums = ReportSums(HALF, lambda endpoint, *_: handed_over.append(endpoint))
-    cells = {(name, "r"): AttemptSums(9.0, 0.0, 0.0, 0.0) for name in ("h", "other")}
+    cells = {(name, "r"): ReportedAttempts(9.0, 0.0, 0.0, 0.0) for name in ("h", "other")}
     sums.add(HALF, "z", HALF - 100, HALF, cells, {})
     sums.keep(frozenset({"h"}))
     assert len(sums) == 1 and sums.flush() == 1 and handed_over == ["h"]
--- a/tests/test_resource_renderer.py
+++ b/tests/test_resource_renderer.py
@@ -9,7 +9,7 @@
 from willowhook.config.example import EXAMPLE
 from willowhook.config.terms import Terms
 from willowhook.controlplane.proxy_resources import ProxyResources
-from willowhook.controlplane.proxy_state import ProxyView, TableState
+from willowhook.controlplane.proxy_state import ProxyView, VersionedTable
 from willowhook.controlplane.resource_renderer import ResourceRenderer, references
 from willowhook.decisions.runtime import AdmissionLimit
 from willowhook.versions.resources import CLUSTERS, ROUTES, TABLES, ResourceStore, first_era
@@ -26,11 +26,11 @@
     return msgspec.structs.replace(EXAMPLE, fleet=fleet, routes=(first, *EXAMPLE.routes[1:]))
 
 
-def view_of(table: TableState, excluded: str = "") -> ProxyView:
+def view_of(table: VersionedTable, excluded: str = "") -> ProxyView:
     return ProxyView({route: table for route in ALL_ROUTES}, dict.fromkeys(excluded))
 
 
-def first_route(renderer: ResourceRenderer, table: TableState) -> forms.Route:
+def first_route(renderer: ResourceRenderer, table: VersionedTable) -> forms.Route:
     (_, body), *_ = renderer.render(view_of(table), ProxyResources())[ROUTES]
     routes = decode(body, forms.RouteConfiguration).virtual_hosts[0].routes
     return next(route for route in routes if route.name == EXAMPLE.routes[0].name)
@@ -45,7 +45,7 @@
 ) -> None:
     renderer = ResourceRenderer(terms_with("rps", tries=max_retries), 1)
     limits = {} if ordered is None else {0: AdmissionLimit(ordered, 5.0)}
-    route = first_route(renderer, TableState(0, {"a": 1.0}, limits))
+    route = first_route(renderer, VersionedTable(0, {"a": 1.0}, limits))
     assert tables.tries_of(route.route.retry_policy) == expected
 
 
@@ -55,19 +55,19 @@
 ) -> None:
     renderer = ResourceRenderer(terms_with("rps", most_per_s=10.0), 1)
     limits = {} if ordered is None else {0: AdmissionLimit(1, ordered)}
-    route = first_route(renderer, TableState(0, {"a": 1.0}, limits))
+    route = first_route(renderer, VersionedTable(0, {"a": 1.0}, limits))
     assert tables.level_of(route.typed_per_filter_config)[1] == pytest.approx(expected)
 
 
 def test_a_fraction_is_not_capped_by_a_rate() -> None:
     renderer = ResourceRenderer(terms_with("ratio", most_per_s=0.25), 1)
-    route = first_route(renderer, TableState(0, {"a": 1.0}, {0: AdmissionLimit(1, 0.5)}))
+    route = first_route(renderer, VersionedTable(0, {"a": 1.0}, {0: AdmissionLimit(1, 0.5)}))
     assert tables.level_of(route.typed_per_filter_config)[0] == pytest.approx(0.5)
 
 
 def test_endpoints_without_an_address_have_no_entry_until_one_is_known() -> None:
     renderer = ResourceRenderer(EXAMPLE, 1)
-    table = TableState(0, {"a": 1.0, "b": 2.0}, {})
+    table = VersionedTable(0, {"a": 1.0, "b": 2.0}, {})
     for known in ("a", "ab"):
         renderer.set_addresses({name: ADDRESSES[name] for name in known})
         ((_, body),) = renderer.render(view_of(table, "a"), ProxyResources())[TABLES]
@@ -78,7 +78,7 @@
 def test_a_table_is_encoded_once_for_all_views_with_the_same_exclusions() -> None:
     renderer = ResourceRenderer(EXAMPLE, 1)
     renderer.set_addresses(ADDRESSES)
-    table = TableState(0, {"a": 1.0}, {})
+    table = VersionedTable(0, {"a": 1.0}, {})
     one = renderer.render(view_of(table), ProxyResources())
     two = renderer.render(view_of(table, "b"), ProxyResources())  # not in the table
     three = renderer.render(view_of(table, "a"), ProxyResources())
@@ -88,7 +88,7 @@
 
 def test_route_sets_refer_to_clusters_and_clusters_to_tables() -> None:
     store = ResourceStore(first_era(1, 1))
-    made = ResourceRenderer(EXAMPLE, 1).render(view_of(TableState(4, {"a": 1.0}, {})), ProxyResources())
+    made = ResourceRenderer(EXAMPLE, 1).render(view_of(VersionedTable(4, {"a": 1.0}, {})), ProxyResources())
     sets = {kind: store.make_set(kind, bodies) for kind, bodies in made.items()}
     (routes,) = sets[ROUTES].resources.values()
     assert set(references(routes)) == set(sets[CLUSTERS].resources)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -226,7 +226,7 @@
 
     async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
         replace = msgspec.structs.replace
-        links = replace(service.terms.links, peers=(f"http://127.0.0.1:{service.link_port}",))
+        links = replace(service.terms.links, peers=(f"http://127.0.0.1:{service.handoff_port}",))
         files = replace(service.terms.files, folder=str(tmp_path / "other"))
         other = Service(replace(service.terms, name="other", files=files, links=links), log=RecordingLog())
         async with trio.open_nursery() as nursery:
@@ -264,7 +264,7 @@
     from willowhook.controlplane.links import PeerClient
 
     async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
-        client = PeerClient(f"http://127.0.0.1:{service.link_port}", 1.0)
+        client = PeerClient(f"http://127.0.0.1:{service.handoff_port}", 1.0)
         for body in (b"", b"{}", b"\xff" * 300, b'{"node": {"id": "p", "metadata": {"director": 3}}}'):
             assert not await client.send(body)
         assert not await PeerClient("http://127.0.0.1:1", 0.2).send(b"{}")
--- a/tests/test_update_channel.py
+++ b/tests/test_update_channel.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from willowhook.controlplane.channel import UpdateChannel
+from willowhook.controlplane.channel import RateLimitedChannel
 from willowhook.controlplane.proxy_state import ProxyView, UpdateMessage
 from willowhook.ticks import TICKS_PER_SECOND
 
@@ -20,7 +20,7 @@
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 4000), st.integers(1, 300), st.integers(0, 3)), max_size=40))
 def test_messages_leave_in_order_and_never_above_the_rate(rows: list[tuple[int, int, int]]) -> None:
-    channel = UpdateChannel(SETTINGS.channel)
+    channel = RateLimitedChannel(SETTINGS.channel)
     now = 100_000
     left: list[tuple[int, UpdateMessage]] = []
     rate = SETTINGS.channel.entries_per_second / 10_000
@@ -51,7 +51,7 @@
         message_cap=2,
         message_cap_window_ticks=TICKS_PER_SECOND,
     )
-    channel = UpdateChannel(limits)
+    channel = RateLimitedChannel(limits)
     assert channel.put(message(1, 0, 90, 0))
     assert not channel.put(message(2, 0, 20, 0))
     channel.put(message(3, 0, 1, 0))
@@ -61,8 +61,8 @@
         assert departure is not None
         within_cap.append(departure.is_within_cap)
     assert within_cap == [True, True, False]
-    assert channel.most_waiting_entries == 111
-    assert channel.most_messages_in_window == 3
+    assert channel.peak_waiting_entries == 111
+    assert channel.peak_messages_in_window == 3
     channel.put(message(4, 1, 5, 0))
     assert channel.drop_proxy(1) == 1
     assert channel.waiting_entries == 0
--- a/tests/test_validation.py
+++ b/tests/test_validation.py
@@ -17,11 +17,11 @@
 from willowhook.trial.guard_cases import BAD, GOOD, confusion
 from willowhook.validation.model import (
     Candidate,
-    Endpoint,
     EndpointMode,
     ProxyTables,
     RouteConstraints,
     UpdateVersion,
+    ValidatedEndpoint,
     ValidationSettings,
 )
 from willowhook.validation.validator import FAILS_CLOSED, Validator
@@ -52,10 +52,10 @@
     return ProxyTables((weights, weights), frozenset(excluded), retries, (math.inf, math.inf), key)
 
 
-def listed(draining: str = "", young: str = "") -> list[Endpoint]:
+def listed(draining: str = "", young: str = "") -> list[ValidatedEndpoint]:
     """Four endpoints, some of them draining, some started just before 10 s."""
     return [
-        Endpoint(
+        ValidatedEndpoint(
             name,
             EndpointMode.DRAINING if name in draining else EndpointMode.IN_SERVICE,
             since=0,
--- a/willowhook/controlplane/acknowledgements.py
+++ b/willowhook/controlplane/acknowledgements.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ..versions.resources import TABLES, Resource, ResourceSet
-from .proxy_session import ProxySession
+from .proxy_session import PublisherSession
 from .publisher_context import PublisherContext
 from .publisher_records import MAX_CAUSE_LENGTH
 from .table_rollout import TableRollout, table_number
@@ -47,7 +47,7 @@
         if last.marker is not None:
             self._listener.handle_acknowledged(now, proxy, last.marker)
 
-    def _acknowledge_contents(self, now: int, session: ProxySession, number: int) -> None:
+    def _acknowledge_contents(self, now: int, session: PublisherSession, number: int) -> None:
         """Drops the contents that are applied, except those of the newest message, which are still in use."""
         for message in [message for message in session.contents if message <= number]:
             contents = session.contents[message]
@@ -87,12 +87,14 @@
             for resource in resources.resources.values():
                 self._rollout.record_resource_acknowledged(now, proxy, resource)
 
-    def record_known_version(self, session: ProxySession, part: str, version: str, state: str) -> None:
+    def record_known_version(self, session: PublisherSession, part: str, version: str, state: str) -> None:
         """Records the version that a proxy is known to run; empty if it is not certain."""
         self._listener.record_known_version(session.name, part, version)
         self._records.record_known_version(self._listener.now(), session, part, version, state)
 
-    def _report_rejection(self, now: int, session: ProxySession, kind: str, what: str, cause: str) -> None:
+    def _report_rejection(
+        self, now: int, session: PublisherSession, kind: str, what: str, cause: str
+    ) -> None:
         self._log.warning(
             "update rejected by proxy",
             proxy=session.name,
--- a/willowhook/controlplane/channel.py
+++ b/willowhook/controlplane/channel.py
@@ -21,7 +21,7 @@
     is_within_cap: bool
 
 
-class UpdateChannel:
+class RateLimitedChannel:
     """The queue of messages that wait to leave, and the entries that left but were not fetched yet."""
 
     def __init__(self, settings: ChannelSettings) -> None:
@@ -34,8 +34,8 @@
         self._unfetched_entries = 0
         self._idle_at = 0.0  # when the last departure ended
         self._departures: dict[int, deque[int]] = {}  # by proxy, within the window of the cap
-        self.most_waiting_entries = 0
-        self.most_messages_in_window = 0
+        self.peak_waiting_entries = 0
+        self.peak_messages_in_window = 0
 
     @property
     def waiting_entries(self) -> int:
@@ -58,7 +58,7 @@
             self._idle_at = max(self._idle_at, message.ordered_at)
         self._queue.append(message)
         self._queued_entries += message.cost_entries
-        self.most_waiting_entries = max(self.most_waiting_entries, self.waiting_entries)
+        self.peak_waiting_entries = max(self.peak_waiting_entries, self.waiting_entries)
         return self.waiting_entries <= self._settings.queue_limit_entries
 
     def next_departure(self) -> float | None:
@@ -103,5 +103,5 @@
         departures.append(now)
         while departures[0] <= now - settings.message_cap_window_ticks:
             departures.popleft()
-        self.most_messages_in_window = max(self.most_messages_in_window, len(departures))
+        self.peak_messages_in_window = max(self.peak_messages_in_window, len(departures))
         return len(departures) <= settings.message_cap
--- a/willowhook/controlplane/controller_runtime.py
+++ b/willowhook/controlplane/controller_runtime.py
@@ -7,7 +7,7 @@
 
 from ..decisions.runtime import AdmissionLimit
 from .context import ServiceContext
-from .endpoint_list_feed import EndpointListFeed
+from .endpoint_list_reader import EndpointListReader
 from .health_checker import HealthChecker
 from .proxy_state import ProxyStateBook
 
@@ -47,7 +47,7 @@
         context: ServiceContext,
         proxy_states: ProxyStateBook,
         timers: EvaluationTimers,
-        endpoint_list: EndpointListFeed,
+        endpoint_list: EndpointListReader,
         health_checker: HealthChecker,
     ) -> None:
         """Takes the components that carry the commands out."""
--- a/willowhook/controlplane/discovery_feed.py
+++ b/willowhook/controlplane/discovery_feed.py
@@ -105,7 +105,7 @@
         self._publisher = publisher
         self._intake = intake
         self._reports = reports
-        self._desks: dict[str, DiscoverySession] = {}  # by the name of the proxy
+        self._discovery_sessions: dict[str, DiscoverySession] = {}  # by the name of the proxy
         self._pending: list[InboundEvent] = []  # what was learnt by the call that is being served
         settings = self._settings = context.terms.front
         self.gate = _gate(settings)
@@ -142,11 +142,11 @@
 
     def make_sink(self, proxy: int, name: str, held: ProxyResources) -> HttpUpdateSink:
         """Makes the update sink of a proxy that has joined, which holds these resources."""
-        desk = DiscoverySession(
+        session = DiscoverySession(
             proxy, self._store, self, references, self._publisher.renderer.exclude_from, held.resources()
         )
-        self._desks[name] = desk
-        return HttpUpdateSink(desk, self._store, self.front.news)
+        self._discovery_sessions[name] = session
+        return HttpUpdateSink(session, self._store, self.front.news)
 
     def open_session(self, now: int, request: SessionRequested) -> None:
         """Opens the session of a proxy that calls, unless it has this one already."""
@@ -160,9 +160,9 @@
 
     def close_session(self, name: str) -> None:
         """Ends the calls of a proxy that has left."""
-        desk = self._desks.pop(name, None)
-        if desk is not None:
-            self.front.forget(desk)
+        session = self._discovery_sessions.pop(name, None)
+        if session is not None:
+            self.front.forget(session)
 
     # What the discovery server asks and says, as its `Hall`.
 
@@ -173,7 +173,7 @@
 
     def desk(self, name: str) -> DiscoverySession | None:
         """The resources as one proxy is offered them; None if it has no session."""
-        return self._desks.get(name)
+        return self._discovery_sessions.get(name)
 
     def leaves(self, name: str) -> bool:
         """Whether a proxy is to follow another controller, as this one drains."""
--- a/willowhook/controlplane/draining.py
+++ b/willowhook/controlplane/draining.py
@@ -5,7 +5,7 @@
 import os
 
 from ..files.layout import DRAIN
-from .channel import UpdateChannel
+from .channel import RateLimitedChannel
 from .context import ServiceContext
 from .proxy_state import ProxyStateBook
 
@@ -15,7 +15,9 @@
 class ControllerDrain:
     """Sends proxies away while the operator's drain file exists in the controller's folder."""
 
-    def __init__(self, context: ServiceContext, proxy_states: ProxyStateBook, channel: UpdateChannel) -> None:
+    def __init__(
+        self, context: ServiceContext, proxy_states: ProxyStateBook, channel: RateLimitedChannel
+    ) -> None:
         """Takes the surroundings, the proxies to send away, and the queue to them."""
         self._path = f"{context.folder.path}/{DRAIN}"
         self._max_waiting_entries = context.settings.channel.queue_limit_entries / QUEUE_PARTS
--- a/willowhook/controlplane/endpoint_list_feed.py
+++ b/willowhook/controlplane/endpoint_list_reader.py
@@ -16,7 +16,7 @@
 RETRY_SECONDS = 1.0  # after a failure, where the controller does not ask for the list itself
 
 
-class EndpointListFeed:
+class EndpointListReader:
     """Hands on every endpoint list that has changed, and every failure to get one."""
 
     def __init__(self, context: ServiceContext) -> None:
--- a/willowhook/controlplane/intake.py
+++ b/willowhook/controlplane/intake.py
@@ -51,7 +51,7 @@
 
 
 @dataclass(slots=True)
-class SessionState:
+class IntakeSession:
     """The session of a proxy with this controller.
 
     Attributes:
@@ -111,7 +111,7 @@
         self._rejected_files: dict[str, str] = {}  # by proxy: the file that was found malformed last
         slot_ticks = max(session_timeout_ticks // TIMEOUT_WHEEL_RESOLUTION, 1)
         self._timeouts = TimingWheel(slot_ticks, TIMEOUT_WHEEL_SLOTS, 0)
-        self.sessions: dict[str, SessionState] = {}
+        self.sessions: dict[str, IntakeSession] = {}
         self.windows = ReportWindows()
         self.last_fault = ""
 
@@ -151,7 +151,7 @@
             self._reject(name, STATUS, str(error))
             return False
         self._rejected_files.pop(name, None)
-        proxy = SessionState(number, name, status.term, now, uses_discovery)
+        proxy = IntakeSession(number, name, status.term, now, uses_discovery)
         self.sessions[name] = proxy
         self._touch(now, proxy)
         self._emit(_session_opened(proxy, status, is_fresh))
@@ -178,7 +178,7 @@
         if proxy is not None:
             self._touch(now, proxy)
 
-    def _touch(self, now: int, proxy: SessionState) -> None:
+    def _touch(self, now: int, proxy: IntakeSession) -> None:
         proxy.heard_at = now
         self._timeouts.set(proxy.name, now + self._session_timeout_ticks + 1)
 
@@ -227,7 +227,7 @@
         if self._rejected_files.get(name) == file:
             del self._rejected_files[name]
 
-    def _is_of_session(self, proxy: SessionState, node: forms.Node) -> bool:
+    def _is_of_session(self, proxy: IntakeSession, node: forms.Node) -> bool:
         """Whether a file belongs to the proxy's session with this controller, as the file itself says.
 
         A file that names another controller, or a later session, closes this one.
@@ -240,7 +240,7 @@
             self.close_session(proxy.name, f"follows {named or 'another'} in term {term}")
         return claim is OwnershipClaim.OWNED
 
-    def _process_request(self, proxy: SessionState, kind: str, request: forms.DiscoveryRequest) -> None:
+    def _process_request(self, proxy: IntakeSession, kind: str, request: forms.DiscoveryRequest) -> None:
         """Takes in a proxy's answer to an update: applied or rejected."""
         version = read_answered_version(kind, request)
         if version is None:
@@ -303,7 +303,7 @@
         return malformed
 
     def _emit_reported(
-        self, now: int, proxy: SessionState, reports: Sequence[tuple[int, int, Report]], arrived: int
+        self, now: int, proxy: IntakeSession, reports: Sequence[tuple[int, int, Report]], arrived: int
     ) -> None:
         sample = sum_sample(now, proxy.name, self.windows, reports, arrived, not proxy.uses_discovery)
         if sample is None:
@@ -315,7 +315,7 @@
             self._emit(event)
 
 
-def _session_opened(proxy: SessionState, status: ProxyStatus, is_fresh: bool) -> ProxySessionOpened:
+def _session_opened(proxy: IntakeSession, status: ProxyStatus, is_fresh: bool) -> ProxySessionOpened:
     return ProxySessionOpened(
         proxy=proxy.number,
         name=proxy.name,
--- a/willowhook/controlplane/proxy_session.py
+++ b/willowhook/controlplane/proxy_session.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(slots=True)
-class ProxySession:
+class PublisherSession:
     """A joined proxy, as one to which updates go out.
 
     Attributes:
@@ -105,14 +105,14 @@
 
     def __init__(self) -> None:
         """Starts empty."""
-        self.by_number: dict[int, ProxySession] = {}
+        self.by_number: dict[int, PublisherSession] = {}
         self._open: dict[int, None] = {}
 
-    def mark_open(self, session: ProxySession) -> None:
+    def mark_open(self, session: PublisherSession) -> None:
         """Makes `open_sessions` return the session, as long as it is open."""
         self._open[session.number] = None
 
-    def open_sessions(self) -> list[ProxySession]:
+    def open_sessions(self) -> list[PublisherSession]:
         """Returns the open sessions. They are few: a healthy fleet costs the loop nothing."""
         found = []
         for proxy in list(self._open):
--- a/willowhook/controlplane/proxy_state.py
+++ b/willowhook/controlplane/proxy_state.py
@@ -18,7 +18,7 @@
 UNVERSIONED = 0  # the version of a table that no message has taken up yet
 
 
-class TableState:
+class VersionedTable:
     """The content of one endpoint table. It does not change once a message has taken it up.
 
     Attributes:
@@ -41,9 +41,9 @@
         self.version = UNVERSIONED
         self.encoded: dict[object, bytes] = {}
 
-    def copy(self) -> TableState:
+    def copy(self) -> VersionedTable:
         """Returns the same content as a table that may be changed."""
-        return TableState(self.number, dict(self.weights), dict(self.limits))
+        return VersionedTable(self.number, dict(self.weights), dict(self.limits))
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,7 +57,7 @@
         exclusions_version: the same for the same `excluded`.
     """
 
-    bound: Mapping[int, TableState]
+    bound: Mapping[int, VersionedTable]
     excluded: Mapping[str, None]
     is_sent_away: bool = False
     exclusions_version: int = 0
@@ -113,7 +113,7 @@
         self._message_overhead = message_overhead(settings.channel)
         self._send = send
         self.proxies: dict[int, ConnectedProxy] = {}
-        self.tables: dict[int, TableState] = {}
+        self.tables: dict[int, VersionedTable] = {}
         self._excluded: dict[str, None] = {}
         self._is_excluded_shared = False  # messages hold `_excluded`: it is copied before a change
         self._exclusions_version = 0
@@ -176,7 +176,7 @@
         connected = self.proxies.get(proxy)
         if connected is None:
             return
-        state = self.tables.setdefault(table, TableState(table, {}, {}))
+        state = self.tables.setdefault(table, VersionedTable(table, {}, {}))
         for route in routes:
             connected.bound[route] = table
         excluded = sum(endpoint in self._excluded for endpoint in state.weights)
@@ -232,16 +232,16 @@
         view = ProxyView(bound, self._excluded, connected.is_sent_away, self._exclusions_version)
         return UpdateMessage(self.next_message_number(), self._marker, proxy, cost, now, view)
 
-    def _share_table(self, state: TableState) -> None:
+    def _share_table(self, state: VersionedTable) -> None:
         if not state.is_shared:
             state.is_shared = True
             state.version = next(self._versions)
 
-    def _table_for_change(self, table: int) -> TableState:
+    def _table_for_change(self, table: int) -> VersionedTable:
         """Returns the table, copied first if a message has taken it up, created if it is new."""
         state = self.tables.get(table)
         if state is None:
-            state = self.tables[table] = TableState(table, {}, {})
+            state = self.tables[table] = VersionedTable(table, {}, {})
         elif state.is_shared:
             state = self.tables[table] = state.copy()
         state.encoded.clear()
--- a/willowhook/controlplane/publisher.py
+++ b/willowhook/controlplane/publisher.py
@@ -24,9 +24,9 @@
 from ..versions.resources import Resource, ResourceSet
 from ..versions.rollout import Rollout
 from .acknowledgements import Acknowledgements
-from .channel import UpdateChannel
+from .channel import RateLimitedChannel
 from .condition_log import Logger
-from .proxy_session import ProxySession, SessionRegistry
+from .proxy_session import PublisherSession, SessionRegistry
 from .proxy_state import ProxyStateBook, UpdateMessage
 from .publisher_context import PublisherContext
 from .publisher_listener import PublisherListener
@@ -80,12 +80,12 @@
         self._write_retry_at = 0
 
     @property
-    def sessions(self) -> dict[int, ProxySession]:
+    def sessions(self) -> dict[int, PublisherSession]:
         """The joined proxies by number."""
         return self._registry.by_number
 
     @property
-    def channel(self) -> UpdateChannel:
+    def channel(self) -> RateLimitedChannel:
         """The channel in which messages wait."""
         return self._queue.channel
 
@@ -110,7 +110,7 @@
 
     # Sessions.
 
-    def add_session(self, session: ProxySession) -> None:
+    def add_session(self, session: PublisherSession) -> None:
         """Registers a proxy that has joined."""
         self.sessions[session.number] = session
 
@@ -168,7 +168,7 @@
             if session.unwritten is not None:
                 await self._publish(now, session, session.unwritten)
 
-    async def _publish(self, now: int, session: ProxySession, message: UpdateMessage) -> None:
+    async def _publish(self, now: int, session: PublisherSession, message: UpdateMessage) -> None:
         """Writes what rollout and validation leave of a message; what cannot be written is tried again."""
         staged = self._table_rollout.choose(now, session, message)
         waiting = self.channel.waiting_entries
@@ -215,7 +215,7 @@
         """See `Acknowledgements.handle_part_acknowledged`."""
         self._acknowledgements.handle_part_acknowledged(now, proxy, resources)
 
-    def record_known_version(self, session: ProxySession, part: str, version: str, state: str) -> None:
+    def record_known_version(self, session: PublisherSession, part: str, version: str, state: str) -> None:
         """See `Acknowledgements.record_known_version`."""
         self._acknowledgements.record_known_version(session, part, version, state)
 
--- a/willowhook/controlplane/publisher_records.py
+++ b/willowhook/controlplane/publisher_records.py
@@ -5,7 +5,7 @@
 from ..records.writer import Records
 from ..validation.verdict import Verdict
 from ..versions.rollout_track import Content, Unit
-from .proxy_session import ProxySession
+from .proxy_session import PublisherSession
 from .proxy_state import UpdateMessage
 
 NO_MARKER = -1
@@ -33,7 +33,7 @@
         )
 
     def record_validated(
-        self, now: int, session: ProxySession, message: UpdateMessage, verdict: Verdict, micros: int
+        self, now: int, session: PublisherSession, message: UpdateMessage, verdict: Verdict, micros: int
     ) -> None:
         """Validation took `micros` microseconds and found something."""
         data = verdict.data()
@@ -44,7 +44,7 @@
     def record_written(
         self,
         now: int,
-        session: ProxySession,
+        session: PublisherSession,
         message: UpdateMessage,
         waiting_entries: int,
         has_changed: bool,
@@ -60,23 +60,23 @@
             swapped=has_changed,
         )
 
-    def record_rewritten(self, now: int, session: ProxySession) -> None:
+    def record_rewritten(self, now: int, session: PublisherSession) -> None:
         """Files that nobody acknowledged are in place again."""
         self._records.note(now, "again", proxy=session.name, message=session.written)
 
     # Answers.
 
-    def record_acknowledged(self, now: int, session: ProxySession, number: int, ordered_at: int) -> None:
+    def record_acknowledged(self, now: int, session: PublisherSession, number: int, ordered_at: int) -> None:
         """A proxy has applied all messages up to this number; the last of them was ordered then."""
         self._records.note(now, "applied", message=number, proxy=session.name, after=now - ordered_at)
 
-    def record_rejected(self, now: int, session: ProxySession, kind: str, what: str, cause: str) -> None:
+    def record_rejected(self, now: int, session: PublisherSession, kind: str, what: str, cause: str) -> None:
         """A proxy has rejected resources of a type."""
         shortened = cause[:MAX_CAUSE_LENGTH]
         self._records.note(now, "refused", proxy=session.name, form=kind, what=what, cause=shortened)
 
     def record_known_version(
-        self, now: int, session: ProxySession, part: str, version: str, state: str
+        self, now: int, session: PublisherSession, part: str, version: str, state: str
     ) -> None:
         """It has changed what a proxy is known to run."""
         self._records.note(
--- a/willowhook/controlplane/resource_renderer.py
+++ b/willowhook/controlplane/resource_renderer.py
@@ -20,7 +20,7 @@
 from ..xds import forms, tables
 from ..xds.codec import decode, encode
 from .proxy_resources import CONTROLLERS_RESOURCE, ROUTE_SET_NAME, ProxyResources, ResourcesByType
-from .proxy_state import ProxyView, TableState
+from .proxy_state import ProxyView, VersionedTable
 
 MAX_CACHED_BODIES = 5000  # routes and clusters; those of earlier admission limits pile up
 TABLE_FILE = "eds.json"  # where a cluster tells its proxy to read its table
@@ -104,7 +104,7 @@
         made: _Rendering,
         index: int,
         path: PathTerms | RouteTerms,
-        table: TableState,
+        table: VersionedTable,
         view: ProxyView,
     ) -> None:
         route = self._terms.routes[index]
@@ -131,7 +131,7 @@
         made.clusters[route.cluster_name] = route.cluster
         made.entries += [encode(entry) for entry in route.entries]
 
-    def _admission(self, index: int, table: TableState) -> AdmissionLimit:
+    def _admission(self, index: int, table: VersionedTable) -> AdmissionLimit:
         """The ordered limit, within the caps of the configuration."""
         route = self._terms.routes[index]
         fleet = self._terms.fleet
@@ -143,7 +143,7 @@
 
     # Bodies.
 
-    def _assignment(self, name: str, table: TableState, view: ProxyView) -> bytes:
+    def _assignment(self, name: str, table: VersionedTable, view: ProxyView) -> bytes:
         excluded = tuple(endpoint for endpoint in table.weights if endpoint in view.excluded)
         key = (excluded, self._addresses_version)
         body = table.encoded.get(key)
--- a/willowhook/controlplane/service.py
+++ b/willowhook/controlplane/service.py
@@ -31,7 +31,7 @@
 from .discovery_feed import DiscoveryFeed
 from .draining import ControllerDrain
 from .endpoint_directory import EndpointDirectory
-from .endpoint_list_feed import EndpointListFeed
+from .endpoint_list_reader import EndpointListReader
 from .evidence_recovery import EvidenceRecovery
 from .handoff_peers import HandoffPeers
 from .health_checker import HealthChecker
@@ -61,8 +61,8 @@
     state; this class holds none besides.
 
     Attributes:
-        link_port: the port on which peers are served; 0: none.
-        front_port: the port of the discovery server; 0: none.
+        handoff_port: the port on which peers are served; 0: none.
+        discovery_port: the port of the discovery server; 0: none.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
         ops: FileOps | None = None,
         log: BindableLogger | None = None,
         decider: DeciderFactory = Controller,
-        shelf: type[Shelf] = Shelf,
+        file_writer: type[Shelf] = Shelf,
     ) -> None:
         """Creates a service that has not touched anything yet.
 
@@ -80,7 +80,7 @@
             ops: file operations.
             log: the logger.
             decider: makes what decides.
-            shelf: writes the files of one proxy.
+            file_writer: the class that writes the files of one proxy.
         """
         self.terms = terms
         self.settings = deployment_settings(terms)
@@ -89,10 +89,10 @@
         self.log: Logger = (log or structlog.get_logger()).bind(controller=terms.name)
         self.folder = Folder(terms.files.folder, self.ops)
         self.records = Records(terms.records.file, terms.records.most_waiting)
-        self.link_port = 0
-        self.front_port = 0
+        self.handoff_port = 0
+        self.discovery_port = 0
         self._make_decider = decider
-        self._shelf_type = shelf
+        self._file_writer_type = file_writer
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         """Serves until cancelled; has started once all ports are open.
@@ -129,7 +129,7 @@
     def _close(self, watch: Watch) -> None:
         log, messages = self.log, self.proxy_states.message_count
         log.info(
-            "controller stopped", max_waiting_entries=self.channel.most_waiting_entries, messages=messages
+            "controller stopped", max_waiting_entries=self.channel.peak_waiting_entries, messages=messages
         )
         self._record_validation()
         self.records.note(self.clock.now(), "ended")
@@ -164,12 +164,12 @@
         nursery.start_soon(self.folder_feed.run_deferred_reads)
         nursery.start_soon(self.loop.run)
         if self.discovery is not None:
-            discovery_port: Any = await nursery.start(self.discovery.run)
-            self.front_port = int(discovery_port)
-            self.log.info("discovery server listening", port=self.front_port)
+            port: Any = await nursery.start(self.discovery.run)
+            self.discovery_port = int(port)
+            self.log.info("discovery server listening", port=self.discovery_port)
         if self.terms.links.listen:
-            handoff_port: Any = await nursery.start(self.handoff.serve)
-            self.link_port = int(handoff_port)
+            port = await nursery.start(self.handoff.serve)
+            self.handoff_port = int(port)
 
     # The components, in the order in which they need each other.
 
@@ -230,7 +230,7 @@
     def _make_controller(self) -> None:
         """Makes the controller and what it commands, and hands it what is known from before."""
         context = self.context
-        self.endpoint_list = EndpointListFeed(context)
+        self.endpoint_list = EndpointListReader(context)
         self.health_checker = HealthChecker(context, self.directory.find)
         self.timers = EvaluationTimers()
         runtime = FileControllerRuntime(
@@ -251,7 +251,7 @@
         publisher, reports = self.publisher, self.reports
         self.handoff = HandoffPeers(context, self.directory)
         self.folder_feed = ProxyFolderFeed(context, watch, self.intake, reports)
-        sinks = UpdateSinkFactory(context, self._shelf_type, self.resources, self.discovery)
+        sinks = UpdateSinkFactory(context, self._file_writer_type, self.resources, self.discovery)
         sessions = SessionManager(
             context, proxy_states, publisher, sinks, self.folder_feed, self.discovery, reports, self.handoff
         )
--- a/willowhook/controlplane/session_manager.py
+++ b/willowhook/controlplane/session_manager.py
@@ -9,7 +9,7 @@
 from .handoff_peers import HandoffPeers
 from .proxy_events import ProxySessionClosed, ProxySessionOpened
 from .proxy_folder_feed import ProxyFolderFeed
-from .proxy_session import ProxySession
+from .proxy_session import PublisherSession
 from .proxy_state import ProxyStateBook
 from .publisher import Publisher
 from .report_processor import ReportProcessor
@@ -46,7 +46,7 @@
         proxy, name, zone, held = session.proxy, session.name, session.zone, session.held
         rate, is_fresh, term = session.usual_rate_per_second, session.is_fresh, session.term
         sink = self._sinks.make(session)
-        self._publisher.add_session(ProxySession(proxy, name, term, held, sink, session.uses_discovery))
+        self._publisher.add_session(PublisherSession(proxy, name, term, held, sink, session.uses_discovery))
         endpoints = {
             index: held.endpoints_of(route.name) for index, route in enumerate(self._context.terms.routes)
         }
--- a/willowhook/controlplane/table_rollout.py
+++ b/willowhook/controlplane/table_rollout.py
@@ -17,8 +17,8 @@
 from ..versions.resources import Resource
 from ..versions.rollout import Rollout, RolloutMode, RolloutSettings
 from ..versions.rollout_track import Content, Unit
-from .proxy_session import Contents, ProxySession, RolloutContent
-from .proxy_state import ProxyView, TableState, UpdateMessage
+from .proxy_session import Contents, PublisherSession, RolloutContent
+from .proxy_state import ProxyView, UpdateMessage, VersionedTable
 from .publisher_context import PublisherContext
 from .publisher_records import MAX_CAUSE_LENGTH
 from .update_queue import UpdateQueue
@@ -81,16 +81,16 @@
         self._listener = context.listener
         self._records = context.records
         self._log = context.log
-        self._tables: dict[Content, TableState] = {}  # that may be gone back to
+        self._tables: dict[Content, VersionedTable] = {}  # that may be gone back to
         self._rejected: dict[tuple[Unit, Content], Resource] = {}
         self._resend: dict[int, None] = {}  # proxies that are to be sent their state again
 
     # Choice.
 
-    def choose(self, now: int, session: ProxySession, message: UpdateMessage) -> StagedMessage:
+    def choose(self, now: int, session: PublisherSession, message: UpdateMessage) -> StagedMessage:
         """Replaces the tables of a message that its proxy may not have now."""
         view = message.view
-        bound: dict[int, TableState] = {}
+        bound: dict[int, VersionedTable] = {}
         contents: dict[Unit, Content] = {}
         for route, table in view.bound.items():
             bound[route], content = self._choose_table(now, session, table, view)
@@ -102,8 +102,8 @@
         return StagedMessage(replace(message, view=replace(view, bound=bound)), chosen)
 
     def _choose_table(
-        self, now: int, session: ProxySession, table: TableState, view: ProxyView
-    ) -> tuple[TableState, Content]:
+        self, now: int, session: PublisherSession, table: VersionedTable, view: ProxyView
+    ) -> tuple[VersionedTable, Content]:
         unit = table_unit(table.number)
         content = self.rollout.choose(now, session.number, unit, table.version)
         if content is not None and content != table.version and content in self._tables:
@@ -113,7 +113,7 @@
         self._keep(table)
         return table, table.version
 
-    def _keep(self, table: TableState) -> None:
+    def _keep(self, table: VersionedTable) -> None:
         if table.version in self._tables:
             return
         self._tables[table.version] = table
@@ -122,7 +122,9 @@
             used = {content for track in tracks for content in (*track.contents, track.good)}
             self._tables = {content: kept for content, kept in self._tables.items() if content in used}
 
-    def _make_usable(self, good: TableState, new: TableState, view: ProxyView) -> TableState | None:
+    def _make_usable(
+        self, good: VersionedTable, new: VersionedTable, view: ProxyView
+    ) -> VersionedTable | None:
         """The good content without endpoints that were removed; None if it has none in service.
 
         The new content may be what brings the endpoints that are left, so it is not kept back then.
@@ -133,7 +135,7 @@
             return None
         if len(listed) == len(good.weights) and good.limits == new.limits:
             return good
-        usable = TableState(good.number, {name: good.weights[name] for name in listed}, new.limits)
+        usable = VersionedTable(good.number, {name: good.weights[name] for name in listed}, new.limits)
         usable.is_shared = True
         return usable
 
--- a/willowhook/controlplane/update_queue.py
+++ b/willowhook/controlplane/update_queue.py
@@ -5,8 +5,8 @@
 from dataclasses import replace
 
 from ..decisions.settings import ChannelSettings
-from .channel import UpdateChannel
-from .proxy_session import ProxySession
+from .channel import RateLimitedChannel
+from .proxy_session import PublisherSession
 from .proxy_state import ProxyStateBook, UpdateMessage
 from .publisher_context import PublisherContext
 from .publisher_listener import Condition
@@ -21,7 +21,7 @@
         self, context: PublisherContext, settings: ChannelSettings, proxy_states: ProxyStateBook
     ) -> None:
         """`proxy_states` numbers the messages that are sent once more."""
-        self.channel = UpdateChannel(settings)
+        self.channel = RateLimitedChannel(settings)
         self._settings = settings
         self._proxy_states = proxy_states
         self._sessions = context.sessions
@@ -73,7 +73,7 @@
             if not self.channel.has_message_for(session.number):
                 self.put_again(now, message, message.cost_entries)
 
-    def put_newest_again(self, now: int, session: ProxySession, cost_entries: int) -> None:
+    def put_newest_again(self, now: int, session: PublisherSession, cost_entries: int) -> None:
         """Queues what a proxy is to hold once more, unless a later message waits."""
         if session.newest is not None and not self.channel.has_message_for(session.number):
             self.put_again(now, session.newest, cost_entries)
--- a/willowhook/controlplane/update_sink_factory.py
+++ b/willowhook/controlplane/update_sink_factory.py
@@ -16,13 +16,13 @@
     def __init__(
         self,
         context: ServiceContext,
-        shelf_type: type[Shelf],
+        file_writer_type: type[Shelf],
         store: ResourceStore,
         discovery: DiscoveryFeed | None,
     ) -> None:
         """Takes what writes files, the resources, and the discovery server if there is one."""
         self._context = context
-        self._shelf_type = shelf_type
+        self._file_writer_type = file_writer_type
         self._store = store
         self._discovery = discovery
         self._count = 0  # of sessions: no two may name their versions of files alike
@@ -35,11 +35,11 @@
         epoch = self._context.epoch
         durability = self._context.terms.files.durability
         path = f"{self._context.folder.down}/{session.name}"
-        shelf = self._shelf_type(path, self._context.ops, durability, f"{epoch}-{self._count}-")
+        file_writer = self._file_writer_type(path, self._context.ops, durability, f"{epoch}-{self._count}-")
         try:
-            shelf.open()
+            file_writer.open()
         except OSError as error:
             self._context.conditions.report(
                 "disk", True, "files cannot be swapped", proxy=session.name, cause=str(error)
             )
-        return FileUpdateSink(shelf, self._store, session.term, epoch, durability != "none")
+        return FileUpdateSink(file_writer, self._store, session.term, epoch, durability != "none")
--- a/willowhook/controlplane/update_sinks.py
+++ b/willowhook/controlplane/update_sinks.py
@@ -53,9 +53,11 @@
 class FileUpdateSink:
     """A folder of files. A file whose resources are as before keeps its version, so it is not swapped."""
 
-    def __init__(self, shelf: Shelf, store: ResourceStore, term: int, epoch: int, may_block: bool) -> None:
+    def __init__(
+        self, file_writer: Shelf, store: ResourceStore, term: int, epoch: int, may_block: bool
+    ) -> None:
         """`term` and `epoch` are the first two parts of the versions in its files."""
-        self.shelf = shelf
+        self.file_writer = file_writer
         self.may_block = may_block
         self._store = store
         self._term = term
@@ -80,13 +82,13 @@
         self, number: int, resources: ResourcesByType, excluded: frozenset[str]
     ) -> Callable[[], bool]:
         """See `UpdateSink.prepare`."""
-        return partial(self.shelf.put, self.files(number, resources))
+        return partial(self.file_writer.put, self.files(number, resources))
 
     def prepare_rewrite(self) -> Callable[[], bool]:
         """See `UpdateSink.prepare_rewrite`; the files are written whole."""
-        files = self.shelf.held
-        self.shelf.held = {}
-        return partial(self.shelf.put, files) if files else _write_nothing
+        files = self.file_writer.held
+        self.file_writer.held = {}
+        return partial(self.file_writer.put, files) if files else _write_nothing
 
     def send_away(self, resource: bytes) -> None:
         """See `UpdateSink.send_away`."""
--- a/willowhook/controlplane/update_validator.py
+++ b/willowhook/controlplane/update_validator.py
@@ -11,7 +11,7 @@
 from ..ticks import TICKS_PER_SECOND
 from ..validation.model import UpdateVersion
 from ..validation.verdict import Outcome, Verdict
-from .proxy_session import HeldMessage, ProxySession
+from .proxy_session import HeldMessage, PublisherSession
 from .proxy_state import UpdateMessage
 from .publisher_context import PublisherContext
 from .publisher_listener import Condition
@@ -51,12 +51,12 @@
             except Exception as error:
                 self._disable(error)
 
-    def record_sent(self, now: int, session: ProxySession, message: UpdateMessage) -> None:
+    def record_sent(self, now: int, session: PublisherSession, message: UpdateMessage) -> None:
         """Notes that a message is on its way to its proxy."""
         self.update(self.validation.record_sent, now, message, self._version(session, message))
 
     def validate(
-        self, now: int, session: ProxySession, message: UpdateMessage, waiting_entries: int
+        self, now: int, session: PublisherSession, message: UpdateMessage, waiting_entries: int
     ) -> UpdateMessage | None:
         """Returns the message as it may be written now; None if it may not, or not yet."""
         if not self.is_enabled:
@@ -83,7 +83,7 @@
         return self._follow_verdict(now, session, message, verdict)
 
     def _follow_verdict(
-        self, now: int, session: ProxySession, message: UpdateMessage, verdict: Verdict
+        self, now: int, session: PublisherSession, message: UpdateMessage, verdict: Verdict
     ) -> UpdateMessage | None:
         is_held = verdict.outcome in (Outcome.HELD, Outcome.SPLIT)
         self._log.warning(
@@ -102,7 +102,7 @@
             return None
         return replace(message, view=self.validation.first_step(message.view, verdict))
 
-    def _version(self, session: ProxySession, message: UpdateMessage) -> UpdateVersion:
+    def _version(self, session: PublisherSession, message: UpdateMessage) -> UpdateVersion:
         return UpdateVersion(session.term, self._epoch, message.number)
 
     def _report_timing(self, micros: int) -> None:
--- a/willowhook/controlplane/update_writer.py
+++ b/willowhook/controlplane/update_writer.py
@@ -8,8 +8,8 @@
 
 from ..ticks import TICKS_PER_SECOND
 from .acknowledgements import Acknowledgements
-from .channel import UpdateChannel
-from .proxy_session import Contents, PendingAcknowledgement, ProxySession, RewriteTimer
+from .channel import RateLimitedChannel
+from .proxy_session import Contents, PendingAcknowledgement, PublisherSession, RewriteTimer
 from .proxy_state import UpdateMessage
 from .publisher_context import PublisherContext
 from .publisher_listener import Condition
@@ -27,7 +27,7 @@
     def __init__(
         self,
         context: PublisherContext,
-        channel: UpdateChannel,
+        channel: RateLimitedChannel,
         validator: UpdateValidator,
         rollout: TableRollout,
         acknowledgements: Acknowledgements,
@@ -42,7 +42,7 @@
         self._rollout = rollout
         self._acknowledgements = acknowledgements
 
-    async def write(self, session: ProxySession, message: UpdateMessage, contents: Contents) -> bool:
+    async def write(self, session: PublisherSession, message: UpdateMessage, contents: Contents) -> bool:
         """Puts a message in place. Returns False if its files cannot be written now.
 
         True also if the proxy has left meanwhile: the message is nobody's any more.
@@ -72,7 +72,7 @@
             await self._expect_acknowledgement(now, session, message, has_changed)
         return True
 
-    def _prepare(self, session: ProxySession, message: UpdateMessage) -> Callable[[], bool]:
+    def _prepare(self, session: PublisherSession, message: UpdateMessage) -> Callable[[], bool]:
         view = message.view
         if view.is_sent_away:
             session.sink.send_away(self._renderer.render_send_away())
@@ -80,7 +80,7 @@
         return session.sink.prepare(message.number, resources, frozenset(view.excluded))
 
     def _record_sent(
-        self, now: int, session: ProxySession, message: UpdateMessage, contents: Contents
+        self, now: int, session: PublisherSession, message: UpdateMessage, contents: Contents
     ) -> None:
         self._validator.record_sent(now, session, message)
         self._listener.record_sent(session.name, session.term, message.number)
@@ -88,7 +88,7 @@
         session.remember_contents(message.number, contents)
 
     async def _expect_acknowledgement(
-        self, now: int, session: ProxySession, message: UpdateMessage, has_changed: bool
+        self, now: int, session: PublisherSession, message: UpdateMessage, has_changed: bool
     ) -> None:
         if has_changed:
             session.written = message.number
--- a/willowhook/controlplane/validation_context.py
+++ b/willowhook/controlplane/validation_context.py
@@ -14,18 +14,18 @@
 from ..ticks import TICKS_PER_SECOND
 from ..validation.model import (
     Candidate,
-    Endpoint,
     EndpointMode,
     ProxyTables,
     RouteConstraints,
     UpdateVersion,
+    ValidatedEndpoint,
     ValidationSettings,
 )
 from ..validation.validator import Validator
 from ..validation.verdict import Verdict
 from ..validation.world import World
 from .proxy_resources import ProxyResources
-from .proxy_state import UNVERSIONED, ProxyView, TableState, UpdateMessage
+from .proxy_state import UNVERSIONED, ProxyView, UpdateMessage, VersionedTable
 
 MAX_LEARNT_CAPACITY = 2.5  # times the mean: a wrong estimate must not open an endpoint's budget wide
 MIN_RATE_CHANGE = 0.2  # of the rate before; smaller ones are not followed, as each moves a proxy's class
@@ -99,14 +99,14 @@
         """Takes the complete endpoint list; `started_at` gives the tick of an endpoint's start."""
         self.world.endpoints.update_list(now, [self._endpoint(now, host, started_at(host)) for host in hosts])
 
-    def _endpoint(self, now: int, host: Host, started_at: int) -> Endpoint:
+    def _endpoint(self, now: int, host: Host, started_at: int) -> ValidatedEndpoint:
         capacity = 1.0
         if self._settings.lists_capacity:
             capacity = host.size
         elif host.id in self.world.endpoints.by_name:
             capacity = self.world.endpoints.by_name[host.id].capacity
         mode = EndpointMode.DRAINING if host.draining else EndpointMode.IN_SERVICE
-        return Endpoint(host.id, mode, now, started_at, capacity, host.kind, host.zone)
+        return ValidatedEndpoint(host.id, mode, now, started_at, capacity, host.kind, host.zone)
 
     def update_capacities(self, capacities: Mapping[str, float]) -> None:
         """Takes the capacities that the decisions learnt, where the endpoint list tells none."""
@@ -217,8 +217,8 @@
     @staticmethod
     def first_step(view: ProxyView, verdict: Verdict) -> ProxyView:
         """Returns a view with the tables of the first step of a split."""
-        cut_tables: dict[int, TableState] = {}
-        bound: dict[int, TableState] = {}
+        cut_tables: dict[int, VersionedTable] = {}
+        bound: dict[int, VersionedTable] = {}
         for route, table in view.bound.items():
             if table.number not in cut_tables:
                 cut_tables[table.number] = _cut_table(table, route, verdict)
@@ -226,11 +226,11 @@
         return ProxyView(bound, view.excluded, view.is_sent_away)
 
 
-def _cut_table(table: TableState, route: int, verdict: Verdict) -> TableState:
+def _cut_table(table: VersionedTable, route: int, verdict: Verdict) -> VersionedTable:
     weights = dict(table.weights)
     for step in verdict.steps[::2]:  # each endpoint in slow start has a first step of its own
         for endpoint, weight in table.weights.items():
             weights[endpoint] = min(weights[endpoint], step.weights[route].get(endpoint, weight))
-    cut = TableState(table.number, weights, table.limits)
+    cut = VersionedTable(table.number, weights, table.limits)
     cut.is_shared = True
     return cut
--- a/willowhook/reports/read.py
+++ b/willowhook/reports/read.py
@@ -8,7 +8,7 @@
 from ..xds import forms
 from ..xds.codec import FormError, seconds
 from ..xds.orca import load
-from .sums import AttemptSums, ReportCells
+from .sums import ReportCells, ReportedAttempts
 
 LATENCY = "latency_seconds"  # the named metric that sums the latency of the attempts that succeeded
 MOST_REQUESTS = 1e9  # of one count; more is malformed
@@ -83,7 +83,7 @@
             if attempts:
                 mean_latency_s = cell.latency_s / cell.timed if cell.timed else 0.0
                 latency_sum = mean_latency_s * cell.successes * TICKS_PER_SECOND
-                cells[key] = AttemptSums(attempts, cell.failures, latency_sum)
+                cells[key] = ReportedAttempts(attempts, cell.failures, latency_sum)
         self._report.contents.loads = self._loads()
         return self._report
 
--- a/willowhook/reports/sample.py
+++ b/willowhook/reports/sample.py
@@ -13,7 +13,7 @@
 
 from ..ticks import TICKS_PER_SECOND
 from .read import Report
-from .sums import AttemptSums, Cell, ReportCells, combine_reports
+from .sums import Cell, ReportCells, ReportedAttempts, combine_reports
 from .windows import Covered, ReportWindows
 
 LONGEST_STRETCH_TICKS = 120 * TICKS_PER_SECOND  # that a sample stands for
@@ -33,7 +33,7 @@
         window: the time that the sums stand for.
     """
 
-    cells: dict[Cell, AttemptSums] = field(default_factory=dict)
+    cells: dict[Cell, ReportedAttempts] = field(default_factory=dict)
     loads: dict[str, dict[str, float]] = field(default_factory=dict)
     requests: dict[str, tuple[float, float]] = field(default_factory=dict)
     since: int = 0
@@ -55,7 +55,7 @@
         if part >= 1:
             return self.report.contents
         cells = {
-            cell: AttemptSums(sums.attempts * part, sums.failures * part, sums.latency_sum * part)
+            cell: ReportedAttempts(sums.attempts * part, sums.failures * part, sums.latency_sum * part)
             for cell, sums in self.report.contents.cells.items()
         }
         return ReportCells(cells, self.report.contents.loads)
--- a/willowhook/reports/sums.py
+++ b/willowhook/reports/sums.py
@@ -25,7 +25,7 @@
 LEAST_PENDING_ATTEMPTS = 0.5
 
 
-class AttemptSums(NamedTuple):
+class ReportedAttempts(NamedTuple):
     """What reports say of the attempts at an endpoint for a route.
 
     Attributes:
@@ -41,7 +41,7 @@
     variance: float = 0.0
 
 
-NO_ATTEMPTS = AttemptSums(0.0, 0.0, 0.0)
+NO_ATTEMPTS = ReportedAttempts(0.0, 0.0, 0.0)
 Cell = tuple[str, str]  # an endpoint (by address, or by name) and a route
 Loads = Mapping[str, dict[str, float]]  # by endpoint: load metrics by name
 
@@ -67,7 +67,7 @@
         loads: load metrics by endpoint.
     """
 
-    cells: dict[Cell, AttemptSums] = field(default_factory=dict)
+    cells: dict[Cell, ReportedAttempts] = field(default_factory=dict)
     loads: dict[str, dict[str, float]] = field(default_factory=dict)
 
 
@@ -102,7 +102,7 @@
 """Endpoint, zone, attempts, failures, mean latency, window and load metrics, handed over to the decisions."""
 
 
-def combine_reports(reports: Sequence[ReportCells], factor: float) -> dict[Cell, AttemptSums]:
+def combine_reports(reports: Sequence[ReportCells], factor: float) -> dict[Cell, ReportedAttempts]:
     """Sums over reports of which each stands for `factor` of them.
 
     `reports` are all there are (`factor` 1), two drawn evenly, or one. Of one alone nothing is known of the
@@ -116,7 +116,7 @@
     }
 
 
-def _combine_cell(sample: Sequence[AttemptSums], factor: float) -> AttemptSums:
+def _combine_cell(sample: Sequence[ReportedAttempts], factor: float) -> ReportedAttempts:
     attempts, failures, latency_sum, _ = (factor * sum(column) for column in zip(*sample, strict=True))
     size = len(sample)
     variance = 0.0
@@ -127,7 +127,7 @@
         variance = population**2 * (1 - size / population) * spread / size
     elif factor > 1:
         variance = factor * (factor - 1) * sample[0].attempts
-    return AttemptSums(attempts, failures, latency_sum, variance)
+    return ReportedAttempts(attempts, failures, latency_sum, variance)
 
 
 class ReportSums:
@@ -151,7 +151,7 @@
         zone: str,
         since: int,
         until: int,
-        cells: Mapping[Cell, AttemptSums],
+        cells: Mapping[Cell, ReportedAttempts],
         loads: Loads,
     ) -> None:
         """Adds what happened evenly from `since` to `until`, by this clock, seen from a zone."""
--- a/willowhook/trial/fuzz.py
+++ b/willowhook/trial/fuzz.py
@@ -141,7 +141,7 @@
         node = forms.Node(
             "sound", "calls", forms.Locality(zone="norte"), {"term": term, "director": "director-0"}
         )
-        caller = await dial("127.0.0.1", service.front_port)
+        caller = await dial("127.0.0.1", service.discovery_port)
         head = [(b"authorization", b"Bearer " + token("sound"))]
         asked = encode(forms.DeltaDiscoveryRequest(node, forms.ASSIGNMENT))
         with trio.fail_after(10):
@@ -172,7 +172,7 @@
             for k in range(0, inputs, AT_ONCE):
                 async with trio.open_nursery() as some:
                     for _ in range(min(AT_ONCE, inputs - k)):
-                        some.start_soon(one, service.front_port, spoiled(chance), chance.random() < 0.9)
+                        some.start_soon(one, service.discovery_port, spoiled(chance), chance.random() < 0.9)
                 if not early and k >= inputs / 10:
                     early = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
                 if k // 1000 != (k - AT_ONCE) // 1000:
--- a/willowhook/trial/guard_cases.py
+++ b/willowhook/trial/guard_cases.py
@@ -15,11 +15,11 @@
 from ..ticks import TICKS_PER_SECOND, ticks_from_seconds
 from ..validation.model import (
     Candidate,
-    Endpoint,
     EndpointMode,
     ProxyTables,
     RouteConstraints,
     UpdateVersion,
+    ValidatedEndpoint,
     ValidationSettings,
 )
 from ..validation.validator import Validator
@@ -355,7 +355,7 @@
         if host.known:
             started = 0 if host.age > 1e6 else NOW - ticks_from_seconds(host.age)
             mode = EndpointMode(host.mode)
-            facts = Endpoint(name, mode, 0, started, host.size, host.kind, host.zone, host.reachable)
+            facts = ValidatedEndpoint(name, mode, 0, started, host.size, host.kind, host.zone, host.reachable)
             world.endpoints.by_name[name] = facts
             facts.since = NOW - ticks_from_seconds(host.since)
             rows.append(facts)
--- a/willowhook/trial/herd.py
+++ b/willowhook/trial/herd.py
@@ -212,7 +212,7 @@
         processes = []
         for part in range(PARTS):
             orders = Herd(
-                service.front_port, names[part::PARTS], slow, encoding, str(folder / f"out{part}.json")
+                service.discovery_port, names[part::PARTS], slow, encoding, str(folder / f"out{part}.json")
             )
             path = folder / f"herd{part}.json"
             path.write_bytes(msgspec.json.encode(orders))
--- a/willowhook/trial/swaps.py
+++ b/willowhook/trial/swaps.py
@@ -232,13 +232,13 @@
     def idle() -> bool:
         return not len(held[0].channel)
 
-    held.append(Service(terms, decider=partial(Churn, idle), shelf=TimedShelf))
+    held.append(Service(terms, decider=partial(Churn, idle), file_writer=TimedShelf))
     return held[0]
 
 
 def swaps_of(service: Service) -> int:
     sinks = [session.sink for session in service.publisher.sessions.values()]
-    return sum(sink.shelf.swaps for sink in sinks if isinstance(sink, FileUpdateSink))
+    return sum(sink.file_writer.swaps for sink in sinks if isinstance(sink, FileUpdateSink))
 
 
 def swaps(folder: Path, count: int, readers: int, durability: str, say: Callable[[str], None]) -> SwapReport:
--- a/willowhook/validation/endpoint_checks.py
+++ b/willowhook/validation/endpoint_checks.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping
 
 from .case import Case
-from .model import Endpoint, ProxyTables
+from .model import ProxyTables, ValidatedEndpoint
 from .verdict import Finding, Outcome, Rule, Step, Verdict
 
 FIRST_STEP_MARGIN = 0.95  # of the share that the budget of an endpoint in slow start allows
@@ -69,7 +69,7 @@
     return endpoint is not None and endpoint.is_in_service and endpoints.is_warm(case.now, endpoint)
 
 
-def _find_warm(case: Case, route: int) -> Endpoint | None:
+def _find_warm(case: Case, route: int) -> ValidatedEndpoint | None:
     endpoints = case.world.endpoints
     for endpoint in endpoints.by_name.values():
         if not endpoint.is_in_service or not endpoint.has_address:
@@ -98,7 +98,7 @@
 
 
 def _add_cold_finding(
-    case: Case, verdict: Verdict, endpoint: Endpoint, after: float, requests: float, budget: float
+    case: Case, verdict: Verdict, endpoint: ValidatedEndpoint, after: float, requests: float, budget: float
 ) -> None:
     world = case.world
     name = endpoint.name
@@ -120,7 +120,7 @@
     verdict.steps += _split(case.now, case.candidate.tables, name, fraction, until)
 
 
-def _warm_at(case: Case, endpoint: Endpoint, warmth: float) -> int:
+def _warm_at(case: Case, endpoint: ValidatedEndpoint, warmth: float) -> int:
     """The tick at which an endpoint has this fraction of its capacity."""
     start = case.world.settings.slow_start_fraction
     slow_start = case.world.settings.slow_start_ticks
--- a/willowhook/validation/endpoints.py
+++ b/willowhook/validation/endpoints.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable, Mapping
 
-from .model import Endpoint, EndpointMode, ValidationSettings
+from .model import EndpointMode, ValidatedEndpoint, ValidationSettings
 
 
 class EndpointIndex:
@@ -20,14 +20,14 @@
     def __init__(self, settings: ValidationSettings) -> None:
         """Starts without endpoints."""
         self._settings = settings
-        self.by_name: dict[str, Endpoint] = {}
+        self.by_name: dict[str, ValidatedEndpoint] = {}
         self.not_in_service: dict[str, None] = {}
         self.capacity_in_service = 0.0
         self.list_version = 0
-        self._may_be_cold: list[Endpoint] = []
+        self._may_be_cold: list[ValidatedEndpoint] = []
 
-    def update_list(self, now: int, endpoints: Iterable[Endpoint]) -> None:
-        """Takes the complete list: what is missing is removed. Sets `Endpoint.since` of each."""
+    def update_list(self, now: int, endpoints: Iterable[ValidatedEndpoint]) -> None:
+        """Takes the complete list: what is missing is removed. Sets `ValidatedEndpoint.since` of each."""
         listed: dict[str, None] = {}
         for endpoint in endpoints:
             listed[endpoint.name] = None
@@ -59,13 +59,13 @@
     def _sum_capacity(self) -> None:
         self.capacity_in_service = sum(each.capacity for each in self.by_name.values() if each.is_in_service)
 
-    def cold(self, now: int) -> list[Endpoint]:
+    def cold(self, now: int) -> list[ValidatedEndpoint]:
         """Returns the endpoints in service that are still warming up."""
         slow_start = self._settings.slow_start_ticks
         self._may_be_cold = [each for each in self._may_be_cold if now - each.started_at < slow_start]
         return self._may_be_cold
 
-    def warmth(self, now: int, endpoint: Endpoint) -> float:
+    def warmth(self, now: int, endpoint: ValidatedEndpoint) -> float:
         """Returns the fraction of its capacity that an endpoint has by now: slow start is linear."""
         settings = self._settings
         age = now - endpoint.started_at
@@ -74,11 +74,11 @@
         start = settings.slow_start_fraction
         return start + (1 - start) * max(age, 0) / settings.slow_start_ticks
 
-    def is_warm(self, now: int, endpoint: Endpoint) -> bool:
+    def is_warm(self, now: int, endpoint: ValidatedEndpoint) -> bool:
         """Whether an endpoint has all of its capacity."""
         return self.warmth(now, endpoint) >= 1
 
-    def may_serve(self, route: int, endpoint: Endpoint, zone: str) -> bool:
+    def may_serve(self, route: int, endpoint: ValidatedEndpoint, zone: str) -> bool:
         """Whether the route allows an endpoint to a proxy in this zone."""
         constraints = self._settings.routes[route]
         if constraints.same_zone_only and endpoint.zone != zone:
--- a/willowhook/validation/load_checks.py
+++ b/willowhook/validation/load_checks.py
@@ -9,7 +9,7 @@
 import math
 
 from .case import Case
-from .model import Endpoint
+from .model import ValidatedEndpoint
 from .verdict import Finding, Outcome, Rule, Verdict
 
 MIN_RISE_OVER_CAPACITY = 1.02  # a smaller rise of an overload is let through
@@ -52,7 +52,9 @@
             _check_swing_of(case, verdict, endpoint, rise, even_load)
 
 
-def _check_swing_of(case: Case, verdict: Verdict, endpoint: Endpoint, rise: float, even_load: float) -> None:
+def _check_swing_of(
+    case: Case, verdict: Verdict, endpoint: ValidatedEndpoint, rise: float, even_load: float
+) -> None:
     world = case.world
     before = world.load(endpoint.name)
     limit = world.settings.max_share_factor * even_load * endpoint.capacity
@@ -70,7 +72,9 @@
     )
 
 
-def _is_spread_of_busy_proxy(case: Case, endpoint: Endpoint, before: float, even_load: float) -> bool:
+def _is_spread_of_busy_proxy(
+    case: Case, endpoint: ValidatedEndpoint, before: float, even_load: float
+) -> bool:
     """Whether one busy proxy spreads its requests over the few endpoints that it has.
 
     That is so if the load before is no more than an even share, and the endpoint gets at most twice its
--- a/willowhook/validation/model.py
+++ b/willowhook/validation/model.py
@@ -96,7 +96,7 @@
 
 
 @dataclass(slots=True)
-class Endpoint:
+class ValidatedEndpoint:
     """An endpoint as listed.
 
     Attributes:
--- a/willowhook/validation/state_file.py
+++ b/willowhook/validation/state_file.py
@@ -16,11 +16,11 @@
 from ..ticks import TICKS_PER_SECOND, ticks_from_seconds
 from .model import (
     Candidate,
-    Endpoint,
     EndpointMode,
     ProxyTables,
     RouteConstraints,
     UpdateVersion,
+    ValidatedEndpoint,
     ValidationSettings,
 )
 from .validator import Validator
@@ -199,9 +199,9 @@
     )
 
 
-def _endpoint(row: StateHost, now: int, slow_start_s: float) -> Endpoint:
+def _endpoint(row: StateHost, now: int, slow_start_s: float) -> ValidatedEndpoint:
     is_young = row.started_s_ago < slow_start_s
-    return Endpoint(
+    return ValidatedEndpoint(
         name=row.name,
         mode=EndpointMode(row.mode),
         since=now - ticks_from_seconds(row.told_s_ago),
--- a/willowhook/validation/world.py
+++ b/willowhook/validation/world.py
@@ -6,7 +6,7 @@
 
 from .endpoints import EndpointIndex
 from .exposure import ClassKey, ExposureIndex, Rates
-from .model import Endpoint, ProxyKey, ProxyTables, RequestShares, UpdateVersion, ValidationSettings
+from .model import ProxyKey, ProxyTables, RequestShares, UpdateVersion, ValidatedEndpoint, ValidationSettings
 
 NO_VERSION = UpdateVersion(0, 0, 0)  # below any that is sent
 NO_CAPACITY = 1e-9  # relative; what is divided by stays above 0
@@ -150,7 +150,7 @@
                 requests += rate * max(shares, default=0)
         return requests
 
-    def load_elsewhere(self, endpoint: Endpoint) -> float:
+    def load_elsewhere(self, endpoint: ValidatedEndpoint) -> float:
         """Returns what other controllers' proxies may send there, spread in proportion to capacity."""
         capacity = self.endpoints.capacity_in_service
         if not endpoint.is_in_service or capacity <= 0:
@@ -173,7 +173,7 @@
         capacity = max(self.endpoints.capacity_in_service, NO_CAPACITY)
         return sum(self.total_rates) * self.fleet_factor() / capacity
 
-    def cold_budget(self, now: int, endpoint: Endpoint) -> float:
+    def cold_budget(self, now: int, endpoint: ValidatedEndpoint) -> float:
         """Returns what all proxies together may send an endpoint that is warming up."""
         settings = self.settings
         return (
