--- a/tests/test_publisher.py
+++ b/tests/test_publisher.py
@@ -28,7 +28,11 @@
 
     def judge(now: int, candidate: Candidate) -> Verdict:
         verdict = Verdict()
-        verdict.add(Finding("queue", outcome, Rule.QUEUE, "as told", "nothing", until=until))
+        verdict.add(
+            Finding(
+                check="queue", outcome=outcome, rule=Rule.QUEUE, text="as told", remedy="nothing", until=until
+            )
+        )
         return verdict
 
     return judge
--- a/willowhook/validation/content_checks.py
+++ b/willowhook/validation/content_checks.py
@@ -20,7 +20,7 @@
 MIN_ROUNDING_CHANGE = 0.001  # of all requests; a smaller change of a share does not matter
 MIN_RETRIES = 0
 MAX_RETRIES = 3
-MAX_SAFE_RETRIES = 1  # after proof that the attempt never ran; more are sent after any failure
+MAX_SAFE_RETRIES = 1  # after proof that the attempt never executed; 2 and 3 retry after any failure
 
 
 def check_version(case: Case, verdict: Verdict) -> None:
@@ -47,20 +47,30 @@
             _check_rounding(case, route, weights, verdict)
     for route, limit in enumerate(tables.limits):
         if math.isnan(limit) or limit < 0:
-            text = f"the level is {limit}"
-            verdict.add(_refused("weights", text, "a level of 0 or more", case.route_name(route)))
+            text = f"the admission limit is {limit}"
+            verdict.add(_refused("weights", text, "a limit of 0 or more", route=case.route_name(route)))
     expected = len(case.world.settings.routes)
     if len(tables.weights) != expected:
         text = f"{len(tables.weights)} routes of {expected}"
         remedy = "name a table for every route"
-        verdict.add(Finding("weights", Outcome.REFUSED, Rule.EMPTY_TABLE, text, remedy))
+        verdict.add(
+            Finding(
+                check="weights",
+                outcome=Outcome.REFUSED,
+                rule=Rule.EMPTY_TABLE,
+                text=text,
+                remedy=remedy,
+            )
+        )
 
 
 def _has_valid_weights(case: Case, route: int, weights: Mapping[str, float], verdict: Verdict) -> bool:
     for endpoint, weight in weights.items():
         if not (math.isfinite(weight) and weight > 0):
             text = f"the weight is {weight}"
-            verdict.add(_refused("weights", text, "a weight above 0", case.route_name(route), endpoint))
+            verdict.add(
+                _refused("weights", text, "a weight above 0", route=case.route_name(route), endpoint=endpoint)
+            )
             return False
     return True
 
@@ -74,7 +84,7 @@
     text = f"weights from {least:g} to {most:g}"
     remedy = f"keep them within {MAX_WEIGHT_RATIO:g} of each other"
     name = case.route_name(route)
-    verdict.add(_refused("weights", text, remedy, name, figure=ratio, limit=MAX_WEIGHT_RATIO))
+    verdict.add(_refused("weights", text, remedy, route=name, figure=ratio, limit=MAX_WEIGHT_RATIO))
     return False
 
 
@@ -90,7 +100,9 @@
             text = f"its share is {meant:.2%}, but {becomes:.2%} as whole numbers"
             remedy = f"scale all weights up by {1 / (min(weights.values()) * WEIGHT_SCALE):.0f} or more"
             name = case.route_name(route)
-            verdict.add(_refused("weights", text, remedy, name, endpoint, becomes, meant))
+            verdict.add(
+                _refused("weights", text, remedy, route=name, endpoint=endpoint, figure=becomes, limit=meant)
+            )
             return
 
 
@@ -115,7 +127,9 @@
             if endpoint is not None and not endpoints.may_serve(route, endpoint, case.zone):
                 kind = endpoint.endpoint_class or "of no kind"
                 text = f"it is {kind} in {endpoint.zone}, which may not serve this route"
-                verdict.add(_refused("places", text, "take it out", case.route_name(route), name))
+                verdict.add(
+                    _refused("places", text, "take it out", route=case.route_name(route), endpoint=name)
+                )
 
 
 def check_retries(case: Case, verdict: Verdict) -> None:
@@ -123,18 +137,28 @@
     for route, retries in enumerate(case.candidate.tables.retries):
         constraints = case.world.settings.routes[route]
         if not MIN_RETRIES <= retries <= MAX_RETRIES:
-            text = f"tries {retries} is no order"
-            verdict.add(Finding("tries", Outcome.REFUSED, Rule.RETRIES, text, "0 to 3", constraints.name))
+            text = f"the retry mode {retries} is not defined"
+            verdict.add(
+                Finding(
+                    check="tries",
+                    outcome=Outcome.REFUSED,
+                    rule=Rule.RETRIES,
+                    text=text,
+                    remedy="0 to 3",
+                    route=constraints.name,
+                )
+            )
         elif retries > MAX_SAFE_RETRIES and constraints.semantics is not RequestSemantics.IDEMPOTENT:
-            text = f"tries {retries} after any failure, and calls are {constraints.semantics.value}"
+            semantics = constraints.semantics.value
+            text = f"the retry mode {retries} retries after any failure, and calls are {semantics}"
             verdict.add(
                 Finding(
-                    "tries",
-                    Outcome.REFUSED,
-                    Rule.RETRIES,
-                    text,
-                    "1 at the most",
-                    constraints.name,
+                    check="tries",
+                    outcome=Outcome.REFUSED,
+                    rule=Rule.RETRIES,
+                    text=text,
+                    remedy="1 at the most",
+                    route=constraints.name,
                     figure=retries,
                     limit=MAX_SAFE_RETRIES,
                 )
@@ -145,9 +169,20 @@
     check: str,
     text: str,
     remedy: str,
+    *,
     route: str = "",
     endpoint: str = "",
     figure: float = 0.0,
     limit: float = 0.0,
 ) -> Finding:
-    return Finding(check, Outcome.REFUSED, Rule.NONE, text, remedy, route, endpoint, figure, limit)
+    return Finding(
+        check=check,
+        outcome=Outcome.REFUSED,
+        rule=Rule.NONE,
+        text=text,
+        remedy=remedy,
+        route=route,
+        endpoint=endpoint,
+        figure=figure,
+        limit=limit,
+    )
--- a/willowhook/validation/endpoint_checks.py
+++ b/willowhook/validation/endpoint_checks.py
@@ -28,7 +28,16 @@
         if past >= grace:
             text = f"it is {endpoint.mode.value} since {past}, the grace is {grace}"
             verdict.add(
-                Finding("drained", Outcome.REFUSED, Rule.DRAINING, text, "withdraw it", "", name, past, grace)
+                Finding(
+                    check="drained",
+                    outcome=Outcome.REFUSED,
+                    rule=Rule.DRAINING,
+                    text=text,
+                    remedy="withdraw it",
+                    endpoint=name,
+                    figure=past,
+                    limit=grace,
+                )
             )
 
 
@@ -45,12 +54,12 @@
         in_service = sum(endpoint.is_in_service for endpoint in left)
         verdict.add(
             Finding(
-                "empty",
-                Outcome.REFUSED,
-                Rule.EMPTY_TABLE,
-                _describe_empty(len(left), in_service),
-                f"add a warm host, such as {better.name}",
-                case.route_name(route),
+                check="empty",
+                outcome=Outcome.REFUSED,
+                rule=Rule.EMPTY_TABLE,
+                text=_describe_empty(len(left), in_service),
+                remedy=f"add a warm host, such as {better.name}",
+                route=case.route_name(route),
                 figure=in_service,
                 limit=1,
             )
@@ -59,8 +68,8 @@
 
 def _describe_empty(left: int, in_service: int) -> str:
     if in_service:
-        return f"all {in_service} hosts that are left when drains complete are cold"
-    return f"all {left} hosts drain or are gone" if left else "no line is left"
+        return f"all {in_service} hosts that are left when drains complete are in slow start"
+    return f"all {left} hosts drain or are gone" if left else "the table has no entry left"
 
 
 def _is_warm_in_service(case: Case, name: str) -> bool:
@@ -109,13 +118,32 @@
     if needed_warmth > 1:
         remedy = f"{fraction:.0%} of its share"
         verdict.add(
-            Finding("cold", Outcome.REFUSED, Rule.SLOW_START, text, remedy, "", name, requests, budget)
+            Finding(
+                check="cold",
+                outcome=Outcome.REFUSED,
+                rule=Rule.SLOW_START,
+                text=text,
+                remedy=remedy,
+                endpoint=name,
+                figure=requests,
+                limit=budget,
+            )
         )
         return
     until = max(_warm_at(case, endpoint, needed_warmth), case.now)
     remedy = f"{fraction:.0%} of its share now, or all of it from {until}"
     verdict.add(
-        Finding("cold", Outcome.SPLIT, Rule.SLOW_START, text, remedy, "", name, requests, budget, until)
+        Finding(
+            check="cold",
+            outcome=Outcome.SPLIT,
+            rule=Rule.SLOW_START,
+            text=text,
+            remedy=remedy,
+            endpoint=name,
+            figure=requests,
+            limit=budget,
+            until=until,
+        )
     )
     verdict.steps += _split(case.now, case.candidate.tables, name, fraction, until)
 
--- a/willowhook/validation/load_checks.py
+++ b/willowhook/validation/load_checks.py
@@ -36,7 +36,16 @@
             text = f"{requests:.1f} calls/s may come, it can do {capacity:.1f}"
             remedy = f"{capacity / requests:.0%} of its weight"
             verdict.add(
-                Finding("capacity", Outcome.REFUSED, Rule.NONE, text, remedy, "", name, requests, capacity)
+                Finding(
+                    check="capacity",
+                    outcome=Outcome.REFUSED,
+                    rule=Rule.NONE,
+                    text=text,
+                    remedy=remedy,
+                    endpoint=name,
+                    figure=requests,
+                    limit=capacity,
+                )
             )
 
 
@@ -68,7 +77,16 @@
     text = f"{requests:.1f} of {total:.1f} calls/s may come"
     remedy = f"spread them: {count} hosts are open"
     verdict.add(
-        Finding("swing", Outcome.REFUSED, Rule.NONE, text, remedy, "", endpoint.name, requests, limit)
+        Finding(
+            check="swing",
+            outcome=Outcome.REFUSED,
+            rule=Rule.NONE,
+            text=text,
+            remedy=remedy,
+            endpoint=endpoint.name,
+            figure=requests,
+            limit=limit,
+        )
     )
 
 
@@ -103,7 +121,7 @@
     if waiting > limit:
         until = case.now + math.ceil((waiting - limit) / settings.entries_per_tick)
         text = f"{waiting:.0f} lines would wait, {limit:.0f} may"
-        verdict.add(_held(text, until, waiting, limit))
+        verdict.add(_held(text, until=until, figure=waiting, limit=limit))
 
 
 def _check_message_cap(case: Case, verdict: Verdict) -> None:
@@ -114,10 +132,19 @@
     window = settings.message_cap_window_ticks
     recent = [sent_at for sent_at in case.proxy.sent_at if sent_at > case.now - window]
     if len(recent) >= cap:
-        text = f"{len(recent)} messages went to this proxy of late, {cap} may"
-        verdict.add(_held(text, recent[-cap] + window, len(recent), cap))
+        text = f"{len(recent)} messages went to this proxy recently, {cap} may"
+        verdict.add(_held(text, until=recent[-cap] + window, figure=len(recent), limit=cap))
 
 
-def _held(text: str, until: int, figure: float, limit: float) -> Finding:
+def _held(text: str, *, until: int, figure: float, limit: float) -> Finding:
     remedy = f"send it from {until}"
-    return Finding("queue", Outcome.HELD, Rule.QUEUE, text, remedy, "", "", figure, limit, until)
+    return Finding(
+        check="queue",
+        outcome=Outcome.HELD,
+        rule=Rule.QUEUE,
+        text=text,
+        remedy=remedy,
+        figure=figure,
+        limit=limit,
+        until=until,
+    )
--- a/willowhook/validation/validator.py
+++ b/willowhook/validation/validator.py
@@ -35,7 +35,7 @@
 }
 
 CONTENT_CHECKS = ("weights", "known", "places", "tries")  # their result is the same for a zone's proxies
-NEVER_EXEMPT = ("tries", "weights", "version", "shares")
+NEVER_EXEMPT = ("tries", "weights", "version")
 MAX_ACCEPTED_CONTENTS = 1000
 
 
@@ -74,7 +74,15 @@
             case = make_case(now, self.world, candidate)
         except Exception as error:
             text = f"cannot be worked out: {error!r}"
-            verdict.add(Finding("shares", Outcome.REFUSED, Rule.NONE, text, "mend the tables"))
+            verdict.add(
+                Finding(
+                    check="shares",
+                    outcome=Outcome.REFUSED,
+                    rule=Rule.NONE,
+                    text=text,
+                    remedy="mend the tables",
+                )
+            )
             return verdict
         is_accepted = self._is_accepted(case)
         for name, check in self.checks.items():
@@ -109,10 +117,18 @@
     except Exception as error:
         is_closed = FAILS_CLOSED[name]
         direction = "closed" if is_closed else "open"
-        verdict.faults.append(f"check {name} broke and fails {direction}: {error!r}")
+        verdict.faults.append(f"check {name} raised an error and fails {direction}: {error!r}")
         if is_closed:
             remedy = "report it with the record"
-            verdict.add(Finding(name, Outcome.REFUSED, Rule.NONE, "the check itself broke", remedy))
+            verdict.add(
+                Finding(
+                    check=name,
+                    outcome=Outcome.REFUSED,
+                    rule=Rule.NONE,
+                    text="the check itself raised an error",
+                    remedy=remedy,
+                )
+            )
 
 
 def _exempt_rescue(case: Case, verdict: Verdict) -> None:
@@ -127,7 +143,7 @@
     in_service = [endpoint for endpoint in endpoints.by_name.values() if endpoint.is_in_service]
     has_warm = any(endpoints.is_warm(case.now, endpoint) for endpoint in in_service)
     if checks == {"cold"} and not has_warm:
-        verdict.exempt("cold hosts are all there are")
+        verdict.exempt("all hosts that are open are in slow start")
     elif not in_service:
         verdict.exempt("no host is open: every choice is bad, and this one is taken")
 
--- a/willowhook/validation/verdict.py
+++ b/willowhook/validation/verdict.py
@@ -34,7 +34,7 @@
     QUEUE = 5  # the queue limit and the message cap
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(frozen=True, slots=True, kw_only=True)
 class Finding:
     """What one check found.
 
--- a/willowhook/versions/rollout.py
+++ b/willowhook/versions/rollout.py
@@ -154,10 +154,10 @@
         if content in track.halted or self._settings.mode is RolloutMode.NEVER:
             return
         if track.is_staged and proxy in track.canaries:
-            self._halt(now, unit, track, content, f"a canary refused it: {cause}")
+            self._halt(now, unit, track, content, f"a canary rejected it: {cause}")
         elif self._has_too_many_rejections(state):
             counts = f"{len(state.rejected)} of {state.answer_count}"
-            self._halt(now, unit, track, content, f"{counts} refused it: {cause}")
+            self._halt(now, unit, track, content, f"{counts} rejected it: {cause}")
 
     def record_requests(self, now: int, proxy: int, attempts: int, failures: int) -> None:
         """Takes what a proxy met with its requests, since it last reported."""
@@ -263,7 +263,7 @@
         if fraction <= usual + self._settings.max_failure_increase:
             return ""
         return (
-            f"{fraction:.1%} of {canaries.count:.0f} tries failed at canaries,"
+            f"{fraction:.1%} of {canaries.count:.0f} attempts failed at canaries,"
             f" {usual:.1%} of {others.count:.0f} elsewhere"
         )
 
