--- a/tests/test_handoff.py
+++ b/tests/test_handoff.py
@@ -50,7 +50,7 @@
 
 
 def test_a_receiver_that_is_full_keeps_the_newest_hints() -> None:
-    receiver = HintReceiver(1000, most_kept=2)
+    receiver = HintReceiver(1000, max_kept=2)
     for name in "abc":
         receiver.take(0, Packet("a", 1, 1, Hint(name, 1, 10, {})))
     assert [receiver.claim(1, name, 2) is not None for name in "abc"] == [False, True, True]
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -9,6 +9,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
+from willowhook.decisions.settings import RequestSemantics
 from willowhook.membership.model_checker import explore
 from willowhook.membership.ownership import (
     OwnershipClaim,
@@ -64,18 +65,18 @@
 
 
 def test_a_claim_is_read_by_the_controller_it_names_and_its_term() -> None:
-    assert check_claim("a", "a", 3, 3) is OwnershipClaim.OWNED
-    assert check_claim("a", "", 3, 3) is OwnershipClaim.OWNED
-    assert check_claim("a", "a", 3, 2) is OwnershipClaim.OUTDATED
-    assert check_claim("a", "b", 3, 2) is OwnershipClaim.OUTDATED
-    assert check_claim("a", "b", 3, 3) is OwnershipClaim.RELEASED
-    assert check_claim("a", "a", 3, 4) is OwnershipClaim.RELEASED
+    assert check_claim("a", "a", term=3, claimed_term=3) is OwnershipClaim.OWNED
+    assert check_claim("a", "", term=3, claimed_term=3) is OwnershipClaim.OWNED
+    assert check_claim("a", "a", term=3, claimed_term=2) is OwnershipClaim.OUTDATED
+    assert check_claim("a", "b", term=3, claimed_term=2) is OwnershipClaim.OUTDATED
+    assert check_claim("a", "b", term=3, claimed_term=3) is OwnershipClaim.RELEASED
+    assert check_claim("a", "a", term=3, claimed_term=4) is OwnershipClaim.RELEASED
 
 
 def test_only_idempotent_requests_are_retried_after_any_failure() -> None:
-    semantics = ("idempotent", "deduplicated", "at_most_once")
+    semantics = (RequestSemantics.IDEMPOTENT, RequestSemantics.DEDUPLICATED, RequestSemantics.AT_MOST_ONCE)
     assert [publishable_retries(each, 3) for each in semantics] == [3, 1, 1]
-    assert publishable_retries("at_most_once", 0) == 0
+    assert publishable_retries(RequestSemantics.AT_MOST_ONCE, 0) == 0
     assert stricter_retries(2, 1) == stricter_retries(1, 3) == 1
 
 
@@ -87,7 +88,7 @@
 
 def test_an_exploration_that_grows_too_large_is_given_up() -> None:
     with pytest.raises(RuntimeError, match="more than 100 worlds"):
-        explore(Bounds(1, 2, 3, 1, 1), most_worlds=100)
+        explore(Bounds(1, 2, 3, 1, 1), max_worlds=100)
 
 
 @pytest.mark.parametrize("without", NEEDED_SAFEGUARDS)
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -16,11 +16,11 @@
 from willowhook.reports.quarantine import (
     FAULT_WINDOW_TICKS,
     FAULTS_IN_A_ROW,
-    SHORTEST_QUARANTINE_TICKS,
+    MIN_QUARANTINE_TICKS,
     Quarantine,
 )
 from willowhook.reports.queue import ReportQueue
-from willowhook.reports.read import MOST_ROWS, Report, read
+from willowhook.reports.read import MAX_ROWS, Report, read
 from willowhook.reports.sample import sum_sample
 from willowhook.reports.sums import ReportCells, ReportedAttempts, ReportSums, combine_reports
 from willowhook.reports.windows import CLOCK_RESET_TICKS, RETENTION_TICKS, ReportWindows
@@ -67,7 +67,7 @@
 def test_attempts_are_handed_over_with_the_weight_of_their_age() -> None:
     for age in (0, HALF // 2, HALF, 3 * HALF):
         heard: list[int] = []
-        sums = ReportSums(HALF, lambda host, zone, tries, *rest, told=heard: told.append(tries))
+        sums = ReportSums(HALF, lambda handed, told=heard: told.append(handed.attempts))
         now = 100 * TICKS_PER_SECOND
         sums.add(now, "z", now - age - 100, now - age, {("h", "r"): ReportedAttempts(1e6, 0.0, 0.0, 0.0)}, {})
         sums.flush()
@@ -238,7 +238,7 @@
 
 def test_sums_of_endpoints_that_are_not_kept_are_dropped() -> None:
     handed_over: list[str] = []
-    sums = ReportSums(HALF, lambda endpoint, *_: handed_over.append(endpoint))
+    sums = ReportSums(HALF, lambda handed: handed_over.append(handed.endpoint))
     cells = {(name, "r"): ReportedAttempts(9.0, 0.0, 0.0, 0.0) for name in ("h", "other")}
     sums.add(HALF, "z", HALF - 100, HALF, cells, {})
     sums.keep(frozenset({"h"}))
@@ -330,14 +330,14 @@
         assert not quarantine.should_skip(now, "p")
         quarantine.record_malformed(now, "p", f"bad {k}", b"\xff" * 500)
     assert quarantine.should_skip(now, "p") and told.rows == [
-        ("p", SHORTEST_QUARANTINE_TICKS, "bad 2", b"\xff" * 200)
+        ("p", MIN_QUARANTINE_TICKS, "bad 2", b"\xff" * 200)
     ]
-    now += SHORTEST_QUARANTINE_TICKS
+    now += MIN_QUARANTINE_TICKS
     quarantine.release_due(now)
     assert not quarantine.should_skip(now, "p") and told.rows[-1] == ("p",)
     quarantine.record_malformed(now, "p", "again", b"")
-    assert told.rows[-1][1] == 2 * SHORTEST_QUARANTINE_TICKS and not quarantine.should_skip(now, "other")
-    now += 2 * SHORTEST_QUARANTINE_TICKS
+    assert told.rows[-1][1] == 2 * MIN_QUARANTINE_TICKS and not quarantine.should_skip(now, "other")
+    now += 2 * MIN_QUARANTINE_TICKS
     quarantine.should_skip(now, "p")
     quarantine.record_valid(now + FAULT_WINDOW_TICKS, "p")
     quarantine.record_malformed(now + FAULT_WINDOW_TICKS, "p", "once", b"")
@@ -346,7 +346,7 @@
 
 def test_a_report_is_bounded_and_its_times_are_checked() -> None:
     at = forms.Address(forms.SocketAddress("127.0.0.1", 81))
-    rows = [forms.UpstreamEndpointStats(at, 1)] * (MOST_ROWS + 1)
+    rows = [forms.UpstreamEndpointStats(at, 1)] * (MAX_ROWS + 1)
     zone = forms.UpstreamLocalityStats(upstream_endpoint_stats=rows)
     made = forms.LoadStatsRequest(cluster_stats=[forms.ClusterStats("r@t", "", [zone], 0, [], "1s")])
     with pytest.raises(FormError, match="more than 5000 endpoints"):
--- a/willowhook/config/deployment.py
+++ b/willowhook/config/deployment.py
@@ -19,7 +19,11 @@
 from ..ticks import ticks_from_milliseconds
 from .terms import ChannelTerms, FleetTerms, PathTerms, RouteTerms, RuleTerms, Terms
 
-SEMANTICS = {"repeatable": "idempotent", "keyed": "deduplicated", "mutating": "at_most_once"}
+SEMANTICS = {  # by the word of the configuration
+    "repeatable": RequestSemantics.IDEMPOTENT,
+    "keyed": RequestSemantics.DEDUPLICATED,
+    "mutating": RequestSemantics.AT_MOST_ONCE,
+}
 
 
 class PathEntry(NamedTuple):
@@ -65,7 +69,7 @@
         latency_objective_ticks=ticks_from_milliseconds(route.slo_time_ms),
         deadline_ticks=ticks_from_milliseconds(route.time_limit_ms),
         priority_weight=route.importance,
-        semantics=RequestSemantics(SEMANTICS[route.semantics]),
+        semantics=SEMANTICS[route.semantics],
         same_zone_only=route.own_zone,
         allowed_zones=route.zones,
         allowed_classes=route.kinds,
--- a/willowhook/controlplane/channel.py
+++ b/willowhook/controlplane/channel.py
@@ -13,6 +13,8 @@
 from ..ticks import TICKS_PER_SECOND
 from .proxy_state import UpdateMessage
 
+LOW_QUEUE_DIVISOR = 6  # the queue is low up to its limit divided by this
+
 
 class Departure(NamedTuple):
     """A message that has left the channel, and whether its proxy stayed within the message cap."""
@@ -42,6 +44,11 @@
         """Entries that wait to leave, or to be fetched."""
         return self._queued_entries + self._unfetched_entries
 
+    @property
+    def is_low(self) -> bool:
+        """Whether so few entries wait that messages that can wait may be queued too."""
+        return self.waiting_entries <= self._settings.queue_limit_entries / LOW_QUEUE_DIVISOR
+
     def hold_until_fetched(self, proxy: int, entries: int) -> None:
         """Counts entries that left until the proxy fetches them; they replace any that it did not fetch."""
         self.release_fetched(proxy)
--- a/willowhook/controlplane/clock.py
+++ b/willowhook/controlplane/clock.py
@@ -4,10 +4,10 @@
 
 import time
 
+from ..clock import monotonic_ticks
 from ..roster.forms import Host
 from ..ticks import TICKS_PER_SECOND, ticks_from_seconds
 
-NANOSECONDS_PER_TICK = 100_000
 # Endpoints may have started before the machine booted: their start still has to be a positive time.
 CLOCK_ORIGIN_TICKS = 100_000 * TICKS_PER_SECOND
 
@@ -21,7 +21,7 @@
 
     def now(self) -> int:
         """The current time in ticks."""
-        return CLOCK_ORIGIN_TICKS + time.monotonic_ns() // NANOSECONDS_PER_TICK
+        return CLOCK_ORIGIN_TICKS + monotonic_ticks()
 
     def start_of(self, endpoint: Host) -> int:
         """When an endpoint's process started, in ticks of this clock; 0 if it is not known.
--- a/willowhook/controlplane/controller_runtime.py
+++ b/willowhook/controlplane/controller_runtime.py
@@ -98,7 +98,10 @@
         self._proxy_states.set_admission(table, route, admission)
 
     def exclude_endpoint(self, endpoint: str) -> None:
-        """Excludes an endpoint at all proxies; also noted and remembered for the next start."""
+        """Excludes an endpoint at all proxies, and writes that to the records and to the store.
+
+        Nothing reads the entry of the store back at the next start.
+        """
         self._proxy_states.exclude_endpoint(endpoint)
         self._record_exclusion(endpoint, True)
 
--- a/willowhook/controlplane/draining.py
+++ b/willowhook/controlplane/draining.py
@@ -9,8 +9,6 @@
 from .context import ServiceContext
 from .proxy_state import ProxyStateBook
 
-QUEUE_PARTS = 6  # nobody is sent away while more than one of these parts of the queue is full
-
 
 class ControllerDrain:
     """Sends proxies away while the operator's drain file exists in the controller's folder."""
@@ -20,20 +18,19 @@
     ) -> None:
         """Takes the surroundings, the proxies to send away, and the queue to them."""
         self._path = f"{context.folder.path}/{DRAIN}"
-        self._max_waiting_entries = context.settings.channel.queue_limit_entries / QUEUE_PARTS
         self._conditions = context.conditions
         self._proxy_states = proxy_states
         self._channel = channel
         self._is_draining = False
 
     def step(self, now: int) -> None:
-        """Sends away at most one proxy, that of the lowest request rate, if the queue has room."""
+        """Sends away at most one proxy, that of the lowest request rate, if the queue is low."""
         is_wanted = os.path.exists(self._path)
         if is_wanted != self._is_draining:
             self._is_draining = is_wanted
             event = "controller draining" if is_wanted else "controller draining cancelled"
             self._conditions.report("drain", is_wanted, event, proxies=len(self._proxy_states.proxies))
-        if not is_wanted or self._channel.waiting_entries > self._max_waiting_entries:
+        if not is_wanted or not self._channel.is_low:
             return
         proxies = self._proxy_states.proxies.items()
         candidates = [
--- a/willowhook/controlplane/intake.py
+++ b/willowhook/controlplane/intake.py
@@ -235,7 +235,7 @@
         check_node(proxy.name, node)
         named = read_controller(node)
         term = read_term(node)
-        claim = check_claim(self._controller, named, proxy.term, term)
+        claim = check_claim(self._controller, named, term=proxy.term, claimed_term=term)
         if claim is OwnershipClaim.RELEASED:
             self.close_session(proxy.name, f"follows {named or 'another'} in term {term}")
         return claim is OwnershipClaim.OWNED
--- a/willowhook/controlplane/memory.py
+++ b/willowhook/controlplane/memory.py
@@ -16,7 +16,7 @@
 
 from ..store.commit import Committer
 from ..store.store import APPLIED, DEBUG, ORDERS, Op, Store, StoreError
-from ..ticks import TICKS_PER_SECOND
+from ..ticks import NANOSECONDS_PER_TICK, TICKS_PER_SECOND
 
 # The spaces of the store, and how dear their records are; these words are on disk.
 EVIDENCE = "met"
@@ -34,7 +34,6 @@
     STARTS: ORDERS,
 }
 
-NANOSECONDS_PER_TICK = 100_000
 COMMIT_INTERVAL_SECONDS = 0.2
 EVIDENCE_INTERVAL_TICKS = TICKS_PER_SECOND  # evidence is summed for so long before it is stored
 RECORD_OVERHEAD_BYTES = 40  # of one record in the log, estimated
--- a/willowhook/controlplane/proxy_state.py
+++ b/willowhook/controlplane/proxy_state.py
@@ -267,7 +267,11 @@
         return [proxy for proxy, connected in self.proxies.items() if self._may_hold(connected, endpoint)]
 
     def _may_hold(self, connected: ConnectedProxy, endpoint: str) -> bool:
-        """Whether an entry for this endpoint stands in anything that the proxy uses."""
+        """Whether an entry for this endpoint stands in anything that the proxy uses.
+
+        Two other places answer the same question, and all three must agree on the cost of an exclusion:
+        `decisions/exclusions.py` (`holders`) and `platform/proxy_updates.py` (`exclude_endpoint`).
+        """
         if any(endpoint in self.tables[table].weights for table in connected.bound.values()):
             return True
         return any(
--- a/willowhook/controlplane/report_processor.py
+++ b/willowhook/controlplane/report_processor.py
@@ -14,12 +14,16 @@
 from ..reports.budget import ReportBudget
 from ..reports.quarantine import Quarantine
 from ..reports.queue import ReportQueue
-from ..reports.sums import ReportSums
-from ..ticks import TICKS_PER_MILLISECOND, TICKS_PER_SECOND, ticks_from_milliseconds
+from ..reports.sums import FlushedSums, ReportSums
+from ..ticks import (
+    NANOSECONDS_PER_TICK,
+    TICKS_PER_MILLISECOND,
+    TICKS_PER_SECOND,
+    ticks_from_milliseconds,
+)
 from .context import ServiceContext
 from .intake import ProxyIntake
 
-NANOSECONDS_PER_TICK = 100_000
 NANOSECONDS_PER_MILLISECOND = 1e6
 NANOSECONDS_PER_MICROSECOND = 1000
 PACE_INTERVAL_TICKS = TICKS_PER_SECOND  # between two looks at the pace of reports
@@ -186,17 +190,10 @@
             aside=self.quarantine.skipped,
         )
 
-    def _hand_over(
-        self,
-        endpoint: str,
-        zone: str,
-        attempts: int,
-        failures: int,
-        mean_latency_ticks: int,
-        window_ticks: int,
-        load: dict[str, float],
-    ) -> None:
-        event = EndpointReport(endpoint, attempts, failures, mean_latency_ticks, load.get("busy"))
+    def _hand_over(self, sums: FlushedSums) -> None:
+        event = EndpointReport(
+            sums.endpoint, sums.attempts, sums.failures, sums.mean_latency_ticks, sums.load.get("busy")
+        )
         self._context.handle(self._context.now(), event)
 
     # What the budget and the quarantine decide.
--- a/willowhook/controlplane/resource_renderer.py
+++ b/willowhook/controlplane/resource_renderer.py
@@ -14,7 +14,7 @@
 from ..config.deployment import SEMANTICS, ordered_paths
 from ..config.terms import ClosedTerms, PathTerms, RouteTerms, Terms
 from ..decisions.runtime import AdmissionLimit
-from ..membership.retries import publishable_retries
+from ..membership.retries import publishable_retries, stricter_retries
 from ..ticks import ticks_from_milliseconds
 from ..versions.resources import CLUSTERS, ROUTES, TABLES, Resource
 from ..xds import forms, tables
@@ -139,7 +139,7 @@
         limit = ordered.limit
         if route.most_per_s and fleet.admit == "rps":
             limit = min(limit, route.most_per_s)
-        return AdmissionLimit(min(ordered.retries, route.tries), limit)
+        return AdmissionLimit(stricter_retries(ordered.retries, route.tries), limit)
 
     # Bodies.
 
--- a/willowhook/controlplane/update_queue.py
+++ b/willowhook/controlplane/update_queue.py
@@ -11,8 +11,6 @@
 from .publisher_context import PublisherContext
 from .publisher_listener import Condition
 
-RESEND_QUEUE_DIVISOR = 6  # resends wait until the queue is below this part of its limit
-
 
 class UpdateQueue:
     """Puts messages into the channel, takes them out when they have left, and reports breached limits."""
@@ -31,7 +29,7 @@
     @property
     def has_room_for_resends(self) -> bool:
         """Whether so little waits that messages may be sent once more."""
-        return self.channel.waiting_entries <= self._settings.queue_limit_entries / RESEND_QUEUE_DIVISOR
+        return self.channel.is_low
 
     def put(self, message: UpdateMessage) -> None:
         """Queues a message, and records it."""
--- a/willowhook/front/discovery.py
+++ b/willowhook/front/discovery.py
@@ -181,7 +181,7 @@
         term = node.metadata.get("term", 0)
         if here is not None and here[1] and isinstance(term, int | float):
             told = str(node.metadata.get("director", ""))
-            mine = check_claim(self._director, told, here[0], int(term))
+            mine = check_claim(self._director, told, term=here[0], claimed_term=int(term))
             if mine is OwnershipClaim.OUTDATED:
                 return refusal(409, 9, f"term {int(term)} is over, {here[0]} is now", 0, True)
             if mine is OwnershipClaim.OWNED and said.desk is not None:
--- a/willowhook/membership/failure_detector.py
+++ b/willowhook/membership/failure_detector.py
@@ -12,10 +12,10 @@
 
 SUSPICION_THRESHOLD = 8.0
 KEPT_INTERVALS = 64
-LEAST_INTERVALS = 4  # below it the announced interval stands for the mean
-LEAST_CHANCE = 1e-300  # of a heartbeat to come, to keep the logarithm finite
-LEAST_SPREAD = 5  # the announced interval has so many of it
-ASSUMED_SPREAD = 2  # the announced interval has so many of it, where too few heartbeats were seen
+MIN_INTERVALS = 4  # with fewer, the announced interval replaces the measured mean
+MIN_CHANCE = 1e-300  # a floor under the probability that keeps its logarithm finite
+MIN_SPREAD_DIVISOR = 5  # the spread is at least the announced interval divided by this
+ASSUMED_SPREAD_DIVISOR = 2  # with fewer intervals, the announced interval divided by this is the spread
 
 
 class FailureDetector:
@@ -24,19 +24,19 @@
     def __init__(
         self,
         interval: float,
-        least_silence: float,
-        most_silence: float,
+        min_silence: float,
+        max_silence: float,
         threshold: float = SUSPICION_THRESHOLD,
         kept: int = KEPT_INTERVALS,
     ) -> None:
         """Watches a peer that announced this interval between heartbeats.
 
-        It is never suspected up to `least_silence`, always from `most_silence` on, in between from
+        It is never suspected up to `min_silence`, always from `max_silence` on, in between from
         `threshold` on. The last `kept` intervals count.
         """
         self._interval = interval
-        self._least_silence = least_silence
-        self._most_silence = most_silence
+        self._min_silence = min_silence
+        self._max_silence = max_silence
         self._threshold = threshold
         self._gaps: deque[float] = deque(maxlen=kept)
         self._sum = 0.0
@@ -46,7 +46,7 @@
     def record_heartbeat(self, now: float) -> None:
         """Notes a heartbeat."""
         if self._last is not None and now > self._last:
-            self._add_gap(min(now - self._last, self._most_silence))
+            self._add_gap(min(now - self._last, self._max_silence))
         self._last = now
 
     def suspicion(self, now: float) -> float:
@@ -55,24 +55,24 @@
             return 0.0
         silence = now - self._last
         count = len(self._gaps)
-        if count >= LEAST_INTERVALS:
+        if count >= MIN_INTERVALS:
             mean = self._sum / count
             spread = math.sqrt(max(self._squares / count - mean * mean, 0.0))
         else:
             mean = self._interval
-            spread = self._interval / ASSUMED_SPREAD
-        spread = max(spread, self._interval / LEAST_SPREAD)
+            spread = self._interval / ASSUMED_SPREAD_DIVISOR
+        spread = max(spread, self._interval / MIN_SPREAD_DIVISOR)
         chance = math.erfc((silence - mean) / spread / math.sqrt(2)) / 2
-        return -math.log10(max(chance, LEAST_CHANCE))
+        return -math.log10(max(chance, MIN_CHANCE))
 
     def is_suspected(self, now: float) -> bool:
         """Whether the peer counts as gone; one that was never there does not."""
         if self._last is None:
             return False
         silence = now - self._last
-        if silence <= self._least_silence:
+        if silence <= self._min_silence:
             return False
-        return silence >= self._most_silence or self.suspicion(now) >= self._threshold
+        return silence >= self._max_silence or self.suspicion(now) >= self._threshold
 
     def _add_gap(self, gap: float) -> None:
         if len(self._gaps) == self._gaps.maxlen:
--- a/willowhook/membership/handoff.py
+++ b/willowhook/membership/handoff.py
@@ -121,10 +121,10 @@
 class HintReceiver:
     """Keeps the newest hint of each proxy until it is claimed or too old. Times in ticks."""
 
-    def __init__(self, lifetime: int, most_kept: int = KEPT_HINTS) -> None:
+    def __init__(self, lifetime: int, max_kept: int = KEPT_HINTS) -> None:
         """Keeps this many hints at the most, the newest, for this long."""
         self._lifetime = lifetime
-        self._most_kept = most_kept
+        self._max_kept = max_kept
         self._hints: dict[str, tuple[int, Hint]] = {}  # by proxy: when it came, and the hint
         self._claimed_terms: dict[str, int] = {}  # by proxy: of the hint that was claimed last
 
@@ -135,7 +135,7 @@
             return
         self._hints.pop(hint.proxy, None)  # the newest comes last
         self._hints[hint.proxy] = (now, hint)
-        while len(self._hints) > self._most_kept:
+        while len(self._hints) > self._max_kept:
             del self._hints[next(iter(self._hints))]
 
     def claim(self, now: int, proxy: str, term: int) -> Hint | None:
@@ -145,7 +145,7 @@
             return None
         received_at, hint = found
         self._claimed_terms[proxy] = hint.term
-        if len(self._claimed_terms) > self._most_kept:
+        if len(self._claimed_terms) > self._max_kept:
             del self._claimed_terms[next(iter(self._claimed_terms))]
         return hint if hint.term < term and now - received_at <= self._lifetime else None
 
--- a/willowhook/membership/model_checker.py
+++ b/willowhook/membership/model_checker.py
@@ -16,7 +16,7 @@
     next_steps,
 )
 
-MOST_WORLDS = 5_000_000
+MAX_WORLDS = 5_000_000
 
 
 @dataclass(frozen=True)
@@ -36,10 +36,10 @@
     path: list[str]
 
 
-def explore(bounds: Bounds, without: Safeguards = ALL_PRESENT, most_worlds: int = MOST_WORLDS) -> Exploration:
+def explore(bounds: Bounds, without: Safeguards = ALL_PRESENT, max_worlds: int = MAX_WORLDS) -> Exploration:
     """Explores all worlds within the bounds, or up to the first violation, without some of the safeguards.
 
-    Raises RuntimeError if there are more worlds than `most_worlds`.
+    Raises RuntimeError if there are more worlds than `max_worlds`.
     """
     start = initial_world(bounds)
     predecessors: dict[World, Step | None] = {start: None}  # the text of the step here, and the world before
@@ -56,8 +56,8 @@
         except InvariantError as error:
             path = [*_path_to(world, predecessors), str(error)]
             return Exploration(len(predecessors), step_count, str(error), path)
-        if len(predecessors) > most_worlds:
-            raise RuntimeError(f"more than {most_worlds} worlds: lower the bounds")
+        if len(predecessors) > max_worlds:
+            raise RuntimeError(f"more than {max_worlds} worlds: lower the bounds")
     return Exploration(len(predecessors), step_count, "", [])
 
 
--- a/willowhook/membership/ownership.py
+++ b/willowhook/membership/ownership.py
@@ -50,7 +50,7 @@
     return UpdateVerdict.APPLY
 
 
-def check_claim(controller: str, claimed_controller: str, term: int, claimed_term: int) -> OwnershipClaim:
+def check_claim(controller: str, claimed_controller: str, *, term: int, claimed_term: int) -> OwnershipClaim:
     """Reads a proxy's claim that it belongs to a controller in a term; '' names whoever reads it.
 
     A controller owns a proxy while the newest claim names it.
--- a/willowhook/membership/takeover_model.py
+++ b/willowhook/membership/takeover_model.py
@@ -275,7 +275,7 @@
     claimed = world.claimed_terms[index][proxy]
     believed = controller.believed_terms[proxy]
     claimed_controller = str(index) if claimed != NO_TERM else "nobody"
-    claim = check_claim(str(index), claimed_controller, max(believed, 0), max(claimed, 0))
+    claim = check_claim(str(index), claimed_controller, term=max(believed, 0), claimed_term=max(claimed, 0))
     read = claimed if claim is not OwnershipClaim.OUTDATED else NO_TERM
     if read != believed:
         believed_terms = _replaced(controller.believed_terms, proxy, read)
--- a/willowhook/membership/version.py
+++ b/willowhook/membership/version.py
@@ -7,7 +7,7 @@
 from ..errors import WillowhookError
 
 NUMBERS = 3
-LONGEST_TEXT = 60  # characters
+MAX_TEXT_LENGTH = 60  # characters
 SHOWN_CHARACTERS = 60  # of a malformed version
 
 
@@ -38,7 +38,7 @@
     """Reads a version. Raises VersionError."""
     parts = text.split(".")
     are_numbers = all(part.isascii() and part.isdigit() for part in parts)
-    if len(parts) != NUMBERS or not are_numbers or len(text) > LONGEST_TEXT:
+    if len(parts) != NUMBERS or not are_numbers or len(text) > MAX_TEXT_LENGTH:
         raise VersionError(f"version {text[:SHOWN_CHARACTERS]!r} is no TERM.EPOCH.NUMBER")
     term, epoch, number = parts
     return Version(int(term), int(epoch), int(number))
--- a/willowhook/reports/budget.py
+++ b/willowhook/reports/budget.py
@@ -13,8 +13,8 @@
 from ..ticks import TICKS_PER_SECOND
 
 TIME_BURST_TICKS = TICKS_PER_SECOND // 20  # of processing time that may be saved up
-RATE_BURST_FRACTION = 10  # a second's reports have so many of a burst
-LEAST_BURST = 2.0  # reports
+RATE_BURST_DIVISOR = 10  # a burst is the reports of one second, divided by this
+MIN_BURST = 2.0  # reports, whatever the rate
 TARGET_LOAD = 0.8  # of the rate, by reports at the interval that was asked for
 DECREASE_FACTOR = 0.8  # of the interval, in one step
 DECREASE_DELAY_TICKS = 2 * TICKS_PER_SECOND  # of room, before each step down
@@ -33,7 +33,7 @@
         rate_per_second: float,
         time_share: float,
         usual_interval: int,
-        longest_interval: int,
+        max_interval: int,
         set_interval: Callable[[int], None],
     ) -> None:
         """Starts with full buckets.
@@ -42,15 +42,15 @@
             rate_per_second: of reports.
             time_share: of all time, for processing.
             usual_interval: that proxies have by themselves.
-            longest_interval: that they may be asked for.
+            max_interval: the longest interval that they may be asked for.
             set_interval: is called with each new interval.
         """
         self._rate = rate_per_second / TICKS_PER_SECOND
         self._time_share = time_share
         self._usual_interval = usual_interval
-        self._longest_interval = float(max(longest_interval, usual_interval))
+        self._max_interval = float(max(max_interval, usual_interval))
         self._set_interval = set_interval
-        self._burst = max(LEAST_BURST, rate_per_second / RATE_BURST_FRACTION)
+        self._burst = max(MIN_BURST, rate_per_second / RATE_BURST_DIVISOR)
         self._report_tokens = self._burst
         self._time_tokens = float(TIME_BURST_TICKS)
         self._filled_at: int | None = None
@@ -95,10 +95,10 @@
 
     def _wanted_interval(self, arrived_per_second: float, proxies: int, capacity: float) -> float:
         wanted = proxies / (capacity * TARGET_LOAD) * TICKS_PER_SECOND
-        interval = float(min(max(wanted, self._usual_interval), self._longest_interval))
+        interval = float(min(max(wanted, self._usual_interval), self._max_interval))
         if arrived_per_second > capacity and interval <= self.interval:
             # more arrive than these proxies should send: some report faster than they were asked to
-            interval = min(self.interval / DECREASE_FACTOR, self._longest_interval)
+            interval = min(self.interval / DECREASE_FACTOR, self._max_interval)
         return interval
 
     def _is_decrease(self, interval: float) -> bool:
--- a/willowhook/reports/fading.py
+++ b/willowhook/reports/fading.py
@@ -11,7 +11,7 @@
 
 LN2 = math.log(2)
 HALF_LIVES_TO_LANDMARK = 100  # then it moves
-SHORTEST_WINDOW = 1e-6  # of a half-life; below it a window is a point in time
+MIN_WINDOW = 1e-6  # of a half-life; below it a window is a point in time
 
 
 class Decay:
@@ -29,7 +29,7 @@
         """The mean weight over a window between these ages, through which things happened evenly."""
         older = max(older, 0.0)
         younger = max(younger, 0.0)
-        if older - younger < SHORTEST_WINDOW * self.half_life:
+        if older - younger < MIN_WINDOW * self.half_life:
             return self.weight(younger)
         difference = self.weight(younger) - self.weight(older)
         return difference * self.half_life / (LN2 * (older - younger))
--- a/willowhook/reports/quarantine.py
+++ b/willowhook/reports/quarantine.py
@@ -16,8 +16,8 @@
 FAULTS_IN_A_ROW = 3
 FAULTS_IN_WINDOW = 5
 FAULT_WINDOW_TICKS = 60 * TICKS_PER_SECOND
-SHORTEST_QUARANTINE_TICKS = 5 * TICKS_PER_SECOND
-LONGEST_QUARANTINE_TICKS = 60 * TICKS_PER_SECOND
+MIN_QUARANTINE_TICKS = 5 * TICKS_PER_SECOND
+MAX_QUARANTINE_TICKS = 60 * TICKS_PER_SECOND
 EVIDENCE_BYTES = 200
 
 
@@ -72,8 +72,8 @@
             record.fault_times.popleft()
         is_due = record.in_a_row >= FAULTS_IN_A_ROW or len(record.fault_times) >= FAULTS_IN_WINDOW
         if record.quarantined_until is None and is_due:
-            doubled = max(SHORTEST_QUARANTINE_TICKS, 2 * record.duration)
-            record.duration = min(doubled, LONGEST_QUARANTINE_TICKS)
+            doubled = max(MIN_QUARANTINE_TICKS, 2 * record.duration)
+            record.duration = min(doubled, MAX_QUARANTINE_TICKS)
             record.quarantined_until = now + record.duration
             self._listener.quarantined(proxy, record.duration, cause, data[:EVIDENCE_BYTES])
 
--- a/willowhook/reports/queue.py
+++ b/willowhook/reports/queue.py
@@ -15,8 +15,8 @@
 from typing import NamedTuple
 
 SAMPLE_SIZE = 2
-LEAST_SHARE = 0.25  # the mean proxy's is 1
-MOST_SHARE = 4.0
+MIN_SHARE = 0.25  # the mean proxy's is 1
+MAX_SHARE = 4.0
 REPORT_COST = 1.0  # of a proxy's deficit
 
 
@@ -113,7 +113,7 @@
         """Sets a proxy's share: the weight of its requests beside those of the mean proxy."""
         reports = self._proxies.get(proxy)
         if reports is not None:
-            reports.share = min(max(share, LEAST_SHARE), MOST_SHARE)
+            reports.share = min(max(share, MIN_SHARE), MAX_SHARE)
 
     def remove_proxy(self, proxy: str) -> None:
         """Drops all of a proxy that has left."""
--- a/willowhook/reports/read.py
+++ b/willowhook/reports/read.py
@@ -11,12 +11,12 @@
 from .sums import ReportCells, ReportedAttempts
 
 LATENCY = "latency_seconds"  # the named metric that sums the latency of the attempts that succeeded
-MOST_REQUESTS = 1e9  # of one count; more is malformed
-MOST_METRIC = 1e12
-MOST_ROWS = 5_000  # endpoints of one report, over all clusters
-LONGEST_WINDOW_S = 3600
+MAX_REQUESTS = 1e9  # of one count; more is malformed
+MAX_METRIC = 1e12
+MAX_ROWS = 5_000  # endpoints of one report, over all clusters
+MAX_WINDOW_S = 3600
 LATEST_TIME_S = 1e12
-LONGEST_PROCESS = 64  # characters
+MAX_PROCESS_LENGTH = 64  # characters
 
 
 @dataclass(slots=True)
@@ -95,15 +95,15 @@
             return
         if not (isinstance(since, int | float) and isinstance(until, int | float)):
             raise FormError("node.metadata.load_from and load_until are no numbers")
-        if not (0 <= since < until < LATEST_TIME_S and until - since <= LONGEST_WINDOW_S):
+        if not (0 <= since < until < LATEST_TIME_S and until - since <= MAX_WINDOW_S):
             raise FormError(f"node.metadata.load_from is {since:g} and load_until {until:g}")
         self._report.since = ticks_from_seconds(since)
         self._report.until = max(ticks_from_seconds(until), self._report.since + 1)
-        self._report.process = str(node.metadata.get("process", ""))[:LONGEST_PROCESS]
+        self._report.process = str(node.metadata.get("process", ""))[:MAX_PROCESS_LENGTH]
 
     def _read_cluster(self, cluster: forms.ClusterStats) -> None:
         self._report.length = ticks_from_seconds(seconds(cluster.load_report_interval))
-        if not 0 < self._report.length <= LONGEST_WINDOW_S * TICKS_PER_SECOND:
+        if not 0 < self._report.length <= MAX_WINDOW_S * TICKS_PER_SECOND:
             raise FormError(f"load_report_interval is {cluster.load_report_interval}")
         name = cluster.cluster_name.partition("@")[0]
         route = name if name in self._routes else ""
@@ -115,7 +115,7 @@
                 requests += row.total_successful_requests + row.total_error_requests
                 failures += row.total_error_requests
         dropped = cluster.total_dropped_requests
-        if not 0 <= dropped < MOST_REQUESTS:
+        if not 0 <= dropped < MAX_REQUESTS:
             raise FormError(f"{cluster.cluster_name}: {dropped} dropped")
         if route:
             old = self._report.requests.get(route, (0.0, 0.0))
@@ -123,11 +123,11 @@
 
     def _read_endpoint(self, cluster: str, route: str, row: forms.UpstreamEndpointStats) -> None:
         self._row_count += 1
-        if self._row_count > MOST_ROWS:
-            raise FormError(f"more than {MOST_ROWS} endpoints")
+        if self._row_count > MAX_ROWS:
+            raise FormError(f"more than {MAX_ROWS} endpoints")
         successes = row.total_successful_requests
         failures = row.total_error_requests
-        if not (0 <= successes < MOST_REQUESTS and 0 <= failures < MOST_REQUESTS):
+        if not (0 <= successes < MAX_REQUESTS and 0 <= failures < MAX_REQUESTS):
             raise FormError(f"{cluster}: {successes} answered and {failures} errors")
         socket = row.address.socket_address
         if socket is None:
@@ -147,7 +147,7 @@
             name = metric.metric_name
             count = metric.num_requests_finished_with_metric
             total = metric.total_metric_value
-            if not (0 <= count < MOST_REQUESTS and -MOST_METRIC < total < MOST_METRIC):
+            if not (0 <= count < MAX_REQUESTS and -MAX_METRIC < total < MAX_METRIC):
                 raise FormError(f"{cluster}: {name} of {total} over {count}")
             if name == LATENCY:
                 cell.latency_s += max(total, 0.0)
--- a/willowhook/reports/sample.py
+++ b/willowhook/reports/sample.py
@@ -1,9 +1,12 @@
 """What a sample of one proxy's reports comes to: what each stands for, by the time covered or by count.
 
-A proxy that tells its times begins each report where the last one ended. So where some were dropped or
-replaced, it reported all the time from the latest end known before to the latest of the sample: the sample
-stands for that time, and a copy for none. What came after it is told by the next. Of proxies that tell no
-times each report stands for as many as arrived over their number. Times are ticks.
+A proxy that states its times begins each report where the last one ended. So if reports were dropped or
+replaced, the whole time from the latest end that was known before to the latest end in the sample was
+reported: the sums of the sample are scaled up to that time. Example: time is known up to 10 s, five reports
+of 1 s arrived, and those that end at 12 s and 15 s were kept. They cover 2 s of the 5 s since, so their sums
+are multiplied by 2.5. A copy of a report covers no new time and is not counted. If a proxy states no times,
+each report of the sample counts as the number that arrived divided by the number in the sample. Times are
+ticks.
 """
 
 from __future__ import annotations
@@ -16,7 +19,7 @@
 from .sums import Cell, ReportCells, ReportedAttempts, combine_reports
 from .windows import Covered, ReportWindows
 
-LONGEST_STRETCH_TICKS = 120 * TICKS_PER_SECOND  # that a sample stands for
+MAX_STRETCH_TICKS = 120 * TICKS_PER_SECOND  # that a sample stands for
 ReceivedReport = tuple[int, int, Report]  # when it arrived, a hash of its bytes, and itself
 
 
@@ -90,7 +93,7 @@
         factor = arrived / len(reports)
     elif latest_end >= 0 and may_lack_some and all(report.process == process for report in timed):
         newest = max(report.until for report in timed)
-        factor = min(newest - latest_end, LONGEST_STRETCH_TICKS) / max(covered_ticks, 1.0)
+        factor = min(newest - latest_end, MAX_STRETCH_TICKS) / max(covered_ticks, 1.0)
         if factor > 1:  # what was never read is told by these, and counts no more if it comes after all
             windows.count(proxy, latest_end, newest)
     else:
--- a/willowhook/reports/sums.py
+++ b/willowhook/reports/sums.py
@@ -20,9 +20,9 @@
 
 STANDARD_ERRORS = 1.96  # of an interval that holds 95 of 100
 ROUNDING = 1e-9  # a count this little under a whole number is one
-MOST_PENDING = 50_000  # endpoints and zones; above it those without a whole attempt are dropped
-LEAST_SUCCESSES = 0.5  # for a mean latency
-LEAST_PENDING_ATTEMPTS = 0.5
+MAX_PENDING = 50_000  # endpoints and zones; above it those without a whole attempt are dropped
+MIN_SUCCESSES = 0.5  # for a mean latency
+MIN_PENDING_ATTEMPTS = 0.5
 
 
 class ReportedAttempts(NamedTuple):
@@ -98,8 +98,26 @@
     load: dict[str, float] = field(default_factory=dict)
 
 
-Heard = Callable[[str, str, int, int, int, int, dict[str, float]], None]
-"""Endpoint, zone, attempts, failures, mean latency, window and load metrics, handed over to the decisions."""
+class FlushedSums(NamedTuple):
+    """What reports said of an endpoint, seen from one zone, since the last flush.
+
+    Attributes:
+        endpoint: its name.
+        zone: the zone of the proxies that reported.
+        attempts: the number of attempts that ended.
+        failures: the number of failures among them.
+        mean_latency_ticks: the mean latency of the attempts that succeeded; 0: too few succeeded.
+        window_ticks: the longest time that one report covered.
+        load: the latest load metrics, by name.
+    """
+
+    endpoint: str
+    zone: str
+    attempts: int
+    failures: int
+    mean_latency_ticks: int
+    window_ticks: int
+    load: dict[str, float]
 
 
 def combine_reports(reports: Sequence[ReportCells], factor: float) -> dict[Cell, ReportedAttempts]:
@@ -133,7 +151,7 @@
 class ReportSums:
     """Sums by endpoint, zone and route, for the decisions and for estimates."""
 
-    def __init__(self, half_life: int, hand_over: Heard) -> None:
+    def __init__(self, half_life: int, hand_over: Callable[[FlushedSums], None]) -> None:
         """Sums decay with this half-life and go to `hand_over` at each `flush`."""
         self._decay = Decay(half_life)
         self._forward_decay = ForwardDecay(half_life)
@@ -183,11 +201,11 @@
         count = 0
         for (endpoint, zone), pending in self._pending.items():
             count += self._flush_one(endpoint, zone, pending)
-        if len(self._pending) > MOST_PENDING:
+        if len(self._pending) > MAX_PENDING:
             self._pending = {
                 key: pending
                 for key, pending in self._pending.items()
-                if pending.attempts > LEAST_PENDING_ATTEMPTS
+                if pending.attempts > MIN_PENDING_ATTEMPTS
             }
         return count
 
@@ -219,8 +237,18 @@
         if not attempts:
             return 0
         successes = pending.attempts - pending.failures
-        mean_latency = round(pending.latency_sum / successes) if successes > LEAST_SUCCESSES else 0
-        self._hand_over(endpoint, zone, attempts, failures, mean_latency, pending.window, pending.load)
+        mean_latency = round(pending.latency_sum / successes) if successes > MIN_SUCCESSES else 0
+        self._hand_over(
+            FlushedSums(
+                endpoint=endpoint,
+                zone=zone,
+                attempts=attempts,
+                failures=failures,
+                mean_latency_ticks=mean_latency,
+                window_ticks=pending.window,
+                load=pending.load,
+            )
+        )
         pending.attempts -= attempts
         pending.failures -= failures
         pending.latency_sum = max(0.0, pending.latency_sum - mean_latency * (attempts - failures))
--- a/willowhook/reports/windows.py
+++ b/willowhook/reports/windows.py
@@ -14,7 +14,7 @@
 from ..ticks import TICKS_PER_SECOND
 
 CLOCK_DRIFT = 10_000  # clocks run apart by one part in so many at the most
-MOST_SPANS = 16  # apart from each other, of a proxy; the oldest grow together
+MAX_SPANS = 16  # apart from each other, of a proxy; the oldest grow together
 CLOCK_RESET_TICKS = 10 * TICKS_PER_SECOND  # a clock that repeats itself for so long was set back
 CLOCK_RESET_PACE = 2  # and it runs at most so many times faster or slower than this one meanwhile
 RETENTION_TICKS = 600 * TICKS_PER_SECOND  # of what is known of a silent proxy
@@ -34,7 +34,7 @@
 
     def add(self, since: int, until: int) -> float:
         """Counts a stretch; the part of it that is new, from 0 to 1."""
-        if self.starts and until <= self.starts[0] and len(self.starts) >= MOST_SPANS:
+        if self.starts and until <= self.starts[0] and len(self.starts) >= MAX_SPANS:
             return 0.0  # so old that nothing is known of it any more
         first = bisect_left(self.ends, since)
         last = bisect_right(self.starts, until)
@@ -45,7 +45,7 @@
         end = max([until, *self.ends[first:last]])
         self.starts[first:last] = [start]
         self.ends[first:last] = [end]
-        if len(self.starts) > MOST_SPANS:
+        if len(self.starts) > MAX_SPANS:
             self.starts[0:2] = [self.starts[0]]
             self.ends[0:2] = [self.ends[1]]
         return 1.0 - counted / (until - since)
