--- a/tests/test_controlplane_components.py
+++ b/tests/test_controlplane_components.py
@@ -13,7 +13,6 @@
 from willowhook.cli.main import main
 from willowhook.controlplane.clock import Clock
 from willowhook.controlplane.condition_log import ConditionLog
-from willowhook.controlplane.controller_runtime import EvaluationTimers
 from willowhook.controlplane.decider import ControllerPort
 from willowhook.controlplane.decision_queue import DecisionQueue
 from willowhook.controlplane.handoff_codec import decode_packet, encode_packet
@@ -68,17 +67,6 @@
     ]
 
 
-def test_evaluation_timers_fire_in_order_and_once() -> None:
-    timers = EvaluationTimers()
-    assert timers.next_due(99) == 99 and not timers.pop_due(1000)
-    timers.schedule(30)
-    timers.schedule(10)
-    timers.schedule(10)
-    assert timers.next_due(99) == 10 and not timers.pop_due(9)
-    assert timers.pop_due(10) and timers.pop_due(10) and not timers.pop_due(10)
-    assert timers.next_due(99) == 30 and timers.pop_due(31) and timers.next_due(99) == 99
-
-
 def test_decision_queue_gives_all_waiting_events_and_none_after_the_timeout() -> None:
     async def run() -> None:
         queue = DecisionQueue()
--- a/willowhook/controlplane/controller_runtime.py
+++ b/willowhook/controlplane/controller_runtime.py
@@ -2,58 +2,35 @@
 
 from __future__ import annotations
 
-import heapq
 from collections.abc import Sequence
 
 from ..decisions.runtime import AdmissionLimit
+from ..evaluation_timer import EvaluationTimer
 from .context import ServiceContext
 from .endpoint_list_reader import EndpointListReader
 from .health_checker import HealthChecker
 from .proxy_state import ProxyStateBook
 
 
-class EvaluationTimers:
-    """The times at which the controller wants to be evaluated."""
-
-    def __init__(self) -> None:
-        """Starts with no times."""
-        self._due_ticks: list[int] = []  # a heap
-
-    def schedule(self, due_tick: int) -> None:
-        """Adds a time."""
-        heapq.heappush(self._due_ticks, due_tick)
-
-    def next_due(self, default: int) -> int:
-        """The earliest time; `default` if there is none."""
-        return self._due_ticks[0] if self._due_ticks else default
-
-    def pop_due(self, now: int) -> bool:
-        """Removes the earliest time if it has come, and says whether it has."""
-        if not self._due_ticks or self._due_ticks[0] > now:
-            return False
-        heapq.heappop(self._due_ticks)
-        return True
-
-
 class FileControllerRuntime:
     """The `ControllerRuntime` of the file and HTTP control plane.
 
-    What concerns proxies changes their desired state, of which messages are made; the rest goes to the
-    endpoint list's feed, the health checker and the timers.
+    Commands that concern proxies change the desired state of the proxies, from which update messages are
+    made. All other commands go to the endpoint list reader, the health checker and the evaluation timer.
     """
 
     def __init__(
         self,
         context: ServiceContext,
         proxy_states: ProxyStateBook,
-        timers: EvaluationTimers,
+        evaluations: EvaluationTimer,
         endpoint_list: EndpointListReader,
         health_checker: HealthChecker,
     ) -> None:
-        """Takes the components that carry the commands out."""
+        """Receives the components that execute the commands."""
         self._context = context
         self._proxy_states = proxy_states
-        self._timers = timers
+        self._evaluations = evaluations
         self._endpoint_list = endpoint_list
         self._health_checker = health_checker
 
@@ -61,7 +38,7 @@
 
     def schedule_evaluation(self, delay_ticks: int) -> None:
         """Hands the controller an `EvaluationDue` after this delay, of a tick at least."""
-        self._timers.schedule(self._context.now() + max(delay_ticks, 1))
+        self._evaluations.schedule(max(delay_ticks, 1))
 
     def log(self, text: str) -> None:
         """Writes one line to the log and the records file."""
@@ -76,17 +53,17 @@
         self._endpoint_list.fetch()
 
     def check_health(self, endpoint: str) -> None:
-        """Sends a health check, unless too many are on their way or the endpoint is not listed."""
+        """Starts a health check, unless too many are running or the endpoint is not listed."""
         self._health_checker.check(endpoint)
 
     # Commands that concern proxies.
 
     def set_weight(self, table: int, endpoint: str, weight: float) -> None:
-        """Sets the weight of an endpoint in a table; 0 takes its entry out."""
+        """Sets the weight of an endpoint in a table; 0 removes the entry of the endpoint."""
         self._proxy_states.set_weight(table, endpoint, weight)
 
     def clear_table(self, table: int) -> None:
-        """Takes out all entries and limits of a table."""
+        """Removes all entries and admission limits of a table."""
         self._proxy_states.clear_table(table)
 
     def bind(self, proxy: int, table: int, routes: Sequence[int]) -> None:
@@ -106,7 +83,7 @@
         self._record_exclusion(endpoint, True)
 
     def readmit_endpoint(self, endpoint: str) -> None:
-        """Takes `exclude_endpoint` back."""
+        """Reverses `exclude_endpoint`."""
         self._proxy_states.readmit_endpoint(endpoint)
         self._record_exclusion(endpoint, False)
 
@@ -119,7 +96,7 @@
         self._proxy_states.readmit_for_proxy(proxy, endpoints)
 
     def forget_endpoint(self, endpoint: str) -> None:
-        """Drops the state that is kept of an endpoint."""
+        """Drops the state that is kept about an endpoint."""
         self._proxy_states.forget_endpoint(endpoint)
 
     def send_sync_marker(self, marker: int) -> None:
--- a/willowhook/controlplane/decision_loop.py
+++ b/willowhook/controlplane/decision_loop.py
@@ -7,10 +7,10 @@
 import trio
 
 from ..decisions.events import EvaluationDue
+from ..evaluation_timer import EvaluationTimer
 from ..files.layout import Folder
 from ..ticks import TICKS_PER_SECOND
 from .clock import Clock
-from .controller_runtime import EvaluationTimers
 from .decider import Decider
 from .decision_queue import DecisionQueue
 from .endpoint_directory import EndpointDirectory
@@ -20,19 +20,21 @@
 from .report_processor import ReportProcessor
 
 MAX_WAIT_TICKS = TICKS_PER_SECOND
-REPORT_POLL_TICKS = TICKS_PER_SECOND // 100  # while reports wait for their budget
+REPORT_POLL_TICKS = TICKS_PER_SECOND // 100  # between two attempts while reports wait for the budget
 MAINTENANCE_INTERVAL_TICKS = TICKS_PER_SECOND // 10
-MAX_STALL_TICKS = 10 * TICKS_PER_SECOND  # a controller that decides nothing for longer must look dead
+MAX_STALL_TICKS = (
+    10 * TICKS_PER_SECOND
+)  # without decisions for longer, the heartbeat is not renewed
 
 
 class DecisionLoop:
-    """Takes all events that are there, flushes the controller once, and hands its messages on."""
+    """Handles all events that wait, flushes the controller once, and passes its messages on."""
 
     def __init__(
         self,
         queue: DecisionQueue,
         dispatch: Callable[[int, InboundEvent], None],
-        timers: EvaluationTimers,
+        evaluations: EvaluationTimer,
         controller: Decider,
         reports: ReportProcessor,
         directory: EndpointDirectory,
@@ -41,23 +43,23 @@
         maintenance: Sequence[Callable[[int], None]],
         clock: Clock,
     ) -> None:
-        """Takes the components that are called.
+        """Receives the components that the loop calls.
 
         Args:
-            queue: of what other tasks have learnt.
+            queue: the events that other tasks have sent.
             dispatch: handles an event of the queue.
-            timers: of the controller's evaluations.
-            controller: that decides.
-            reports: that wait to be processed.
-            directory: of endpoints.
-            proxy_states: that collect the controller's commands to proxies.
-            publisher: that is woken for new messages.
-            maintenance: is called after a flush, ten times a second, with the current tick.
-            clock: of this process.
+            evaluations: the times at which the controller is to be evaluated.
+            controller: the controller that decides.
+            reports: the load reports that wait to be processed.
+            directory: the directory of endpoints.
+            proxy_states: the desired states, which collect the commands of the controller to proxies.
+            publisher: the publisher, which is woken for new messages.
+            maintenance: functions that are called after a flush, ten times a second, with the current tick.
+            clock: the clock of this process.
         """
         self._queue = queue
         self._dispatch = dispatch
-        self._timers = timers
+        self._evaluations = evaluations
         self._controller = controller
         self._reports = reports
         self._directory = directory
@@ -88,7 +90,9 @@
     def _wait_ticks(self) -> int:
         """How long the loop may wait for an event."""
         now = self._clock.now()
-        due = self._timers.next_due(now + MAX_WAIT_TICKS)
+        due = self._evaluations.next_due()
+        if due is None:
+            due = now + MAX_WAIT_TICKS
         if self._reports.has_waiting():
             due = now if self._has_budget_for_reports else min(due, now + REPORT_POLL_TICKS)
         return max(due - now, 0)
@@ -103,7 +107,7 @@
         if is_maintenance_due:
             self._directory.update_tiers(now)
         self._directory.show_tier_changes(now)
-        while self._timers.pop_due(now):
+        while self._evaluations.pop_due(now):
             self._controller.handle(now, EvaluationDue())
         self._controller.flush(now)
         self._proxy_states.flush(now)
--- a/willowhook/controlplane/service.py
+++ b/willowhook/controlplane/service.py
@@ -1,4 +1,4 @@
-"""A running controller: joins the components that decide, publish and take in, and runs their tasks."""
+"""A running controller: connects the components and runs their tasks."""
 
 from __future__ import annotations
 
@@ -14,6 +14,7 @@
 from ..config.deployment import deployment_settings
 from ..config.terms import Terms
 from ..decisions.controller import Controller
+from ..evaluation_timer import EvaluationTimer
 from ..files.layout import PACE, Folder
 from ..files.ops import DiskOps, FileOps
 from ..files.swap import Shelf
@@ -25,7 +26,7 @@
 from .clock import Clock
 from .condition_log import BindableLogger, Logger
 from .context import ServiceContext
-from .controller_runtime import EvaluationTimers, FileControllerRuntime
+from .controller_runtime import FileControllerRuntime
 from .decider import ControllerPort, Decider, DeciderFactory
 from .decision_loop import DecisionLoop
 from .discovery_feed import DiscoveryFeed
@@ -51,14 +52,14 @@
 from .update_sink_factory import UpdateSinkFactory
 
 RECORDS_FLUSH_SECONDS = 0.1
-ERA_BYTES = 3  # of chance in the name of a resource version
+ERA_BYTES = 3  # of random data in the name of a resource version
 
 
 class Service:
     """The controller of one folder.
 
-    The components are made when it runs, as the epoch of the start is known only then. Each of them owns its
-    state; this class holds none besides.
+    The components are made when it runs, as the epoch of the start is known only then. Each component owns
+    its state; this class has no other state.
 
     Attributes:
         handoff_port: the port on which peers are served; 0: none.
@@ -73,13 +74,13 @@
         decider: DeciderFactory = Controller,
         file_writer: type[Shelf] = Shelf,
     ) -> None:
-        """Creates a service that has not touched anything yet.
+        """Creates a service that has not used any file or port yet.
 
         Args:
             terms: the configuration.
             ops: file operations.
             log: the logger.
-            decider: makes what decides.
+            decider: makes the component that decides.
             file_writer: the class that writes the files of one proxy.
         """
         self.terms = terms
@@ -122,7 +123,7 @@
     # Start and end.
 
     def _clear_report_interval(self) -> None:
-        """Removes what a start before told proxies."""
+        """Removes the report interval that an earlier start published."""
         with contextlib.suppress(FileNotFoundError):
             self.ops.unlink(f"{self.folder.path}/{PACE}")
 
@@ -140,7 +141,7 @@
             self.memory.close()
 
     def _record_validation(self) -> None:
-        """Records what update validation has found since the start, and what a check cost."""
+        """Records the verdicts of update validation since the start, and how long validation took."""
         durations_us = sorted(self.publisher.validation_micros) or [0]
         self.records.note(
             self.clock.now(),
@@ -188,7 +189,7 @@
         self.memory = self.context.memory
 
     def _make_publisher(self) -> None:
-        """Makes what leads from the controller's commands to the proxies."""
+        """Makes the components that turn the controller's commands into updates of proxies."""
         context = self.context
         renderer = ResourceRenderer(self.terms, context.epoch)
         self.proxy_states = ProxyStateBook(self.settings, lambda message: self.publisher.enqueue(message))
@@ -209,7 +210,7 @@
         self.validation = self.publisher.validation
 
     def _make_intake(self) -> None:
-        """Makes what takes in what proxies say."""
+        """Makes the components that handle the input of proxies."""
         context, terms = self.context, self.terms
         self.intake = ProxyIntake(
             lambda event: self.proxy_events.handle(event),
@@ -228,13 +229,13 @@
         self.report_interval = ReportIntervalPublisher(context, self.discovery)
 
     def _make_controller(self) -> None:
-        """Makes the controller and what it commands, and hands it what is known from before."""
+        """Makes the controller and the components that it commands, and hands it the saved endpoint list."""
         context = self.context
         self.endpoint_list = EndpointListReader(context)
         self.health_checker = HealthChecker(context, self.directory.find)
-        self.timers = EvaluationTimers()
+        self.evaluations = EvaluationTimer(self.clock)
         runtime = FileControllerRuntime(
-            context, self.proxy_states, self.timers, self.endpoint_list, self.health_checker
+            context, self.proxy_states, self.evaluations, self.endpoint_list, self.health_checker
         )
         now = context.now()
         self.controller: Decider = self._make_decider(runtime, self.settings, context.seed, now)
@@ -246,7 +247,7 @@
         self._update_endpoints(context.now(), self.endpoint_list.last_saved())
 
     def _make_proxy_components(self, watch: Watch) -> None:
-        """Makes what reads the folders of proxies, and handles what they say."""
+        """Makes the components that read the folders of proxies and handle their events."""
         context, proxy_states = self.context, self.proxy_states
         publisher, reports = self.publisher, self.reports
         self.handoff = HandoffPeers(context, self.directory)
@@ -259,7 +260,7 @@
         self.proxy_events = ProxyEventHandler(context, publisher, sessions, load)
 
     def _make_loop(self) -> None:
-        """Makes the loop, and what it calls ten times a second."""
+        """Makes the loop, and the maintenance that it calls ten times a second."""
         context = self.context
         drain = ControllerDrain(context, self.proxy_states, self.channel)
         monitor = QueueMonitor(context, self.controller, self.publisher)
@@ -281,7 +282,7 @@
         self.loop = DecisionLoop(
             context.queue,
             dispatcher.handle,
-            self.timers,
+            self.evaluations,
             self.controller,
             self.reports,
             self.directory,
@@ -294,7 +295,7 @@
     # Endpoints, in the decision task.
 
     def _update_endpoints(self, now: int, endpoints: Sequence[Host]) -> None:
-        """Takes in an endpoint list; the first one also brings back what was known of its endpoints."""
+        """Handles an endpoint list; with the first one, the stored evidence of its endpoints is restored."""
         self.reports.sums.keep(frozenset(each.id for each in endpoints))
         self.directory.update(now, endpoints)
         self.recovery.restore(now, endpoints)
