--- a/willowhook/controlplane/acknowledgements.py
+++ b/willowhook/controlplane/acknowledgements.py
@@ -1,4 +1,4 @@
-"""What proxies say of the messages that they got: applied, or rejected."""
+"""Handles the answers of proxies to the messages that they received: acknowledged, or rejected."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     """Follows acknowledgements and rejections of proxies; proxies that have left are ignored."""
 
     def __init__(self, context: PublisherContext, validator: UpdateValidator, rollout: TableRollout) -> None:
-        """Validator and rollout are told of each answer."""
+        """The validator and the rollout are notified of each answer."""
         self._epoch = context.epoch
         self._renderer = context.renderer
         self._sessions = context.sessions
--- a/willowhook/controlplane/channel.py
+++ b/willowhook/controlplane/channel.py
@@ -24,7 +24,12 @@
 
 
 class RateLimitedChannel:
-    """The queue of messages that wait to leave, and the entries that left but were not fetched yet."""
+    """The queue of messages that wait to leave, and the entries that left but have not been fetched.
+
+    Attributes:
+        peak_waiting_entries: the most entries that have ever waited at one time.
+        peak_messages_in_window: the most messages to one proxy within the window of the message cap.
+    """
 
     def __init__(self, settings: ChannelSettings) -> None:
         """Starts empty and idle."""
@@ -32,10 +37,10 @@
         self._entries_per_tick = settings.entries_per_second / TICKS_PER_SECOND
         self._queue: deque[UpdateMessage] = deque()
         self._queued_entries = 0
-        self._unfetched: dict[int, int] = {}  # by proxy: entries that left and wait for its next call
+        self._unfetched: dict[int, int] = {}  # by proxy: entries that wait for its next call
         self._unfetched_entries = 0
         self._idle_at = 0.0  # when the last departure ended
-        self._departures: dict[int, deque[int]] = {}  # by proxy, within the window of the cap
+        self._departures: dict[int, deque[int]] = {}  # by proxy, within the cap's window
         self.peak_waiting_entries = 0
         self.peak_messages_in_window = 0
 
@@ -75,7 +80,7 @@
         return self._idle_at + self._queue[0].cost_entries / self._entries_per_tick
 
     def take(self, now: int) -> Departure | None:
-        """Takes out the first message if it has left by now; returns None if none has."""
+        """Removes and returns the first message if it has left by now; returns None if none has."""
         departed_at = self.next_departure()
         if departed_at is None or departed_at > now:
             return None
--- a/willowhook/controlplane/condition_log.py
+++ b/willowhook/controlplane/condition_log.py
@@ -22,14 +22,14 @@
     """A logger to which fields can be bound that all its lines carry."""
 
     def bind(self, **fields: Any) -> Logger:
-        """Gives a logger with these fields."""
+        """Returns a logger whose lines carry these fields."""
 
 
 class ConditionLog:
     """Tracks named conditions, such as a full queue or a disk error, and reports only their changes."""
 
     def __init__(self, log: Logger, records: Records, now: Callable[[], int]) -> None:
-        """Takes the logger, the records file and a function that gives the current tick."""
+        """`now` returns the current tick."""
         self._log = log
         self._records = records
         self._now = now
@@ -38,8 +38,8 @@
     def report(self, name: str, active: bool, event: str, **fields: Any) -> None:
         """Sets a condition's state; a change is logged as `event` and noted in the records file.
 
-        A condition that begins is a warning, one that ends is information. One that was never active is
-        taken for inactive.
+        The beginning of a condition is logged as a warning, its end as information. A condition that was
+        never reported counts as inactive.
         """
         if self._active.get(name, False) == active:
             return
--- a/willowhook/controlplane/context.py
+++ b/willowhook/controlplane/context.py
@@ -17,24 +17,24 @@
 from .decision_queue import DecisionQueue
 from .memory import ControllerMemory
 
-SEED_STRIDE = 1000  # between the seeds of two controllers: each start takes another one
+SEED_STRIDE = 1000  # between the seeds of two controllers: each start of a controller adds 1
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceContext:
-    """The surroundings of a running controller.
+    """What the components of a running controller share.
 
     Attributes:
         terms: the configuration.
         settings: the configuration, as the decisions read it.
         folder: the controller's folder; it is open.
         ops: file operations.
-        clock: of this process.
+        clock: the clock of this process.
         records: the records file.
         log: the log.
-        conditions: the log of what persists, such as a full disk.
-        queue: to the decision task.
-        handle: hands an event to the controller; for the decision task only.
+        conditions: the log of persisting conditions, such as a full disk.
+        queue: the queue of events for the decision task.
+        handle: hands an event to the controller; only the decision task may call it.
         memory: what is stored for the next start; None: there is no store.
     """
 
@@ -62,7 +62,7 @@
         log: Logger,
         handle: EventHandler,
     ) -> ServiceContext:
-        """Makes the surroundings of a controller whose folder is open; also opens its store."""
+        """Makes the context of a controller whose folder is open; also opens the store of the controller."""
         conditions = ConditionLog(log, records, clock.now)
         memory = _open_memory(terms, folder.epoch, conditions)
         queue = DecisionQueue()
@@ -84,7 +84,7 @@
 
 
 def _open_memory(terms: Terms, epoch: int, conditions: ConditionLog) -> ControllerMemory | None:
-    """The memory; None if there is none or it cannot be used, as a controller can do without."""
+    """Returns the memory; None if none is configured or it cannot be used, as a controller needs none."""
     store = terms.store
     if not store.folder:
         return None
--- a/willowhook/controlplane/decider.py
+++ b/willowhook/controlplane/decider.py
@@ -14,10 +14,10 @@
     """What makes the decisions: a `Controller`, or a stand-in for it in a test."""
 
     def handle(self, now: int, event: Event) -> None:
-        """Takes in one event."""
+        """Processes one event."""
 
     def flush(self, now: int) -> None:
-        """Gives the commands that follow from the events since the last flush."""
+        """Issues the commands that follow from the events since the last flush."""
 
     def queue_estimate(self) -> float:
         """The entries that wait on the channel, as the decider estimates them."""
--- a/willowhook/controlplane/decision_loop.py
+++ b/willowhook/controlplane/decision_loop.py
@@ -22,9 +22,7 @@
 MAX_WAIT_TICKS = TICKS_PER_SECOND
 REPORT_POLL_TICKS = TICKS_PER_SECOND // 100  # between two attempts while reports wait for the budget
 MAINTENANCE_INTERVAL_TICKS = TICKS_PER_SECOND // 10
-MAX_STALL_TICKS = (
-    10 * TICKS_PER_SECOND
-)  # without decisions for longer, the heartbeat is not renewed
+MAX_STALL_TICKS = 10 * TICKS_PER_SECOND  # without decisions for longer, the heartbeat is not renewed
 
 
 class DecisionLoop:
--- a/willowhook/controlplane/decision_queue.py
+++ b/willowhook/controlplane/decision_queue.py
@@ -15,8 +15,8 @@
 class DecisionQueue:
     """Events for the decision task, in the order in which they were sent.
 
-    Controller, proxy intake and everything that they touch belong to that task alone; whatever another task
-    has learnt gets there through this queue.
+    Only that task may use the controller, the proxy intake and their state; every other task sends its events
+    through this queue.
     """
 
     def __init__(self) -> None:
@@ -28,7 +28,7 @@
         await self._send.send(event)
 
     def wake(self) -> None:
-        """Makes the decision task look for work that is not in this queue."""
+        """Makes the decision task check for work that is not in this queue."""
         with contextlib.suppress(trio.WouldBlock):  # a full queue wakes it anyway
             self._send.send_nowait(WorkAvailable())
 
--- a/willowhook/controlplane/discovery_feed.py
+++ b/willowhook/controlplane/discovery_feed.py
@@ -1,7 +1,7 @@
-"""The proxies that call the discovery server: the control plane's side of it.
+"""Connects the discovery server, which proxies call, to the control plane.
 
-What the server learns goes to the decision task in the order in which it was learnt. The server's own state
-is kept by the tasks that serve calls, in the same thread.
+Events of the server go to the decision task in the order in which they happened. The tasks that serve calls
+keep the state of the server; they run in the same thread.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 
 
 def identity_of(settings: FrontTerms) -> Identity:
-    """How callers prove who they are. Raises CredentialError, or OSError if the file cannot be read."""
+    """Returns how callers authenticate. Raises CredentialError, or OSError if the file cannot be read."""
     if settings.identity == "none":
         return Unproven()
     if not settings.credentials:
@@ -70,7 +70,7 @@
 
 
 class DiscoveryFeed:
-    """Runs the discovery server and hands what it learns to the decision task.
+    """Runs the discovery server and sends its events to the decision task.
 
     Attributes:
         gate: the limits on connections and requests.
@@ -90,11 +90,11 @@
         """Creates a server that listens once it runs.
 
         Args:
-            context: the surroundings.
-            store: of the resources.
-            publisher: of updates.
-            intake: of what proxies say.
-            reports: takes load reports.
+            context: the shared context.
+            store: the store of the resources.
+            publisher: the publisher of updates.
+            intake: the sessions of proxies.
+            reports: the processor of load reports.
 
         Raises:
             CredentialError: the credentials are missing or malformed.
@@ -106,7 +106,7 @@
         self._intake = intake
         self._reports = reports
         self._discovery_sessions: dict[str, DiscoverySession] = {}  # by the name of the proxy
-        self._pending: list[InboundEvent] = []  # what was learnt by the call that is being served
+        self._pending: list[InboundEvent] = []  # the events of the call that is being served
         settings = self._settings = context.terms.front
         self.gate = _gate(settings)
         self.bodies = Bodies(settings.cache_bytes, settings.compress_from_bytes)
@@ -125,7 +125,7 @@
     async def run(self, task_status: trio.TaskStatus[int] = trio.TASK_STATUS_IGNORED) -> None:
         """Serves proxies until cancelled; the task's start value is the port.
 
-        Raises OSError if the address cannot be had.
+        Raises OSError if the address cannot be bound.
         """
         address, _, port = self._settings.listen.rpartition(":")
         listeners = await trio.open_tcp_listeners(int(port), host=address, backlog=LISTEN_BACKLOG)
@@ -164,7 +164,7 @@
         if session is not None:
             self.front.forget(session)
 
-    # What the discovery server asks and says, as its `Hall`.
+    # The interface that the discovery server calls, `Hall`.
 
     def here(self, name: str) -> tuple[int, bool] | None:
         """The term of a proxy's session, and whether it calls; None if it has none."""
@@ -183,7 +183,7 @@
         return isinstance(sink, HttpUpdateSink) and sink.is_sent_away
 
     def called(self, name: str) -> None:
-        """A proxy has given a sign of life."""
+        """A proxy has made a call, which shows that it is alive."""
         self._pending.append(ProxyCalled(name))
 
     def delivered(self, name: str) -> None:
@@ -193,7 +193,7 @@
             self._publisher.handle_delivered(session.number)
 
     async def arrive(self, name: str, node: forms.Node, holds: list[Any], fresh: bool) -> str:
-        """Opens the session of a proxy that calls; what is malformed in what it says, or empty."""
+        """Opens the session of a proxy that calls; returns what is malformed in the request, or empty."""
         files = {STATUS: encode({"node": node, "generic_xds_configs": holds})}
         if not fresh:
             files[ENDPOINT_REQUEST_FILE] = encode(forms.DiscoveryRequest("held", node))
@@ -203,16 +203,16 @@
         return reply.fault
 
     async def report(self, name: str, body: bytes) -> None:
-        """Takes in a load report."""
+        """Queues a load report."""
         self._reports.offer(self._publisher.now(), name, body)
 
     async def settled(self) -> None:
-        """Hands on what was learnt by a call that has been answered."""
+        """Sends the events of a call that has been answered to the decision task."""
         pending, self._pending = self._pending, []
         for event in pending:
             await self._queue.send(event)
 
-    # What discovery sessions say, as their listener.
+    # The interface that discovery sessions call, `SessionListener`.
 
     def handle_applied(self, proxy: int, number: int) -> None:
         """A proxy has applied this update message."""
--- a/willowhook/controlplane/draining.py
+++ b/willowhook/controlplane/draining.py
@@ -16,7 +16,7 @@
     def __init__(
         self, context: ServiceContext, proxy_states: ProxyStateBook, channel: RateLimitedChannel
     ) -> None:
-        """Takes the surroundings, the proxies to send away, and the queue to them."""
+        """Receives the context, the proxies to send away, and the channel to them."""
         self._path = f"{context.folder.path}/{DRAIN}"
         self._conditions = context.conditions
         self._proxy_states = proxy_states
--- a/willowhook/controlplane/endpoint_directory.py
+++ b/willowhook/controlplane/endpoint_directory.py
@@ -28,8 +28,8 @@
         """Creates an empty directory.
 
         Args:
-            context: the surroundings.
-            renderer: is told all addresses.
+            context: the shared context.
+            renderer: receives all addresses.
             shown: receives the endpoints as the decisions are to see them, each time they change.
         """
         self._context = context
@@ -37,7 +37,7 @@
         self._shown_to = shown
         slow_start_ticks = ticks_from_milliseconds(context.terms.rules.cold_ms)
         self._tiers = PriorityTiers(self, slow_start_ticks)
-        self._listed: Sequence[Host] = ()  # as discovery gave them
+        self._listed: Sequence[Host] = ()  # as service discovery lists them
         self._shown: dict[str, Host] = {}  # as the decisions see them
         self._has_tier_changes = False  # since the endpoints were shown
         self._names_by_address: dict[str, str] = {}
@@ -47,7 +47,7 @@
     # The list.
 
     def update(self, now: int, endpoints: Sequence[Host]) -> None:
-        """Takes in a complete endpoint list and shows it."""
+        """Handles a complete endpoint list and shows it."""
         addresses = {each.id: (each.address, each.port, each.zone) for each in endpoints}
         self._names_by_address.update({f"{each.address}:{each.port}": each.id for each in endpoints})
         self._renderer.set_addresses({**self.addresses, **addresses})
@@ -99,7 +99,7 @@
     # Priority tiers.
 
     def record_attempts(self, now: int, name: str, attempts: int, failures: int) -> None:
-        """Takes in what proxies met at an endpoint: tiers whose endpoints all fail are replaced."""
+        """Handles the attempts of proxies at an endpoint: tiers whose endpoints all fail are replaced."""
         self._tiers.record_attempts(now, name, attempts, failures)
 
     def update_tiers(self, now: int) -> None:
--- a/willowhook/controlplane/endpoint_list_reader.py
+++ b/willowhook/controlplane/endpoint_list_reader.py
@@ -17,10 +17,10 @@
 
 
 class EndpointListReader:
-    """Hands on every endpoint list that has changed, and every failure to get one."""
+    """Sends the decision task every endpoint list that has changed, and every failure to read one."""
 
     def __init__(self, context: ServiceContext) -> None:
-        """Creates a feed that asks nothing until one of its tasks runs."""
+        """Creates a reader that sends no request until one of its tasks runs."""
         self._context = context
         self._settings = context.terms.roster
         self._conditions = context.conditions
@@ -30,7 +30,7 @@
             self._watch_requested.set()
 
     def last_saved(self) -> list[Host]:
-        """The list that this folder holds from before, maybe stale; empty if there is none."""
+        """The list that an earlier start saved in this folder, which may be stale; empty if there is none."""
         try:
             return read_hosts(read_at(None, f"{self._context.folder.path}/{LIST}", MAX_LIST_BYTES))
         except (OSError, RosterError):
@@ -78,7 +78,7 @@
         )
 
     async def _poll(self, client: Roster, is_complete_wanted: bool) -> bool:
-        """Asks once; False if discovery failed."""
+        """Sends one request; returns False if service discovery failed."""
         try:
             endpoints = await client.ask(is_complete_wanted)
         except RosterError as error:
--- a/willowhook/controlplane/evidence_recovery.py
+++ b/willowhook/controlplane/evidence_recovery.py
@@ -14,7 +14,7 @@
     """Restores stored evidence once, with the first endpoint list that has any endpoints."""
 
     def __init__(self, context: ServiceContext) -> None:
-        """Takes the surroundings."""
+        """Receives the shared context."""
         self._context = context
         self._is_done = False
 
--- a/willowhook/controlplane/handoff_codec.py
+++ b/willowhook/controlplane/handoff_codec.py
@@ -1,7 +1,7 @@
 """The packets by which controllers hand evidence to each other, as load reports.
 
 A packet is the published `LoadStatsRequest`: `node.id` is the proxy, `node.metadata` says which controller
-sends it, under which epoch and number, and in which of the proxy's sessions the evidence was met.
+sends it, under which epoch and number, and in which session of the proxy the evidence was collected.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from .resource_renderer import Address
 
 CLUSTER_NAME = "met"
-MAX_ATTEMPTS = 1e9  # of one endpoint; more is no count
+MAX_ATTEMPTS = 1e9  # at one endpoint; a larger count is malformed
 MAX_LATENCY_SUM_SECONDS = 1e9
 
 
--- a/willowhook/controlplane/handoff_peers.py
+++ b/willowhook/controlplane/handoff_peers.py
@@ -1,4 +1,4 @@
-"""Hands evidence of proxies that leave to the controllers that may get them, and takes in theirs.
+"""Sends the evidence of proxies that leave to the controllers that they may join, and receives theirs.
 
 A hint is evidence and nothing else: losing, doubling or reordering one does no harm.
 """
@@ -20,7 +20,7 @@
 from .inbound_events import HandoffAcknowledged, HandoffReceived
 from .links import PeerClient, serve_peers
 
-EVIDENCE_BUCKETS = 5  # of a second each, that are handed on
+EVIDENCE_BUCKETS = 5  # the number of one-second buckets that are sent
 FIRST_RETRY_TICKS = TICKS_PER_SECOND // 5
 
 
@@ -70,7 +70,7 @@
             await self._context.queue.send(HandoffAcknowledged(peer, packet.epoch, packet.number))
 
     async def _accept(self, body: bytes) -> bool:
-        """Takes in a packet of a peer; says whether it could be read."""
+        """Receives a packet of a peer; returns whether it could be read."""
         try:
             packet = decode_packet(body, self._directory.names_by_address)
         except FormError as error:
@@ -95,7 +95,7 @@
     def record_attempts(
         self, now: int, proxy: int, endpoint: str, attempts: float, failures: float, latency_sum_ticks: float
     ) -> None:
-        """Keeps what a proxy met at an endpoint, where there are peers to hand it to."""
+        """Keeps the attempts of a proxy at an endpoint, if there are peers to send them to."""
         if not self._clients:
             return
         by_endpoint = self._evidence.setdefault(proxy, {})
@@ -104,7 +104,7 @@
         by_endpoint[endpoint].add(now, attempts, failures, latency_sum_ticks)
 
     def send_evidence(self, now: int, proxy: int, name: str, term: int) -> None:
-        """Sends what a proxy met of late, in the session of this term, to all peers, as it leaves."""
+        """Sends all peers the recent attempts of a proxy that leaves, met in the session of this term."""
         endpoints = {}
         for endpoint, ring in self._evidence.pop(proxy, {}).items():
             attempts, failures, latency_sum_ticks = ring.total(now, EVIDENCE_BUCKETS)
@@ -117,12 +117,12 @@
                 sender.send(now, hint)
 
     def resend_unanswered(self, now: int) -> None:
-        """Sends packets that no peer has answered once more, with exponential backoff."""
+        """Sends packets that no peer has answered again, with exponential backoff."""
         for sender in self._senders:
             sender.resend_due(now)
 
     def use_evidence(self, now: int, name: str, term: int) -> None:
-        """Hands the controller what a joining proxy met in its session with a peer, if one sent it."""
+        """Hands the controller the attempts of a joining proxy that a peer sent, if any."""
         hint = self._hints.claim(now, name, term)
         if hint is None:
             return
--- a/willowhook/controlplane/health_checker.py
+++ b/willowhook/controlplane/health_checker.py
@@ -24,8 +24,8 @@
         """Creates a checker that checks nothing until it runs.
 
         Args:
-            context: the surroundings.
-            find_endpoint: gives a listed endpoint by its name; None if it is not listed.
+            context: the shared context.
+            find_endpoint: returns a listed endpoint by its name; None if it is not listed.
         """
         self._context = context
         self._path = context.terms.fleet.probe_path.encode()
--- a/willowhook/controlplane/inbound_dispatcher.py
+++ b/willowhook/controlplane/inbound_dispatcher.py
@@ -1,4 +1,4 @@
-"""Gives each event that enters the decision task to the component that it concerns."""
+"""Passes each event that enters the decision task to the component that handles it."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
         handoff: HandoffPeers,
         update_endpoints: Callable[[int, Sequence[Host]], None],
     ) -> None:
-        """Takes the components that handle the events."""
+        """Receives the components that handle the events."""
         self._context = context
         self._intake = intake
         self._publisher = publisher
@@ -55,10 +55,10 @@
         self._update_endpoints = update_endpoints
 
     def handle(self, now: int, event: InboundEvent) -> None:
-        """Handles one event; one that is not of the control plane goes to the controller."""
+        """Handles one event; an event that no component handles goes to the controller."""
         match event:
             case WorkAvailable():
-                pass  # the loop looks for it in any case
+                pass  # the loop checks for work after every batch
             case EndpointListFetched():
                 self._update_endpoints(now, event.endpoints)
             case HandoffReceived():
@@ -81,7 +81,7 @@
                 self._context.handle(now, event)
 
     def _handle_folder(self, now: int, event: FolderEvent) -> None:
-        """Handles what has changed in the folders of proxies."""
+        """Handles a change in the folders of proxies."""
         match event:
             case ProxyFolderFound():
                 self._folder_feed.open_session(now, event)
@@ -93,7 +93,7 @@
                 self._intake.reject_unreadable(event.name, event.file, event.cause)
 
     def _handle_discovery(self, now: int, event: DiscoveryEvent) -> None:
-        """Handles what a proxy that calls has said."""
+        """Handles an event of the discovery server."""
         match event:
             case SessionRequested():
                 assert self._discovery is not None, "only a discovery server sends it"
--- a/willowhook/controlplane/inbound_events.py
+++ b/willowhook/controlplane/inbound_events.py
@@ -1,4 +1,4 @@
-"""What the decision task learns from the tasks that do I/O, as typed events.
+"""The typed events that tasks which do I/O send to the decision task.
 
 Events of the controller itself, such as the result of a health check, go through the same queue.
 """
@@ -17,7 +17,7 @@
 from .proxy_events import UpdateApplied
 
 FolderIdentity = tuple[int, ...]
-"""Tells one folder of a proxy from the next of the same name; empty if there is none."""
+"""Distinguishes a folder of a proxy from a later folder of the same name; empty if there is none."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListFetched:
-    """Discovery has given the complete endpoint list."""
+    """Service discovery has returned the complete endpoint list."""
 
     endpoints: Sequence[Host]
 
@@ -37,12 +37,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyFolderFound:
-    """A proxy's folder has come, or was replaced.
+    """A proxy's folder was created, or replaced.
 
     Attributes:
-        name: of the proxy.
-        identity: of the folder.
-        files: that the proxy has written, by name.
+        name: the name of the proxy.
+        identity: the identity of the folder.
+        files: the files that the proxy has written, by name.
         previous: the files that a controller wrote for it before, if any.
     """
 
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyFolderRemoved:
-    """A proxy's folder is gone."""
+    """A proxy's folder was removed."""
 
     name: str
 
@@ -82,7 +82,7 @@
 
 @dataclass(slots=True)
 class SessionReply:
-    """What became of a request for a session.
+    """The result of a request for a session.
 
     Attributes:
         fault: what is malformed in the request; empty: nothing.
@@ -98,10 +98,10 @@
     """A proxy that calls asks for a session.
 
     Attributes:
-        name: of the proxy.
-        term: of the session, as the proxy states it; not checked yet.
-        files: what it says, as files.
-        reply: takes the answer.
+        name: the name of the proxy.
+        term: the term of the session as the proxy states it; not checked yet.
+        files: the contents of the request, as files.
+        reply: where the result is set.
     """
 
     name: str
@@ -150,8 +150,8 @@
 
     Attributes:
         peer: its index in the configuration.
-        epoch: of this controller when it sent the packet.
-        number: of the packet.
+        epoch: the epoch of this controller when it sent the packet.
+        number: the number of the packet.
     """
 
     peer: int
@@ -164,7 +164,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PublisherCallDue:
-    """The publisher's task wants a call made in the decision task, with the current tick."""
+    """The publisher's task requests a call in the decision task, with the current tick."""
 
     call: Callable[[int], None]
 
--- a/willowhook/controlplane/intake.py
+++ b/willowhook/controlplane/intake.py
@@ -1,7 +1,7 @@
 """The sessions of proxies: turns the bytes that proxies write or send into typed events.
 
-Malformed input of one proxy costs no other proxy anything: it is reported once, until a well-formed file of
-the same kind comes. No I/O and no clock; only the decision task may call in here.
+Malformed input of one proxy does not affect any other proxy: it is reported once, until a well-formed file
+of the same kind arrives. No I/O and no clock; only the decision task may call these methods.
 """
 
 from __future__ import annotations
@@ -55,10 +55,10 @@
     """The session of a proxy with this controller.
 
     Attributes:
-        number: by which the control plane names it.
-        name: as in its folder or its calls.
+        number: the number by which the control plane names the proxy.
+        name: the name of the proxy in its folder or its calls.
         term: the number of its session, counted over all controllers.
-        heard_at: the tick of its last sign of life.
+        heard_at: the tick of the last activity of the proxy.
         uses_discovery: whether it calls the discovery server; otherwise it reads files.
         applied: the newest update message that it is known to have applied.
         rejected: the newest update message that it rejected, by the kind of file.
@@ -74,7 +74,7 @@
 
 
 class ProxyIntake:
-    """Keeps the sessions of proxies and emits a `ProxyEvent` for all that is news.
+    """Keeps the sessions of proxies and emits a `ProxyEvent` for each change.
 
     Attributes:
         sessions: the open ones, by the name of the proxy.
@@ -98,8 +98,8 @@
             controller: the name of this controller.
             epoch: how often it has been started.
             routes: their names, as in load reports.
-            session_timeout_ticks: after so long without a sign of life a session is closed.
-            newest_message: gives the number of the last update message; no later one can be applied.
+            session_timeout_ticks: a session is closed after this time without activity.
+            newest_message: returns the number of the last update message; no later one can be applied.
         """
         self._emit = emit
         self._controller = controller
@@ -128,9 +128,9 @@
         """Opens a session for the proxy `name`, in place of one that it may have had.
 
         Args:
-            now: in ticks.
-            name: of the proxy.
-            files: what it has written so far, by file name.
+            now: the current tick.
+            name: the name of the proxy.
+            files: the files that it has written so far, by file name.
             previous: the files that a controller before this one left for it, if any.
             uses_discovery: whether it calls the discovery server.
 
@@ -173,7 +173,7 @@
             self._emit(ProxySessionClosed(proxy.number, name, reason))
 
     def record_activity(self, now: int, name: str) -> None:
-        """Takes a call of a proxy for a sign of life."""
+        """Notes a call of a proxy as activity."""
         proxy = self.sessions.get(name)
         if proxy is not None:
             self._touch(now, proxy)
@@ -183,7 +183,7 @@
         self._timeouts.set(proxy.name, now + self._session_timeout_ticks + 1)
 
     def close_silent_sessions(self, now: int) -> None:
-        """Closes the sessions of proxies that gave no sign of life for too long."""
+        """Closes the sessions of proxies that were inactive for too long."""
         for name in self._timeouts.overdue(now):
             silent_ticks = now - self.sessions[name].heard_at
             self.close_session(name, f"silent for {silent_ticks / TICKS_PER_SECOND:.1f} s")
@@ -191,7 +191,7 @@
     # Files.
 
     def process_file(self, now: int, name: str, file: str, data: bytes) -> None:
-        """Takes in a file that a proxy has written; one of a proxy without a session is ignored."""
+        """Processes a file that a proxy has written; a file of a proxy without a session is ignored."""
         proxy = self.sessions.get(name)
         if proxy is None:
             return
@@ -213,7 +213,7 @@
         self._accept(name, file)
 
     def reject_unreadable(self, name: str, file: str, cause: str) -> None:
-        """Takes note of a file that could not be read."""
+        """Notes that a file could not be read."""
         self._reject(name, file, cause)
 
     def _reject(self, name: str, file: str, cause: str) -> None:
@@ -241,7 +241,7 @@
         return claim is OwnershipClaim.OWNED
 
     def _process_request(self, proxy: IntakeSession, kind: str, request: forms.DiscoveryRequest) -> None:
-        """Takes in a proxy's answer to an update: applied or rejected."""
+        """Processes a proxy's answer to an update: applied or rejected."""
         version = read_answered_version(kind, request)
         if version is None:
             return
@@ -268,11 +268,11 @@
     def process_reports(
         self, now: int, name: str, reports: Sequence[tuple[int, bytes]], arrived: int
     ) -> list[tuple[str, bytes]]:
-        """Takes in load reports of one proxy.
+        """Processes load reports of one proxy.
 
         Args:
-            now: in ticks.
-            name: of the proxy.
+            now: the current tick.
+            name: the name of the proxy.
             reports: the tick at which each arrived, and its bytes; all that arrived, or a sample of two.
             arrived: how many reports these stand for.
 
--- a/willowhook/controlplane/links.py
+++ b/willowhook/controlplane/links.py
@@ -22,14 +22,14 @@
     """Sends packets to one peer; the caller sends again what fails."""
 
     def __init__(self, url: str, timeout_seconds: float) -> None:
-        """Takes the peer's base URL and the time limit of one request."""
+        """`url` is the base URL of the peer, `timeout_seconds` the time limit of one request."""
         parts = urlsplit(url)
         self._address = parts.hostname or ""
         self._port = parts.port or DEFAULT_PORT
         self._timeout_seconds = timeout_seconds
 
     async def send(self, packet: bytes) -> bool:
-        """Sends a packet; says whether the peer has accepted it."""
+        """Sends a packet; returns whether the peer has accepted it."""
         caller: Caller | None = None
         try:
             with trio.move_on_after(self._timeout_seconds):
@@ -53,12 +53,12 @@
     """Serves peers until cancelled; the task's start value is the port.
 
     Args:
-        listen: `ADDRESS:PORT`; port 0 takes any.
-        accept: takes in a packet and says whether it could be read.
-        task_status: of trio.
+        listen: `ADDRESS:PORT`; port 0 binds any free port.
+        accept: processes a packet and returns whether it could be read.
+        task_status: receives the port once the server listens.
 
     Raises:
-        OSError: the address cannot be had.
+        OSError: the address cannot be bound.
     """
 
     async def answer(call: Call) -> Reply | None:
--- a/willowhook/controlplane/load_recorder.py
+++ b/willowhook/controlplane/load_recorder.py
@@ -1,4 +1,4 @@
-"""Spreads what proxies report, attempts and requests, to all that need it."""
+"""Passes the attempts and requests that proxies report to all components that need them."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
         directory: EndpointDirectory,
         handoff: HandoffPeers,
     ) -> None:
-        """Takes the components that are told."""
+        """Receives the components that are notified."""
         routes = context.terms.routes
         self._priority_weights = {route.name: route.importance for route in routes}
         self._route_indexes = {route.name: index for index, route in enumerate(routes)}
@@ -55,7 +55,7 @@
         self._handoff = handoff
 
     def record_attempts(self, event: AttemptsReported) -> None:
-        """Takes in what a proxy met at endpoints; those whose address is not known are left out."""
+        """Handles the attempts of a proxy; those at endpoints whose address is not known are left out."""
         member = self._proxy_states.proxies.get(event.proxy)
         if member is None:
             return
@@ -78,9 +78,9 @@
                 continue
             cells[endpoint, route] = row
             met = by_endpoint.setdefault(endpoint, EndpointAttempts())
-            met.attempts += row[0]
-            met.failures += row[1]
-            met.latency_sum_ticks += row[2]
+            met.attempts += row.attempts
+            met.failures += row.failures
+            met.latency_sum_ticks += row.latency_sum
         loads = {names[at]: load for at, load in sample.loads.items() if at in names}
         self._reports.sums.add(now, zone, sample.since, sample.until, cells, loads)
         return by_endpoint
@@ -95,7 +95,7 @@
         self._handoff.record_attempts(now, proxy, endpoint, met.attempts, met.failures, met.latency_sum_ticks)
 
     def record_requests(self, event: RequestsReported) -> None:
-        """Takes in the requests of one route that reached a proxy."""
+        """Handles the requests of one route that reached a proxy."""
         report = RequestReport(event.proxy, event.route, event.requests, event.window_ticks)
         self._context.handle(self._context.now(), report)
         rate_per_second = event.requests * TICKS_PER_SECOND / event.window_ticks
--- a/willowhook/controlplane/memory.py
+++ b/willowhook/controlplane/memory.py
@@ -1,8 +1,9 @@
-"""What a controller stores for its next start: evidence of endpoints, exclusions, and who runs what.
+"""What a controller stores: evidence about endpoints, the endpoint list, exclusions, and versions at proxies.
 
-Decisions never wait for the store: changes are gathered by key, and a task of its own commits them some times
-a second. After a restart they are advice that ages. The endpoint list and the proxies say what is; of the
-evidence only what is recent counts, and only for endpoints that are listed and have not restarted since.
+Decisions never wait for the store: changes are collected by key, and a separate task commits them five times
+a second. Of all this, a restarted controller reads back its last epoch and the evidence (`recent_evidence`),
+which counts only if it is recent and the endpoint is listed and has not restarted since. The other records
+are for the tools that read the store.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 from ..store.store import APPLIED, DEBUG, ORDERS, Op, Store, StoreError
 from ..ticks import NANOSECONDS_PER_TICK, TICKS_PER_SECOND
 
-# The spaces of the store, and how dear their records are; these words are on disk.
+# The spaces of the store, and the ranks by which a full store drops records; these words are on disk.
 EVIDENCE = "met"
 ENDPOINTS = "hosts"
 EXCLUSIONS = "withdrawn"
@@ -35,7 +36,7 @@
 }
 
 COMMIT_INTERVAL_SECONDS = 0.2
-EVIDENCE_INTERVAL_TICKS = TICKS_PER_SECOND  # evidence is summed for so long before it is stored
+EVIDENCE_INTERVAL_TICKS = TICKS_PER_SECOND  # for which evidence is summed before it is stored
 RECORD_OVERHEAD_BYTES = 40  # of one record in the log, estimated
 COMPACT_AFTER_BYTES = 4 << 20  # of the log since the last snapshot
 COMPACT_CHUNK_BYTES = 1 << 15
@@ -45,13 +46,13 @@
 
 
 class Sums(msgspec.Struct, array_like=True):
-    """A stored record of what was met at one endpoint from one zone.
+    """A stored record of the attempts at one endpoint from one zone.
 
     Attributes:
         zone: the zone.
-        tries: attempts that ended.
-        errors: failures among them.
-        mean: latency of the others, in ticks.
+        tries: the number of attempts that ended.
+        errors: the number of failures among them.
+        mean: the mean latency of the successes, in ticks.
         window: the time that this covers, in ticks.
     """
 
@@ -67,9 +68,9 @@
     """Evidence of an endpoint from before this start.
 
     Attributes:
-        endpoint: its name.
-        sums: what was met.
-        age_ticks: since it was stored.
+        endpoint: the name of the endpoint.
+        sums: the stored record.
+        age_ticks: the time since the record was stored.
     """
 
     endpoint: str
@@ -79,7 +80,7 @@
 
 @dataclass(slots=True)
 class _Attempts:
-    """What was met at one endpoint from one zone since evidence was gathered last."""
+    """The attempts at one endpoint from one zone since evidence was last gathered."""
 
     attempts: float = 0.0
     failures: float = 0.0
@@ -87,12 +88,12 @@
 
 
 class ControllerMemory:
-    """Gathers what is to be stored, and commits it in a task of its own.
+    """Gathers changes to the store, and commits them in a separate task.
 
     Attributes:
         store: the store on disk.
-        last_epoch: the epoch of this controller's start before; 0: there was none.
-        failure: why the store cannot keep anything now; empty: it can.
+        last_epoch: the epoch of the previous start of this controller; 0: there was none.
+        failure: why the store cannot be written now; empty: it can.
     """
 
     def __init__(
@@ -101,9 +102,9 @@
         """Opens the store and notes this start.
 
         Args:
-            folder: of the store.
+            folder: the folder of the store.
             controller: the name of this controller.
-            epoch: of this start.
+            epoch: the epoch of this start.
             max_age_ticks: evidence that is older is of no use.
             announce: receives what an operator should know.
 
@@ -138,7 +139,7 @@
     def record_endpoints(self, endpoints: Mapping[str, tuple[bool, float]]) -> None:
         """Stores the endpoint list: by name whether it drains, and its start in seconds since 1970.
 
-        Only what has changed is written. What is known of endpoints that are not listed is removed.
+        Only changes are written. The records of endpoints that are not listed are removed.
         """
         for name, row in endpoints.items():
             value = _encode(row)
@@ -164,7 +165,7 @@
     def record_attempts(
         self, now: int, endpoint: str, zone: str, attempts: int, failures: int, mean_latency_ticks: int
     ) -> None:
-        """Adds what proxies of a zone met at an endpoint to the evidence."""
+        """Adds the attempts of the proxies of a zone at an endpoint to the evidence."""
         row = self._attempts.setdefault((endpoint, zone), _Attempts())
         row.attempts += attempts
         row.failures += failures
@@ -182,7 +183,7 @@
             self._change(EVIDENCE, f"{endpoint} {zone}", _encode(sums))
         self._attempts.clear()
 
-    # What is of use after a restart.
+    # What is read back after a restart.
 
     def recent_evidence(self, started: Mapping[str, float]) -> list[StoredEvidence]:
         """The evidence that still counts.
--- a/willowhook/controlplane/proxy_event_handler.py
+++ b/willowhook/controlplane/proxy_event_handler.py
@@ -1,4 +1,4 @@
-"""Handles what proxies say, in the decision task."""
+"""Passes the events of proxies to the components that handle them, in the decision task."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class ProxyEventHandler:
-    """Gives each event of a proxy to the component that it concerns."""
+    """Passes each event of a proxy to the component that handles it."""
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
         sessions: SessionManager,
         load_recorder: LoadRecorder,
     ) -> None:
-        """Takes the components that handle the events."""
+        """Receives the components that handle the events."""
         self._context = context
         self._publisher = publisher
         self._sessions = sessions
--- a/willowhook/controlplane/proxy_events.py
+++ b/willowhook/controlplane/proxy_events.py
@@ -1,7 +1,7 @@
-"""What proxies say to a controller, as typed events.
+"""The typed events of proxies.
 
-`ProxyIntake` makes them from the files and calls of proxies; the decision task handles them. Proxies are
-named by their number, and by their name where a person reads it.
+`ProxyIntake` makes them from the files and calls of proxies; the decision task handles them. They refer to
+proxies by number, and by name in texts for people.
 """
 
 from __future__ import annotations
@@ -39,12 +39,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxySessionClosed:
-    """A proxy has left this controller, or was given up.
+    """A proxy has left this controller, or was inactive for too long.
 
     Attributes:
         proxy: its number.
         name: its name.
-        reason: for the log.
+        reason: why the session was closed, for the log.
     """
 
     proxy: int
@@ -68,7 +68,7 @@
         proxy: its number.
         kind: of the resources in the file: `cds`, `eds` or `rds`.
         message: the number of the message.
-        cause: as the proxy says, shortened.
+        cause: the reason that the proxy states, shortened.
     """
 
     proxy: int
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptsReported:
-    """What a proxy met at endpoints, from all its load reports of a stretch of time."""
+    """The attempts of a proxy at endpoints, from all its load reports about one period of time."""
 
     proxy: int
     sample: SampleSums
@@ -92,9 +92,9 @@
     Attributes:
         proxy: its number.
         route: the route's name.
-        requests: that reached it.
-        failures: among them.
-        window_ticks: the time that this covers.
+        requests: the number of requests that reached it.
+        failures: the number of failures among them.
+        window_ticks: the time that the numbers cover.
     """
 
     proxy: int
@@ -106,10 +106,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyInputRejected:
-    """A file or call of a proxy is malformed; reported once until a well-formed one comes.
+    """A file or call of a proxy is malformed; reported once until a well-formed one arrives.
 
     Attributes:
-        name: of the proxy.
+        name: the name of the proxy.
         cause: the file and what is wrong with it.
     """
 
--- a/willowhook/controlplane/proxy_files.py
+++ b/willowhook/controlplane/proxy_files.py
@@ -27,7 +27,7 @@
 
     Attributes:
         node: who the proxy is.
-        term: the number of its session, counted over all controllers; 0: it keeps none.
+        term: the number of its session, counted over all controllers; 0: the proxy keeps no terms.
         held: the resources that it holds.
         usual_rate_per_second: the requests that usually reach it.
     """
@@ -84,7 +84,7 @@
     """Reads the status file of the proxy `name`.
 
     Args:
-        name: of the proxy.
+        name: the name of the proxy.
         data: the file's bytes.
         previous: the files that a controller before this one left for the proxy, if any. If they are of this
             session, the proxy holds them, or will, rather than what its status said when it joined.
--- a/willowhook/controlplane/proxy_folder_feed.py
+++ b/willowhook/controlplane/proxy_folder_feed.py
@@ -1,4 +1,4 @@
-"""Reads what proxies write in their folders, each file once, and hands it to the decision task."""
+"""Reads the files that proxies write to their folders, each once, and sends them to the decision task."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from .proxy_files import PROXY_FILES
 from .report_processor import ReportProcessor
 
-REPORT_POLL_SECONDS = 0.05  # between two looks for load reports that may be read now
+REPORT_POLL_SECONDS = 0.05  # between two checks for load reports that may be read now
 
 FileIdentity = tuple[int, int]
 """Inode and modification time of a file."""
@@ -42,10 +42,10 @@
         """Creates a feed that reads nothing until it runs.
 
         Args:
-            context: the surroundings.
-            watch: tells which files have changed.
-            intake: takes in what proxies write.
-            reports: takes load reports.
+            context: the shared context.
+            watch: reports which files have changed.
+            intake: handles the files.
+            reports: handles load reports.
         """
         self._up = context.folder.up
         self._down = context.folder.down
@@ -56,7 +56,7 @@
         self._watch = watch
         self._intake = intake
         self._reports = reports
-        self._folders: dict[str, FolderIdentity] = {}  # of the proxies that are here
+        self._folders: dict[str, FolderIdentity] = {}  # of the proxies that have a folder
         self._files_read: dict[tuple[str, str], FileIdentity] = {}  # by proxy and file
         self._deferred_reports: dict[str, int] = {}  # by proxy: the tick to read its report at
 
@@ -89,7 +89,7 @@
     # Folders.
 
     async def _folder_changed(self, name: str) -> None:
-        """A proxy's folder has come, has gone or been replaced, or was there all the time."""
+        """Handles a folder of a proxy that was created, removed, replaced, or is unchanged."""
         if not PROXY_NAME.match(name):
             return
         identity = self._watch_folder(name)
@@ -134,14 +134,14 @@
         await self._queue.send(ProxyFolderFound(name, identity, files, previous))
 
     def open_session(self, now: int, found: ProxyFolderFound) -> None:
-        """Opens the session of a proxy whose folder has come; for the decision task."""
+        """Opens the session of a proxy whose folder was found; for the decision task."""
         if self._intake.open_session(now, found.name, found.files, found.previous):
             self._folders[found.name] = found.identity
         else:  # read again when it writes the next file
             self.forget(found.name)
 
     def forget(self, name: str) -> None:
-        """Takes a proxy's next file, or its next folder, as if it had just come."""
+        """Makes the next file or folder of a proxy count as new."""
         self._folders.pop(name, None)
         for file in PROXY_FILES:
             self._files_read.pop((name, file), None)
@@ -174,7 +174,7 @@
         data = await self._read(name, LOAD)
         if data is not None:
             self._reports.offer(self._now(), name, data)
-            await trio.lowlevel.checkpoint()  # many reports must not hold up the decisions
+            await trio.lowlevel.checkpoint()  # many reports must not delay the decisions
 
     async def _read(self, name: str, file: str) -> bytes | None:
         """A file's bytes; None if it was read before, does not exist or cannot be read."""
--- a/willowhook/controlplane/proxy_resources.py
+++ b/willowhook/controlplane/proxy_resources.py
@@ -21,7 +21,7 @@
     """What a proxy held for one route.
 
     Attributes:
-        entries: of its route configuration, in their order; all lead to one cluster.
+        entries: the entries of its route configuration, in their order; all lead to one cluster.
         cluster: the JSON body of that cluster.
         table: the name of the cluster's endpoint table.
     """
@@ -41,9 +41,9 @@
     """What a proxy held when it joined.
 
     Attributes:
-        routes: by name.
+        routes: the routes by name.
         assignments: endpoint tables by name.
-        entries: of all routes, in the order of the route configuration.
+        entries: the entries of all routes, in the order of the route configuration.
     """
 
     routes: dict[str, InitialRoute] = field(default_factory=dict)
--- a/willowhook/controlplane/proxy_session.py
+++ b/willowhook/controlplane/proxy_session.py
@@ -1,4 +1,4 @@
-"""What the publisher keeps of each joined proxy."""
+"""The state that the publisher keeps for each joined proxy."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from .proxy_state import UpdateMessage
 from .update_sinks import UpdateSink
 
-MAX_REMEMBERED_MESSAGES = 200  # of one proxy, whose contents are kept until they are acknowledged
+MAX_REMEMBERED_MESSAGES = 200  # for one proxy, with their contents, until they are acknowledged
 
 
 class RolloutContent(NamedTuple):
@@ -39,7 +39,7 @@
 
 
 class RewriteTimer(NamedTuple):
-    """When files that are not acknowledged are written again, and the pause in ticks that led there."""
+    """When unacknowledged files are written again, and the backoff before it in ticks."""
 
     due_at: int
     pause_ticks: int
@@ -47,12 +47,12 @@
 
 @dataclass(slots=True)
 class PublisherSession:
-    """A joined proxy, as one to which updates go out.
+    """A joined proxy that updates are sent to.
 
     Attributes:
-        number: by which events and commands name it.
-        name: as in its own status.
-        term: counts its stays with controllers.
+        number: the number by which events and commands name the proxy.
+        name: the name in the status of the proxy.
+        term: the number of its session, counted over all controllers.
         initial: what it held when it joined.
         sink: where its updates go.
         uses_discovery: whether it calls the discovery server; otherwise it reads files.
@@ -101,7 +101,7 @@
 
 
 class SessionRegistry:
-    """All sessions, and which of them the publisher's loop has to look at."""
+    """All sessions, and those of them that the publisher's loop has to check."""
 
     def __init__(self) -> None:
         """Starts empty."""
@@ -113,7 +113,7 @@
         self._open[session.number] = None
 
     def open_sessions(self) -> list[PublisherSession]:
-        """Returns the open sessions. They are few: a healthy fleet costs the loop nothing."""
+        """Returns the open sessions, which are few unless proxies or disks fail."""
         found = []
         for proxy in list(self._open):
             session = self.by_number.get(proxy)
--- a/willowhook/controlplane/proxy_state.py
+++ b/willowhook/controlplane/proxy_state.py
@@ -1,8 +1,8 @@
 """The desired state of each proxy: the controller's commands collected into one update message a proxy.
 
 Commands given between two flushes reach each proxy concerned as one message. A message carries the complete
-state that its proxy is to hold as of that flush; later commands go into later messages. Tables are copied
-when they change after a message has taken them up, so all messages of a flush share them. No I/O, no clock.
+state that its proxy is to hold as of that flush; later commands go into later messages. A table that a
+message refers to is copied before it changes, so all messages of a flush share it. No I/O, no clock.
 """
 
 from __future__ import annotations
@@ -15,25 +15,25 @@
 from ..decisions.settings import DeploymentSettings
 from ..decisions.update_cost import SYNC_MARKER_ENTRIES, UPDATE_ENTRIES, bind_cost, message_overhead
 
-UNVERSIONED = 0  # the version of a table that no message has taken up yet
+UNVERSIONED = 0  # the version of a table that no message refers to yet
 
 
 class VersionedTable:
-    """The content of one endpoint table. It does not change once a message has taken it up.
+    """The content of one endpoint table. It does not change once a message refers to it.
 
     Attributes:
-        number: by which commands name the table.
-        weights: of the endpoints that have an entry.
-        limits: admission limits by route index.
-        is_shared: whether a message has taken it up.
-        version: the same for the same content; `UNVERSIONED` until a message takes it up.
-        encoded: a cache of its encoded forms, by whatever else shows in them.
+        number: the number by which commands name the table.
+        weights: the weights of the endpoints that have an entry.
+        limits: the admission limits by route index.
+        is_shared: whether a message refers to it.
+        version: the version of the content; `UNVERSIONED` until a message refers to it.
+        encoded: a cache of its encoded forms, by the other values that they depend on.
     """
 
     __slots__ = ("encoded", "is_shared", "limits", "number", "version", "weights")
 
     def __init__(self, number: int, weights: dict[str, float], limits: dict[int, AdmissionLimit]) -> None:
-        """Takes over both dictionaries; they are not copied."""
+        """Keeps both dictionaries without a copy."""
         self.number = number
         self.weights = weights
         self.limits = limits
@@ -53,8 +53,8 @@
     Attributes:
         bound: its table by route index; routes that are missing keep what the proxy joined with.
         excluded: endpoints that it may not use, whatever its tables say.
-        is_sent_away: whether it is told to join another controller.
-        exclusions_version: the same for the same `excluded`.
+        is_sent_away: whether it is to join another controller.
+        exclusions_version: the version of `excluded`.
     """
 
     bound: Mapping[int, VersionedTable]
@@ -68,10 +68,10 @@
     """One update on its way to one proxy.
 
     Attributes:
-        number: rises through the controller's life.
+        number: a number that rises over the run of the controller.
         marker: the sync marker whose acknowledgement the controller waits for, if any.
-        proxy: the proxy's number.
-        cost_entries: what it costs in the channel, with the message overhead.
+        proxy: the number of the proxy.
+        cost_entries: its cost in the channel, in entries, with the message overhead.
         ordered_at: when the controller ordered it, in ticks.
         view: what the proxy is to hold.
     """
@@ -94,7 +94,7 @@
         initial_endpoints: by route index, the endpoints that it held when it joined.
         bound: by route index, the table that it is to use.
         pending_entries: the cost of what was ordered since the last flush.
-        is_sent_away: whether it is told to join another controller.
+        is_sent_away: whether it is to join another controller.
     """
 
     zone: str
@@ -109,7 +109,7 @@
     """Keeps the desired state of all joined proxies; the part of `ControllerRuntime` that concerns them."""
 
     def __init__(self, settings: DeploymentSettings, send: Callable[[UpdateMessage], None]) -> None:
-        """`send` takes each message of a flush."""
+        """`send` is called with each message of a flush."""
         self._message_overhead = message_overhead(settings.channel)
         self._send = send
         self.proxies: dict[int, ConnectedProxy] = {}
@@ -142,7 +142,7 @@
     # Commands.
 
     def set_weight(self, table: int, endpoint: str, weight: float) -> None:
-        """Sets the weight of an endpoint in a table; 0 takes its entry out."""
+        """Sets the weight of an endpoint in a table; 0 removes the entry of the endpoint."""
         state = self._table_for_change(table)
         state.weights.pop(endpoint, None)
         if weight > 0:
@@ -150,7 +150,7 @@
         self._charge(self._proxies_using(table), UPDATE_ENTRIES)
 
     def clear_table(self, table: int) -> None:
-        """Takes out all entries and limits of a table."""
+        """Removes all entries and admission limits of a table."""
         state = self._table_for_change(table)
         state.weights.clear()
         state.limits.clear()
@@ -163,7 +163,7 @@
         self._charge(self._proxies_holding(endpoint), UPDATE_ENTRIES)
 
     def readmit_endpoint(self, endpoint: str) -> None:
-        """Takes `exclude_endpoint` back."""
+        """Reverses `exclude_endpoint`."""
         self._prepare_exclusion_change()
         self._excluded.pop(endpoint, None)
         self._charge(self._proxies_holding(endpoint), UPDATE_ENTRIES)
@@ -238,7 +238,7 @@
             state.version = next(self._versions)
 
     def _table_for_change(self, table: int) -> VersionedTable:
-        """Returns the table, copied first if a message has taken it up, created if it is new."""
+        """Returns the table, copied first if a message refers to it, created if it is new."""
         state = self.tables.get(table)
         if state is None:
             state = self.tables[table] = VersionedTable(table, {}, {})
--- a/willowhook/controlplane/publisher.py
+++ b/willowhook/controlplane/publisher.py
@@ -1,4 +1,4 @@
-"""The only way out for updates: messages leave the channel in turn, are validated, and are written.
+"""Sends all updates: messages leave the channel in turn, are validated, and are written.
 
 `Publisher` joins the parts and runs their loop:
 
@@ -6,7 +6,7 @@
 - `table_rollout`: which content of a table may go to which proxy,
 - `update_validator`: whether a message may go out now,
 - `update_writer`: files or answers, and files that are written again,
-- `acknowledgements`: what proxies say.
+- `acknowledgements`: the answers of proxies.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
 
 
 class Publisher:
-    """Takes update messages, brings them to their proxies, and follows the proxies' answers.
+    """Receives update messages, delivers them to their proxies, and handles the answers of the proxies.
 
     `run` is a task; all other methods are called by the deciding task.
     """
@@ -91,7 +91,7 @@
 
     @property
     def validation(self) -> ValidationContext:
-        """What update validation knows; it is changed through `update_validation`."""
+        """The state of update validation; it is changed through `update_validation`."""
         return self._validator.validation
 
     @property
@@ -130,7 +130,7 @@
         self._queue.put(message)
 
     def wake(self) -> None:
-        """Makes the loop look at once for something to do."""
+        """Makes the loop run its next round at once."""
         self._woken.set()
 
     def update_validation(self, step: Callable[P, None], *args: P.args, **kwargs: P.kwargs) -> None:
@@ -138,7 +138,7 @@
         self._validator.update(step, *args, **kwargs)
 
     async def run(self) -> None:
-        """Brings messages to their proxies in turn, until it is cancelled."""
+        """Delivers messages to their proxies in turn, until it is cancelled."""
         while True:
             now = await self._publish_departed()
             if now >= self._write_retry_at:
@@ -169,7 +169,7 @@
                 await self._publish(now, session, session.unwritten)
 
     async def _publish(self, now: int, session: PublisherSession, message: UpdateMessage) -> None:
-        """Writes what rollout and validation leave of a message; what cannot be written is tried again."""
+        """Writes what rollout and validation allow of a message; a failed write is retried."""
         staged = self._table_rollout.choose(now, session, message)
         waiting = self.channel.waiting_entries
         allowed = self._validator.validate(now, session, staged.message, waiting)
@@ -193,7 +193,7 @@
                 waits.append(self._write_retry_at - now)
         return min(waits)
 
-    # What proxies say.
+    # Answers of proxies.
 
     def handle_delivered(self, proxy: int) -> None:
         """Notes that a proxy that calls has fetched what waited for it."""
--- a/willowhook/controlplane/publisher_context.py
+++ b/willowhook/controlplane/publisher_context.py
@@ -13,15 +13,15 @@
 
 @dataclass(frozen=True, slots=True)
 class PublisherContext:
-    """The surroundings of each part of the publisher.
+    """What the parts of the publisher share.
 
     Attributes:
-        epoch: of this run of the controller; the second part of the versions of messages.
+        epoch: the epoch of this run of the controller, which is the second part of message versions.
         renderer: renders views as resources.
         sessions: the joined proxies.
-        listener: is told of what happens.
-        records: takes the records.
-        log: takes the log lines.
+        listener: the listener that is notified of events.
+        records: the writer of records.
+        log: the log.
     """
 
     epoch: int
--- a/willowhook/controlplane/publisher_events.py
+++ b/willowhook/controlplane/publisher_events.py
@@ -1,4 +1,4 @@
-"""What the publisher tells the rest of the control plane."""
+"""Passes the events of the publisher to the rest of the control plane."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     """Hands acknowledgements to the controller and versions to the memory; the publisher's listener."""
 
     def __init__(self, context: ServiceContext, directory: EndpointDirectory) -> None:
-        """Takes the surroundings and the endpoints."""
+        """Receives the shared context and the endpoints."""
         self._context = context
         self._directory = directory
 
@@ -36,7 +36,7 @@
         self._context.handle(now, MessageAcknowledged(proxy, marker))
 
     async def post_event(self, event: Callable[[int], None]) -> None:
-        """Has a call made by the decision task."""
+        """Requests a call in the decision task."""
         await self._context.queue.send(PublisherCallDue(event))
 
     def record_known_version(self, proxy: str, part: str, version: str) -> None:
--- a/willowhook/controlplane/publisher_listener.py
+++ b/willowhook/controlplane/publisher_listener.py
@@ -1,4 +1,4 @@
-"""What the publisher tells the service that runs it."""
+"""The interface through which the publisher notifies the service that runs it."""
 
 from __future__ import annotations
 
--- a/willowhook/controlplane/publisher_records.py
+++ b/willowhook/controlplane/publisher_records.py
@@ -16,7 +16,7 @@
     """Writes one kind of record a method; `now` is a tick."""
 
     def __init__(self, records: Records) -> None:
-        """Takes the file of records."""
+        """`records` is the file of records."""
         self._records = records
 
     # Messages.
@@ -61,7 +61,7 @@
         )
 
     def record_rewritten(self, now: int, session: PublisherSession) -> None:
-        """Files that nobody acknowledged are in place again."""
+        """Files that were not acknowledged have been written again."""
         self._records.note(now, "again", proxy=session.name, message=session.written)
 
     # Answers.
@@ -78,7 +78,7 @@
     def record_known_version(
         self, now: int, session: PublisherSession, part: str, version: str, state: str
     ) -> None:
-        """It has changed what a proxy is known to run."""
+        """The version that a proxy is known to run has changed."""
         self._records.note(
             now,
             "belief",
@@ -97,7 +97,7 @@
         self._records.note(now, "halted", unit=str(unit), content=bad, good=good, why=shortened)
 
     def record_rolled_back(self, now: int, unit: Unit, bad: Content, proxy_count: int) -> None:
-        """So many proxies are sent something else in place of a halted content."""
+        """`proxy_count` proxies are sent something else in place of a halted content."""
         self._records.note(now, "rollback", unit=str(unit), content=bad, readers=proxy_count)
 
     def record_released(self, now: int, unit: Unit) -> None:
--- a/willowhook/controlplane/queue_monitor.py
+++ b/willowhook/controlplane/queue_monitor.py
@@ -1,4 +1,4 @@
-"""Compares the controller's estimate of its channel with the true queue."""
+"""Compares the controller's estimate of its channel with the measured queue."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from .publisher import Publisher
 
 MIN_DIVERGENCE_ENTRIES = 100  # a smaller difference is not reported
-MAX_DIVERGENCE_FRACTION = 1 / 4  # of the queue's limit
+MAX_DIVERGENCE_FRACTION = 1 / 4  # of the queue limit
 
 
 class QueueMonitor:
     """Records the queue once a second, and reports when the controller's estimate is far from it."""
 
     def __init__(self, context: ServiceContext, controller: Decider, publisher: Publisher) -> None:
-        """Takes the surroundings and the two sides to compare."""
+        """Receives the shared context and the two components to compare."""
         self._records = context.records
         self._conditions = context.conditions
         self._controller = controller
@@ -25,7 +25,7 @@
         self._recorded_second = 0
 
     def check(self, now: int) -> None:
-        """Compares; once a second also records, and tells update validation the learnt capacities."""
+        """Compares; once a second also records, and updates the learnt capacities of update validation."""
         estimate = self._controller.queue_estimate()
         channel = self._publisher.channel
         waiting = channel.waiting_entries
--- a/willowhook/controlplane/report_interval.py
+++ b/willowhook/controlplane/report_interval.py
@@ -12,10 +12,10 @@
 
 
 class ReportIntervalPublisher:
-    """Tells proxies that call through the discovery server, and all others by one file."""
+    """Notifies proxies that call through the discovery server, and all others by one file."""
 
     def __init__(self, context: ServiceContext, discovery: DiscoveryFeed | None) -> None:
-        """Takes the surroundings, and the discovery server if there is one."""
+        """Receives the shared context, and the discovery server if there is one."""
         self._folder = context.folder
         self._ops = context.ops
         self._conditions = context.conditions
--- a/willowhook/controlplane/report_processor.py
+++ b/willowhook/controlplane/report_processor.py
@@ -1,4 +1,4 @@
-"""Processes load reports within a budget: what arrives waits here until there is room to read it.
+"""Processes load reports within a budget: reports wait here until the budget allows to read them.
 
 Reading tasks offer reports; the decision task processes them between its flushes, for a few milliseconds at a
 time. Nothing here waits.
@@ -26,9 +26,9 @@
 
 NANOSECONDS_PER_MILLISECOND = 1e6
 NANOSECONDS_PER_MICROSECOND = 1000
-PACE_INTERVAL_TICKS = TICKS_PER_SECOND  # between two looks at the pace of reports
+PACE_INTERVAL_TICKS = TICKS_PER_SECOND  # between two adaptations of the report interval
 MAX_HANDOVER_INTERVAL_TICKS = TICKS_PER_SECOND // 4
-MEAN_RATE_SMOOTHING = 0.01  # of the moving average of request rates
+MEAN_RATE_SMOOTHING = 0.01  # the factor of the moving average of request rates
 
 
 class ReportProcessor:
@@ -38,9 +38,9 @@
         queue: the reports that wait.
         budget: how many may be read now.
         quarantine: the proxies whose reports are not read for a while.
-        sums: what reports said, since the controller was told last.
-        processed: reports that have been read.
-        handed_over: events that the controller was handed.
+        sums: the sums of the reports since they were last handed to the controller.
+        processed: the number of reports that have been read.
+        handed_over: the number of events that were handed to the controller.
         spent_nanoseconds: the time that reading has taken.
     """
 
@@ -50,7 +50,7 @@
         """Creates a processor with an empty queue.
 
         Args:
-            context: the surroundings.
+            context: the shared context.
             intake: reads the reports.
             set_interval: receives another interval for proxies, in ticks.
         """
@@ -63,10 +63,10 @@
         self._handover_interval_ticks = min(interval_ticks // 4, MAX_HANDOVER_INTERVAL_TICKS)
         self._handed_over_at = 0
         self._paced_at = 0
-        self._arrived_before = 0  # when the pace was looked at last
-        self._read_at: dict[str, int] = {}  # by proxy: when its file was read last
+        self._arrived_before = 0  # when the interval was last adapted
+        self._read_at: dict[str, int] = {}  # by proxy: when its file was last read
         self._mean_rate_per_second = 1.0
-        # a proxy that reports less often would be taken for silent
+        # a proxy that reports less often would count as inactive
         max_interval_ticks = ticks_from_milliseconds(context.terms.files.proxy_lost_after_ms) * 2 // 5
         self.queue = ReportQueue(random.Random(context.seed).randrange)
         self.budget = ReportBudget(
@@ -99,7 +99,7 @@
         return now if last is None else last + self.budget.interval * 3 // 4
 
     def record_read(self, now: int, name: str) -> None:
-        """Takes note that a proxy's report file is read now."""
+        """Notes that a proxy's report file is read now."""
         self._read_at[name] = now
 
     def reject_unreadable(self, now: int, name: str, cause: str) -> None:
@@ -107,7 +107,7 @@
         self.quarantine.record_malformed(now, name, cause, b"")
 
     def drop_proxy(self, name: str) -> None:
-        """Drops what waits of a proxy that has left."""
+        """Drops the reports of a proxy that has left."""
         self.queue.remove_proxy(name)
         self.quarantine.remove_proxy(name)
         self._read_at.pop(name, None)
@@ -138,7 +138,7 @@
         return self.has_waiting()
 
     def _process_next(self, now: int) -> bool:
-        """Reads the reports of the proxy whose turn it is; says whether there was one."""
+        """Reads the reports of the proxy whose turn it is; returns whether there was one."""
         taken = self.queue.take(now)
         if taken is None:
             return False
@@ -152,12 +152,12 @@
         return True
 
     def update_share(self, name: str, rate_per_second: float) -> None:
-        """Gives a proxy its share of the budget, by its weighted request rate beside the mean."""
+        """Sets a proxy's share of the budget: its weighted request rate relative to the mean."""
         self._mean_rate_per_second += (rate_per_second - self._mean_rate_per_second) * MEAN_RATE_SMOOTHING
         self.queue.set_share(name, rate_per_second / max(self._mean_rate_per_second, 1e-9))
 
     def maintain(self, now: int, proxies: int) -> None:
-        """Hands sums over to the controller, and adapts the pace of reports, when it is time."""
+        """Hands sums to the controller, and adapts the report interval, when they are due."""
         if now - self._handed_over_at >= self._handover_interval_ticks:
             self._handed_over_at = now
             self.handed_over += self.sums.flush()
--- a/willowhook/controlplane/resource_renderer.py
+++ b/willowhook/controlplane/resource_renderer.py
@@ -22,31 +22,31 @@
 from .proxy_resources import CONTROLLERS_RESOURCE, ROUTE_SET_NAME, ProxyResources, ResourcesByType
 from .proxy_state import ProxyView, VersionedTable
 
-MAX_CACHED_BODIES = 5000  # routes and clusters; those of earlier admission limits pile up
-TABLE_FILE = "eds.json"  # where a cluster tells its proxy to read its table
+MAX_CACHED_BODIES = 5000  # of routes and clusters, also of earlier admission limits
+TABLE_FILE = "eds.json"  # the file from which a cluster's table is read
 
 Address = tuple[str, int, str]  # address, port, zone
 
 
 @dataclass(slots=True)
 class _Rendering:
-    """The resources of one proxy as far as they are rendered."""
+    """The resources of one proxy that have been rendered so far."""
 
     assignments: dict[str, bytes] = field(default_factory=dict)
     clusters: dict[str, bytes] = field(default_factory=dict)
     entries: list[bytes] = field(default_factory=list)
-    initial_routes: set[str] = field(default_factory=set)  # taken over from what the proxy joined with
+    initial_routes: set[str] = field(default_factory=set)  # copied from what the proxy joined with
 
 
 class ResourceRenderer:
     """Renders views as resources and keeps the encoded bodies for the next proxy that needs the same."""
 
     def __init__(self, terms: Terms, epoch: int) -> None:
-        """`epoch` tells the resource names of this run from those of earlier ones."""
+        """`epoch` distinguishes the resource names of this run from those of earlier runs."""
         self._terms = terms
         self._prefix = f"{terms.name}.{epoch}"
         self._connect_timeout_ticks = ticks_from_milliseconds(terms.fleet.dial_ms)
-        self._bodies: dict[object, bytes] = {}  # of routes and clusters, by what is in them
+        self._bodies: dict[object, bytes] = {}  # of routes and clusters, by their content
         self._paths = ordered_paths(terms)
         self._addresses: Mapping[str, Address] = {}
         self._addresses_version = 0
@@ -132,7 +132,7 @@
         made.entries += [encode(entry) for entry in route.entries]
 
     def _admission(self, index: int, table: VersionedTable) -> AdmissionLimit:
-        """The ordered limit, within the caps of the configuration."""
+        """Returns the ordered limit, within the caps of the configuration."""
         route = self._terms.routes[index]
         fleet = self._terms.fleet
         ordered = table.limits.get(index, AdmissionLimit(fleet.usual_tries, inf))
@@ -159,7 +159,7 @@
 
     @staticmethod
     def _with_exclusions(table: forms.ClusterLoadAssignment, excluded: Collection[str]) -> bytes:
-        """A table that the proxy joined with: this controller has told it of nothing but exclusions."""
+        """Returns a table that the proxy joined with, to which this controller only adds exclusions."""
         lines = [
             (endpoint, address, port, zone, weight, endpoint in excluded or is_draining)
             for endpoint, address, port, zone, weight, is_draining in tables.lines(table)
--- a/willowhook/controlplane/session_manager.py
+++ b/willowhook/controlplane/session_manager.py
@@ -1,4 +1,4 @@
-"""Opens and closes the sessions of proxies in all components that keep state of a proxy."""
+"""Opens and closes the sessions of proxies in all components that keep state about a proxy."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class SessionManager:
-    """Tells the controller and the other components of the proxies that join and leave."""
+    """Notifies the controller and the other components of the proxies that join and leave."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         reports: ReportProcessor,
         handoff: HandoffPeers,
     ) -> None:
-        """Takes the components that are told."""
+        """Receives the components that are notified."""
         self._context = context
         self._proxy_states = proxy_states
         self._publisher = publisher
@@ -41,7 +41,7 @@
         self._handoff = handoff
 
     def open(self, session: ProxySessionOpened) -> None:
-        """Takes in a proxy that has joined."""
+        """Registers a proxy that has joined."""
         now = self._context.now()
         proxy, name, zone, held = session.proxy, session.name, session.zone, session.held
         rate, is_fresh, term = session.usual_rate_per_second, session.is_fresh, session.term
@@ -58,7 +58,7 @@
         self._context.handle(now, ProxyJoined(proxy, zone, rate, is_fresh))
 
     def close(self, session: ProxySessionClosed) -> None:
-        """Lets go of a proxy that has left."""
+        """Removes a proxy that has left."""
         now = self._context.now()
         proxy, name = session.proxy, session.name
         published = self._publisher.sessions[proxy]
--- a/willowhook/controlplane/table_rollout.py
+++ b/willowhook/controlplane/table_rollout.py
@@ -1,7 +1,7 @@
-"""Staged rollout of tables: a content that was halted, or is still tried at a few proxies, is replaced.
+"""Staged rollout of tables: a content that was halted, or may go only to canaries yet, is replaced.
 
-In its place goes the last content that was good everywhere. `willowhook.versions.rollout` decides; here its
-decisions are applied to messages, and proxies that were given something else are sent their state again.
+It is replaced by the last content that was good everywhere. `willowhook.versions.rollout` decides; here its
+decisions are applied to messages, and proxies that were sent a replacement are sent their state again.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from .update_queue import UpdateQueue
 from .update_sinks import HttpUpdateSink
 
-MAX_KEPT_TABLES = 400  # contents that may be gone back to
+MAX_KEPT_TABLES = 400  # contents that a rollback may return to
 MAX_REJECTED_RESOURCES = 1000
 
 
@@ -72,7 +72,7 @@
         queue: UpdateQueue,
         wake: Callable[[], None],
     ) -> None:
-        """`queue` takes what is sent again; `wake` is called when there is something to send."""
+        """`queue` receives what is sent again; `wake` is called when there is something to send."""
         self.rollout = Rollout(settings, self)
         self._message_overhead = message_overhead(channel_settings)
         self._queue = queue
@@ -81,7 +81,7 @@
         self._listener = context.listener
         self._records = context.records
         self._log = context.log
-        self._tables: dict[Content, VersionedTable] = {}  # that may be gone back to
+        self._tables: dict[Content, VersionedTable] = {}  # that a rollback may return to
         self._rejected: dict[tuple[Unit, Content], Resource] = {}
         self._resend: dict[int, None] = {}  # proxies that are to be sent their state again
 
@@ -142,7 +142,7 @@
     # The rollout's decisions.
 
     def handle_halted(self, unit: Unit, bad: Content, good: Content | None, cause: str) -> None:
-        """Takes a content back from the proxies that run it."""
+        """Rolls back the proxies that run a content."""
         self._log.warning(
             "rollout halted",
             unit=str(unit),
@@ -163,7 +163,7 @@
         self._wake()
 
     def handle_released(self, unit: Unit) -> None:
-        """Sends proxies that were given another content what was ordered."""
+        """Sends the ordered content to proxies that were sent another one."""
         self._records.record_released(self._listener.now(), unit)
         for session in self._sessions.by_number.values():
             if session.is_substituted:
@@ -193,7 +193,7 @@
         self._resend.pop(proxy, None)
 
     def queue_resends(self, now: int) -> None:
-        """Queues resends as long as the queue has room for them."""
+        """Queues resends as long as the queue is low."""
         for proxy in list(self._resend):
             if not self._queue.has_room_for_resends:
                 return
@@ -206,7 +206,7 @@
         entries = {table.number: len(table.weights) for table in view.bound.values()}
         return self._message_overhead + sum(entries.values())
 
-    # What proxies say.
+    # Answers of proxies.
 
     def record_sent(self, now: int, proxy: int, contents: Contents) -> None:
         """Notes that contents go out to a proxy."""
--- a/willowhook/controlplane/update_queue.py
+++ b/willowhook/controlplane/update_queue.py
@@ -1,4 +1,4 @@
-"""The queue before the channel: messages go in, leave at the channel's pace, and some go in again."""
+"""The queue in front of the channel: messages leave at the rate of the channel, and some are sent again."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     def __init__(
         self, context: PublisherContext, settings: ChannelSettings, proxy_states: ProxyStateBook
     ) -> None:
-        """`proxy_states` numbers the messages that are sent once more."""
+        """`proxy_states` assigns the numbers of messages that are sent again."""
         self.channel = RateLimitedChannel(settings)
         self._settings = settings
         self._proxy_states = proxy_states
@@ -28,7 +28,7 @@
 
     @property
     def has_room_for_resends(self) -> bool:
-        """Whether so little waits that messages may be sent once more."""
+        """Whether the queue is so low that messages may be sent again."""
         return self.channel.is_low
 
     def put(self, message: UpdateMessage) -> None:
@@ -45,12 +45,12 @@
         self._records.record_queued(message, session.name if session is not None else "")
 
     def put_again(self, now: int, message: UpdateMessage, cost_entries: int) -> None:
-        """Queues a message once more, under a number of its own and without its sync marker."""
+        """Queues a message again, under a new number and without its sync marker."""
         number = self._proxy_states.next_message_number()
         self.put(replace(message, number=number, marker=None, ordered_at=now, cost_entries=cost_entries))
 
     def take(self, now: int) -> UpdateMessage | None:
-        """Takes out the first message if it has left by now; returns None if none has."""
+        """Removes and returns the first message if it has left by now; returns None if none has."""
         departure = self.channel.take(now)
         if departure is None:
             return None
@@ -62,7 +62,7 @@
         return message
 
     def put_held_messages(self, now: int) -> None:
-        """Queues what validation held back until now, unless a later message, which holds all, waits."""
+        """Queues messages that validation held until now, unless a later, complete message waits."""
         for session in self._sessions.open_sessions():
             if session.held is None or now < session.held.until:
                 continue
@@ -72,6 +72,6 @@
                 self.put_again(now, message, message.cost_entries)
 
     def put_newest_again(self, now: int, session: PublisherSession, cost_entries: int) -> None:
-        """Queues what a proxy is to hold once more, unless a later message waits."""
+        """Queues the newest state of a proxy again, unless a later message waits."""
         if session.newest is not None and not self.channel.has_message_for(session.number):
             self.put_again(now, session.newest, cost_entries)
--- a/willowhook/controlplane/update_sink_factory.py
+++ b/willowhook/controlplane/update_sink_factory.py
@@ -1,4 +1,4 @@
-"""Makes the sink that takes the updates of a proxy that joins."""
+"""Makes the sink that receives the updates of a proxy that joins."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
         store: ResourceStore,
         discovery: DiscoveryFeed | None,
     ) -> None:
-        """Takes what writes files, the resources, and the discovery server if there is one."""
+        """Receives the class that writes files, the resources, and the discovery server if there is one."""
         self._context = context
         self._file_writer_type = file_writer_type
         self._store = store
         self._discovery = discovery
-        self._count = 0  # of sessions: no two may name their versions of files alike
+        self._count = 0  # of sessions: no two may use the same names for versions of files
 
     def make(self, session: ProxySessionOpened) -> UpdateSink:
         """Makes the sink of a session. A folder that cannot be used is reported, and is tried again later."""
--- a/willowhook/controlplane/update_sinks.py
+++ b/willowhook/controlplane/update_sinks.py
@@ -21,7 +21,7 @@
 
 
 class UpdateSink(Protocol):
-    """Takes the updates of one proxy.
+    """Receives the updates of one proxy.
 
     Attributes:
         may_block: whether what `prepare` and `prepare_rewrite` return may wait for a disk.
@@ -95,7 +95,7 @@
         self._send_away_resource = resource
 
     def close(self) -> None:
-        """Does nothing: whoever made the folder clears it."""
+        """Does nothing: the component that made the folder removes it."""
 
     def _with_send_away(self, kind: str, rows: list[tuple[str, bytes]]) -> list[tuple[str, bytes]]:
         if kind != TABLES or not self._send_away_resource:
@@ -146,7 +146,7 @@
         self.is_sent_away = True
 
     def close(self) -> None:
-        """Ends the call that waits."""
+        """Ends the call that is waiting."""
         self._notify(self.session)
 
 
--- a/willowhook/controlplane/update_validator.py
+++ b/willowhook/controlplane/update_validator.py
@@ -1,4 +1,4 @@
-"""Validation of what leaves: each message is judged by its effect just before it is written."""
+"""Validation of messages: each is judged by its effect just before it is written."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
         self._log = context.log
 
     def update(self, step: Callable[P, None], *args: P.args, **kwargs: P.kwargs) -> None:
-        """Calls a method of `validation`. If it raises, what that knows is wrong, and validation ends."""
+        """Calls a method of `validation`. If it raises, validation is disabled, as its state may be wrong."""
         if self.is_enabled:
             try:
                 step(*args, **kwargs)
--- a/willowhook/controlplane/update_writer.py
+++ b/willowhook/controlplane/update_writer.py
@@ -1,4 +1,4 @@
-"""Writes messages to where their proxies read, and writes files again that nobody acknowledges."""
+"""Writes messages to where their proxies read, and writes unacknowledged files again."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
         rollout: TableRollout,
         acknowledgements: Acknowledgements,
     ) -> None:
-        """Validator, rollout and acknowledgements are told what was written."""
+        """The validator, the rollout and the acknowledgements are notified of what was written."""
         self._renderer = context.renderer
         self._sessions = context.sessions
         self._listener = context.listener
@@ -107,7 +107,7 @@
             )
 
     async def rewrite_unacknowledged(self, now: int) -> None:
-        """Writes files again that nobody acknowledged: a late rename of another may cover them."""
+        """Writes unacknowledged files again: a late rename by another controller may have replaced them."""
         for session in self._sessions.open_sessions():
             if session.rewrite is None or now < session.rewrite.due_at:
                 continue
--- a/willowhook/controlplane/validation_context.py
+++ b/willowhook/controlplane/validation_context.py
@@ -1,4 +1,4 @@
-"""What update validation has to know: endpoints, proxies, and the effect of each message.
+"""The state that update validation needs: endpoints, proxies, and the effect of each message.
 
 `ValidationContext` keeps the validator's world up to date and turns messages into its candidates.
 """
@@ -42,10 +42,10 @@
     """Returns the settings of validation.
 
     Args:
-        settings: of the deployment.
-        cold_budget_fraction: of an endpoint's slow-start budget, what tables may use.
+        settings: the settings of the deployment.
+        cold_budget_fraction: the fraction of an endpoint's slow-start budget that tables may use.
         max_share_factor: how many times its even share of all requests an endpoint may get.
-        capacity_per_second: requests by endpoint class, where it is configured.
+        capacity_per_second: the request rate that an endpoint can serve, by endpoint class, if configured.
     """
     rules = settings.rules
     channel = settings.channel
@@ -80,7 +80,7 @@
     """Keeps the validator's world, and asks the validator about messages."""
 
     def __init__(self, settings: DeploymentSettings, validation: ValidationSettings, shadow: bool) -> None:
-        """`shadow`: whether updates that fail pass all the same, marked as such."""
+        """`shadow`: whether updates that fail pass nevertheless, marked as such."""
         self._settings = settings
         self.world = World(validation)
         self.validator = Validator(self.world, shadow)
@@ -96,7 +96,7 @@
     # The world.
 
     def update_endpoints(self, now: int, hosts: list[Host], started_at: Callable[[Host], int]) -> None:
-        """Takes the complete endpoint list; `started_at` gives the tick of an endpoint's start."""
+        """Handles the complete endpoint list; `started_at` returns the tick of an endpoint's start."""
         self.world.endpoints.update_list(now, [self._endpoint(now, host, started_at(host)) for host in hosts])
 
     def _endpoint(self, now: int, host: Host, started_at: int) -> ValidatedEndpoint:
@@ -109,10 +109,12 @@
         return ValidatedEndpoint(host.id, mode, now, started_at, capacity, host.kind, host.zone)
 
     def update_capacities(self, capacities: Mapping[str, float]) -> None:
-        """Takes the capacities that the decisions learnt, where the endpoint list tells none."""
+        """Sets the capacities that the decisions learnt, if the endpoint list states none."""
         if not self._settings.lists_capacity:
-            least = 1 / MAX_LEARNT_CAPACITY
-            bounded = {name: min(max(each, least), MAX_LEARNT_CAPACITY) for name, each in capacities.items()}
+            min_capacity = 1 / MAX_LEARNT_CAPACITY
+            bounded = {
+                name: min(max(each, min_capacity), MAX_LEARNT_CAPACITY) for name, each in capacities.items()
+            }
             self.world.endpoints.update_capacities(bounded)
 
     def add_proxy(self, proxy: int, zone: str, rate_per_second: float, initial: ProxyResources) -> None:
@@ -137,7 +139,7 @@
         self._unacknowledged.pop(proxy, None)
 
     def update_rate(self, proxy: int, route: int, rate_per_second: float) -> None:
-        """Takes the rate of a route's requests at a proxy, if it has changed enough."""
+        """Sets the rate of a route's requests at a proxy, if it has changed enough."""
         rates = self._rates_per_second.get(proxy)
         if rates is None:
             return
@@ -163,7 +165,7 @@
     # Messages.
 
     def effect_of(self, proxy: int, view: ProxyView) -> ProxyTables:
-        """Returns what a view makes its proxy hold; worked out once for all proxies with the same view."""
+        """Returns the tables that a view results in; computed once for all proxies with the same view."""
         key = self._content_key(view)
         if key is None:
             return self._make_tables(proxy, view, None)
@@ -176,7 +178,7 @@
         return tables
 
     def _content_key(self, view: ProxyView) -> tuple[int, ...] | None:
-        """The same for the same effect; None if it depends on what the proxy joined with."""
+        """Returns a key of the effect of a view; None if the effect depends on what the proxy joined with."""
         count = len(self._settings.routes)
         versions = [view.bound[route].version for route in range(count) if route in view.bound]
         if len(versions) < count or UNVERSIONED in versions:
