--- a/willowhook/controlplane/memory.py
+++ b/willowhook/controlplane/memory.py
@@ -2,8 +2,8 @@
 
 Decisions never wait for the store: changes are collected by key, and a separate task commits them five times
 a second. Of all this, a restarted controller reads back its last epoch and the evidence (`recent_evidence`),
-which counts only if it is recent and the endpoint is listed and has not restarted since. The other records
-are for the tools that read the store.
+which counts only if it is recent and the endpoint is listed and has not restarted since. No other
+record is read back.
 """
 
 from __future__ import annotations
--- a/willowhook/controlplane/proxy_events.py
+++ b/willowhook/controlplane/proxy_events.py
@@ -66,7 +66,7 @@
 
     Attributes:
         proxy: its number.
-        kind: of the resources in the file: `cds`, `eds` or `rds`.
+        kind: the type of the resources in the file: `cds`, `eds` or `rds`.
         message: the number of the message.
         cause: the reason that the proxy states, shortened.
     """
--- a/willowhook/controlplane/proxy_session.py
+++ b/willowhook/controlplane/proxy_session.py
@@ -63,7 +63,7 @@
         held: a message that validation holds back, if any.
         rewrite: when its files are written again, if they wait to be acknowledged.
         newest: the last message that left the channel, as it was ordered.
-        contents: by message, what the rollout let it carry.
+        contents: by message, the contents that the rollout chose for it.
         is_substituted: whether the last message carried another content than was ordered.
     """
 
--- a/willowhook/membership/__init__.py
+++ b/willowhook/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Who controls a proxy, who counts as dead, and which endpoints stand by: no I/O and no clock.
+"""Which controller owns a proxy, which peers count as dead, which endpoints are on standby; no I/O, no clock.
 
 One module a concern: the controller that a proxy prefers (`assignment`), the fencing of updates by terms
 (`ownership`, `version`), when a proxy reconnects (`reconnect`), silence (`failure_detector`, `timing_wheel`),
--- a/willowhook/membership/assignment.py
+++ b/willowhook/membership/assignment.py
@@ -36,7 +36,7 @@
     """Consistent hashing with several points on the ring for each controller."""
 
     def __init__(self, controllers: Sequence[str], points: int = RING_POINTS) -> None:
-        """Places so many points for each controller."""
+        """Places `points` points for each controller."""
         ring = sorted((_hash(name, str(point)), name) for name in controllers for point in range(points))
         self._positions = [position for position, _ in ring]
         self._names = [name for _, name in ring]
@@ -48,7 +48,8 @@
     def assign_with_bounded_load(self, proxies: Sequence[str], slack: float = 0.1) -> dict[str, str]:
         """Assigns all proxies; no controller gets more than its even share and `slack` of it.
 
-        What does not fit goes on around the ring. It takes all proxies, so no proxy could do it alone.
+        A proxy that does not fit goes to the next point of the ring. The result depends on all proxies, so no
+        proxy could compute it alone.
         """
         limit = math.ceil(len(proxies) / len(set(self._names)) * (1 + slack))
         loads = dict.fromkeys(self._names, 0)
--- a/willowhook/membership/handoff.py
+++ b/willowhook/membership/handoff.py
@@ -1,4 +1,4 @@
-"""Hinted handoff, where controllers are linked: what one knew of a proxy, sent to those that may get it next.
+"""Hinted handoff between linked controllers: evidence of a proxy, sent to those that it may join next.
 
 A hint is evidence and nothing else. It makes no controller the owner of a proxy, which only the proxy does. A
 controller that gets a proxy without a hint does the same, only with less known. So the link may lose, double
@@ -16,12 +16,12 @@
 
 
 class EndpointSums(NamedTuple):
-    """What a proxy met at one endpoint.
+    """The attempts of a proxy at one endpoint.
 
     Attributes:
-        attempts: that have ended.
-        failures: among them.
-        mean_latency_ticks: of the attempts that succeeded.
+        attempts: the number of attempts that have ended.
+        failures: the number of failures among them.
+        mean_latency_ticks: the mean latency of the attempts that succeeded.
     """
 
     attempts: int
@@ -31,13 +31,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Hint:
-    """What a proxy met in one session.
+    """The evidence of a proxy from one session.
 
     Attributes:
         proxy: its name.
         term: its fencing term in that session.
-        window: the time that this covers, in ticks.
-        endpoints: by name.
+        window: the time that the evidence covers, in ticks.
+        endpoints: the sums by name of the endpoint.
     """
 
     proxy: str
@@ -48,13 +48,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Packet:
-    """A hint on its way.
+    """A hint in transit.
 
     Attributes:
         sender: the name of the controller that sends it.
-        epoch: of the sender; its numbers begin anew with each.
-        number: of the packet.
-        hint: that it carries.
+        epoch: the epoch of the sender; the numbers of packets start again with each epoch.
+        number: the number of the packet.
+        hint: the hint that it carries.
     """
 
     sender: str
@@ -77,7 +77,7 @@
     def __init__(
         self, sender: str, epoch: int, send: Callable[[Packet], None], first_backoff: int, lifetime: int
     ) -> None:
-        """Sends as this controller; a hint that is older than `lifetime` is given up."""
+        """Sends as this controller; a hint that is older than `lifetime` is dropped."""
         self._sender = sender
         self._epoch = epoch
         self._send = send
@@ -108,7 +108,7 @@
             self._pending.pop(number, None)
 
     def resend_due(self, now: int) -> None:
-        """Sends again what is due, and gives up what is too old."""
+        """Sends packets again that are due, and drops those that are too old."""
         for number, pending in list(self._pending.items()):
             if now - pending.sent_at >= self._lifetime:
                 del self._pending[number]
@@ -122,14 +122,14 @@
     """Keeps the newest hint of each proxy until it is claimed or too old. Times in ticks."""
 
     def __init__(self, lifetime: int, max_kept: int = KEPT_HINTS) -> None:
-        """Keeps this many hints at the most, the newest, for this long."""
+        """Keeps at most the newest `max_kept` hints, for `lifetime` ticks each."""
         self._lifetime = lifetime
         self._max_kept = max_kept
         self._hints: dict[str, tuple[int, Hint]] = {}  # by proxy: when it came, and the hint
         self._claimed_terms: dict[str, int] = {}  # by proxy: of the hint that was claimed last
 
     def take(self, now: int, packet: Packet) -> None:
-        """Takes any packet, in any order and any number of times; all are to be acknowledged."""
+        """Accepts any packet, in any order and any number of times; all are to be acknowledged."""
         hint = packet.hint
         if self._knows_newer(hint):
             return
@@ -139,7 +139,7 @@
             del self._hints[next(iter(self._hints))]
 
     def claim(self, now: int, proxy: str, term: int) -> Hint | None:
-        """Gives out, once, what is known of a proxy from before this term; None: nothing that is of use."""
+        """Returns, once, the evidence of a proxy from before this term; None if there is none of use."""
         found = self._hints.pop(proxy, None)
         if found is None:
             return None
--- a/willowhook/membership/model_checker.py
+++ b/willowhook/membership/model_checker.py
@@ -24,8 +24,8 @@
     """What an exploration found.
 
     Attributes:
-        world_count: different worlds that were reached.
-        step_count: steps that were tried.
+        world_count: the number of different worlds that were reached.
+        step_count: the number of steps that were examined.
         violation: the invariant that does not hold; '': all hold.
         path: the shortest way there, a step each, and the violation.
     """
--- a/willowhook/membership/ownership.py
+++ b/willowhook/membership/ownership.py
@@ -27,7 +27,7 @@
 
 
 class OwnershipClaim(Enum):
-    """What a proxy's file says of its owner, as a controller reads it."""
+    """What a proxy's file states about its owner, as a controller reads it."""
 
     OWNED = "owned"
     OUTDATED = "outdated"  # a late copy of an older term, no news
@@ -37,7 +37,7 @@
 def check_update(
     term: int, applied: Version | None, version: Version, is_fenced: bool = True
 ) -> UpdateVerdict:
-    """What to do with an update of this version, by the proxy's term and the version applied last.
+    """Returns what to do with an update, by the proxy's term and the version that was applied last.
 
     `is_fenced` False leaves the term unchecked; the model checker shows with it what the term is for.
     """
@@ -51,7 +51,7 @@
 
 
 def check_claim(controller: str, claimed_controller: str, *, term: int, claimed_term: int) -> OwnershipClaim:
-    """Reads a proxy's claim that it belongs to a controller in a term; '' names whoever reads it.
+    """Reads a proxy's claim that it belongs to a controller in a term; '' names the controller that reads it.
 
     A controller owns a proxy while the newest claim names it.
     """
@@ -66,9 +66,9 @@
     """The proxy's side of the protocol.
 
     Attributes:
-        term: of now.
-        controller: that the proxy follows; '': none.
-        applied: the version that was applied last in this term; None: none.
+        term: the current term.
+        controller: the controller that the proxy follows; '': none.
+        applied: the version that was last applied in this term; None: none.
     """
 
     def __init__(self, term: int = 0) -> None:
@@ -94,7 +94,7 @@
         self.controller = ""
 
     def check(self, version: Version, is_fenced: bool = True) -> UpdateVerdict:
-        """What to do with an update; unfenced, whatever is new is applied, as a plain reader would."""
+        """Returns what to do with an update; unfenced, any other version is applied."""
         if not is_fenced:
             return UpdateVerdict.OLD if version == self.applied else UpdateVerdict.APPLY
         return check_update(self.term, self.applied, version)
--- a/willowhook/membership/priority_tiers.py
+++ b/willowhook/membership/priority_tiers.py
@@ -27,21 +27,21 @@
 
 
 class TierListener(Protocol):
-    """Is told when an endpoint becomes active or stands by."""
+    """Is notified when an endpoint becomes active or goes on standby."""
 
     def set_active(self, endpoint: str, is_active: bool, reason: str) -> None:
-        """Says that an endpoint of a later tier is active or stands by from now on."""
+        """Called when an endpoint of a later tier becomes active or goes on standby."""
 
 
 class TieredEndpoint(NamedTuple):
-    """An endpoint as the list has it.
+    """An endpoint as listed.
 
     Attributes:
-        name: of the endpoint.
-        groups: that it is in.
-        tier: the lower, the earlier it serves.
+        name: the name of the endpoint.
+        groups: the groups that it is in.
+        tier: the tier; lower tiers serve first.
         is_draining: whether it takes no new requests.
-        started_at: in ticks; 0: long ago.
+        started_at: the tick of its start; 0: long ago.
     """
 
     name: str
@@ -81,7 +81,7 @@
     """Decides which tiers of each group are active."""
 
     def __init__(self, listener: TierListener, slow_start_ticks: int) -> None:
-        """Tells the listener of changes; an endpoint warms up for `slow_start_ticks` after its start."""
+        """`listener` is notified of changes; endpoints warm up for `slow_start_ticks` after their start."""
         self._listener = listener
         self._slow_start_ticks = slow_start_ticks
         self._endpoints: dict[str, _EndpointHealth] = {}
@@ -93,7 +93,7 @@
         return not self._active.get(endpoint, True)
 
     def update_list(self, now: int, endpoints: Iterable[TieredEndpoint]) -> None:
-        """Takes the complete endpoint list and brings the tiers up to it."""
+        """Handles the complete endpoint list and updates the tiers."""
         known = self._endpoints
         self._endpoints = {}
         previous = self._groups
@@ -109,7 +109,7 @@
         self.evaluate(now)
 
     def record_attempts(self, now: int, endpoint: str, attempts: int, failures: int) -> None:
-        """Takes in how attempts at an endpoint ended."""
+        """Handles the results of attempts at an endpoint."""
         health = self._endpoints.get(endpoint)
         if health is None or all(len(self._groups[group].tiers) < 2 for group in health.listed.groups):
             return
@@ -122,7 +122,7 @@
             health.is_unresponsive = True
 
     def evaluate(self, now: int) -> None:
-        """Activates what must serve, and lets stand by what need not any more."""
+        """Activates endpoints that must serve, and puts those on standby that need not serve."""
         reasons: dict[str, str] = {}
         for group in self._groups.values():
             if len(group.tiers) > 1 or any(name in self._active for name in group.endpoints):
@@ -155,7 +155,7 @@
             self._listener.set_active(name, is_active, reason)
 
     def _evaluate_group(self, now: int, group: _Group) -> None:
-        """Brings the last active tier up to now."""
+        """Updates the last active tier."""
         available = (tier for tier in group.tiers if self._is_tier_available(group, tier))
         wanted = next(available, group.last_active_tier)
         if wanted > group.last_active_tier:
--- a/willowhook/membership/reconnect.py
+++ b/willowhook/membership/reconnect.py
@@ -2,7 +2,7 @@
 
 Every proxy draws its own delay from the same settings, so that together they come at about the stated pace,
 in place of a thundering herd. Busy proxies draw from the early part of the time; nobody is without a table in
-the meantime, as a proxy goes on with what it holds. Times are in any one unit.
+the meantime, as a proxy continues with the tables that it holds. Times are in any one unit.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
     """How fast proxies may come to a controller.
 
     Attributes:
-        proxy_count: proxies that may come at one time.
-        joins_per_time: in a unit of time, at all controllers together.
+        proxy_count: the number of proxies that may come at one time.
+        joins_per_time: the number of joins in a unit of time, at all controllers together.
         settling_time: how long a controller must have been alive before any proxy fails back to it.
-        minimum_stay: how long a proxy stays with one controller at the least.
+        minimum_stay: the minimum time that a proxy stays with one controller.
     """
 
     proxy_count: int
@@ -36,7 +36,7 @@
     """How long a proxy waits that has lost its controller.
 
     `relative_load` is its share of all requests times the number of proxies, 1 for a usual proxy: one with
-    twice the usual requests waits in the first half of the time. `draw` gives a random number from 0 to 1.
+    twice the usual requests waits in the first half of the time. `draw` returns a random number from 0 to 1.
     """
     return pace.window() * draw() / max(relative_load, 1.0)
 
@@ -45,7 +45,7 @@
     """Whether a proxy should go back to a controller that it prefers. One for each proxy."""
 
     def __init__(self, pace: ReconnectPace, preference: Sequence[str], draw: Callable[[], float]) -> None:
-        """`preference` is the proxy's order of controllers, `draw` gives a random number from 0 to 1."""
+        """`preference` is the proxy's order of controllers, `draw` returns a random number from 0 to 1."""
         self._pace = pace
         self._preference = list(preference)
         self._draw = draw
--- a/willowhook/membership/takeover_model.py
+++ b/willowhook/membership/takeover_model.py
@@ -23,7 +23,7 @@
 
 
 class Safeguard(Enum):
-    """What keeps the invariants; the model can go without some, to show that they are needed."""
+    """What keeps the invariants; the model can run without some, to show that they are needed."""
 
     TERM = "term"  # the term of an update is checked
     ORDER = "order"  # updates are applied forward only
@@ -47,7 +47,7 @@
 
 
 class ControllerState(Enum):
-    """What has become of a controller's process."""
+    """The state of a controller's process."""
 
     UP = "up"
     HUNG = "hung"
@@ -59,9 +59,9 @@
     """An update as a file.
 
     Attributes:
-        controller: the index of the controller that gave it.
-        version: that it carries.
-        intended_term: the term of the proxy that the controller had in mind.
+        controller: the index of the controller that issued it.
+        version: the version that it carries.
+        intended_term: the term of the proxy for which the controller issued it.
     """
 
     controller: int
@@ -74,7 +74,7 @@
     """A proxy.
 
     Attributes:
-        term: of now.
+        term: the current term.
         follows: the index of its controller.
         applied: the update that was applied last in this term.
         history: all updates that were applied in this term.
@@ -98,9 +98,9 @@
     """A controller.
 
     Attributes:
-        state: of its process.
-        epoch: its starts.
-        update_count: updates of this epoch.
+        state: the state of its process.
+        epoch: the number of its starts.
+        update_count: the number of updates in this epoch.
         believed_terms: by proxy: the term in which it owns the proxy.
         pending: renames that may happen at any time.
     """
@@ -117,11 +117,11 @@
     """A state of the model.
 
     Attributes:
-        proxies: by index.
-        controllers: by index.
+        proxies: the proxies by index.
+        controllers: the controllers by index.
         claimed_terms: by controller and proxy: the term in the proxy's file there.
-        updates: by controller and proxy: the update that lies there.
-        failures: of controllers so far.
+        updates: by controller and proxy: the update in that folder.
+        failures: the number of failures of controllers so far.
     """
 
     proxies: tuple[Proxy, ...]
@@ -133,7 +133,7 @@
 
 @dataclass(frozen=True)
 class Bounds:
-    """How much of it is modelled: a limit each, `updates` for one epoch of a controller."""
+    """The limits of the model: a number each; `updates` is the limit for one epoch of a controller."""
 
     proxies: int = 2
     controllers: int = 2
@@ -204,7 +204,7 @@
     joined = Proxy(proxy.term + 1, controller)
     moved = _with_claim(_with_proxy(world, index, joined), controller, index, joined.term)
     text = f"p{index} joins d{controller}"
-    if proxy.follows != NOBODY:  # it takes its old file away where it can be reached
+    if proxy.follows != NOBODY:  # it removes its old file if it can reach it
         yield Step(text, _with_claim(moved, proxy.follows, index, NO_TERM))
     yield Step(f"{text}, its old file stays", moved)
 
@@ -235,7 +235,7 @@
 
 
 def _renames(world: World, index: int) -> Iterator[Step]:
-    """A rename happens whatever has become of the controller."""
+    """A rename can happen whatever the state of the controller is."""
     controller = world.controllers[index]
     for position, (proxy, update) in enumerate(controller.pending):
         pending = (*controller.pending[:position], *controller.pending[position + 1 :])
--- a/willowhook/membership/version.py
+++ b/willowhook/membership/version.py
@@ -1,4 +1,4 @@
-"""The version of an update, by which a proxy tells what is newer and whose it is."""
+"""The version of an update, by which a proxy recognizes newer updates and the session that they are for."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 
     Attributes:
         term: the fencing term of the proxy that it is for.
-        epoch: of the controller: its starts in the folder that it writes to.
-        number: of the update, counted from the controller's start.
+        epoch: the epoch of the controller: the number of its starts in its folder.
+        number: the number of the update, counted from the controller's start.
     """
 
     term: int
--- a/willowhook/reports/budget.py
+++ b/willowhook/reports/budget.py
@@ -15,9 +15,9 @@
 TIME_BURST_TICKS = TICKS_PER_SECOND // 20  # of processing time that may be saved up
 RATE_BURST_DIVISOR = 10  # a burst is the reports of one second, divided by this
 MIN_BURST = 2.0  # reports, whatever the rate
-TARGET_LOAD = 0.8  # of the rate, by reports at the interval that was asked for
+TARGET_LOAD = 0.8  # the fraction of the rate that reports at the requested interval use
 DECREASE_FACTOR = 0.8  # of the interval, in one step
-DECREASE_DELAY_TICKS = 2 * TICKS_PER_SECOND  # of room, before each step down
+DECREASE_DELAY_TICKS = 2 * TICKS_PER_SECOND  # of spare capacity, before each step down
 CHANGE_THRESHOLD = 1.1  # a smaller change is not passed on
 
 
@@ -25,7 +25,7 @@
     """Admits reports to processing and controls the interval at which proxies send them.
 
     Attributes:
-        interval: that proxies are asked for, in ticks.
+        interval: the interval that proxies are asked for, in ticks.
     """
 
     def __init__(
@@ -39,9 +39,9 @@
         """Starts with full buckets.
 
         Args:
-            rate_per_second: of reports.
-            time_share: of all time, for processing.
-            usual_interval: that proxies have by themselves.
+            rate_per_second: the rate of reports that may be processed.
+            time_share: the fraction of all time that processing may use.
+            usual_interval: the interval that proxies have by default.
             max_interval: the longest interval that they may be asked for.
             set_interval: is called with each new interval.
         """
@@ -58,7 +58,7 @@
         self.interval = usual_interval
 
     def spend(self, now: int, count: int) -> bool:
-        """Takes so many reports from the budget; False: none may be processed now."""
+        """Spends the budget of `count` reports; False: none may be processed now."""
         if self._filled_at is not None:
             elapsed = now - self._filled_at
             self._report_tokens = min(self._burst, self._report_tokens + elapsed * self._rate)
@@ -70,7 +70,7 @@
         return True
 
     def record_time(self, ticks: float) -> None:
-        """Takes the time that processing took from the budget."""
+        """Subtracts the time that processing took from the budget."""
         self._time_tokens -= ticks
 
     def adapt_interval(
--- a/willowhook/reports/fading.py
+++ b/willowhook/reports/fading.py
@@ -1,4 +1,4 @@
-"""Sums with exponential decay: what happened a half-life ago counts half, whatever the order of arrival.
+"""Sums with exponential decay: attempts a half-life ago count half, whatever the order of arrival.
 
 An exponential is the one decay for which a sum of any age needs one figure and one time, and for which late
 and out-of-order windows come to the same: each is brought to the sum's own time and added. A ring of buckets
--- a/willowhook/reports/quarantine.py
+++ b/willowhook/reports/quarantine.py
@@ -22,13 +22,13 @@
 
 
 class QuarantineListener(Protocol):
-    """Is told of the beginning and the end of each quarantine."""
+    """Is notified of the beginning and the end of each quarantine."""
 
     def quarantined(self, proxy: str, duration: int, cause: str, evidence: bytes) -> None:
-        """Says that reports of a proxy are left out for `duration` ticks."""
+        """Called when the reports of a proxy are left out for `duration` ticks."""
 
     def released(self, proxy: str) -> None:
-        """Says that reports of a proxy are processed again."""
+        """Called when the reports of a proxy are processed again."""
 
 
 @dataclass(slots=True)
@@ -43,13 +43,13 @@
     """Keeps the faults of each proxy.
 
     Attributes:
-        skipped: reports that were left out.
+        skipped: the number of reports that were left out.
     """
 
     def __init__(self, listener: QuarantineListener) -> None:
         """Starts without a fault."""
         self._listener = listener
-        self._records: dict[str, _FaultRecord] = {}  # of proxies with faults of late
+        self._records: dict[str, _FaultRecord] = {}  # by proxy, of those with recent faults
         self.skipped = 0
 
     def should_skip(self, now: int, proxy: str) -> bool:
--- a/willowhook/reports/queue.py
+++ b/willowhook/reports/queue.py
@@ -15,7 +15,7 @@
 from typing import NamedTuple
 
 SAMPLE_SIZE = 2
-MIN_SHARE = 0.25  # the mean proxy's is 1
+MIN_SHARE = 0.25  # relative to the mean proxy
 MAX_SHARE = 4.0
 REPORT_COST = 1.0  # of a proxy's deficit
 
@@ -43,7 +43,7 @@
     Attributes:
         proxy: its name.
         reports: the sample, in no order.
-        arrived: of so many reports these are a sample.
+        arrived: the number of reports that the sample was drawn from.
     """
 
     proxy: str
@@ -55,13 +55,13 @@
     """Reports that wait to be processed.
 
     Attributes:
-        arrived: reports, ever.
-        dropped: among them.
-        waiting_bytes: of the reports that wait.
+        arrived: the number of reports that have arrived.
+        dropped: the number of reports that were dropped.
+        waiting_bytes: the size of the reports that wait.
     """
 
     def __init__(self, draw: Callable[[int], int], sample_size: int = SAMPLE_SIZE) -> None:
-        """Samples with `draw(n)`, which gives a random whole number below `n`."""
+        """Samples with `draw(n)`, which returns a random whole number below `n`."""
         self._draw = draw
         self._sample_size = sample_size
         self._proxies: dict[str, _ProxyReports] = {}
@@ -72,11 +72,11 @@
         self.waiting_bytes = 0
 
     def __len__(self) -> int:
-        """Proxies that wait."""
+        """The number of proxies whose reports wait."""
         return len(self._never_served) + len(self._round)
 
     def offer(self, now: int, proxy: str, data: bytes) -> None:
-        """Takes in a report, or drops one."""
+        """Adds a report, or drops one."""
         reports = self._proxies.get(proxy)
         if reports is None:
             reports = self._proxies[proxy] = _ProxyReports()
@@ -116,7 +116,7 @@
             reports.share = min(max(share, MIN_SHARE), MAX_SHARE)
 
     def remove_proxy(self, proxy: str) -> None:
-        """Drops all of a proxy that has left."""
+        """Drops the reports of a proxy that has left."""
         reports = self._proxies.pop(proxy, None)
         if reports is not None and reports.arrived:
             self.waiting_bytes -= sum(len(data) for _, data in reports.sample)
--- a/willowhook/reports/read.py
+++ b/willowhook/reports/read.py
@@ -24,12 +24,12 @@
     """One load report.
 
     Attributes:
-        contents: what it says of attempts and of load, by endpoint.
-        requests: by route: requests and failures.
-        length: of the time that it covers, in ticks; 0: it says nothing of a cluster.
+        contents: the attempts and the load metrics by endpoint.
+        requests: requests and failures, by route.
+        length: the length of the time that it covers, in ticks; 0: it contains no cluster.
         process: names one run of the proxy's program.
-        since: the begin of that time by the proxy's clock, in ticks; -1: it tells no times.
-        until: its end; -1: it tells no times.
+        since: the beginning of that time by the proxy's clock, in ticks; -1: it states no times.
+        until: the end of that time; -1: it states no times.
     """
 
     contents: ReportCells = field(default_factory=ReportCells)
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class _CellSums:
-    """Of one endpoint and route."""
+    """Sums of one endpoint and route."""
 
     successes: int = 0
     failures: int = 0
@@ -52,14 +52,14 @@
 
 @dataclass(slots=True)
 class _MetricSums:
-    """Of one load metric of an endpoint."""
+    """Sums of one load metric of an endpoint."""
 
     total: float = 0.0
     count: float = 0.0
 
 
 def read(report: forms.LoadStatsRequest, routes: frozenset[str]) -> Report:
-    """Reads a report about these routes; what it says of others counts for none. Raises FormError."""
+    """Reads a report about these routes; attempts for other routes count for no route. Raises FormError."""
     return _ReportReader(routes).read(report)
 
 
--- a/willowhook/reports/sample.py
+++ b/willowhook/reports/sample.py
@@ -1,4 +1,4 @@
-"""What a sample of one proxy's reports comes to: what each stands for, by the time covered or by count.
+"""Estimates the sums of all reports of one proxy from a sample, by the time covered or by count.
 
 A proxy that states its times begins each report where the last one ended. So if reports were dropped or
 replaced, the whole time from the latest end that was known before to the latest end in the sample was
@@ -19,21 +19,21 @@
 from .sums import Cell, ReportCells, ReportedAttempts, combine_reports
 from .windows import Covered, ReportWindows
 
-MAX_STRETCH_TICKS = 120 * TICKS_PER_SECOND  # that a sample stands for
+MAX_STRETCH_TICKS = 120 * TICKS_PER_SECOND  # the longest period that a sample represents
 ReceivedReport = tuple[int, int, Report]  # when it arrived, a hash of its bytes, and itself
 
 
 @dataclass(slots=True)
 class SampleSums:
-    """What all reports of one stretch of time come to, as estimated from the sample.
+    """The sums of all reports about one period of time, as estimated from the sample.
 
     Attributes:
         cells: attempts by endpoint and route.
         loads: load metrics by endpoint.
-        requests: and failures, by route.
-        since: the begin of the stretch, by this clock.
-        until: its end.
-        window: the time that the sums stand for.
+        requests: requests and failures, by route.
+        since: the beginning of the period, by this clock.
+        until: the end of the period.
+        window: the time that the sums represent.
     """
 
     cells: dict[Cell, ReportedAttempts] = field(default_factory=dict)
@@ -75,11 +75,11 @@
     """Sums up a sample; None if none of it is new.
 
     Args:
-        now: in ticks.
-        proxy: its name.
-        windows: what of the proxy's time is counted already.
-        reports: all that arrived, or two drawn of them.
-        arrived: how many did.
+        now: the current tick.
+        proxy: the name of the proxy.
+        windows: the times of the proxy that are already counted.
+        reports: all reports that arrived, or two drawn from them.
+        arrived: the number of reports that arrived.
         has_gaps: whether reports may have been replaced in their place before they were read.
     """
     process, latest_end = windows.last_known(proxy)
@@ -94,10 +94,10 @@
     elif latest_end >= 0 and may_lack_some and all(report.process == process for report in timed):
         newest = max(report.until for report in timed)
         factor = min(newest - latest_end, MAX_STRETCH_TICKS) / max(covered_ticks, 1.0)
-        if factor > 1:  # what was never read is told by these, and counts no more if it comes after all
+        if factor > 1:  # these represent the reports that were not read, which no longer count if they arrive
             windows.count(proxy, latest_end, newest)
     else:
-        factor = 1.0  # of another process, which told of nothing in between
+        factor = 1.0  # of another process, whose earlier reports are not known
     return _scale(new_reports, max(factor, 1.0), covered_ticks)
 
 
@@ -114,7 +114,7 @@
 
 
 def _scale(new_reports: Sequence[_NewReport], factor: float, covered_ticks: float) -> SampleSums:
-    """The sums of the sample, of which each report stands for `factor`."""
+    """Returns the sums of the sample, multiplied by `factor`."""
     sums = SampleSums(combine_reports([new.cells() for new in new_reports], factor))
     for new in new_reports:
         sums.loads.update(new.report.contents.loads)
--- a/willowhook/reports/sums.py
+++ b/willowhook/reports/sums.py
@@ -1,4 +1,4 @@
-"""What reports say, summed by endpoint, zone and route, with how sure each sum is.
+"""Sums of reports by endpoint, zone and route, with the uncertainty of each sum.
 
 The two reports that are kept of a proxy stand for `k`: each figure is `k / 2` times their sum. Its variance
 is estimated from the two, `k^2 (1 - 2/k) d^2 / 4` with `d` their difference (simple random sampling without
@@ -18,7 +18,7 @@
 
 from .fading import Decay, ForwardDecay
 
-STANDARD_ERRORS = 1.96  # of an interval that holds 95 of 100
+STANDARD_ERRORS = 1.96  # the half width of a 95 % confidence interval
 ROUNDING = 1e-9  # a count this little under a whole number is one
 MAX_PENDING = 50_000  # endpoints and zones; above it those without a whole attempt are dropped
 MIN_SUCCESSES = 0.5  # for a mean latency
@@ -26,13 +26,13 @@
 
 
 class ReportedAttempts(NamedTuple):
-    """What reports say of the attempts at an endpoint for a route.
+    """The reported attempts at an endpoint for a route.
 
     Attributes:
-        attempts: that have ended.
-        failures: among them.
-        latency_sum: over the attempts that succeeded, in ticks.
-        variance: of the attempts, where they are estimated from a sample; 0: they were counted.
+        attempts: the number of attempts that have ended.
+        failures: the number of failures among them.
+        latency_sum: the sum of the latencies of the attempts that succeeded, in ticks.
+        variance: the variance of the number of attempts, if it is estimated from a sample; 0: it was counted.
     """
 
     attempts: float
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Estimate:
-    """A figure and the half width of its interval of 95 of 100."""
+    """A value and the half width of its 95 % confidence interval."""
 
     value: float
     half_width: float
@@ -60,7 +60,7 @@
 
 @dataclass(slots=True)
 class ReportCells:
-    """What one report says.
+    """The contents of one report.
 
     Attributes:
         cells: attempts by endpoint and route.
@@ -73,7 +73,7 @@
 
 @dataclass(slots=True)
 class _DecayedSums:
-    """Of one endpoint, zone and route, as of the landmark."""
+    """Sums of one endpoint, zone and route, scaled to the landmark."""
 
     attempts: float = 0.0
     failures: float = 0.0
@@ -89,7 +89,7 @@
 
 @dataclass(slots=True)
 class _PendingSums:
-    """Of one endpoint and zone, since they were handed over last."""
+    """Sums of one endpoint and zone since they were last handed over."""
 
     attempts: float = 0.0
     failures: float = 0.0
@@ -121,7 +121,7 @@
 
 
 def combine_reports(reports: Sequence[ReportCells], factor: float) -> dict[Cell, ReportedAttempts]:
-    """Sums over reports of which each stands for `factor` of them.
+    """Sums reports, each of which represents `factor` reports.
 
     `reports` are all there are (`factor` 1), two drawn evenly, or one. Of one alone nothing is known of the
     rest: its count is taken for that of events that happen independently.
@@ -160,7 +160,7 @@
         self._pending: dict[tuple[str, str], _PendingSums] = {}
 
     def __len__(self) -> int:
-        """Endpoints, zones and routes of which there are sums."""
+        """The number of combinations of endpoint, zone and route that have sums."""
         return len(self._cells)
 
     def add(
@@ -197,7 +197,7 @@
                 self._pending[endpoint, zone].load = load
 
     def flush(self) -> int:
-        """Hands over all that is new; the number of calls."""
+        """Hands over all new sums; returns the number of calls."""
         count = 0
         for (endpoint, zone), pending in self._pending.items():
             count += self._flush_one(endpoint, zone, pending)
@@ -210,7 +210,7 @@
         return count
 
     def estimate_attempts(self, now: int, endpoint: str, zone: str, route: str) -> Estimate:
-        """The decayed sum of attempts and how sure it is."""
+        """The decayed sum of attempts and its uncertainty."""
         sums = self._cells.get((endpoint, zone, route))
         if sums is None:
             return Estimate(0.0, 0.0)
@@ -219,7 +219,7 @@
         return Estimate(sums.attempts * scale, half_width)
 
     def keep(self, endpoints: frozenset[str]) -> None:
-        """Drops all of endpoints that are not among these."""
+        """Drops the sums of all other endpoints."""
         self._cells = {key: sums for key, sums in self._cells.items() if key[0] in endpoints}
         self._pending = {key: sums for key, sums in self._pending.items() if key[0] in endpoints}
 
--- a/willowhook/reports/windows.py
+++ b/willowhook/reports/windows.py
@@ -1,6 +1,6 @@
 """Which stretch of its proxy's time a report covers, how late it arrives, and what of it was counted before.
 
-A report tells from when to when, by its proxy's own clock; where that clock stands beside this one is taken
+A report states its beginning and end by its proxy's own clock; the offset of that clock to this one is taken
 from the report that arrived quickest. A stretch counts once: a report sent again, copied, or put in place
 once more by a new process of the same proxy covers what is counted already. One that overlaps counts by the
 part that is new. A report without times covers what ends now, and the same bytes count once. Times are ticks.
@@ -13,11 +13,11 @@
 
 from ..ticks import TICKS_PER_SECOND
 
-CLOCK_DRIFT = 10_000  # clocks run apart by one part in so many at the most
-MAX_SPANS = 16  # apart from each other, of a proxy; the oldest grow together
-CLOCK_RESET_TICKS = 10 * TICKS_PER_SECOND  # a clock that repeats itself for so long was set back
-CLOCK_RESET_PACE = 2  # and it runs at most so many times faster or slower than this one meanwhile
-RETENTION_TICKS = 600 * TICKS_PER_SECOND  # of what is known of a silent proxy
+CLOCK_DRIFT_DIVISOR = 10_000  # clocks drift by at most the elapsed time divided by this
+MAX_SPANS = 16  # separate spans of a proxy; beyond it the two oldest are merged
+CLOCK_RESET_TICKS = 10 * TICKS_PER_SECOND  # a clock that repeats counted times for longer was set back
+CLOCK_RESET_PACE = 2  # if it meanwhile ran at most this many times faster or slower than this clock
+RETENTION_TICKS = 600 * TICKS_PER_SECOND  # of the state of a proxy that sends nothing
 CLEANUPS_PER_RETENTION = 10
 KEPT_HASHES = 4  # of reports without times
 
@@ -33,9 +33,9 @@
         self.ends: list[int] = []
 
     def add(self, since: int, until: int) -> float:
-        """Counts a stretch; the part of it that is new, from 0 to 1."""
+        """Counts a span of time; returns the fraction of it that is new, from 0 to 1."""
         if self.starts and until <= self.starts[0] and len(self.starts) >= MAX_SPANS:
-            return 0.0  # so old that nothing is known of it any more
+            return 0.0  # too old to know whether it was counted
         first = bisect_left(self.ends, since)
         last = bisect_right(self.starts, until)
         counted = 0
@@ -53,17 +53,17 @@
 
 @dataclass(slots=True)
 class _ProxyClock:
-    """What is known of one proxy's time.
+    """The state of one proxy's clock.
 
     Attributes:
         process: names the run of its program.
         offset: this clock less its own, by the report that arrived quickest.
         newest: the latest end that it told.
         heard_at: the last report arrived.
-        spans: that are counted, by its clock.
+        spans: the spans of time that are counted, by its clock.
         repeats_since: since when only counted stretches have come; None: the last one was new.
         first_repeat: the end that the first of them told.
-        hashes: of reports without times.
+        hashes: the hashes of reports without times.
     """
 
     process: str
@@ -76,11 +76,11 @@
     hashes: list[int] = field(default_factory=list)
 
     def follow(self, now: int, process: str, until: int) -> None:
-        """Takes in that a report of this process and this end arrived."""
-        if until > self.newest and process != self.process:  # it goes on where the last process ended
+        """Notes that a report of this process and this end arrived."""
+        if until > self.newest and process != self.process:  # it continues where the last process ended
             self.process = process
             self.offset = now - until
-        drift = max(0, now - self.heard_at) // CLOCK_DRIFT
+        drift = max(0, now - self.heard_at) // CLOCK_DRIFT_DIVISOR
         self.offset = min(self.offset + drift, now - until)
         self.heard_at = now
 
@@ -102,12 +102,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Covered:
-    """What a report covers.
+    """The time that a report covers.
 
     Attributes:
-        part: of it that is new, from 0 to 1.
-        since: its begin, by this clock.
-        until: its end.
+        part: the fraction of it that is new, from 0 to 1.
+        since: its beginning, by this clock.
+        until: its end, by this clock.
     """
 
     part: float
@@ -119,8 +119,8 @@
     """The time that each proxy's reports cover.
 
     Attributes:
-        repeats: reports that covered nothing new.
-        clocks_set: times that a proxy's clock was set back.
+        repeats: the number of reports that covered nothing new.
+        clocks_set: how often a proxy's clock was set back.
     """
 
     def __init__(self) -> None:
@@ -131,7 +131,7 @@
         self.clocks_set = 0
 
     def __len__(self) -> int:
-        """Proxies of which something is known."""
+        """The number of proxies that have state here."""
         return len(self._clocks)
 
     def last_known(self, proxy: str) -> tuple[str, int]:
@@ -157,7 +157,7 @@
             }
 
     def record_timed(self, now: int, proxy: str, process: str, since: int, until: int) -> Covered:
-        """Counts a report that tells its times by the proxy's clock, `since` before `until`."""
+        """Counts a report that states its times by the proxy's clock, `since` before `until`."""
         clock = self._clocks.get(proxy)
         if clock is None:
             clock = self._clocks[proxy] = _ProxyClock(process, now - until, until, now)
--- a/willowhook/validation/case.py
+++ b/willowhook/validation/case.py
@@ -1,4 +1,4 @@
-"""One update under judgement: the candidate beside the world that it will meet."""
+"""One update under judgement: the candidate and the world that it is judged against."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """What every check looks at.
+    """The input of every check.
 
     Attributes:
         now: the tick of the judgement.
-        world: that the candidate will meet.
-        candidate: that is judged.
-        shares: of the candidate's tables.
-        proxy: for which the candidate is; None if it has not joined.
+        world: the world that the candidate is judged against.
+        candidate: the candidate that is judged.
+        shares: the shares of requests by the candidate's tables.
+        proxy: the proxy that the candidate is for; None if it has not joined.
         rises: by endpoint, the requests a second that the candidate adds to what the proxy may send now.
     """
 
@@ -39,7 +39,7 @@
 
 
 def make_case(now: int, world: World, candidate: Candidate) -> Case:
-    """Works out what the checks look at. Raises if the candidate's tables make no sense."""
+    """Computes the input of the checks. Raises if the candidate's tables make no sense."""
     shares = world.shares_of(candidate.tables)
     proxy = world.proxies.get(candidate.proxy)
     has_all_routes = len(shares.by_route) == len(world.settings.routes)
--- a/willowhook/validation/endpoints.py
+++ b/willowhook/validation/endpoints.py
@@ -11,10 +11,10 @@
     """All endpoints that were ever listed.
 
     Attributes:
-        by_name: with those that were removed. Whoever changes it directly calls `refresh`.
-        not_in_service: draining or removed, in the order of the list.
-        capacity_in_service: the sum over the endpoints in service.
-        list_version: rises with each list.
+        by_name: the endpoints by name, with removed ones. A caller that changes it directly calls `refresh`.
+        not_in_service: the endpoints that are draining or removed, in the order of the list.
+        capacity_in_service: the sum of the capacities of the endpoints in service.
+        list_version: a number that rises with each list.
     """
 
     def __init__(self, settings: ValidationSettings) -> None:
@@ -27,7 +27,7 @@
         self._may_be_cold: list[ValidatedEndpoint] = []
 
     def update_list(self, now: int, endpoints: Iterable[ValidatedEndpoint]) -> None:
-        """Takes the complete list: what is missing is removed. Sets `ValidatedEndpoint.since` of each."""
+        """Handles the complete list; sets `since` of each endpoint. Missing ones count as removed."""
         listed: dict[str, None] = {}
         for endpoint in endpoints:
             listed[endpoint.name] = None
@@ -42,7 +42,7 @@
         self.refresh()
 
     def refresh(self) -> None:
-        """Works out what follows from the list."""
+        """Recomputes the values that depend on the list."""
         self.list_version += 1
         endpoints = self.by_name.values()
         self.not_in_service = {each.name: None for each in endpoints if not each.is_in_service}
@@ -50,7 +50,7 @@
         self._sum_capacity()
 
     def update_capacities(self, capacities: Mapping[str, float]) -> None:
-        """Takes relative capacities that were learnt, where the list tells none."""
+        """Sets relative capacities that were learnt, if the list states none."""
         for name, capacity in capacities.items():
             if name in self.by_name:
                 self.by_name[name].capacity = capacity
--- a/willowhook/validation/exposure.py
+++ b/willowhook/validation/exposure.py
@@ -14,7 +14,7 @@
 from .model import ContentKey, ProxyTables, RequestShares
 
 MAX_CACHED_GAINS = 300  # steps from one table to another
-REBUILD_INTERVAL = 65_536  # moves after which the sums are made anew, as rounding errors add up
+REBUILD_INTERVAL = 65_536  # moves after which the sums are recomputed, as rounding errors add up
 
 ClassKey = tuple[ContentKey, ...]  # contents: applied first, then in flight in their order
 Rates = tuple[float, ...]  # requests a second by route index
@@ -35,9 +35,9 @@
     """Proxies that hold the same tables and wait for the same.
 
     Attributes:
-        peaks: of all routes.
-        rates: of all its proxies together, by route index.
-        count: its proxies.
+        peaks: the peak shares of all routes.
+        rates: the request rates of all its proxies together, by route index.
+        count: the number of its proxies.
     """
 
     peaks: list[PeakShares]
@@ -88,9 +88,9 @@
         """Returns the requests a second, by endpoint, that come on top if a proxy gets new tables.
 
         Args:
-            rates: of the proxy.
+            rates: the request rates of the proxy.
             held: the class that it is in.
-            shares: of the new tables.
+            shares: the shares of requests by the new tables.
         """
         peak_of: dict[int, Shares] = {}
         if held in self._classes:
@@ -124,7 +124,7 @@
     # Changes.
 
     def register(self, tables: ProxyTables) -> ContentKey:
-        """Takes up a content that a proxy is about to move to. Returns its key."""
+        """Registers a content that a proxy is about to move to. Returns its key."""
         key = tables.content_key()
         if key not in self.contents:
             self.contents[key] = RequestShares(tables)
--- a/willowhook/validation/model.py
+++ b/willowhook/validation/model.py
@@ -15,7 +15,7 @@
 
 
 class EndpointMode(Enum):
-    """Where an endpoint stands, as listed. The values are those of state files and findings."""
+    """The state of an endpoint, as listed. The values are those of state files and findings."""
 
     IN_SERVICE = "open"
     DRAINING = "draining"
@@ -39,11 +39,11 @@
     """What may serve a route, and how often a request may run.
 
     Attributes:
-        name: of the route.
+        name: the name of the route.
         semantics: whether a request may run more than once.
         same_zone_only: whether only endpoints in the proxy's zone may serve it.
-        allowed_zones: of the endpoints that may serve it; empty: any.
-        allowed_classes: of the endpoints that may serve it; empty: any.
+        allowed_zones: the zones of the endpoints that may serve it; empty: any.
+        allowed_classes: the classes of the endpoints that may serve it; empty: any.
     """
 
     name: str
@@ -60,23 +60,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ValidationSettings:
-    """What validation is told of the deployment, and its own margins.
+    """The settings of the deployment that validation needs, and its own margins.
 
     Attributes:
-        routes: by index.
+        routes: the routes by index.
         drain_grace_ticks: after this, nothing may be sent to a draining or removed endpoint.
         slow_start_ticks: after this a newly started endpoint has all of its capacity.
-        slow_start_fraction: of its capacity, what it has at once.
+        slow_start_fraction: the fraction of its capacity that it has at its start.
         recovery_overload_factor: how far over its capacity an endpoint that warms up may be loaded.
         entries_per_tick: the rate of the channel.
         queue_limit_entries: entries that may wait in the channel.
         message_cap: messages to one proxy within `message_cap_window_ticks`; 0: no cap.
         message_cap_window_ticks: the window of the cap.
         proxy_count: the proxies of all controllers.
-        cold_budget_fraction: of the budget of an endpoint that warms up, what tables may use.
+        cold_budget_fraction: the fraction of the budget of an endpoint that warms up that tables may use.
         max_share_factor: how many times its even share of all requests one endpoint may be given.
         capacity_per_second: requests that an endpoint can serve, by class, where it is configured.
-        max_capacity_fraction: of that capacity, what tables may use.
+        max_capacity_fraction: the fraction of that capacity that tables may use.
     """
 
     routes: tuple[RouteConstraints, ...]
@@ -100,8 +100,8 @@
     """An endpoint as listed.
 
     Attributes:
-        name: of the endpoint.
-        mode: in service, draining or removed.
+        name: the name of the endpoint.
+        mode: whether it is in service, draining or removed.
         since: when it was first listed in this mode.
         started_at: when its process started; 0: long ago.
         capacity: relative to the other endpoints; 1 is usual.
@@ -130,11 +130,11 @@
     """What a proxy holds, or is to hold.
 
     Attributes:
-        weights: of the endpoints, by route index.
+        weights: the weights of the endpoints, by route index.
         excluded: endpoints that are not used, whatever the weights say.
-        retries: by route index, as ordered.
+        retries: the retry modes by route index, as ordered.
         limits: admission limits by route index; infinite: none.
-        key: the same for the same content, where the caller knows one; None: the content is the key.
+        key: a key of the content, if the caller knows one; None: the content is the key.
     """
 
     weights: tuple[Mapping[str, float], ...]
@@ -152,7 +152,7 @@
         }
 
     def content_key(self) -> ContentKey:
-        """Returns `key`, or what stands for it; the same for the same content."""
+        """Returns `key`, or else a key made from the content; equal contents have equal keys."""
         if self.key is not None:
             return self.key
         weights = tuple(tuple(sorted(row.items())) for row in self.weights)
@@ -160,7 +160,7 @@
 
 
 class RequestShares:
-    """One content of tables, worked out once.
+    """The shares of requests by one content of tables, computed once.
 
     Attributes:
         tables: the content.
@@ -172,7 +172,7 @@
     __slots__ = ("by_route", "class_count", "endpoints", "tables")
 
     def __init__(self, tables: ProxyTables) -> None:
-        """Works the shares out; routes that share one table share the result."""
+        """Computes the shares; routes that share one table share the result."""
         self.tables = tables
         self.class_count = 0
         self.by_route: list[dict[str, float]] = []
@@ -197,10 +197,10 @@
     """An update that is to be judged.
 
     Attributes:
-        proxy: for which it is.
+        proxy: the proxy that it is for.
         tables: what the proxy would hold.
-        version: of the update.
-        cost_entries: what it costs in the channel.
+        version: the version of the update.
+        cost_entries: the cost in the channel, in entries.
         is_queued: whether its entries are counted as waiting already.
     """
 
--- a/willowhook/validation/state_file.py
+++ b/willowhook/validation/state_file.py
@@ -1,6 +1,6 @@
 """Validation on files, for use in a pipeline: the same checks as in service.
 
-A state file tells of the world, a candidates file of updates. Their keys are fixed, and known here only.
+A state file describes the world, a candidates file the updates. Their keys are fixed, and known here only.
 """
 
 from __future__ import annotations
@@ -162,7 +162,7 @@
 
 
 def build_world(state: State) -> World:
-    """Builds the world that a state file tells of. Raises StateFileError where names do not fit together."""
+    """Builds the world that a state file describes. Raises StateFileError where names do not fit together."""
     now = ticks_from_seconds(state.now_s)
     world = World(_settings(state))
     for row in state.hosts:
--- a/willowhook/validation/validator.py
+++ b/willowhook/validation/validator.py
@@ -43,12 +43,12 @@
     """Runs the checks.
 
     Attributes:
-        world: against which updates are judged.
-        checks: by name, in their order.
+        world: the world that updates are judged against.
+        checks: the checks by name, in their order.
     """
 
     def __init__(self, world: World, shadow: bool = False) -> None:
-        """`shadow`: what would not pass passes, marked as such."""
+        """`shadow`: updates that would not pass are passed, marked as such."""
         self.world = world
         self.checks: dict[str, Check] = {
             "version": check_version,
--- a/willowhook/validation/verdict.py
+++ b/willowhook/validation/verdict.py
@@ -1,4 +1,4 @@
-"""What validation says of an update, in terms that a person, and a pipeline, can act on.
+"""The result of validating an update, for people and for pipelines.
 
 The words in records and in the output of the command line are fixed: `Verdict.data` maps the fields to them.
 """
@@ -11,7 +11,7 @@
 
 
 class Outcome(StrEnum):
-    """What becomes of an update. The values are those of records and of the command line."""
+    """The outcome of an update. The values are those of records and of the command line."""
 
     PASSED = "passed"
     SPLIT = "split"  # it goes out in steps
@@ -39,16 +39,16 @@
     """What one check found.
 
     Attributes:
-        check: its name.
-        outcome: what the update deserves by this finding alone.
-        rule: that the update would break, if it is one of the service's.
+        check: the name of the check.
+        outcome: the outcome of the update by this finding alone.
+        rule: the rule of the service that the update would break, if any.
         text: what is wrong, for a person.
         remedy: the smallest change that would make the update pass.
-        route: where it is wrong; empty: everywhere.
-        endpoint: where it is wrong; empty: no single one.
+        route: the route that is concerned; empty: all.
+        endpoint: the endpoint that is concerned; empty: no single one.
         figure: what was measured.
         limit: what it was measured against.
-        until: from this tick on the update may pass; None: waiting does not help.
+        until: the tick from which the update may pass; None: waiting does not help.
     """
 
     check: str
@@ -92,7 +92,7 @@
 
     Attributes:
         not_before: the tick from which it is safe.
-        weights: by route index, those of the step's tables.
+        weights: the weights of the tables in this step, by route index.
         text: what the step does, for a person.
     """
 
@@ -107,14 +107,14 @@
 
 @dataclass(slots=True)
 class Verdict:
-    """What all checks together say of an update.
+    """The result of all checks of an update.
 
     Attributes:
-        outcome: of the worst finding, unless the update passes all the same.
-        findings: in the order of the checks.
-        steps: in which a split update is safe.
-        exemption: why an update with findings passes all the same; empty if it does not.
-        faults: checks that raised, and which way they failed.
+        outcome: the outcome of the worst finding, unless the update is exempted.
+        findings: the findings in the order of the checks.
+        steps: the steps in which a split update is safe.
+        exemption: why an update with findings passes nevertheless; empty if it does not.
+        faults: the checks that raised an error, and whether each failed open or closed.
     """
 
     outcome: Outcome = Outcome.PASSED
@@ -129,12 +129,12 @@
         return self.outcome is Outcome.PASSED
 
     def add(self, finding: Finding) -> None:
-        """Takes up a finding."""
+        """Adds a finding."""
         self.findings.append(finding)
         self.outcome = max(self.outcome, finding.outcome, key=SEVERITY.index)
 
     def exempt(self, reason: str) -> None:
-        """Makes the update pass all the same."""
+        """Makes the update pass nevertheless."""
         self.outcome = Outcome.PASSED
         self.exemption = reason
 
--- a/willowhook/validation/world.py
+++ b/willowhook/validation/world.py
@@ -1,4 +1,4 @@
-"""What an update will meet: endpoints as listed, what every proxy holds or may hold soon, the queue."""
+"""What updates are judged against: endpoints, the tables that proxies hold or may hold soon, the queue."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 
 
 class World:
-    """Keeps what updates are judged against.
+    """Keeps the state that updates are judged against.
 
     Attributes:
         endpoints: as listed.
         proxies: the joined proxies of this controller.
-        total_rates: of all proxies together, by route index.
+        total_rates: the request rates of all proxies together, by route index.
     """
 
     def __init__(self, settings: ValidationSettings) -> None:
@@ -69,7 +69,7 @@
             del self.proxies[proxy]
 
     def update_rates(self, proxy: ProxyKey, rates: Rates) -> None:
-        """Takes the rates at which requests reach a proxy; those of an unknown proxy are ignored."""
+        """Sets the rates of requests at a proxy; those of an unknown proxy are ignored."""
         record = self.proxies.get(proxy)
         if record is None or record.rates == rates:
             return
@@ -191,7 +191,7 @@
     # The queue.
 
     def update_queue(self, now: int, waiting_entries: float) -> None:
-        """Takes the entries that wait in the channel."""
+        """Sets the number of entries that wait in the channel."""
         self._waiting_entries = waiting_entries
         self._waiting_at = now
 
--- a/willowhook/versions/discovery_session.py
+++ b/willowhook/versions/discovery_session.py
@@ -22,7 +22,7 @@
 
 
 class SessionListener(Protocol):
-    """Who is told of what a proxy says."""
+    """Is notified of the requests of a proxy."""
 
     def handle_applied(self, proxy: int, number: int) -> None:
         """Called when a proxy has applied an update message, and all before it."""
@@ -61,9 +61,9 @@
         Args:
             proxy: the proxy's number.
             store: makes resources and sets.
-            listener: is told of what the proxy says.
-            references: gives the names that a resource refers to.
-            exclude_from: gives a table's body with endpoints draining.
+            listener: is notified of what the proxy states.
+            references: returns the names that a resource refers to.
+            exclude_from: returns a table's body with endpoints draining.
             initial: by type, names and bodies of what the proxy holds from elsewhere.
         """
         self.proxy = proxy
@@ -92,8 +92,8 @@
         """Sets what the proxy is to run.
 
         Args:
-            number: of the update message that says so.
-            sets: by type; types that are missing stay as they are.
+            number: the number of the update message.
+            sets: the sets by type; types that are missing stay as they are.
             excluded: endpoints that the proxy may not use.
 
         Returns:
@@ -125,7 +125,7 @@
     # What it says, and the responses.
 
     def handle_request(self, request: ResourceRequest) -> ResourceResponse | None:
-        """Takes in a request. Returns the response, or None: the request is to wait for one."""
+        """Processes a request. Returns the response, or None: the request is to wait for one."""
         tracker = self.trackers[request.kind]
         self._raise_era(request)
         if request.nonce and request.error:
@@ -211,7 +211,7 @@
         self._report_version(tracker)
 
     def _handle_reported_version(self, tracker: VersionTracker, version: str) -> None:
-        """Takes the version that a request names, where no nonce says more."""
+        """Uses the version that a request names, if no nonce is more specific."""
         for nonce, resources in list(tracker.in_flight.items()):
             if resources.version == version:
                 self._handle_acknowledgement(tracker, nonce)
@@ -247,7 +247,7 @@
     # Subscriptions.
 
     def _subscribe(self, tracker: VersionTracker, request: ResourceRequest) -> None:
-        """Takes up the names that the proxy wants."""
+        """Updates the names that the proxy subscribes to."""
         before = self._offers.names[request.kind]
         if request.is_full or request.is_first or ALL_NAMES in request.subscribe:
             names = _complete_subscription(request)
@@ -260,7 +260,7 @@
         self._offers.names[request.kind] = limited
 
     def _forget_subscribed(self, tracker: VersionTracker, names: tuple[str, ...]) -> None:
-        """What the proxy subscribes to anew it is sent anew, whatever it is known to hold."""
+        """Resources that the proxy subscribes to again are sent again, even if it is known to hold them."""
         held = tracker.known.resources if tracker.known is not None else {}
         if tracker.in_flight or not any(name in held for name in names):
             return
@@ -273,7 +273,7 @@
     # Reports.
 
     def _report_applied(self) -> None:
-        """Tells of the newest message all of whose resources are known to be held."""
+        """Reports the newest message all of whose resources are known to be held."""
         applied = [index for index, message in enumerate(self._pending) if self._is_applied(message)]
         if applied:
             number = self._pending[applied[-1]].number
--- a/willowhook/versions/exchange.py
+++ b/willowhook/versions/exchange.py
@@ -17,10 +17,10 @@
     Attributes:
         kind: the resource type.
         is_full: whether it wants complete sets; otherwise deltas.
-        is_first: whether it is the first of its connection, so that it tells what it holds.
-        version: that the proxy says it runs; with complete sets.
-        held_versions: by name, of what the proxy says it holds; with deltas.
-        nonce: of the response that this answers; empty: of none.
+        is_first: whether it is the first of its connection, so that it states what the proxy holds.
+        version: the version that the proxy states it runs; with complete sets.
+        held_versions: the versions by name that the proxy states it holds; with deltas.
+        nonce: the nonce of the response that this answers; empty: none.
         error: why the proxy rejected that response; empty: it applied it.
         subscribe: names that it wants from now on.
         unsubscribe: names that it does not want any more.
@@ -43,7 +43,7 @@
 
     Attributes:
         resource_set: what the proxy holds once it has applied this.
-        nonce: that the proxy's answer names.
+        nonce: the nonce that the proxy's answer names.
         base: the set that `delta` starts from, where one response serves many proxies.
         delta: what changes; None: the complete set is sent.
     """
--- a/willowhook/versions/offers.py
+++ b/willowhook/versions/offers.py
@@ -31,7 +31,7 @@
         wanted: by type, what the proxy is to run in the end.
         current: by type, what it is offered now.
         names: by type, the names that it subscribes to; None: all.
-        floors: by type, a version that it says it runs, of a set that is not kept any more.
+        floors: by type, the version that the proxy states it runs, of a set that is no longer kept.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         self._excluded = excluded
 
     def renew(self) -> None:
-        """Makes all that is wanted anew, under the era that has begun. Nothing is offered until `settle`."""
+        """Makes all wanted sets again under the era that has begun. Nothing is offered until `settle`."""
         for sets in (self.wanted, self._held.initial):
             for kind, resources in list(sets.items()):
                 sets[kind] = self._store.make_set(kind, resources.bodies().items())
@@ -86,7 +86,7 @@
             return
         resources = self._rejections.replace(kind, staged)
         if kind == ROUTES and not resources:
-            return  # it rejected them and has none of ours: it goes on with what it has
+            return  # it rejected them and has none of ours: it keeps its own
         names = self.names[kind]
         if names is not None:
             resources = {name: each for name, each in resources.items() if name in names}
--- a/willowhook/versions/rejections.py
+++ b/willowhook/versions/rejections.py
@@ -1,7 +1,7 @@
-"""What one proxy rejected, or was halted for all proxies, and what it is offered in its place.
+"""The resources that one proxy rejected, or that were halted for all proxies, and their replacements.
 
-A resource that a proxy rejected is not offered to it again. Of several that were rejected together it is
-found out which: they become suspects, and each is offered alone.
+A resource that a proxy rejected is not offered to it again. If several were rejected together, they become
+suspects, and each is offered alone to find the faulty one.
 """
 
 from __future__ import annotations
@@ -56,7 +56,7 @@
 
         Args:
             kind: the resource type.
-            nonce: of the response.
+            nonce: the nonce of the response.
             error: why, in the proxy's words.
             offered: what the proxy is offered now, by name.
 
--- a/willowhook/versions/resources.py
+++ b/willowhook/versions/resources.py
@@ -19,7 +19,7 @@
 
 MAX_ERA = 1 << 60  # of a version that a proxy reports; more is no version of ours
 MAX_VERSION_LENGTH = 40  # characters
-ERAS_PER_RUN = 1 << 20  # an era is a count of runs and, below it, a salt that tells runs of one count apart
+ERAS_PER_RUN = 1 << 20  # an era is a count of runs and, below it, a salt that distinguishes runs of one count
 MAX_CACHED_DELTAS = 2000
 
 
@@ -48,7 +48,7 @@
 
 
 def first_era(run: int, salt: int) -> int:
-    """Returns the era of a run; `salt` tells it from another that counted the same, as after a lost disk."""
+    """Returns the era of a run; `salt` distinguishes runs with the same count, as after a lost disk."""
     return run * ERAS_PER_RUN + salt % ERAS_PER_RUN
 
 
@@ -62,7 +62,7 @@
 
     Attributes:
         kind: its type, one of `KINDS`.
-        name: of the resource.
+        name: the name of the resource.
         order: its version.
         body: its JSON.
         references: names of the resources that it refers to; None: not worked out yet.
@@ -90,7 +90,7 @@
     Attributes:
         kind: their type, one of `KINDS`.
         order: the version of the set.
-        resources: by name.
+        resources: the resources by name.
     """
 
     __slots__ = ("__weakref__", "kind", "order", "resources")
@@ -124,12 +124,12 @@
 
 
 class ResourceStore:
-    """Makes resources and sets, and gives the same object for the same content.
+    """Makes resources and sets, and returns the same object for the same content.
 
     Resources and sets live as long as somebody holds them.
 
     Attributes:
-        era: of this run, above those of the runs before.
+        era: the era of this run, above those of earlier runs.
     """
 
     def __init__(self, era: int, max_cached_deltas: int = MAX_CACHED_DELTAS) -> None:
--- a/willowhook/versions/rollout.py
+++ b/willowhook/versions/rollout.py
@@ -39,13 +39,13 @@
 
     Attributes:
         mode: when contents are staged.
-        max_rejected_fraction: of the proxies that answered; more halt a content.
+        max_rejected_fraction: the fraction of the proxies that answered; if more reject, a content is halted.
         min_rejections: fewer never halt a content, except by a canary.
-        canary_fraction: of the proxies that use a unit, how many are canaries.
-        settle_ticks: for so long canaries run a content before the others get it.
-        canary_patience_ticks: after so long without an answer of a canary the others get it.
+        canary_fraction: the fraction of the proxies that use a unit that are canaries.
+        settle_ticks: the time for which canaries run a content before the others get it.
+        canary_patience_ticks: the time without an answer of a canary after which the others get it.
         max_failure_increase: how much larger a fraction of attempts may fail at canaries than at others.
-        min_attempts: by fewer, failures tell nothing.
+        min_attempts: with fewer attempts, failures are not compared.
     """
 
     mode: RolloutMode = RolloutMode.AFTER_REJECTION
@@ -62,10 +62,10 @@
     """Who carries out the decisions of a rollout."""
 
     def handle_halted(self, unit: Unit, bad: Content, good: Content | None, cause: str) -> None:
-        """Takes `bad` back from the proxies that run it; they get `good`, if there is such a content."""
+        """Rolls back the proxies that run `bad`; they get `good`, if there is such a content."""
 
     def handle_released(self, unit: Unit) -> None:
-        """Gives the newest content to all proxies."""
+        """Sends the newest content to all proxies."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -160,7 +160,7 @@
             self._halt(now, unit, track, content, f"{counts} rejected it: {cause}")
 
     def record_requests(self, now: int, proxy: int, attempts: int, failures: int) -> None:
-        """Takes what a proxy met with its requests, since it last reported."""
+        """Adds the attempts of a proxy since its last report."""
         sums = self._requests.get(proxy)
         if sums is None:
             sums = self._requests[proxy] = WindowedSums(TICKS_PER_SECOND, REQUEST_WINDOW_SECONDS, 2)
@@ -235,7 +235,7 @@
         return track
 
     def _update_good(self, track: UnitTrack, content: Content | None, state: ContentState) -> None:
-        """Takes a content for good everywhere, if all but a few applied it, and all have got so far."""
+        """Marks a content as good everywhere, if all but a few applied it and no proxy is behind it."""
         if content is None or content in track.halted or state.awaiting or not state.acknowledged:
             return
         good = track.contents.get(track.good) if track.good is not None else None
@@ -253,7 +253,7 @@
         return count >= self._settings.min_rejections and count > limit
 
     def _compare_failures(self, now: int, track: UnitTrack) -> str:
-        """Says how much worse requests go at canaries than at others; empty if they do not."""
+        """Describes how many more attempts fail at canaries than at others; empty if no more fail."""
         canaries = self._attempts(now, [proxy for proxy in track.current if proxy in track.canaries])
         others = self._attempts(now, [proxy for proxy in track.current if proxy not in track.canaries])
         if min(canaries.count, others.count) < self._settings.min_attempts:
@@ -268,7 +268,7 @@
         )
 
     def _attempts(self, now: int, proxies: list[int]) -> _Attempts:
-        """What these proxies met since canaries run the content, as far as it is remembered."""
+        """The attempts of these proxies since canaries run the content, within the window that is kept."""
         seconds = max(1, min(REQUEST_WINDOW_SECONDS, self._settings.settle_ticks // TICKS_PER_SECOND))
         count = 0.0
         failures = 0.0
--- a/willowhook/versions/rollout_track.py
+++ b/willowhook/versions/rollout_track.py
@@ -19,9 +19,9 @@
     """One content of a unit.
 
     Attributes:
-        order: rises with each content that is offered for the first time.
+        order: a number that rises with each content that is offered for the first time.
         acknowledged: proxies that applied it.
-        rejected: proxies that did not, with the cause that they told.
+        rejected: proxies that rejected it, with the cause that they stated.
         awaiting: proxies that were offered it last and have not answered.
         current_count: the proxies that were offered it last.
     """
@@ -43,7 +43,7 @@
     """One unit.
 
     Attributes:
-        contents: that are remembered.
+        contents: the contents that are remembered.
         current: by proxy, the content that it was offered last.
         good: the newest content that is good everywhere; None: none was yet.
         halted: contents that are not offered any more, with the cause.
@@ -51,7 +51,7 @@
         canaries: the proxies that get new contents first, in this stage.
         stage_began_at: the tick at which this stage began.
         canary_answered_at: when the first canary applied the new content; None: none has yet.
-        stage_count: rises with each stage.
+        stage_count: the number of stages so far.
         released: in the mode that always stages, the content that all may have.
     """
 
@@ -75,7 +75,7 @@
         return max(orders, key=orders.__getitem__) if orders else None
 
     def rejecting_proxies(self) -> list[int]:
-        """Returns who rejected any remembered content; the newest rejections last."""
+        """Returns the proxies that rejected any remembered content; the newest rejections last."""
         return [proxy for state in self.contents.values() for proxy in state.rejected]
 
     def add_content(self, content: Content, order: int) -> ContentState:
--- a/willowhook/versions/version_tracker.py
+++ b/willowhook/versions/version_tracker.py
@@ -15,7 +15,7 @@
 
 
 class VersionState(StrEnum):
-    """How sure it is what a proxy runs. The values are those of records and of the status page."""
+    """How certain a proxy's version is. The values are those of records and of the status page."""
 
     UNKNOWN = "unknown"
     ACKNOWLEDGED = "acknowledged"
@@ -34,7 +34,7 @@
         in_flight: by nonce, the sets that were sent and not answered.
         reported: versions by name that it joined with, until it acknowledges a set of ours.
         rejected: by name, resources that are not to be sent to it again.
-        errors: by name, why it rejected a resource, in its words.
+        errors: by name, the reason that it stated for rejecting a resource.
         is_connection_lost: whether the connection ended with something in flight.
         previous: by name, what a resource of `known` replaced.
     """
@@ -50,7 +50,7 @@
 
     @property
     def state(self) -> VersionState:
-        """How sure it is what the proxy runs."""
+        """How certain it is which version the proxy runs."""
         if self.in_flight:
             return VersionState.CONNECTION_LOST if self.is_connection_lost else VersionState.SENT
         if self.rejected:
@@ -64,7 +64,7 @@
 
     @property
     def delta_base(self) -> ResourceSet | dict[str, str]:
-        """What a delta may be told against: the known set, or versions that the proxy reported."""
+        """The base of a delta: the known set, or the versions that the proxy reported."""
         return self.known if self.known is not None else self.reported
 
     def holds(self, resource: Resource) -> bool:
