--- a/willowhook/controlplane/channel.py
+++ b/willowhook/controlplane/channel.py
@@ -13,6 +13,8 @@
 from ..ticks import TICKS_PER_SECOND
 from .proxy_state import UpdateMessage
 
+LOW_QUEUE_DIVISOR = 6  # the queue is low up to its limit divided by this
+
 
 class Departure(NamedTuple):
     """A message that has left the channel, and whether its proxy stayed within the message cap."""
@@ -21,8 +23,13 @@
     is_within_cap: bool
 
 
-class UpdateChannel:
-    """The queue of messages that wait to leave, and the entries that left but were not fetched yet."""
+class RateLimitedChannel:
+    """The queue of messages that wait to leave, and the entries that left but have not been fetched.
+
+    Attributes:
+        peak_waiting_entries: the most entries that have ever waited at one time.
+        peak_messages_in_window: the most messages to one proxy within the window of the message cap.
+    """
 
     def __init__(self, settings: ChannelSettings) -> None:
         """Starts empty and idle."""
@@ -30,18 +37,23 @@
         self._entries_per_tick = settings.entries_per_second / TICKS_PER_SECOND
         self._queue: deque[UpdateMessage] = deque()
         self._queued_entries = 0
-        self._unfetched: dict[int, int] = {}  # by proxy: entries that left and wait for its next call
+        self._unfetched: dict[int, int] = {}  # by proxy: entries that wait for its next call
         self._unfetched_entries = 0
         self._idle_at = 0.0  # when the last departure ended
-        self._departures: dict[int, deque[int]] = {}  # by proxy, within the window of the cap
-        self.most_waiting_entries = 0
-        self.most_messages_in_window = 0
+        self._departures: dict[int, deque[int]] = {}  # by proxy, within the cap's window
+        self.peak_waiting_entries = 0
+        self.peak_messages_in_window = 0
 
     @property
     def waiting_entries(self) -> int:
         """Entries that wait to leave, or to be fetched."""
         return self._queued_entries + self._unfetched_entries
 
+    @property
+    def is_low(self) -> bool:
+        """Whether so few entries wait that messages that can wait may be queued too."""
+        return self.waiting_entries <= self._settings.queue_limit_entries / LOW_QUEUE_DIVISOR
+
     def hold_until_fetched(self, proxy: int, entries: int) -> None:
         """Counts entries that left until the proxy fetches them; they replace any that it did not fetch."""
         self.release_fetched(proxy)
@@ -58,7 +70,7 @@
             self._idle_at = max(self._idle_at, message.ordered_at)
         self._queue.append(message)
         self._queued_entries += message.cost_entries
-        self.most_waiting_entries = max(self.most_waiting_entries, self.waiting_entries)
+        self.peak_waiting_entries = max(self.peak_waiting_entries, self.waiting_entries)
         return self.waiting_entries <= self._settings.queue_limit_entries
 
     def next_departure(self) -> float | None:
@@ -68,7 +80,7 @@
         return self._idle_at + self._queue[0].cost_entries / self._entries_per_tick
 
     def take(self, now: int) -> Departure | None:
-        """Takes out the first message if it has left by now; returns None if none has."""
+        """Removes and returns the first message if it has left by now; returns None if none has."""
         departed_at = self.next_departure()
         if departed_at is None or departed_at > now:
             return None
@@ -103,5 +115,5 @@
         departures.append(now)
         while departures[0] <= now - settings.message_cap_window_ticks:
             departures.popleft()
-        self.most_messages_in_window = max(self.most_messages_in_window, len(departures))
+        self.peak_messages_in_window = max(self.peak_messages_in_window, len(departures))
         return len(departures) <= settings.message_cap
--- a/willowhook/controlplane/proxy_session.py
+++ b/willowhook/controlplane/proxy_session.py
@@ -1,4 +1,4 @@
-"""What the publisher keeps of each joined proxy."""
+"""The state that the publisher keeps for each joined proxy."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from .proxy_state import UpdateMessage
 from .update_sinks import UpdateSink
 
-MAX_REMEMBERED_MESSAGES = 200  # of one proxy, whose contents are kept until they are acknowledged
+MAX_REMEMBERED_MESSAGES = 200  # for one proxy, with their contents, until they are acknowledged
 
 
 class RolloutContent(NamedTuple):
@@ -39,20 +39,20 @@
 
 
 class RewriteTimer(NamedTuple):
-    """When files that are not acknowledged are written again, and the pause in ticks that led there."""
+    """When unacknowledged files are written again, and the backoff before it in ticks."""
 
     due_at: int
     pause_ticks: int
 
 
 @dataclass(slots=True)
-class ProxySession:
-    """A joined proxy, as one to which updates go out.
+class PublisherSession:
+    """A joined proxy that updates are sent to.
 
     Attributes:
-        number: by which events and commands name it.
-        name: as in its own status.
-        term: counts its stays with controllers.
+        number: the number by which events and commands name the proxy.
+        name: the name in the status of the proxy.
+        term: the number of its session, counted over all controllers.
         initial: what it held when it joined.
         sink: where its updates go.
         uses_discovery: whether it calls the discovery server; otherwise it reads files.
@@ -63,7 +63,7 @@
         held: a message that validation holds back, if any.
         rewrite: when its files are written again, if they wait to be acknowledged.
         newest: the last message that left the channel, as it was ordered.
-        contents: by message, what the rollout let it carry.
+        contents: by message, the contents that the rollout chose for it.
         is_substituted: whether the last message carried another content than was ordered.
     """
 
@@ -101,19 +101,19 @@
 
 
 class SessionRegistry:
-    """All sessions, and which of them the publisher's loop has to look at."""
+    """All sessions, and those of them that the publisher's loop has to check."""
 
     def __init__(self) -> None:
         """Starts empty."""
-        self.by_number: dict[int, ProxySession] = {}
+        self.by_number: dict[int, PublisherSession] = {}
         self._open: dict[int, None] = {}
 
-    def mark_open(self, session: ProxySession) -> None:
+    def mark_open(self, session: PublisherSession) -> None:
         """Makes `open_sessions` return the session, as long as it is open."""
         self._open[session.number] = None
 
-    def open_sessions(self) -> list[ProxySession]:
-        """Returns the open sessions. They are few: a healthy fleet costs the loop nothing."""
+    def open_sessions(self) -> list[PublisherSession]:
+        """Returns the open sessions, which are few unless proxies or disks fail."""
         found = []
         for proxy in list(self._open):
             session = self.by_number.get(proxy)
--- a/willowhook/controlplane/publisher.py
+++ b/willowhook/controlplane/publisher.py
@@ -1,4 +1,4 @@
-"""The only way out for updates: messages leave the channel in turn, are validated, and are written.
+"""Sends all updates: messages leave the channel in turn, are validated, and are written.
 
 `Publisher` joins the parts and runs their loop:
 
@@ -6,7 +6,7 @@
 - `table_rollout`: which content of a table may go to which proxy,
 - `update_validator`: whether a message may go out now,
 - `update_writer`: files or answers, and files that are written again,
-- `acknowledgements`: what proxies say.
+- `acknowledgements`: the answers of proxies.
 """
 
 from __future__ import annotations
@@ -24,9 +24,9 @@
 from ..versions.resources import Resource, ResourceSet
 from ..versions.rollout import Rollout
 from .acknowledgements import Acknowledgements
-from .channel import UpdateChannel
+from .channel import RateLimitedChannel
 from .condition_log import Logger
-from .proxy_session import ProxySession, SessionRegistry
+from .proxy_session import PublisherSession, SessionRegistry
 from .proxy_state import ProxyStateBook, UpdateMessage
 from .publisher_context import PublisherContext
 from .publisher_listener import PublisherListener
@@ -46,7 +46,7 @@
 
 
 class Publisher:
-    """Takes update messages, brings them to their proxies, and follows the proxies' answers.
+    """Receives update messages, delivers them to their proxies, and handles the answers of the proxies.
 
     `run` is a task; all other methods are called by the deciding task.
     """
@@ -80,18 +80,18 @@
         self._write_retry_at = 0
 
     @property
-    def sessions(self) -> dict[int, ProxySession]:
+    def sessions(self) -> dict[int, PublisherSession]:
         """The joined proxies by number."""
         return self._registry.by_number
 
     @property
-    def channel(self) -> UpdateChannel:
+    def channel(self) -> RateLimitedChannel:
         """The channel in which messages wait."""
         return self._queue.channel
 
     @property
     def validation(self) -> ValidationContext:
-        """What update validation knows; it is changed through `update_validation`."""
+        """The state of update validation; it is changed through `update_validation`."""
         return self._validator.validation
 
     @property
@@ -110,7 +110,7 @@
 
     # Sessions.
 
-    def add_session(self, session: ProxySession) -> None:
+    def add_session(self, session: PublisherSession) -> None:
         """Registers a proxy that has joined."""
         self.sessions[session.number] = session
 
@@ -130,7 +130,7 @@
         self._queue.put(message)
 
     def wake(self) -> None:
-        """Makes the loop look at once for something to do."""
+        """Makes the loop run its next round at once."""
         self._woken.set()
 
     def update_validation(self, step: Callable[P, None], *args: P.args, **kwargs: P.kwargs) -> None:
@@ -138,7 +138,7 @@
         self._validator.update(step, *args, **kwargs)
 
     async def run(self) -> None:
-        """Brings messages to their proxies in turn, until it is cancelled."""
+        """Delivers messages to their proxies in turn, until it is cancelled."""
         while True:
             now = await self._publish_departed()
             if now >= self._write_retry_at:
@@ -168,8 +168,8 @@
             if session.unwritten is not None:
                 await self._publish(now, session, session.unwritten)
 
-    async def _publish(self, now: int, session: ProxySession, message: UpdateMessage) -> None:
-        """Writes what rollout and validation leave of a message; what cannot be written is tried again."""
+    async def _publish(self, now: int, session: PublisherSession, message: UpdateMessage) -> None:
+        """Writes what rollout and validation allow of a message; a failed write is retried."""
         staged = self._table_rollout.choose(now, session, message)
         waiting = self.channel.waiting_entries
         allowed = self._validator.validate(now, session, staged.message, waiting)
@@ -193,7 +193,7 @@
                 waits.append(self._write_retry_at - now)
         return min(waits)
 
-    # What proxies say.
+    # Answers of proxies.
 
     def handle_delivered(self, proxy: int) -> None:
         """Notes that a proxy that calls has fetched what waited for it."""
@@ -215,7 +215,7 @@
         """See `Acknowledgements.handle_part_acknowledged`."""
         self._acknowledgements.handle_part_acknowledged(now, proxy, resources)
 
-    def record_known_version(self, session: ProxySession, part: str, version: str, state: str) -> None:
+    def record_known_version(self, session: PublisherSession, part: str, version: str, state: str) -> None:
         """See `Acknowledgements.record_known_version`."""
         self._acknowledgements.record_known_version(session, part, version, state)
 
--- a/willowhook/controlplane/resource_renderer.py
+++ b/willowhook/controlplane/resource_renderer.py
@@ -14,39 +14,39 @@
 from ..config.deployment import SEMANTICS, ordered_paths
 from ..config.terms import ClosedTerms, PathTerms, RouteTerms, Terms
 from ..decisions.runtime import AdmissionLimit, RetryMode
-from ..membership.retries import publishable_retries
+from ..membership.retries import publishable_retries, stricter_retries
 from ..ticks import ticks_from_milliseconds
 from ..versions.resources import CLUSTERS, ROUTES, TABLES, Resource
 from ..xds import forms, tables
 from ..xds.codec import decode, encode
 from .proxy_resources import CONTROLLERS_RESOURCE, ROUTE_SET_NAME, ProxyResources, ResourcesByType
-from .proxy_state import ProxyView, TableState
+from .proxy_state import ProxyView, VersionedTable
 
-MAX_CACHED_BODIES = 5000  # routes and clusters; those of earlier admission limits pile up
-TABLE_FILE = "eds.json"  # where a cluster tells its proxy to read its table
+MAX_CACHED_BODIES = 5000  # of routes and clusters, also of earlier admission limits
+TABLE_FILE = "eds.json"  # the file from which a cluster's table is read
 
 Address = tuple[str, int, str]  # address, port, zone
 
 
 @dataclass(slots=True)
 class _Rendering:
-    """The resources of one proxy as far as they are rendered."""
+    """The resources of one proxy that have been rendered so far."""
 
     assignments: dict[str, bytes] = field(default_factory=dict)
     clusters: dict[str, bytes] = field(default_factory=dict)
     entries: list[bytes] = field(default_factory=list)
-    initial_routes: set[str] = field(default_factory=set)  # taken over from what the proxy joined with
+    initial_routes: set[str] = field(default_factory=set)  # copied from what the proxy joined with
 
 
 class ResourceRenderer:
     """Renders views as resources and keeps the encoded bodies for the next proxy that needs the same."""
 
     def __init__(self, terms: Terms, epoch: int) -> None:
-        """`epoch` tells the resource names of this run from those of earlier ones."""
+        """`epoch` distinguishes the resource names of this run from those of earlier runs."""
         self._terms = terms
         self._prefix = f"{terms.name}.{epoch}"
         self._connect_timeout_ticks = ticks_from_milliseconds(terms.fleet.dial_ms)
-        self._bodies: dict[object, bytes] = {}  # of routes and clusters, by what is in them
+        self._bodies: dict[object, bytes] = {}  # of routes and clusters, by their content
         self._paths = ordered_paths(terms)
         self._addresses: Mapping[str, Address] = {}
         self._addresses_version = 0
@@ -104,7 +104,7 @@
         made: _Rendering,
         index: int,
         path: PathTerms | RouteTerms,
-        table: TableState,
+        table: VersionedTable,
         view: ProxyView,
     ) -> None:
         route = self._terms.routes[index]
@@ -131,19 +131,19 @@
         made.clusters[route.cluster_name] = route.cluster
         made.entries += [encode(entry) for entry in route.entries]
 
-    def _admission(self, index: int, table: TableState) -> AdmissionLimit:
-        """The ordered limit, within the caps of the configuration."""
+    def _admission(self, index: int, table: VersionedTable) -> AdmissionLimit:
+        """Returns the ordered limit, within the caps of the configuration."""
         route = self._terms.routes[index]
         fleet = self._terms.fleet
         ordered = table.limits.get(index, AdmissionLimit(RetryMode(fleet.usual_tries), inf))
         limit = ordered.limit
         if route.most_per_s and fleet.admit == "rps":
             limit = min(limit, route.most_per_s)
-        return AdmissionLimit(RetryMode(min(ordered.retries, route.tries)), limit)
+        return AdmissionLimit(RetryMode(stricter_retries(ordered.retries, route.tries)), limit)
 
     # Bodies.
 
-    def _assignment(self, name: str, table: TableState, view: ProxyView) -> bytes:
+    def _assignment(self, name: str, table: VersionedTable, view: ProxyView) -> bytes:
         excluded = tuple(endpoint for endpoint in table.weights if endpoint in view.excluded)
         key = (excluded, self._addresses_version)
         body = table.encoded.get(key)
@@ -159,7 +159,7 @@
 
     @staticmethod
     def _with_exclusions(table: forms.ClusterLoadAssignment, excluded: Collection[str]) -> bytes:
-        """A table that the proxy joined with: this controller has told it of nothing but exclusions."""
+        """Returns a table that the proxy joined with, to which this controller only adds exclusions."""
         lines = [
             (endpoint, address, port, zone, weight, endpoint in excluded or is_draining)
             for endpoint, address, port, zone, weight, is_draining in tables.lines(table)
--- a/willowhook/controlplane/table_rollout.py
+++ b/willowhook/controlplane/table_rollout.py
@@ -1,7 +1,7 @@
-"""Staged rollout of tables: a content that was halted, or is still tried at a few proxies, is replaced.
+"""Staged rollout of tables: a content that was halted, or may go only to canaries yet, is replaced.
 
-In its place goes the last content that was good everywhere. `willowhook.versions.rollout` decides; here its
-decisions are applied to messages, and proxies that were given something else are sent their state again.
+It is replaced by the last content that was good everywhere. `willowhook.versions.rollout` decides; here its
+decisions are applied to messages, and proxies that were sent a replacement are sent their state again.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 from ..versions.resources import Resource
 from ..versions.rollout import Rollout, RolloutMode, RolloutSettings
 from ..versions.rollout_track import Content, Unit
-from .proxy_session import Contents, ProxySession, RolloutContent
-from .proxy_state import ProxyView, TableState, UpdateMessage
+from .proxy_session import Contents, PublisherSession, RolloutContent
+from .proxy_state import ProxyView, UpdateMessage, VersionedTable
 from .publisher_context import PublisherContext
 from .publisher_records import MAX_CAUSE_LENGTH
 from .update_queue import UpdateQueue
 from .update_sinks import HttpUpdateSink
 
-MAX_KEPT_TABLES = 400  # contents that may be gone back to
+MAX_KEPT_TABLES = 400  # contents that a rollback may return to
 MAX_REJECTED_RESOURCES = 1000
 
 
@@ -72,7 +72,7 @@
         queue: UpdateQueue,
         wake: Callable[[], None],
     ) -> None:
-        """`queue` takes what is sent again; `wake` is called when there is something to send."""
+        """`queue` receives what is sent again; `wake` is called when there is something to send."""
         self.rollout = Rollout(settings, self)
         self._message_overhead = message_overhead(channel_settings)
         self._queue = queue
@@ -81,16 +81,16 @@
         self._listener = context.listener
         self._records = context.records
         self._log = context.log
-        self._tables: dict[Content, TableState] = {}  # that may be gone back to
+        self._tables: dict[Content, VersionedTable] = {}  # that a rollback may return to
         self._rejected: dict[tuple[Unit, Content], Resource] = {}
         self._resend: dict[int, None] = {}  # proxies that are to be sent their state again
 
     # Choice.
 
-    def choose(self, now: int, session: ProxySession, message: UpdateMessage) -> StagedMessage:
+    def choose(self, now: int, session: PublisherSession, message: UpdateMessage) -> StagedMessage:
         """Replaces the tables of a message that its proxy may not have now."""
         view = message.view
-        bound: dict[int, TableState] = {}
+        bound: dict[int, VersionedTable] = {}
         contents: dict[Unit, Content] = {}
         for route, table in view.bound.items():
             bound[route], content = self._choose_table(now, session, table, view)
@@ -102,8 +102,8 @@
         return StagedMessage(replace(message, view=replace(view, bound=bound)), chosen)
 
     def _choose_table(
-        self, now: int, session: ProxySession, table: TableState, view: ProxyView
-    ) -> tuple[TableState, Content]:
+        self, now: int, session: PublisherSession, table: VersionedTable, view: ProxyView
+    ) -> tuple[VersionedTable, Content]:
         unit = table_unit(table.number)
         content = self.rollout.choose(now, session.number, unit, table.version)
         if content is not None and content != table.version and content in self._tables:
@@ -113,7 +113,7 @@
         self._keep(table)
         return table, table.version
 
-    def _keep(self, table: TableState) -> None:
+    def _keep(self, table: VersionedTable) -> None:
         if table.version in self._tables:
             return
         self._tables[table.version] = table
@@ -122,7 +122,9 @@
             used = {content for track in tracks for content in (*track.contents, track.good)}
             self._tables = {content: kept for content, kept in self._tables.items() if content in used}
 
-    def _make_usable(self, good: TableState, new: TableState, view: ProxyView) -> TableState | None:
+    def _make_usable(
+        self, good: VersionedTable, new: VersionedTable, view: ProxyView
+    ) -> VersionedTable | None:
         """The good content without endpoints that were removed; None if it has none in service.
 
         The new content may be what brings the endpoints that are left, so it is not kept back then.
@@ -133,14 +135,14 @@
             return None
         if len(listed) == len(good.weights) and good.limits == new.limits:
             return good
-        usable = TableState(good.number, {name: good.weights[name] for name in listed}, new.limits)
+        usable = VersionedTable(good.number, {name: good.weights[name] for name in listed}, new.limits)
         usable.is_shared = True
         return usable
 
     # The rollout's decisions.
 
     def handle_halted(self, unit: Unit, bad: Content, good: Content | None, cause: str) -> None:
-        """Takes a content back from the proxies that run it."""
+        """Rolls back the proxies that run a content."""
         self._log.warning(
             "rollout halted",
             unit=str(unit),
@@ -161,7 +163,7 @@
         self._wake()
 
     def handle_released(self, unit: Unit) -> None:
-        """Sends proxies that were given another content what was ordered."""
+        """Sends the ordered content to proxies that were sent another one."""
         self._records.record_released(self._listener.now(), unit)
         for session in self._sessions.by_number.values():
             if session.is_substituted:
@@ -191,7 +193,7 @@
         self._resend.pop(proxy, None)
 
     def queue_resends(self, now: int) -> None:
-        """Queues resends as long as the queue has room for them."""
+        """Queues resends as long as the queue is low."""
         for proxy in list(self._resend):
             if not self._queue.has_room_for_resends:
                 return
@@ -204,7 +206,7 @@
         entries = {table.number: len(table.weights) for table in view.bound.values()}
         return self._message_overhead + sum(entries.values())
 
-    # What proxies say.
+    # Answers of proxies.
 
     def record_sent(self, now: int, proxy: int, contents: Contents) -> None:
         """Notes that contents go out to a proxy."""
--- a/willowhook/controlplane/update_sinks.py
+++ b/willowhook/controlplane/update_sinks.py
@@ -21,7 +21,7 @@
 
 
 class UpdateSink(Protocol):
-    """Takes the updates of one proxy.
+    """Receives the updates of one proxy.
 
     Attributes:
         may_block: whether what `prepare` and `prepare_rewrite` return may wait for a disk.
@@ -53,9 +53,11 @@
 class FileUpdateSink:
     """A folder of files. A file whose resources are as before keeps its version, so it is not swapped."""
 
-    def __init__(self, shelf: Shelf, store: ResourceStore, term: int, epoch: int, may_block: bool) -> None:
+    def __init__(
+        self, file_writer: Shelf, store: ResourceStore, term: int, epoch: int, may_block: bool
+    ) -> None:
         """`term` and `epoch` are the first two parts of the versions in its files."""
-        self.shelf = shelf
+        self.file_writer = file_writer
         self.may_block = may_block
         self._store = store
         self._term = term
@@ -80,20 +82,20 @@
         self, number: int, resources: ResourcesByType, excluded: frozenset[str]
     ) -> Callable[[], bool]:
         """See `UpdateSink.prepare`."""
-        return partial(self.shelf.put, self.files(number, resources))
+        return partial(self.file_writer.put, self.files(number, resources))
 
     def prepare_rewrite(self) -> Callable[[], bool]:
         """See `UpdateSink.prepare_rewrite`; the files are written whole."""
-        files = self.shelf.held
-        self.shelf.held = {}
-        return partial(self.shelf.put, files) if files else _write_nothing
+        files = self.file_writer.held
+        self.file_writer.held = {}
+        return partial(self.file_writer.put, files) if files else _write_nothing
 
     def send_away(self, resource: bytes) -> None:
         """See `UpdateSink.send_away`."""
         self._send_away_resource = resource
 
     def close(self) -> None:
-        """Does nothing: whoever made the folder clears it."""
+        """Does nothing: the component that made the folder removes it."""
 
     def _with_send_away(self, kind: str, rows: list[tuple[str, bytes]]) -> list[tuple[str, bytes]]:
         if kind != TABLES or not self._send_away_resource:
@@ -144,7 +146,7 @@
         self.is_sent_away = True
 
     def close(self) -> None:
-        """Ends the call that waits."""
+        """Ends the call that is waiting."""
         self._notify(self.session)
 
 
--- a/willowhook/controlplane/validation_context.py
+++ b/willowhook/controlplane/validation_context.py
@@ -1,4 +1,4 @@
-"""What update validation has to know: endpoints, proxies, and the effect of each message.
+"""The state that update validation needs: endpoints, proxies, and the effect of each message.
 
 `ValidationContext` keeps the validator's world up to date and turns messages into its candidates.
 """
@@ -14,18 +14,18 @@
 from ..ticks import TICKS_PER_SECOND
 from ..validation.model import (
     Candidate,
-    Endpoint,
     EndpointMode,
     ProxyTables,
     RouteConstraints,
     UpdateVersion,
+    ValidatedEndpoint,
     ValidationSettings,
 )
 from ..validation.validator import Validator
 from ..validation.verdict import Verdict
 from ..validation.world import World
 from .proxy_resources import ProxyResources
-from .proxy_state import UNVERSIONED, ProxyView, TableState, UpdateMessage
+from .proxy_state import UNVERSIONED, ProxyView, UpdateMessage, VersionedTable
 
 MAX_LEARNT_CAPACITY = 2.5  # times the mean: a wrong estimate must not open an endpoint's budget wide
 MIN_RATE_CHANGE = 0.2  # of the rate before; smaller ones are not followed, as each moves a proxy's class
@@ -42,10 +42,10 @@
     """Returns the settings of validation.
 
     Args:
-        settings: of the deployment.
-        cold_budget_fraction: of an endpoint's slow-start budget, what tables may use.
+        settings: the settings of the deployment.
+        cold_budget_fraction: the fraction of an endpoint's slow-start budget that tables may use.
         max_share_factor: how many times its even share of all requests an endpoint may get.
-        capacity_per_second: requests by endpoint class, where it is configured.
+        capacity_per_second: the request rate that an endpoint can serve, by endpoint class, if configured.
     """
     rules = settings.rules
     channel = settings.channel
@@ -80,7 +80,7 @@
     """Keeps the validator's world, and asks the validator about messages."""
 
     def __init__(self, settings: DeploymentSettings, validation: ValidationSettings, shadow: bool) -> None:
-        """`shadow`: whether updates that fail pass all the same, marked as such."""
+        """`shadow`: whether updates that fail pass nevertheless, marked as such."""
         self._settings = settings
         self.world = World(validation)
         self.validator = Validator(self.world, shadow)
@@ -96,23 +96,25 @@
     # The world.
 
     def update_endpoints(self, now: int, hosts: list[Host], started_at: Callable[[Host], int]) -> None:
-        """Takes the complete endpoint list; `started_at` gives the tick of an endpoint's start."""
+        """Handles the complete endpoint list; `started_at` returns the tick of an endpoint's start."""
         self.world.endpoints.update_list(now, [self._endpoint(now, host, started_at(host)) for host in hosts])
 
-    def _endpoint(self, now: int, host: Host, started_at: int) -> Endpoint:
+    def _endpoint(self, now: int, host: Host, started_at: int) -> ValidatedEndpoint:
         capacity = 1.0
         if self._settings.lists_capacity:
             capacity = host.size
         elif host.id in self.world.endpoints.by_name:
             capacity = self.world.endpoints.by_name[host.id].capacity
         mode = EndpointMode.DRAINING if host.draining else EndpointMode.IN_SERVICE
-        return Endpoint(host.id, mode, now, started_at, capacity, host.kind, host.zone)
+        return ValidatedEndpoint(host.id, mode, now, started_at, capacity, host.kind, host.zone)
 
     def update_capacities(self, capacities: Mapping[str, float]) -> None:
-        """Takes the capacities that the decisions learnt, where the endpoint list tells none."""
+        """Sets the capacities that the decisions learnt, if the endpoint list states none."""
         if not self._settings.lists_capacity:
-            least = 1 / MAX_LEARNT_CAPACITY
-            bounded = {name: min(max(each, least), MAX_LEARNT_CAPACITY) for name, each in capacities.items()}
+            min_capacity = 1 / MAX_LEARNT_CAPACITY
+            bounded = {
+                name: min(max(each, min_capacity), MAX_LEARNT_CAPACITY) for name, each in capacities.items()
+            }
             self.world.endpoints.update_capacities(bounded)
 
     def add_proxy(self, proxy: int, zone: str, rate_per_second: float, initial: ProxyResources) -> None:
@@ -137,7 +139,7 @@
         self._unacknowledged.pop(proxy, None)
 
     def update_rate(self, proxy: int, route: int, rate_per_second: float) -> None:
-        """Takes the rate of a route's requests at a proxy, if it has changed enough."""
+        """Sets the rate of a route's requests at a proxy, if it has changed enough."""
         rates = self._rates_per_second.get(proxy)
         if rates is None:
             return
@@ -163,7 +165,7 @@
     # Messages.
 
     def effect_of(self, proxy: int, view: ProxyView) -> ProxyTables:
-        """Returns what a view makes its proxy hold; worked out once for all proxies with the same view."""
+        """Returns the tables that a view results in; computed once for all proxies with the same view."""
         key = self._content_key(view)
         if key is None:
             return self._make_tables(proxy, view, None)
@@ -176,7 +178,7 @@
         return tables
 
     def _content_key(self, view: ProxyView) -> tuple[int, ...] | None:
-        """The same for the same effect; None if it depends on what the proxy joined with."""
+        """Returns a key of the effect of a view; None if the effect depends on what the proxy joined with."""
         count = len(self._settings.routes)
         versions = [view.bound[route].version for route in range(count) if route in view.bound]
         if len(versions) < count or UNVERSIONED in versions:
@@ -217,8 +219,8 @@
     @staticmethod
     def first_step(view: ProxyView, verdict: Verdict) -> ProxyView:
         """Returns a view with the tables of the first step of a split."""
-        cut_tables: dict[int, TableState] = {}
-        bound: dict[int, TableState] = {}
+        cut_tables: dict[int, VersionedTable] = {}
+        bound: dict[int, VersionedTable] = {}
         for route, table in view.bound.items():
             if table.number not in cut_tables:
                 cut_tables[table.number] = _cut_table(table, route, verdict)
@@ -226,11 +228,11 @@
         return ProxyView(bound, view.excluded, view.is_sent_away)
 
 
-def _cut_table(table: TableState, route: int, verdict: Verdict) -> TableState:
+def _cut_table(table: VersionedTable, route: int, verdict: Verdict) -> VersionedTable:
     weights = dict(table.weights)
     for step in verdict.steps[::2]:  # each endpoint in slow start has a first step of its own
         for endpoint, weight in table.weights.items():
             weights[endpoint] = min(weights[endpoint], step.weights[route].get(endpoint, weight))
-    cut = TableState(table.number, weights, table.limits)
+    cut = VersionedTable(table.number, weights, table.limits)
     cut.is_shared = True
     return cut
--- a/willowhook/membership/version.py
+++ b/willowhook/membership/version.py
@@ -1,4 +1,4 @@
-"""The version of an update, by which a proxy tells what is newer and whose it is."""
+"""The version of an update, by which a proxy recognizes newer updates and the session that they are for."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from ..errors import WillowhookError
 
 NUMBERS = 3
-LONGEST_TEXT = 60  # characters
+MAX_TEXT_LENGTH = 60  # characters
 SHOWN_CHARACTERS = 60  # of a malformed version
 
 
@@ -21,8 +21,8 @@
 
     Attributes:
         term: the fencing term of the proxy that it is for.
-        epoch: of the controller: its starts in the folder that it writes to.
-        number: of the update, counted from the controller's start.
+        epoch: the epoch of the controller: the number of its starts in its folder.
+        number: the number of the update, counted from the controller's start.
     """
 
     term: int
@@ -38,7 +38,7 @@
     """Reads a version. Raises VersionError."""
     parts = text.split(".")
     are_numbers = all(part.isascii() and part.isdigit() for part in parts)
-    if len(parts) != NUMBERS or not are_numbers or len(text) > LONGEST_TEXT:
+    if len(parts) != NUMBERS or not are_numbers or len(text) > MAX_TEXT_LENGTH:
         raise VersionError(f"version {text[:SHOWN_CHARACTERS]!r} is no TERM.EPOCH.NUMBER")
     term, epoch, number = parts
     return Version(int(term), int(epoch), int(number))
--- a/willowhook/reports/quarantine.py
+++ b/willowhook/reports/quarantine.py
@@ -16,19 +16,19 @@
 FAULTS_IN_A_ROW = 3
 FAULTS_IN_WINDOW = 5
 FAULT_WINDOW_TICKS = 60 * TICKS_PER_SECOND
-SHORTEST_QUARANTINE_TICKS = 5 * TICKS_PER_SECOND
-LONGEST_QUARANTINE_TICKS = 60 * TICKS_PER_SECOND
+MIN_QUARANTINE_TICKS = 5 * TICKS_PER_SECOND
+MAX_QUARANTINE_TICKS = 60 * TICKS_PER_SECOND
 EVIDENCE_BYTES = 200
 
 
 class QuarantineListener(Protocol):
-    """Is told of the beginning and the end of each quarantine."""
+    """Is notified of the beginning and the end of each quarantine."""
 
     def quarantined(self, proxy: str, duration: int, cause: str, evidence: bytes) -> None:
-        """Says that reports of a proxy are left out for `duration` ticks."""
+        """Called when the reports of a proxy are left out for `duration` ticks."""
 
     def released(self, proxy: str) -> None:
-        """Says that reports of a proxy are processed again."""
+        """Called when the reports of a proxy are processed again."""
 
 
 @dataclass(slots=True)
@@ -43,13 +43,13 @@
     """Keeps the faults of each proxy.
 
     Attributes:
-        skipped: reports that were left out.
+        skipped: the number of reports that were left out.
     """
 
     def __init__(self, listener: QuarantineListener) -> None:
         """Starts without a fault."""
         self._listener = listener
-        self._records: dict[str, _FaultRecord] = {}  # of proxies with faults of late
+        self._records: dict[str, _FaultRecord] = {}  # by proxy, of those with recent faults
         self.skipped = 0
 
     def should_skip(self, now: int, proxy: str) -> bool:
@@ -72,8 +72,8 @@
             record.fault_times.popleft()
         is_due = record.in_a_row >= FAULTS_IN_A_ROW or len(record.fault_times) >= FAULTS_IN_WINDOW
         if record.quarantined_until is None and is_due:
-            doubled = max(SHORTEST_QUARANTINE_TICKS, 2 * record.duration)
-            record.duration = min(doubled, LONGEST_QUARANTINE_TICKS)
+            doubled = max(MIN_QUARANTINE_TICKS, 2 * record.duration)
+            record.duration = min(doubled, MAX_QUARANTINE_TICKS)
             record.quarantined_until = now + record.duration
             self._listener.quarantined(proxy, record.duration, cause, data[:EVIDENCE_BYTES])
 
--- a/willowhook/reports/read.py
+++ b/willowhook/reports/read.py
@@ -8,15 +8,15 @@
 from ..xds import forms
 from ..xds.codec import FormError, seconds
 from ..xds.orca import load
-from .sums import AttemptSums, ReportCells
+from .sums import ReportCells, ReportedAttempts
 
 LATENCY = "latency_seconds"  # the named metric that sums the latency of the attempts that succeeded
-MOST_REQUESTS = 1e9  # of one count; more is malformed
-MOST_METRIC = 1e12
-MOST_ROWS = 5_000  # endpoints of one report, over all clusters
-LONGEST_WINDOW_S = 3600
+MAX_REQUESTS = 1e9  # of one count; more is malformed
+MAX_METRIC = 1e12
+MAX_ROWS = 5_000  # endpoints of one report, over all clusters
+MAX_WINDOW_S = 3600
 LATEST_TIME_S = 1e12
-LONGEST_PROCESS = 64  # characters
+MAX_PROCESS_LENGTH = 64  # characters
 
 
 @dataclass(slots=True)
@@ -24,12 +24,12 @@
     """One load report.
 
     Attributes:
-        contents: what it says of attempts and of load, by endpoint.
-        requests: by route: requests and failures.
-        length: of the time that it covers, in ticks; 0: it says nothing of a cluster.
+        contents: the attempts and the load metrics by endpoint.
+        requests: requests and failures, by route.
+        length: the length of the time that it covers, in ticks; 0: it contains no cluster.
         process: names one run of the proxy's program.
-        since: the begin of that time by the proxy's clock, in ticks; -1: it tells no times.
-        until: its end; -1: it tells no times.
+        since: the beginning of that time by the proxy's clock, in ticks; -1: it states no times.
+        until: the end of that time; -1: it states no times.
     """
 
     contents: ReportCells = field(default_factory=ReportCells)
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class _CellSums:
-    """Of one endpoint and route."""
+    """Sums of one endpoint and route."""
 
     successes: int = 0
     failures: int = 0
@@ -52,14 +52,14 @@
 
 @dataclass(slots=True)
 class _MetricSums:
-    """Of one load metric of an endpoint."""
+    """Sums of one load metric of an endpoint."""
 
     total: float = 0.0
     count: float = 0.0
 
 
 def read(report: forms.LoadStatsRequest, routes: frozenset[str]) -> Report:
-    """Reads a report about these routes; what it says of others counts for none. Raises FormError."""
+    """Reads a report about these routes; attempts for other routes count for no route. Raises FormError."""
     return _ReportReader(routes).read(report)
 
 
@@ -83,7 +83,7 @@
             if attempts:
                 mean_latency_s = cell.latency_s / cell.timed if cell.timed else 0.0
                 latency_sum = mean_latency_s * cell.successes * TICKS_PER_SECOND
-                cells[key] = AttemptSums(attempts, cell.failures, latency_sum)
+                cells[key] = ReportedAttempts(attempts, cell.failures, latency_sum)
         self._report.contents.loads = self._loads()
         return self._report
 
@@ -95,15 +95,15 @@
             return
         if not (isinstance(since, int | float) and isinstance(until, int | float)):
             raise FormError("node.metadata.load_from and load_until are no numbers")
-        if not (0 <= since < until < LATEST_TIME_S and until - since <= LONGEST_WINDOW_S):
+        if not (0 <= since < until < LATEST_TIME_S and until - since <= MAX_WINDOW_S):
             raise FormError(f"node.metadata.load_from is {since:g} and load_until {until:g}")
         self._report.since = ticks_from_seconds(since)
         self._report.until = max(ticks_from_seconds(until), self._report.since + 1)
-        self._report.process = str(node.metadata.get("process", ""))[:LONGEST_PROCESS]
+        self._report.process = str(node.metadata.get("process", ""))[:MAX_PROCESS_LENGTH]
 
     def _read_cluster(self, cluster: forms.ClusterStats) -> None:
         self._report.length = ticks_from_seconds(seconds(cluster.load_report_interval))
-        if not 0 < self._report.length <= LONGEST_WINDOW_S * TICKS_PER_SECOND:
+        if not 0 < self._report.length <= MAX_WINDOW_S * TICKS_PER_SECOND:
             raise FormError(f"load_report_interval is {cluster.load_report_interval}")
         name = cluster.cluster_name.partition("@")[0]
         route = name if name in self._routes else ""
@@ -115,7 +115,7 @@
                 requests += row.total_successful_requests + row.total_error_requests
                 failures += row.total_error_requests
         dropped = cluster.total_dropped_requests
-        if not 0 <= dropped < MOST_REQUESTS:
+        if not 0 <= dropped < MAX_REQUESTS:
             raise FormError(f"{cluster.cluster_name}: {dropped} dropped")
         if route:
             old = self._report.requests.get(route, (0.0, 0.0))
@@ -123,11 +123,11 @@
 
     def _read_endpoint(self, cluster: str, route: str, row: forms.UpstreamEndpointStats) -> None:
         self._row_count += 1
-        if self._row_count > MOST_ROWS:
-            raise FormError(f"more than {MOST_ROWS} endpoints")
+        if self._row_count > MAX_ROWS:
+            raise FormError(f"more than {MAX_ROWS} endpoints")
         successes = row.total_successful_requests
         failures = row.total_error_requests
-        if not (0 <= successes < MOST_REQUESTS and 0 <= failures < MOST_REQUESTS):
+        if not (0 <= successes < MAX_REQUESTS and 0 <= failures < MAX_REQUESTS):
             raise FormError(f"{cluster}: {successes} answered and {failures} errors")
         socket = row.address.socket_address
         if socket is None:
@@ -147,7 +147,7 @@
             name = metric.metric_name
             count = metric.num_requests_finished_with_metric
             total = metric.total_metric_value
-            if not (0 <= count < MOST_REQUESTS and -MOST_METRIC < total < MOST_METRIC):
+            if not (0 <= count < MAX_REQUESTS and -MAX_METRIC < total < MAX_METRIC):
                 raise FormError(f"{cluster}: {name} of {total} over {count}")
             if name == LATENCY:
                 cell.latency_s += max(total, 0.0)
--- a/willowhook/reports/sample.py
+++ b/willowhook/reports/sample.py
@@ -1,9 +1,12 @@
-"""What a sample of one proxy's reports comes to: what each stands for, by the time covered or by count.
-
-A proxy that tells its times begins each report where the last one ended. So where some were dropped or
-replaced, it reported all the time from the latest end known before to the latest of the sample: the sample
-stands for that time, and a copy for none. What came after it is told by the next. Of proxies that tell no
-times each report stands for as many as arrived over their number. Times are ticks.
+"""Estimates the sums of all reports of one proxy from a sample, by the time covered or by count.
+
+A proxy that states its times begins each report where the last one ended. So if reports were dropped or
+replaced, the whole time from the latest end that was known before to the latest end in the sample was
+reported: the sums of the sample are scaled up to that time. Example: time is known up to 10 s, five reports
+of 1 s arrived, and those that end at 12 s and 15 s were kept. They cover 2 s of the 5 s since, so their sums
+are multiplied by 2.5. A copy of a report covers no new time and is not counted. If a proxy states no times,
+each report of the sample counts as the number that arrived divided by the number in the sample. Times are
+ticks.
 """
 
 from __future__ import annotations
@@ -13,27 +16,27 @@
 
 from ..ticks import TICKS_PER_SECOND
 from .read import Report
-from .sums import AttemptSums, Cell, ReportCells, combine_reports
+from .sums import Cell, ReportCells, ReportedAttempts, combine_reports
 from .windows import Covered, ReportWindows
 
-LONGEST_STRETCH_TICKS = 120 * TICKS_PER_SECOND  # that a sample stands for
+MAX_STRETCH_TICKS = 120 * TICKS_PER_SECOND  # the longest period that a sample represents
 ReceivedReport = tuple[int, int, Report]  # when it arrived, a hash of its bytes, and itself
 
 
 @dataclass(slots=True)
 class SampleSums:
-    """What all reports of one stretch of time come to, as estimated from the sample.
+    """The sums of all reports about one period of time, as estimated from the sample.
 
     Attributes:
         cells: attempts by endpoint and route.
         loads: load metrics by endpoint.
-        requests: and failures, by route.
-        since: the begin of the stretch, by this clock.
-        until: its end.
-        window: the time that the sums stand for.
+        requests: requests and failures, by route.
+        since: the beginning of the period, by this clock.
+        until: the end of the period.
+        window: the time that the sums represent.
     """
 
-    cells: dict[Cell, AttemptSums] = field(default_factory=dict)
+    cells: dict[Cell, ReportedAttempts] = field(default_factory=dict)
     loads: dict[str, dict[str, float]] = field(default_factory=dict)
     requests: dict[str, tuple[float, float]] = field(default_factory=dict)
     since: int = 0
@@ -55,7 +58,7 @@
         if part >= 1:
             return self.report.contents
         cells = {
-            cell: AttemptSums(sums.attempts * part, sums.failures * part, sums.latency_sum * part)
+            cell: ReportedAttempts(sums.attempts * part, sums.failures * part, sums.latency_sum * part)
             for cell, sums in self.report.contents.cells.items()
         }
         return ReportCells(cells, self.report.contents.loads)
@@ -72,11 +75,11 @@
     """Sums up a sample; None if none of it is new.
 
     Args:
-        now: in ticks.
-        proxy: its name.
-        windows: what of the proxy's time is counted already.
-        reports: all that arrived, or two drawn of them.
-        arrived: how many did.
+        now: the current tick.
+        proxy: the name of the proxy.
+        windows: the times of the proxy that are already counted.
+        reports: all reports that arrived, or two drawn from them.
+        arrived: the number of reports that arrived.
         has_gaps: whether reports may have been replaced in their place before they were read.
     """
     process, latest_end = windows.last_known(proxy)
@@ -90,11 +93,11 @@
         factor = arrived / len(reports)
     elif latest_end >= 0 and may_lack_some and all(report.process == process for report in timed):
         newest = max(report.until for report in timed)
-        factor = min(newest - latest_end, LONGEST_STRETCH_TICKS) / max(covered_ticks, 1.0)
-        if factor > 1:  # what was never read is told by these, and counts no more if it comes after all
+        factor = min(newest - latest_end, MAX_STRETCH_TICKS) / max(covered_ticks, 1.0)
+        if factor > 1:  # these represent the reports that were not read, which no longer count if they arrive
             windows.count(proxy, latest_end, newest)
     else:
-        factor = 1.0  # of another process, which told of nothing in between
+        factor = 1.0  # of another process, whose earlier reports are not known
     return _scale(new_reports, max(factor, 1.0), covered_ticks)
 
 
@@ -111,7 +114,7 @@
 
 
 def _scale(new_reports: Sequence[_NewReport], factor: float, covered_ticks: float) -> SampleSums:
-    """The sums of the sample, of which each report stands for `factor`."""
+    """Returns the sums of the sample, multiplied by `factor`."""
     sums = SampleSums(combine_reports([new.cells() for new in new_reports], factor))
     for new in new_reports:
         sums.loads.update(new.report.contents.loads)
--- a/willowhook/reports/sums.py
+++ b/willowhook/reports/sums.py
@@ -1,4 +1,4 @@
-"""What reports say, summed by endpoint, zone and route, with how sure each sum is.
+"""Sums of reports by endpoint, zone and route, with the uncertainty of each sum.
 
 The two reports that are kept of a proxy stand for `k`: each figure is `k / 2` times their sum. Its variance
 is estimated from the two, `k^2 (1 - 2/k) d^2 / 4` with `d` their difference (simple random sampling without
@@ -18,21 +18,21 @@
 
 from .fading import Decay, ForwardDecay
 
-STANDARD_ERRORS = 1.96  # of an interval that holds 95 of 100
+STANDARD_ERRORS = 1.96  # the half width of a 95 % confidence interval
 ROUNDING = 1e-9  # a count this little under a whole number is one
-MOST_PENDING = 50_000  # endpoints and zones; above it those without a whole attempt are dropped
-LEAST_SUCCESSES = 0.5  # for a mean latency
-LEAST_PENDING_ATTEMPTS = 0.5
+MAX_PENDING = 50_000  # endpoints and zones; above it those without a whole attempt are dropped
+MIN_SUCCESSES = 0.5  # for a mean latency
+MIN_PENDING_ATTEMPTS = 0.5
 
 
-class AttemptSums(NamedTuple):
-    """What reports say of the attempts at an endpoint for a route.
+class ReportedAttempts(NamedTuple):
+    """The reported attempts at an endpoint for a route.
 
     Attributes:
-        attempts: that have ended.
-        failures: among them.
-        latency_sum: over the attempts that succeeded, in ticks.
-        variance: of the attempts, where they are estimated from a sample; 0: they were counted.
+        attempts: the number of attempts that have ended.
+        failures: the number of failures among them.
+        latency_sum: the sum of the latencies of the attempts that succeeded, in ticks.
+        variance: the variance of the number of attempts, if it is estimated from a sample; 0: it was counted.
     """
 
     attempts: float
@@ -41,14 +41,14 @@
     variance: float = 0.0
 
 
-NO_ATTEMPTS = AttemptSums(0.0, 0.0, 0.0)
+NO_ATTEMPTS = ReportedAttempts(0.0, 0.0, 0.0)
 Cell = tuple[str, str]  # an endpoint (by address, or by name) and a route
 Loads = Mapping[str, dict[str, float]]  # by endpoint: load metrics by name
 
 
 @dataclass(frozen=True, slots=True)
 class Estimate:
-    """A figure and the half width of its interval of 95 of 100."""
+    """A value and the half width of its 95 % confidence interval."""
 
     value: float
     half_width: float
@@ -60,20 +60,20 @@
 
 @dataclass(slots=True)
 class ReportCells:
-    """What one report says.
+    """The contents of one report.
 
     Attributes:
         cells: attempts by endpoint and route.
         loads: load metrics by endpoint.
     """
 
-    cells: dict[Cell, AttemptSums] = field(default_factory=dict)
+    cells: dict[Cell, ReportedAttempts] = field(default_factory=dict)
     loads: dict[str, dict[str, float]] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class _DecayedSums:
-    """Of one endpoint, zone and route, as of the landmark."""
+    """Sums of one endpoint, zone and route, scaled to the landmark."""
 
     attempts: float = 0.0
     failures: float = 0.0
@@ -89,7 +89,7 @@
 
 @dataclass(slots=True)
 class _PendingSums:
-    """Of one endpoint and zone, since they were handed over last."""
+    """Sums of one endpoint and zone since they were last handed over."""
 
     attempts: float = 0.0
     failures: float = 0.0
@@ -98,12 +98,30 @@
     load: dict[str, float] = field(default_factory=dict)
 
 
-Heard = Callable[[str, str, int, int, int, int, dict[str, float]], None]
-"""Endpoint, zone, attempts, failures, mean latency, window and load metrics, handed over to the decisions."""
+class FlushedSums(NamedTuple):
+    """What reports said of an endpoint, seen from one zone, since the last flush.
+
+    Attributes:
+        endpoint: its name.
+        zone: the zone of the proxies that reported.
+        attempts: the number of attempts that ended.
+        failures: the number of failures among them.
+        mean_latency_ticks: the mean latency of the attempts that succeeded; 0: too few succeeded.
+        window_ticks: the longest time that one report covered.
+        load: the latest load metrics, by name.
+    """
+
+    endpoint: str
+    zone: str
+    attempts: int
+    failures: int
+    mean_latency_ticks: int
+    window_ticks: int
+    load: dict[str, float]
 
 
-def combine_reports(reports: Sequence[ReportCells], factor: float) -> dict[Cell, AttemptSums]:
-    """Sums over reports of which each stands for `factor` of them.
+def combine_reports(reports: Sequence[ReportCells], factor: float) -> dict[Cell, ReportedAttempts]:
+    """Sums reports, each of which represents `factor` reports.
 
     `reports` are all there are (`factor` 1), two drawn evenly, or one. Of one alone nothing is known of the
     rest: its count is taken for that of events that happen independently.
@@ -116,7 +134,7 @@
     }
 
 
-def _combine_cell(sample: Sequence[AttemptSums], factor: float) -> AttemptSums:
+def _combine_cell(sample: Sequence[ReportedAttempts], factor: float) -> ReportedAttempts:
     attempts, failures, latency_sum, _ = (factor * sum(column) for column in zip(*sample, strict=True))
     size = len(sample)
     variance = 0.0
@@ -127,13 +145,13 @@
         variance = population**2 * (1 - size / population) * spread / size
     elif factor > 1:
         variance = factor * (factor - 1) * sample[0].attempts
-    return AttemptSums(attempts, failures, latency_sum, variance)
+    return ReportedAttempts(attempts, failures, latency_sum, variance)
 
 
 class ReportSums:
     """Sums by endpoint, zone and route, for the decisions and for estimates."""
 
-    def __init__(self, half_life: int, hand_over: Heard) -> None:
+    def __init__(self, half_life: int, hand_over: Callable[[FlushedSums], None]) -> None:
         """Sums decay with this half-life and go to `hand_over` at each `flush`."""
         self._decay = Decay(half_life)
         self._forward_decay = ForwardDecay(half_life)
@@ -142,7 +160,7 @@
         self._pending: dict[tuple[str, str], _PendingSums] = {}
 
     def __len__(self) -> int:
-        """Endpoints, zones and routes of which there are sums."""
+        """The number of combinations of endpoint, zone and route that have sums."""
         return len(self._cells)
 
     def add(
@@ -151,7 +169,7 @@
         zone: str,
         since: int,
         until: int,
-        cells: Mapping[Cell, AttemptSums],
+        cells: Mapping[Cell, ReportedAttempts],
         loads: Loads,
     ) -> None:
         """Adds what happened evenly from `since` to `until`, by this clock, seen from a zone."""
@@ -179,20 +197,20 @@
                 self._pending[endpoint, zone].load = load
 
     def flush(self) -> int:
-        """Hands over all that is new; the number of calls."""
+        """Hands over all new sums; returns the number of calls."""
         count = 0
         for (endpoint, zone), pending in self._pending.items():
             count += self._flush_one(endpoint, zone, pending)
-        if len(self._pending) > MOST_PENDING:
+        if len(self._pending) > MAX_PENDING:
             self._pending = {
                 key: pending
                 for key, pending in self._pending.items()
-                if pending.attempts > LEAST_PENDING_ATTEMPTS
+                if pending.attempts > MIN_PENDING_ATTEMPTS
             }
         return count
 
     def estimate_attempts(self, now: int, endpoint: str, zone: str, route: str) -> Estimate:
-        """The decayed sum of attempts and how sure it is."""
+        """The decayed sum of attempts and its uncertainty."""
         sums = self._cells.get((endpoint, zone, route))
         if sums is None:
             return Estimate(0.0, 0.0)
@@ -201,7 +219,7 @@
         return Estimate(sums.attempts * scale, half_width)
 
     def keep(self, endpoints: frozenset[str]) -> None:
-        """Drops all of endpoints that are not among these."""
+        """Drops the sums of all other endpoints."""
         self._cells = {key: sums for key, sums in self._cells.items() if key[0] in endpoints}
         self._pending = {key: sums for key, sums in self._pending.items() if key[0] in endpoints}
 
@@ -219,8 +237,18 @@
         if not attempts:
             return 0
         successes = pending.attempts - pending.failures
-        mean_latency = round(pending.latency_sum / successes) if successes > LEAST_SUCCESSES else 0
-        self._hand_over(endpoint, zone, attempts, failures, mean_latency, pending.window, pending.load)
+        mean_latency = round(pending.latency_sum / successes) if successes > MIN_SUCCESSES else 0
+        self._hand_over(
+            FlushedSums(
+                endpoint=endpoint,
+                zone=zone,
+                attempts=attempts,
+                failures=failures,
+                mean_latency_ticks=mean_latency,
+                window_ticks=pending.window,
+                load=pending.load,
+            )
+        )
         pending.attempts -= attempts
         pending.failures -= failures
         pending.latency_sum = max(0.0, pending.latency_sum - mean_latency * (attempts - failures))
--- a/willowhook/validation/endpoints.py
+++ b/willowhook/validation/endpoints.py
@@ -4,30 +4,30 @@
 
 from collections.abc import Iterable, Mapping
 
-from .model import Endpoint, EndpointMode, ValidationSettings
+from .model import EndpointMode, ValidatedEndpoint, ValidationSettings
 
 
 class EndpointIndex:
     """All endpoints that were ever listed.
 
     Attributes:
-        by_name: with those that were removed. Whoever changes it directly calls `refresh`.
-        not_in_service: draining or removed, in the order of the list.
-        capacity_in_service: the sum over the endpoints in service.
-        list_version: rises with each list.
+        by_name: the endpoints by name, with removed ones. A caller that changes it directly calls `refresh`.
+        not_in_service: the endpoints that are draining or removed, in the order of the list.
+        capacity_in_service: the sum of the capacities of the endpoints in service.
+        list_version: a number that rises with each list.
     """
 
     def __init__(self, settings: ValidationSettings) -> None:
         """Starts without endpoints."""
         self._settings = settings
-        self.by_name: dict[str, Endpoint] = {}
+        self.by_name: dict[str, ValidatedEndpoint] = {}
         self.not_in_service: dict[str, None] = {}
         self.capacity_in_service = 0.0
         self.list_version = 0
-        self._may_be_cold: list[Endpoint] = []
+        self._may_be_cold: list[ValidatedEndpoint] = []
 
-    def update_list(self, now: int, endpoints: Iterable[Endpoint]) -> None:
-        """Takes the complete list: what is missing is removed. Sets `Endpoint.since` of each."""
+    def update_list(self, now: int, endpoints: Iterable[ValidatedEndpoint]) -> None:
+        """Handles the complete list; sets `since` of each endpoint. Missing ones count as removed."""
         listed: dict[str, None] = {}
         for endpoint in endpoints:
             listed[endpoint.name] = None
@@ -42,7 +42,7 @@
         self.refresh()
 
     def refresh(self) -> None:
-        """Works out what follows from the list."""
+        """Recomputes the values that depend on the list."""
         self.list_version += 1
         endpoints = self.by_name.values()
         self.not_in_service = {each.name: None for each in endpoints if not each.is_in_service}
@@ -50,7 +50,7 @@
         self._sum_capacity()
 
     def update_capacities(self, capacities: Mapping[str, float]) -> None:
-        """Takes relative capacities that were learnt, where the list tells none."""
+        """Sets relative capacities that were learnt, if the list states none."""
         for name, capacity in capacities.items():
             if name in self.by_name:
                 self.by_name[name].capacity = capacity
@@ -59,13 +59,13 @@
     def _sum_capacity(self) -> None:
         self.capacity_in_service = sum(each.capacity for each in self.by_name.values() if each.is_in_service)
 
-    def cold(self, now: int) -> list[Endpoint]:
+    def cold(self, now: int) -> list[ValidatedEndpoint]:
         """Returns the endpoints in service that are still warming up."""
         slow_start = self._settings.slow_start_ticks
         self._may_be_cold = [each for each in self._may_be_cold if now - each.started_at < slow_start]
         return self._may_be_cold
 
-    def warmth(self, now: int, endpoint: Endpoint) -> float:
+    def warmth(self, now: int, endpoint: ValidatedEndpoint) -> float:
         """Returns the fraction of its capacity that an endpoint has by now: slow start is linear."""
         settings = self._settings
         age = now - endpoint.started_at
@@ -74,11 +74,11 @@
         start = settings.slow_start_fraction
         return start + (1 - start) * max(age, 0) / settings.slow_start_ticks
 
-    def is_warm(self, now: int, endpoint: Endpoint) -> bool:
+    def is_warm(self, now: int, endpoint: ValidatedEndpoint) -> bool:
         """Whether an endpoint has all of its capacity."""
         return self.warmth(now, endpoint) >= 1
 
-    def may_serve(self, route: int, endpoint: Endpoint, zone: str) -> bool:
+    def may_serve(self, route: int, endpoint: ValidatedEndpoint, zone: str) -> bool:
         """Whether the route allows an endpoint to a proxy in this zone."""
         constraints = self._settings.routes[route]
         if constraints.same_zone_only and endpoint.zone != zone:
