--- a/tests/builders.py
+++ b/tests/builders.py
@@ -4,7 +4,7 @@
 
 import random
 from collections.abc import Sequence
-from dataclasses import dataclass, field, replace
+from dataclasses import dataclass, field
 from pathlib import Path
 
 from willowhook.decisions.channel import ChannelEstimate
@@ -42,8 +42,8 @@
     settings = SETTINGS
     for key, value in changes.items():
         outer, _, inner = key.partition("__")
-        changed = replace(getattr(settings, outer), **{inner: value}) if inner else value
-        settings = replace(settings, **{outer: changed})
+        changed = getattr(settings, outer)._replace(**{inner: value}) if inner else value
+        settings = settings._replace(**{outer: changed})
     return settings
 
 
--- a/tests/controlplane_fixtures.py
+++ b/tests/controlplane_fixtures.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import replace
 from typing import Any
 
 import structlog
@@ -115,7 +114,7 @@
     """A publisher with one proxy, whose loop is not run: each test takes the steps it needs."""
 
     def __init__(self, **channel: float) -> None:
-        self.settings = replace(SETTINGS, channel=replace(SETTINGS.channel, **channel))
+        self.settings = SETTINGS._replace(channel=SETTINGS.channel._replace(**channel))
         self.listener = RecordingListener()
         self.records = RecordingRecords()
         self.sink = FakeSink()
--- a/tests/decisions/test_channel.py
+++ b/tests/decisions/test_channel.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from dataclasses import replace
-
 from builders import SETTINGS
 
 from willowhook.decisions.channel import ChannelEstimate
@@ -12,7 +10,7 @@
 def joined_channel(proxies: int) -> ChannelEstimate:
     """A channel that carries 0.16 entries a tick, with an overhead of 7, to so many proxies."""
     changes = {"entries_per_second": 1600.0, "message_overhead_entries": 6.0, "max_delay_ticks": 4000}
-    channel = ChannelEstimate(replace(SETTINGS.channel, **changes), 0)
+    channel = ChannelEstimate(SETTINGS.channel._replace(**changes), 0)
     for proxy in range(proxies):
         channel.add_proxy(proxy)
     return channel
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from dataclasses import replace
-
 from builders import SETTINGS, settings_with
 
 from willowhook.decisions.fleet import FleetState, build_default_tables
@@ -28,7 +26,7 @@
 
 def test_default_tables_are_per_zone_for_a_route_that_stays_in_its_zone() -> None:
     read, save, book = SETTINGS.routes
-    settings = settings_with(routes=(read, replace(save, same_zone_only=True), book))
+    settings = settings_with(routes=(read, save._replace(same_zone_only=True), book))
     assert shapes(settings) == [(0, [0], None), (1, [1], "north"), (2, [1], "south"), (3, [2], None)]
 
 
--- a/tests/test_platform_messages.py
+++ b/tests/test_platform_messages.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from dataclasses import astuple
 from typing import Any
 
 import pytest
@@ -80,7 +79,7 @@
         event = DECODER.decode({**without_key, key: value}, 4)
     except MalformedFieldError:
         return
-    attributes = astuple(event)
+    attributes = tuple(event)
     assert all(type(each) in (int, float, str, bool) or each is None for each in attributes)
     assert all(each >= 0 for each in (*attributes, value) if isinstance(each, int | float))
     assert type(value) is type(valid[key]) or key == "load" or type(valid[key]) is float
--- a/tests/test_update_channel.py
+++ b/tests/test_update_channel.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from dataclasses import replace
-
 from controlplane_fixtures import SETTINGS
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -45,8 +43,7 @@
 
 
 def test_queue_limit_and_message_cap_breaches_are_reported() -> None:
-    limits = replace(
-        SETTINGS.channel,
+    limits = SETTINGS.channel._replace(
         queue_limit_entries=100,
         message_cap=2,
         message_cap_window_ticks=TICKS_PER_SECOND,
--- a/willowhook/decisions/events.py
+++ b/willowhook/decisions/events.py
@@ -7,8 +7,8 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 from enum import Enum
+from typing import NamedTuple
 
 
 class EndpointState(Enum):
@@ -30,8 +30,7 @@
     ABORTED = "aborted"
 
 
-@dataclass(frozen=True, slots=True)
-class ProxyJoined:
+class ProxyJoined(NamedTuple):
     """A proxy has opened a session with this controller.
 
     Attributes:
@@ -47,15 +46,13 @@
     is_fresh: bool
 
 
-@dataclass(frozen=True, slots=True)
-class ProxyLeft:
+class ProxyLeft(NamedTuple):
     """A proxy's session with this controller has ended."""
 
     proxy: int
 
 
-@dataclass(frozen=True, slots=True)
-class EndpointEntry:
+class EndpointEntry(NamedTuple):
     """One entry of the endpoint list.
 
     Attributes:
@@ -75,8 +72,7 @@
     zone: str
 
 
-@dataclass(frozen=True, slots=True)
-class EndpointListReceived:
+class EndpointListReceived(NamedTuple):
     """The endpoint list, or changes to it.
 
     Attributes:
@@ -88,13 +84,11 @@
     entries: tuple[EndpointEntry, ...]
 
 
-@dataclass(frozen=True, slots=True)
-class EndpointListLost:
+class EndpointListLost(NamedTuple):
     """Discovery did not answer, or not with an endpoint list."""
 
 
-@dataclass(frozen=True, slots=True)
-class EndpointReport:
+class EndpointReport(NamedTuple):
     """What proxies met at one endpoint since the last report.
 
     Attributes:
@@ -112,8 +106,7 @@
     cpu_utilization: float | None
 
 
-@dataclass(frozen=True, slots=True)
-class RequestReport:
+class RequestReport(NamedTuple):
     """The requests of one route that reached a proxy.
 
     Attributes:
@@ -129,8 +122,7 @@
     window_ticks: int
 
 
-@dataclass(frozen=True, slots=True)
-class HealthCheckCompleted:
+class HealthCheckCompleted(NamedTuple):
     """A health check that the controller asked for has ended.
 
     Attributes:
@@ -144,16 +136,14 @@
     cpu_utilization: float | None
 
 
-@dataclass(frozen=True, slots=True)
-class MessageAcknowledged:
+class MessageAcknowledged(NamedTuple):
     """A proxy has applied the message that carried this sync marker, and all before it."""
 
     proxy: int
     marker: int
 
 
-@dataclass(frozen=True, slots=True)
-class EvaluationDue:
+class EvaluationDue(NamedTuple):
     """The time of the periodic evaluation has come, as the controller asked for."""
 
 
--- a/willowhook/decisions/load.py
+++ b/willowhook/decisions/load.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from ..ticks import TICKS_PER_SECOND
 from .arithmetic import weighted_median
@@ -32,8 +32,7 @@
 SETTLING_INTERVALS = 10  # intervals after a start in which a rise only means that reports arrive
 
 
-@dataclass(frozen=True, slots=True)
-class LoadSample:
+class LoadSample(NamedTuple):
     """What one evaluation finds.
 
     Attributes:
--- a/willowhook/decisions/model.py
+++ b/willowhook/decisions/model.py
@@ -135,8 +135,7 @@
         return self.zone is None or self.zone == zone
 
 
-@dataclass(frozen=True, slots=True)
-class ProxySession:
+class ProxySession(NamedTuple):
     """A proxy that has joined.
 
     Attributes:
--- a/willowhook/decisions/runtime.py
+++ b/willowhook/decisions/runtime.py
@@ -3,9 +3,8 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
-from dataclasses import dataclass
 from enum import IntEnum
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 
 class RetryMode(IntEnum):
@@ -17,8 +16,7 @@
     TWICE_AFTER_ANY_FAILURE = 3
 
 
-@dataclass(frozen=True, slots=True)
-class AdmissionLimit:
+class AdmissionLimit(NamedTuple):
     """What proxies admit of a route, and when they retry it.
 
     Attributes:
--- a/willowhook/decisions/settings.py
+++ b/willowhook/decisions/settings.py
@@ -7,8 +7,8 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 from enum import Enum
+from typing import NamedTuple
 
 from .runtime import RetryMode
 
@@ -37,8 +37,7 @@
     NONE = "none"
 
 
-@dataclass(frozen=True, slots=True)
-class Route:
+class Route(NamedTuple):
     """A class of requests.
 
     Attributes:
@@ -62,8 +61,7 @@
     allowed_classes: tuple[str, ...]
 
 
-@dataclass(frozen=True, slots=True)
-class ChannelSettings:
+class ChannelSettings(NamedTuple):
     """The channel that carries a controller's updates to its proxies.
 
     Attributes:
@@ -87,8 +85,7 @@
     entry_price: float
 
 
-@dataclass(frozen=True, slots=True)
-class RuleSettings:
+class RuleSettings(NamedTuple):
     """The limits of the rules that a controller has to keep.
 
     Attributes:
@@ -108,8 +105,7 @@
     recovery_overload_factor: float
 
 
-@dataclass(frozen=True, slots=True)
-class FleetSettings:
+class FleetSettings(NamedTuple):
     """The fleet of proxies.
 
     Attributes:
@@ -134,8 +130,7 @@
     load_source: LoadSource
 
 
-@dataclass(frozen=True, slots=True)
-class DeploymentSettings:
+class DeploymentSettings(NamedTuple):
     """All that a controller is told of its deployment.
 
     Attributes:
--- a/willowhook/decisions/status.py
+++ b/willowhook/decisions/status.py
@@ -2,11 +2,10 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from typing import NamedTuple
 
 
-@dataclass(frozen=True, slots=True)
-class ControllerStatus:
+class ControllerStatus(NamedTuple):
     """What a controller believes now.
 
     Attributes:
--- a/willowhook/platform/messages.py
+++ b/willowhook/platform/messages.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from ..decisions.channel import MARKERS
 from ..decisions.events import EndpointReport, MessageAcknowledged, ProxyJoined, RequestReport
@@ -47,13 +47,11 @@
 REJECTION = encode_frame({"t": "reject"})
 
 
-@dataclass(frozen=True, slots=True)
-class Heartbeat:
+class Heartbeat(NamedTuple):
     """A peer checks whether the connection is alive; the answer is HEARTBEAT_REPLY."""
 
 
-@dataclass(frozen=True, slots=True)
-class CollectorJoined:
+class CollectorJoined(NamedTuple):
     """A collector, which sends endpoint reports, has identified itself.
 
     Attributes:
--- a/willowhook/platform/server.py
+++ b/willowhook/platform/server.py
@@ -40,7 +40,7 @@
         self, configuration: ControllerConfiguration, read_again: ReadConfiguration, write_log: WriteLog
     ) -> None:
         # the protocol has no health checks, and its proxies keep exclusions when they join another controller
-        settings = replace(configuration.settings, health_checks=False, exclusions_outlive_sessions=True)
+        settings = configuration.settings._replace(health_checks=False, exclusions_outlive_sessions=True)
         configuration = replace(configuration, settings=settings)
         self._list_on_request = settings.list_on_request
         self._write_log = write_log
