--- a/willowhook/decisions/admission.py
+++ b/willowhook/decisions/admission.py
@@ -5,8 +5,8 @@
 so each step starts from that one. The admitted work goes to routes by priority per latency objective; each
 keeps a floor. What is not let in is shed at once.
 
-The retry budget: one retry while everything is let in, none while load is shed, as a retry is one more
-request for a full fleet.
+The retry budget: one retry from an admitted fraction of 1 on, none below it, as a retry is one more request
+for a full fleet. Between 1 and `OPEN_FRACTION` limits are still in force and a retry is allowed.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 # The control step. The gains are multiples of the gap to the wanted fraction, covered in one feedback time.
 FALL_GAIN = 5.0
-RISE_GAIN = 4.0  # lower than the way down: shedding too little costs more than shedding too long
+RISE_GAIN = 4.0
 MAX_GROWTH = 1.5  # factor by which the admitted fraction may grow in one feedback time
 MAX_FEEDBACK_TICKS = 30 * EVALUATION_INTERVAL_TICKS  # as far back as the fractions are kept
 HISTORY_INTERVALS = 32
--- a/willowhook/decisions/endpoint_list.py
+++ b/willowhook/decisions/endpoint_list.py
@@ -11,7 +11,7 @@
 FIRST_BACKOFF_TICKS = TICKS_PER_SECOND
 BACKOFFS_PER_POLL = 3  # maximum backoff = discovery_poll_ticks / 3
 STARTED_FACTOR = 0.5  # latency factor of a newly started endpoint
-FORGET_AFTER_TICKS = 30 * TICKS_PER_SECOND  # after its exclusion; far longer than a proxy waits for a table
+FORGET_AFTER_TICKS = 30 * TICKS_PER_SECOND  # after its exclusion
 INITIAL_LISTS = 2  # the saved copy and the first answer: endpoints named there are not new
 REFETCH_DIVISOR = 4  # a doubted list is fetched again after this part of the drain grace
 MIN_JITTER = 0.5  # factor on the backoff
--- a/willowhook/decisions/load.py
+++ b/willowhook/decisions/load.py
@@ -19,9 +19,9 @@
 from .windows import IntervalHistory, WindowedSums
 
 MAX_LOAD_AGE_TICKS = 5 * TICKS_PER_SECOND  # how long a reported utilization counts
-LATE_FRACTION = 0.45  # share of the latency objective; under it, as a limit shows only seconds later
+LATE_FRACTION = 0.45  # share of the latency objective from which responses count as late
 IDLE_UTILIZATION = 0.65  # below it, late responses are not taken for overload
-HIGH_UTILIZATION = 0.88  # busy, with a reserve for bursts; assumed where nothing reports load
+HIGH_UTILIZATION = 0.88  # share of cores in use; also assumed where nothing reports load
 CALM_UTILIZATION = 0.5  # below it, before the first reports, attempts count as successful
 MIN_WEIGHT_FRACTION = 0.1  # least slow-start fraction with which a reporting endpoint counts in the mean
 MIN_UTILIZATION = 0.1
--- a/willowhook/decisions/subsets.py
+++ b/willowhook/decisions/subsets.py
@@ -16,7 +16,7 @@
 from .update_cost import BIND_ENTRIES
 from .weights import EndpointWeights
 
-MIN_ENDPOINTS = 2  # endpoints in a subset table, so that one may fail
+MIN_ENDPOINTS = 2  # endpoints in a subset table
 FIRST_CONNECTION_LIMIT_TICKS = 30 * TICKS_PER_SECOND
 REFUSED_SUCCESS_FRACTION = 0.4  # below it, idle endpoints that answer in time refuse connections
 TABLE_OVERHEAD_ENTRIES = BIND_ENTRIES + 1  # estimated cost of a bind without its entries; one in reserve
