--- a/willowhook/decisions/endpoint_list.py
+++ b/willowhook/decisions/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: what it changes, when it is doubted, and when it is requested again."""
+"""Endpoint list handling: applies received lists, rejects implausible removals, and requests lists again."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 FIRST_BACKOFF_TICKS = TICKS_PER_SECOND
 BACKOFFS_PER_POLL = 3  # maximum backoff = discovery_poll_ticks / 3
-STARTED_FACTOR = 0.5  # latency factor of a newly started endpoint
-FORGET_AFTER_TICKS = 30 * TICKS_PER_SECOND  # after its exclusion
-INITIAL_LISTS = 2  # the saved copy and the first answer: endpoints named there are not new
-REFETCH_DIVISOR = 4  # a doubted list is fetched again after this part of the drain grace
-MIN_JITTER = 0.5  # factor on the backoff
-MAX_JITTER = 1.5
+INITIAL_LATENCY_FACTOR = 0.5  # latency factor of a newly started endpoint
+FORGET_AFTER_TICKS = 30 * TICKS_PER_SECOND  # time after its exclusion when a removed endpoint is dropped
+INITIAL_LISTS = 2  # the saved copy and the first response: their endpoints do not count as new
+REFETCH_DIVISOR = 4  # refetch interval of an implausible list = drain grace / 4
+MIN_JITTER = 0.5  # smallest factor on the backoff
+MAX_JITTER = 1.5  # largest factor on the backoff
 
 
 class EndpointListTracker:
-    """Handles endpoint lists, and requests them from discovery."""
+    """Applies endpoint lists and requests them from service discovery."""
 
     def __init__(self, context: ControllerContext, exclusions: EndpointExclusions) -> None:
         self._fleet = context.fleet
@@ -28,14 +28,14 @@
         self._exclusions = exclusions
         self._bucket_ticks = context.bucket_ticks
         self._rules = context.settings.rules
-        self._lists = 0
+        self._received_lists = 0
         self._backoff_ticks = FIRST_BACKOFF_TICKS
         self._watch_at: int | None = context.started_at if context.settings.list_on_request else None
         self._refetch_at: int | None = None
 
     def handle_list(self, now: int, event: EndpointListReceived) -> None:
-        """Applies a complete list, or changes to it."""
-        self._lists += 1
+        """Applies a complete list, or a set of changes to the list."""
+        self._received_lists += 1
         self._backoff_ticks = FIRST_BACKOFF_TICKS
         for entry in event.entries:
             self._update_endpoint(now, entry)
@@ -44,27 +44,27 @@
             self._remove_missing(now, {entry.name for entry in event.entries})
 
     def handle_loss(self, now: int) -> None:
-        """Discovery did not answer: requests the list again after a backoff with jitter."""
-        longest = MAX_JITTER * self._backoff_ticks / TICKS_PER_SECOND
-        self._runtime.log(f"endpoint list lost retry_within_seconds={longest:g}")
+        """Handles a failed request for the list: requests it again after a backoff with jitter."""
+        max_wait_seconds = MAX_JITTER * self._backoff_ticks / TICKS_PER_SECOND
+        self._runtime.log(f"endpoint list lost retry_within_seconds={max_wait_seconds:g}")
         self._watch_at = now + int(self._backoff_ticks * (MIN_JITTER + self._random_fraction()))
-        limit = max(self._rules.discovery_poll_ticks // BACKOFFS_PER_POLL, FIRST_BACKOFF_TICKS)
-        self._backoff_ticks = min(2 * self._backoff_ticks, limit)
+        max_backoff_ticks = max(self._rules.discovery_poll_ticks // BACKOFFS_PER_POLL, FIRST_BACKOFF_TICKS)
+        self._backoff_ticks = min(2 * self._backoff_ticks, max_backoff_ticks)
 
     def watch_if_due(self, now: int) -> None:
-        """Requests the list and its changes when that is due."""
+        """Requests the list and its later changes if a request is due."""
         if self._watch_at is not None and self._watch_at <= now:
             self._runtime.watch_endpoints()
             self._watch_at = None
 
     def refetch_if_due(self, now: int) -> None:
-        """Requests the complete list while the last one is doubted."""
+        """Requests the complete list again, at intervals, while the last one was implausible."""
         if self._refetch_at is not None and now >= self._refetch_at:
             self._refetch_at = now + self._refetch_ticks
             self._runtime.fetch_endpoint_list()
 
     def forget_removed(self, now: int) -> None:
-        """Drops endpoints that are removed for good, once no table here can hold an entry for them."""
+        """Drops removed endpoints some time after their exclusion, once no table has an entry for them."""
         removed = [
             endpoint.name
             for endpoint in self._fleet.endpoints.values()
@@ -86,33 +86,34 @@
         endpoint = self._fleet.endpoints.get(entry.name)
         if endpoint is None:
             endpoint = Endpoint(entry.name, self._bucket_ticks)
-            endpoint.is_new = self._lists > INITIAL_LISTS
+            endpoint.is_new = self._received_lists > INITIAL_LISTS
             self._fleet.endpoints[entry.name] = endpoint
         if entry.started_at != endpoint.started_at and now - entry.started_at < self._rules.slow_start_ticks:
-            self._note_restart(endpoint, entry)
+            self._reset_after_restart(endpoint, entry)
         if self._fleet.settings.lists_capacity:
             endpoint.capacity = entry.listed_weight
         endpoint.set_state(entry.state)
         endpoint.started_at = entry.started_at
         endpoint.endpoint_class = entry.endpoint_class
         endpoint.zone = entry.zone
-        self._exclusions.note_change(now, entry.name)
+        self._exclusions.record_change(now, entry.name)
 
     @staticmethod
-    def _note_restart(endpoint: Endpoint, entry: EndpointEntry) -> None:
-        """Resets what belongs to the process before this one."""
+    def _reset_after_restart(endpoint: Endpoint, entry: EndpointEntry) -> None:
+        """Resets the state that was learnt from the previous process of a restarted endpoint."""
         endpoint.forget_attempts()
-        endpoint.latency_factor = STARTED_FACTOR
+        endpoint.latency_factor = INITIAL_LATENCY_FACTOR
         endpoint.is_ejected = False
         endpoint.ejection_ticks = 0
         stayed_in_service = endpoint.is_in_service and entry.state is EndpointState.IN_SERVICE
         endpoint.restarted_in_service = stayed_in_service and not endpoint.is_excluded
 
     def _remove_missing(self, now: int, listed: set[str]) -> None:
-        """Removes endpoints that a complete list lacks, unless it lacks most of them.
+        """Removes endpoints that a complete list lacks, unless it lacks most of those in service.
 
-        Discovery may lose its entries without an error. Then only endpoints that answer no requests any more
-        count as removed, and the complete list is requested again.
+        Service discovery may lose entries without reporting an error. A list that lacks most endpoints in
+        service is therefore implausible: of those, only the ones without recent attempts or with at least
+        half of their attempts failed are removed, and the complete list is requested again.
         """
         missing = [name for name in self._fleet.endpoints if name not in listed]
         if not missing:
@@ -128,8 +129,8 @@
             ]
             self._refetch_at = now + self._refetch_ticks
             self._runtime.log(
-                f"endpoint list doubted listed={len(listed)} in_service={len(sums)} removed={len(missing)}"
+                f"endpoint list implausible listed={len(listed)} in_service={len(sums)} removed={len(missing)}"
             )
         for name in missing:
             self._fleet.endpoints[name].set_state(EndpointState.REMOVED)
-            self._exclusions.note_change(now, name)
+            self._exclusions.record_change(now, name)
--- a/willowhook/decisions/events.py
+++ b/willowhook/decisions/events.py
@@ -1,8 +1,8 @@
-"""What happens to a controller, as typed events.
+"""The input events of a `Controller`.
 
-The platform server, the simulator's adapter and the file control plane make these from what they read; a
-`Controller` handles them. Proxies are named by their number, endpoints by their name, routes by their name in
-reports. Times are ticks.
+The platform server, the simulator's adapter and the file control plane create these from their inputs.
+Proxies are identified by number, endpoints by name, and routes by their name in load reports. Times are in
+ticks.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class EndpointState(Enum):
-    """Where an endpoint stands in its life, as the endpoint list says."""
+    """Lifecycle state of an endpoint, as listed by service discovery."""
 
     IN_SERVICE = "in service"
     DRAINING = "draining"
@@ -20,7 +20,7 @@
 
 
 class HealthCheckOutcome(Enum):
-    """How a health check ended."""
+    """Result of a health check."""
 
     HEALTHY = "healthy"
     FAILED = "failed"
@@ -34,10 +34,10 @@
     """A proxy has opened a session with this controller.
 
     Attributes:
-        proxy: its number.
-        zone: its zone.
-        usual_rate_per_second: the rate of requests that usually reach it.
-        is_fresh: whether no controller has sent it a table since it started.
+        proxy: number of the proxy.
+        zone: zone of the proxy.
+        usual_rate_per_second: usual rate of requests at the proxy.
+        is_fresh: whether no controller has sent the proxy a table since it started.
     """
 
     proxy: int
@@ -56,12 +56,12 @@
     """One entry of the endpoint list.
 
     Attributes:
-        name: of the endpoint.
+        name: name of the endpoint.
         state: in service, draining or removed.
-        started_at: when its process started, in ticks; 0: long ago.
-        listed_weight: its share; it tells of its capacity if `DeploymentSettings.lists_capacity`.
-        endpoint_class: the kind of machine; routes may allow some only.
-        zone: where it is.
+        started_at: start time of its process, in ticks; 0 if it started long ago.
+        listed_weight: its listed weight; its capacity if `DeploymentSettings.lists_capacity` is set.
+        endpoint_class: its endpoint class, such as a machine type; routes may allow only some classes.
+        zone: zone of the endpoint.
     """
 
     name: str
@@ -73,10 +73,10 @@
 
 
 class EndpointListReceived(NamedTuple):
-    """The endpoint list, or changes to it.
+    """Service discovery has sent the endpoint list, or changes to it.
 
     Attributes:
-        is_complete: whether endpoints that have no entry are not listed any more.
+        is_complete: whether endpoints without an entry are no longer listed.
         entries: the entries, in the order of the list.
     """
 
@@ -85,18 +85,18 @@
 
 
 class EndpointListLost(NamedTuple):
-    """Discovery did not answer, or not with an endpoint list."""
+    """A request to service discovery returned no endpoint list."""
 
 
 class EndpointReport(NamedTuple):
-    """What proxies met at one endpoint since the last report.
+    """Outcomes of the attempts at one endpoint since the last report.
 
     Attributes:
-        endpoint: its name.
-        attempts: number of attempts that have ended.
-        failures: number of these that failed.
-        mean_latency_ticks: mean latency of those that succeeded.
-        cpu_utilization: share of its cores in use, as last reported; None: not reported.
+        endpoint: name of the endpoint.
+        attempts: number of completed attempts.
+        failures: number of failed attempts among these.
+        mean_latency_ticks: mean latency of the successful attempts.
+        cpu_utilization: share of its cores in use, as last reported; None if not reported.
     """
 
     endpoint: str
@@ -107,12 +107,12 @@
 
 
 class RequestReport(NamedTuple):
-    """The requests of one route that reached a proxy.
+    """Number of requests of one route that reached a proxy in a time window.
 
     Attributes:
-        proxy: its number.
-        route: the route's name.
-        requests: number of requests that reached it.
+        proxy: number of the proxy.
+        route: name of the route.
+        requests: number of requests that reached the proxy.
         window_ticks: length of the time window that the report covers.
     """
 
@@ -123,12 +123,12 @@
 
 
 class HealthCheckCompleted(NamedTuple):
-    """A health check that the controller asked for has ended.
+    """A health check requested by the controller has completed.
 
     Attributes:
-        endpoint: its name.
-        outcome: its result.
-        cpu_utilization: share of the cores in use, as the endpoint answered; None: not reported.
+        endpoint: name of the endpoint.
+        outcome: result of the check.
+        cpu_utilization: share of the cores in use, from the response; None if not reported.
     """
 
     endpoint: str
@@ -137,14 +137,14 @@
 
 
 class MessageAcknowledged(NamedTuple):
-    """A proxy has applied the message that carried this sync marker, and all before it."""
+    """A proxy has applied the message with this sync marker and all earlier messages."""
 
     proxy: int
     marker: int
 
 
 class EvaluationDue(NamedTuple):
-    """The time of the periodic evaluation has come, as the controller asked for."""
+    """A periodic evaluation that the controller scheduled is due."""
 
 
 Event = (
--- a/willowhook/decisions/exclusions.py
+++ b/willowhook/decisions/exclusions.py
@@ -1,21 +1,23 @@
-"""The rule on draining and removed endpoints: nothing is sent to them after the drain grace.
-
-An exclusion notifies a proxy not to use an endpoint, whatever its table says; the entry in the table is
-removed later. How a proxy is notified of an endpoint that drains or is removed:
-
-| proxy                                    | notified by                                              |
-| ---------------------------------------- | -------------------------------------------------------- |
-| bound here, its table has the endpoint   | the exclusion; while the queue is long, some gather      |
-| bound here, to another table or subset   | nothing: it holds no entry for the endpoint              |
-| joined, not bound yet                    | the exclusion, and a reminder of those before it joined  |
-| bound here later                         | the bind, which excludes what is out of its table        |
-| joined from another controller           | the same; readmissions.py takes back that one's own      |
-
-Under a message cap an exclusion does not wait for the spacing of messages when it is urgent: when the
-endpoint has restarted in service, or when half of the time that the grace leaves has passed.
-
-An endpoint that is in service again is readmitted at all proxies, with its present weight. A warming one
-waits until no proxy waits to be bound, as the tables that those hold know no slow start.
+"""Exclusion of draining and removed endpoints, which get no requests after the drain grace.
+
+An exclusion tells a proxy to stop using an endpoint, whatever its table says; the table entry is removed
+later.
+How a proxy learns that an endpoint drains or was removed:
+
+| proxy                                    | notified by                                                     |
+| ---------------------------------------- | --------------------------------------------------------------- |
+| bound here, its table has the endpoint   | the exclusion; batched with others while the queue is long      |
+| bound here, to another table or subset   | nothing: it has no entry for the endpoint                       |
+| joined, not bound yet                    | the exclusion, and a reminder of those from before it joined    |
+| bound here later                         | the bind, which excludes all endpoints outside its table        |
+| joined from another controller           | the same; readmissions.py reverts that controller's exclusions  |
+
+Under a message cap an urgent exclusion does not wait for the message spacing. It is urgent when the endpoint
+has restarted in service, or when half of the time that the drain grace leaves has passed.
+
+An endpoint that is back in service is readmitted at all proxies, with its current weight. The readmission of
+a warming endpoint waits until no proxy waits to be bound, because the tables of those proxies were made
+without its slow start.
 """
 
 from __future__ import annotations
@@ -31,12 +33,12 @@
 from .update_cost import UPDATE_ENTRIES
 from .weights import EndpointWeights
 
-LATE_DIVISOR = 2  # exclusions that have waited for this part of the grace are logged
-MAX_GATHERINGS = 3  # the most gathering times that exclusions wait while not all of them fit
+LATE_DIVISOR = 2  # exclusions count as late after drain grace / 2
+MAX_BATCH_INTERVALS = 3  # longest wait of exclusions for a batch while not all of them fit in the queue
 
 
 class EndpointExclusions:
-    """Excludes endpoints that drain or are removed, and readmits those that are back."""
+    """Excludes draining and removed endpoints, and readmits those that are back in service."""
 
     def __init__(
         self,
@@ -58,22 +60,22 @@
         self._urgent_after_ticks = urgent_after_ticks(grace_ticks, context.settings.channel)
         self._late_after_ticks = grace_ticks // LATE_DIVISOR
         self._has_logged_late = False
-        self._changed: dict[str, int] = {}  # endpoints that may have to be excluded or readmitted, since when
+        self._changed: dict[str, int] = {}  # time of change of endpoints to check
 
-    def note_change(self, now: int, endpoint: str) -> None:
-        """An endpoint was listed, or is missing: it may have to be excluded or readmitted."""
+    def record_change(self, now: int, endpoint: str) -> None:
+        """Records an endpoint that was listed or is missing, to be excluded or readmitted if needed."""
         self._changed.setdefault(endpoint, now)
 
     def forget_endpoint(self, endpoint: str) -> None:
-        """An endpoint is gone for good."""
+        """Drops a removed endpoint."""
         self._changed.pop(endpoint, None)
 
     def has_pending_exclusions(self) -> bool:
-        """Whether changed endpoints are not excluded yet: binds and table updates then wait."""
+        """Whether changed endpoints are not excluded yet; binds and table updates wait for them."""
         return any(not self._fleet.endpoints[name].is_excluded for name in self._changed)
 
     def log_if_late(self, now: int) -> None:
-        """Logs that exclusions wait for long, and what is ahead of them; once until none is late."""
+        """Logs late exclusions and the state of the queue, once until no exclusion is late."""
         waits = [
             now - self._changed[endpoint.name] for endpoint in self._due_changes() if not endpoint.is_excluded
         ]
@@ -88,19 +90,19 @@
         self._has_logged_late = is_late
 
     def send(self, now: int) -> None:
-        """Sends exclusions, the oldest first, then readmissions, as far as they fit in the queue."""
+        """Sends exclusions, oldest first, then readmissions, as far as they fit in the queue."""
         self._send(now, self._due_changes(), with_readmissions=True)
 
     def send_urgent(self, now: int) -> None:
-        """Sends exclusions if one of them is urgent; readmissions wait."""
+        """Sends the pending exclusions, but no readmissions, if one exclusion is urgent."""
         due = self._due_changes()
         if any(self._is_urgent(now, endpoint) for endpoint in due):
             self._send(now, due, with_readmissions=False)
 
     def _send(self, now: int, due: list[Endpoint], *, with_readmissions: bool) -> None:
-        left: dict[str, int] = {}
+        unsent: dict[str, int] = {}
         is_queue_long = self._channel.queue_estimate() >= self._limits.for_binds()
-        is_gathering = is_queue_long and self._should_gather(now, due)
+        is_batching = is_queue_long and self._should_batch(now, due)
         for endpoint in due:
             if endpoint.is_excluded:
                 may_send = with_readmissions and not self._must_wait(now, endpoint, is_queue_long)
@@ -108,58 +110,63 @@
             elif endpoint.restarted_in_service and self._can_send_weights_alone():
                 is_sent = self._send_weights(now, endpoint)
             else:
-                is_sent = not is_gathering and self._exclude(now, endpoint)
+                is_sent = not is_batching and self._exclude(now, endpoint)
             if not is_sent:
-                left[endpoint.name] = self._changed[endpoint.name]
-            elif endpoint.restarted_in_service:  # it was excluded only to be readmitted with its new weight
+                unsent[endpoint.name] = self._changed[endpoint.name]
+            elif (
+                endpoint.restarted_in_service
+            ):  # excluded only so that its readmission carries its new weight
                 endpoint.restarted_in_service = False
-                left[endpoint.name] = now
-        self._changed = left
+                unsent[endpoint.name] = now
+        self._changed = unsent
 
     def holders(self, endpoint: str) -> list[int]:
-        """The proxies that may use an endpoint: all that wait to be bound, and the users of its tables.
+        """Returns the proxies that may use an endpoint: those waiting to be bound and users of its tables.
 
         The runtimes send exclusions to the same proxies (`platform/proxy_updates.py`,
-        `controlplane/proxy_state.py`), so that the estimated and the real cost agree.
+        `controlplane/proxy_state.py`), so that the estimated cost matches the actual cost.
         """
         tables = self._fleet.tables_with(endpoint)
         users = [proxy for table in tables for proxy in self._fleet.users(table)]
         return [*dict.fromkeys([*self._pending_binds, *users])]
 
     def _due_changes(self) -> list[Endpoint]:
-        """Endpoints that are not as they should be: those to exclude first, each in order of time."""
+        """Returns the endpoints to exclude, then those to readmit, each by time of last exclusion change."""
         changed = [self._fleet.endpoints[name] for name in self._changed]
         due = [endpoint for endpoint in changed if endpoint.is_excluded == _is_usable(endpoint)]
         return sorted(due, key=lambda endpoint: (endpoint.is_excluded, endpoint.exclusion_changed_at))
 
     def _is_urgent(self, now: int, endpoint: Endpoint) -> bool:
-        """Whether an exclusion may not wait for the next ordinary message."""
+        """Whether an endpoint has to be excluded before the next regular message."""
         if endpoint.is_excluded:
             return False
         return endpoint.restarted_in_service or now - self._changed[endpoint.name] >= self._urgent_after_ticks
 
     def _can_send_weights_alone(self) -> bool:
-        """Whether a restart is told by weights: under a cap the readmission might wait for a whole window.
+        """Whether a restart can be announced by weights alone, without an exclusion and a readmission.
 
-        The tables of proxies that wait to be bound are not known here: they need the exclusion.
+        Under a message cap the readmission might wait for an entire window of the cap. Proxies that wait to
+        be bound need the exclusion, as their tables are not known here.
         """
         return self._channel.message_cap.is_limited and not len(self._pending_binds)
 
-    def _should_gather(self, now: int, due: list[Endpoint]) -> bool:
-        """Whether exclusions wait a little for more: a message costs more than its entry."""
+    def _should_batch(self, now: int, due: list[Endpoint]) -> bool:
+        """Whether exclusions wait to be batched, as the overhead of a message costs more than one entry."""
         waiting = [endpoint for endpoint in due if not endpoint.is_excluded]
         age_ticks = max((now - self._changed[endpoint.name] for endpoint in waiting), default=0)
-        gatherings = age_ticks * EXCLUSION_GATHER_DIVISOR // self._fleet.settings.rules.drain_grace_ticks
-        if gatherings < 1:
+        elapsed_intervals = (
+            age_ticks * EXCLUSION_GATHER_DIVISOR // self._fleet.settings.rules.drain_grace_ticks
+        )
+        if elapsed_intervals < 1:
             return True
         if self._fits(self._cost_at_most(waiting)):
             return False
-        # not one by one as the queue drains: a message should carry as much as it costs
+        # no single exclusions while the queue drains: a message should carry as many entries as its overhead
         worth_a_message = waiting[: self._channel.overhead_entries]
-        return gatherings < MAX_GATHERINGS or not self._fits(self._cost_at_most(worth_a_message))
+        return elapsed_intervals < MAX_BATCH_INTERVALS or not self._fits(self._cost_at_most(worth_a_message))
 
     def _cost_at_most(self, endpoints: list[Endpoint]) -> int:
-        """What it costs at the most to exclude all of these at the proxies that may use them."""
+        """Returns the maximum cost of excluding all of these at the proxies that may use them."""
         waiting = [*self._pending_binds]
         entries = len(waiting) * len(endpoints)
         reached = set(waiting)
@@ -178,7 +185,10 @@
         return len(self._pending_binds) > 0 and self._slow_start.is_warming_up(now, endpoint)
 
     def _exclude(self, now: int, endpoint: Endpoint) -> bool:
-        """Excludes an endpoint at all proxies that may use it; False if the channel does not allow that."""
+        """Excludes an endpoint at all proxies that may use it.
+
+        Returns False if the queue limit or the message cap does not allow it.
+        """
         holders = self.holders(endpoint.name)
         if not self._can_send(now, holders, UPDATE_ENTRIES):
             return False
@@ -189,9 +199,10 @@
         return True
 
     def _readmit(self, now: int, endpoint: Endpoint) -> bool:
-        """Readmits an endpoint at all proxies, its weights first; False if the channel does not allow that.
+        """Readmits an endpoint at all proxies.
 
-        The weights come first, as those of the process before may be too much for the new one.
+        Its weights are sent first, because those of its previous process may overload the new one. Returns
+        False if the queue limit or the message cap does not allow it.
         """
         proxies = list(self._fleet.proxies)
         tables = self._fleet.tables_with(endpoint.name)
@@ -205,7 +216,7 @@
         return True
 
     def _send_weights(self, now: int, endpoint: Endpoint) -> bool:
-        """Sends the present weights of an endpoint; False if the channel does not allow that."""
+        """Sends the current weights of an endpoint; returns False if the channel does not allow it."""
         tables = self._fleet.tables_with(endpoint.name)
         users = [*dict.fromkeys(proxy for table in tables for proxy in self._fleet.users(table))]
         if not self._can_send(now, users, UPDATE_ENTRIES * len(tables)):
--- a/willowhook/decisions/fleet.py
+++ b/willowhook/decisions/fleet.py
@@ -1,23 +1,23 @@
-"""The state that the components share: endpoints, proxies, tables, and which proxy uses which table."""
+"""State shared by the components: endpoints, proxies, tables, and which proxy uses which table."""
 
 from __future__ import annotations
 
 from .model import Endpoint, EndpointTable, ProxySession
 from .settings import DeploymentSettings, Route
 
-ZONE_TABLES_FROM_PRICE = 0.05  # price of a cross-zone request from which each zone has its own tables
+ZONE_TABLES_MIN_PRICE = 0.05  # lowest price of a cross-zone request at which each zone has its own tables
 
 
 class FleetState:
-    """Endpoints, proxies and tables, as one controller holds them.
+    """Endpoints, proxies and tables known to one controller.
 
     Attributes:
-        settings: the deployment's.
-        endpoints: all that are or were listed, by name.
-        proxies: those that have joined, by number.
-        default_tables: one for each group of routes that allow the same endpoints, and zone where needed.
-        tables: the default tables, and the subset tables while there are any.
-        subset_of: by bound proxy, its subset; None: it uses the default tables.
+        settings: settings of the deployment.
+        endpoints: listed endpoints and those not yet dropped, by name.
+        proxies: sessions of the proxies that have joined, by proxy number.
+        default_tables: one for each group of routes that allow the same endpoints, and each zone if needed.
+        tables: the default tables and the subset tables, if any.
+        subset_of: subset of each bound proxy; None if it uses the default tables.
     """
 
     def __init__(self, settings: DeploymentSettings) -> None:
@@ -30,42 +30,42 @@
 
     @property
     def absent_proxies(self) -> int:
-        """Proxies of the deployment that have not joined here."""
+        """Number of proxies of the deployment that have not joined this controller."""
         return max(self.settings.fleet.proxy_count - len(self.proxies), 0)
 
     def remove_proxy(self, proxy: int) -> None:
-        """A proxy has left: it uses no table any more."""
+        """Removes a proxy that has left, and its binding."""
         self.proxies.pop(proxy, None)
         self.subset_of.pop(proxy, None)
 
     def users(self, table: EndpointTable) -> list[int]:
-        """The proxies that are bound to a table."""
+        """Returns the proxies that are bound to a table."""
         bound = self.subset_of.items()
         return [proxy for proxy, subset in bound if subset == table.subset and self.is_local(table, proxy)]
 
     def is_local(self, table: EndpointTable, proxy: int) -> bool:
-        """Whether a table is for the zone of this proxy."""
+        """Whether a table serves the zone of this proxy."""
         return table.is_for_zone(self.proxies[proxy].zone)
 
     def tables_for(self, proxy: int, subset: int | None) -> list[EndpointTable]:
-        """The tables that a proxy of this subset uses."""
+        """Returns the tables that a proxy of this subset uses."""
         return [table for table in self.tables if table.subset == subset and self.is_local(table, proxy)]
 
     def tables_with(self, endpoint: str) -> list[EndpointTable]:
-        """The tables that hold an entry for an endpoint."""
+        """Returns the tables with an entry for an endpoint."""
         return [table for table in self.tables if endpoint in table.entries]
 
     def has_subset_bindings(self) -> bool:
-        """Whether a proxy is still bound to tables of a subset."""
+        """Whether any proxy is bound to the tables of a subset."""
         return any(subset is not None for subset in self.subset_of.values())
 
     def has_only_excluded_entries(self, table: EndpointTable) -> bool:
-        """Whether no entry of a table is for an endpoint that proxies may use."""
+        """Whether all entries of a table are for excluded endpoints; True for an empty table."""
         return all(self.endpoints[name].is_excluded for name in table.entries)
 
     @staticmethod
     def is_eligible(table: EndpointTable, endpoint: Endpoint) -> bool:
-        """Whether an endpoint is in service and allowed in a table."""
+        """Whether an endpoint is in service and meets the requirements of a table."""
         requirements = table.requirements
         if not endpoint.is_in_service:
             return False
@@ -79,7 +79,7 @@
 
 
 def build_default_tables(settings: DeploymentSettings) -> list[EndpointTable]:
-    """One table for each group of routes that allow the same endpoints, and each zone where it matters."""
+    """Makes a table for each group of routes that allow the same endpoints, and for each zone if needed."""
     groups: dict[tuple[object, ...], list[int]] = {}
     zones: dict[tuple[object, ...], str | None] = {}
     for index, route in enumerate(settings.routes):
@@ -94,5 +94,5 @@
 
 
 def _table_zones(settings: DeploymentSettings, route: Route) -> tuple[str | None, ...]:
-    prefers_local = settings.fleet.cross_zone_price >= ZONE_TABLES_FROM_PRICE
+    prefers_local = settings.fleet.cross_zone_price >= ZONE_TABLES_MIN_PRICE
     return settings.zones if route.same_zone_only or prefers_local else (None,)
--- a/willowhook/decisions/health_checks.py
+++ b/willowhook/decisions/health_checks.py
@@ -1,7 +1,7 @@
-"""Active health checks: when to send them, and what their results tell of load.
+"""Active health checks: their schedule, and the utilization derived from their results.
 
-They are sent only where endpoints report their load with health checks. They tell of load and of partitions;
-whether an endpoint serves requests is judged by the requests (see outliers.py).
+They are sent only where endpoints report their load in health checks. Their results are used for utilization
+and for partition detection; failing endpoints are detected by their requests (see outliers.py).
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 
 INTERVAL_TICKS = 2 * TICKS_PER_SECOND
 BUSY_INTERVAL_TICKS = INTERVAL_TICKS // 2
-MISSED = frozenset({HealthCheckOutcome.TIMED_OUT, HealthCheckOutcome.UNREACHABLE})
-SATURATED_UTILIZATION = 1.0  # assumed of an overloaded endpoint that reports nothing
+MISSED_OUTCOMES = frozenset({HealthCheckOutcome.TIMED_OUT, HealthCheckOutcome.UNREACHABLE})
+SATURATED_UTILIZATION = 1.0  # assumed for an overloaded endpoint that reports no utilization
 
 
 class HealthChecks:
@@ -34,7 +34,7 @@
         self._shortest_objective_ticks = min(route.latency_objective_ticks for route in settings.routes)
 
     def send_due(self, now: int) -> None:
-        """Checks each endpoint in service whose next check is due."""
+        """Sends a health check to each endpoint in service whose next check is due."""
         if not self._is_enabled:
             return
         for endpoint in self._fleet.endpoints.values():
@@ -45,11 +45,11 @@
                 endpoint.next_health_check_at = now + int(interval * (0.5 + self._random_fraction()))
 
     def record(self, now: int, event: HealthCheckCompleted) -> None:
-        """Handles the result of a health check; that of an endpoint no longer known is ignored."""
+        """Handles the result of a health check; results of unknown endpoints are ignored."""
         endpoint = self._fleet.endpoints.get(event.endpoint)
         if endpoint is None:
             return
-        endpoint.missed_health_check = event.outcome in MISSED
+        endpoint.missed_health_check = event.outcome in MISSED_OUTCOMES
         if event.cpu_utilization is not None:
             endpoint.utilization = event.cpu_utilization
             endpoint.utilization_at = now
@@ -58,7 +58,10 @@
             endpoint.utilization_at = now
 
     def _is_overloaded(self, now: int, endpoint: Endpoint, outcome: HealthCheckOutcome) -> bool:
-        """A timeout tells of a full endpoint only if the requests that it answers are late too."""
+        """Whether a timed-out health check indicates overload.
+
+        It does only if successful requests are late too, or if no load has been evaluated yet.
+        """
         if outcome is not HealthCheckOutcome.TIMED_OUT:
             return False
         if endpoint.zone in self._partitions.unreachable_zones:
