--- a/willowhook/decisions/arithmetic.py
+++ b/willowhook/decisions/arithmetic.py
@@ -1,29 +1,31 @@
-"""Two figures that the standard library lacks: the weighted median, and an even allowance."""
+"""Weighted median and max-min fair allowance (water filling)."""
 
 from __future__ import annotations
 
 from itertools import accumulate
 
 
-def weighted_median(rows: list[tuple[float, float]]) -> float:
-    """The median of (value, weight) rows. There must be at least one."""
-    ordered = sorted(rows)
+def weighted_median(weighted_values: list[tuple[float, float]]) -> float:
+    """Returns the weighted median of (value, weight) pairs; raises `StopIteration` if there are none."""
+    ordered = sorted(weighted_values)
     half = sum(weight for _, weight in ordered) / 2
-    reached = accumulate(weight for _, weight in ordered)
-    return next(value for (value, _), so_far in zip(ordered, reached, strict=True) if so_far >= half)
+    cumulative_weights = accumulate(weight for _, weight in ordered)
+    return next(
+        value for (value, _), so_far in zip(ordered, cumulative_weights, strict=True) if so_far >= half
+    )
 
 
 def even_allowance(values: list[float], fraction: float) -> float:
-    """The allowance for each at which this fraction of the sum of all values is left.
+    """Returns the maximum per value at which this fraction of the sum of all values remains.
 
-    Values under the allowance stay whole, so the larger ones carry the cut (water filling). 0.0 if there
-    are no values.
+    Values below the allowance are not reduced; only larger ones are limited to it (max-min fairness, by water
+    filling). Returns 0.0 if there are no values.
     """
-    left = fraction * sum(values)
+    remaining_sum = fraction * sum(values)
     ordered = sorted(values)
     for index, value in enumerate(ordered):
-        remaining = len(ordered) - index
-        if value * remaining >= left:
-            return left / remaining
-        left -= value
+        remaining_count = len(ordered) - index
+        if value * remaining_count >= remaining_sum:
+            return remaining_sum / remaining_count
+        remaining_sum -= value
     return ordered[-1] * fraction if ordered else 0.0
--- a/willowhook/decisions/conditions.py
+++ b/willowhook/decisions/conditions.py
@@ -1,4 +1,4 @@
-"""What the latest reports say of the fleet as a whole: set by load.py and admission.py, read by others."""
+"""Condition of the whole fleet from the latest reports; set by load.py and admission.py."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 @dataclass(slots=True)
 class FleetConditions:
-    """The state of the fleet, as far as this controller hears of it.
+    """Condition of the fleet, from the reports to this controller.
 
     Attributes:
-        pressure: latency over the latency objective, plus the share of attempts that fail under overload;
-            0.0 until there are reports.
-        success_fraction: the share of attempts that succeed; 0.0 until there are reports.
+        pressure: latency divided by the latency objective, plus the share of attempts that fail under
+            overload; 0.0 until there are reports.
+        success_fraction: share of attempts that succeed; 0.0 until there are reports.
     """
 
     pressure: float = 0.0
--- a/willowhook/decisions/endpoint_list.py
+++ b/willowhook/decisions/endpoint_list.py
@@ -129,7 +129,8 @@
             ]
             self._refetch_at = now + self._refetch_ticks
             self._runtime.log(
-                f"endpoint list implausible listed={len(listed)} in_service={len(sums)} removed={len(missing)}"
+                f"endpoint list implausible listed={len(listed)} in_service={len(sums)} "
+                f"removed={len(missing)}"
             )
         for name in missing:
             self._fleet.endpoints[name].set_state(EndpointState.REMOVED)
--- a/willowhook/decisions/load.py
+++ b/willowhook/decisions/load.py
@@ -1,7 +1,7 @@
-"""The load estimate: how busy endpoints are and will be, and how late and successful requests are.
+"""Load estimation: current and projected utilization, latency and success of the fleet.
 
-It judges by the middle of all endpoints: what is wrong at some of them only is for weights and outlier
-detection.
+Latency and success are judged by medians over the endpoints. Problems of only some endpoints are handled by
+weights and outlier detection.
 """
 
 from __future__ import annotations
@@ -18,30 +18,30 @@
 from .timing import EVALUATION_INTERVAL_TICKS
 from .windows import IntervalHistory, WindowedSums
 
-MAX_LOAD_AGE_TICKS = 5 * TICKS_PER_SECOND  # how long a reported utilization counts
-LATE_FRACTION = 0.45  # share of the latency objective from which responses count as late
-IDLE_UTILIZATION = 0.65  # below it, late responses are not taken for overload
-HIGH_UTILIZATION = 0.88  # share of cores in use; also assumed where nothing reports load
-CALM_UTILIZATION = 0.5  # below it, before the first reports, attempts count as successful
-MIN_WEIGHT_FRACTION = 0.1  # least slow-start fraction with which a reporting endpoint counts in the mean
-MIN_UTILIZATION = 0.1
-INITIAL_UTILIZATION = 1.0  # so that the first reports do not read as a rise
-HISTORY_INTERVALS = 8  # intervals kept; more than TREND_INTERVALS
+MAX_LOAD_AGE_TICKS = 5 * TICKS_PER_SECOND  # maximum age of a reported utilization
+LATE_FRACTION = 0.45  # share of the latency objective above which responses count as late
+IDLE_UTILIZATION = 0.65  # up to it, late responses do not indicate overload
+HIGH_UTILIZATION = 0.88  # share of cores in use; also assumed where endpoints report no load
+CALM_UTILIZATION = 0.5  # below it, attempts count as successful before the first reports on them
+MIN_WEIGHT_FRACTION = 0.1  # minimum slow-start fraction of a reporting endpoint in the mean
+MIN_UTILIZATION = 0.1  # lower utilizations of a table count as this one
+INITIAL_UTILIZATION = 1.0  # prevents the first reports from looking like a rise
+HISTORY_INTERVALS = 8  # must exceed TREND_INTERVALS
 TREND_INTERVALS = 4  # intervals over which a rise is measured
-PROJECTED_LAG_FRACTION = 0.7  # share of the feedback time over which a rise is projected
-SETTLING_INTERVALS = 10  # intervals after a start in which a rise only means that reports arrive
+PROJECTED_LAG_FRACTION = 0.7  # share of the feedback time for which a rise is projected
+SETTLING_INTERVALS = 10  # after a start, a rise in these intervals only means that reports begin to arrive
 
 
 class LoadSample(NamedTuple):
-    """What one evaluation finds.
+    """Load of the fleet at one evaluation.
 
     Attributes:
-        utilization: share of cores in use at the busiest table.
-        projected_utilization: what it will be when a command given now shows in reports.
-        mean_latency_ticks: of the middle endpoint.
-        latency_fraction: that latency over the latency objective.
-        median_success_fraction: of attempts, at the middle endpoint.
-        overall_success_fraction: of attempts, over all endpoints.
+        utilization: share of cores in use at the endpoints of the busiest table.
+        projected_utilization: utilization expected when reports show the effect of a command sent now.
+        mean_latency_ticks: median over the endpoints of their mean latency.
+        latency_fraction: that latency divided by the mean latency objective of the requests.
+        median_success_fraction: median over the endpoints of their share of successful attempts.
+        overall_success_fraction: share of successful attempts over all endpoints.
     """
 
     utilization: float
@@ -53,15 +53,15 @@
 
     @property
     def best_success_fraction(self) -> float:
-        """The better of the two success fractions."""
+        """The higher of the two success fractions."""
         return max(self.median_success_fraction, self.overall_success_fraction)
 
 
 class LoadEstimator:
-    """Makes a `LoadSample` of what endpoints and proxies reported.
+    """Computes a `LoadSample` from the reports of endpoints and proxies.
 
     Attributes:
-        feedback_ticks: the time from a command to reports that show it.
+        feedback_ticks: time from a command to the reports that show its effect.
     """
 
     def __init__(self, context: ControllerContext, slow_start: SlowStart, demand: RequestDemand) -> None:
@@ -74,19 +74,19 @@
         self._utilizations = IntervalHistory(
             EVALUATION_INTERVAL_TICKS, HISTORY_INTERVALS, INITIAL_UTILIZATION
         )
-        delay = context.settings.channel.typical_delay_ticks
-        self.feedback_ticks = delay + context.bucket_ticks * 3 // 2 + TICKS_PER_SECOND
+        delay_ticks = context.settings.channel.typical_delay_ticks
+        self.feedback_ticks = delay_ticks + context.bucket_ticks * 3 // 2 + TICKS_PER_SECOND
 
     def record_attempts(self, now: int, successes: int, attempts: int) -> None:
-        """Adds the attempts of one report."""
+        """Adds the attempts of one endpoint report."""
         self._attempts.add(now, successes, attempts)
 
     def last_utilization(self, now: int) -> float:
-        """The utilization that the last evaluation found."""
+        """Returns the utilization at the last evaluation."""
         return self._utilizations.at(now, -1)
 
     def evaluate(self, now: int) -> LoadSample | None:
-        """Records the utilization and returns what the reports say; None while there are none."""
+        """Records the utilization and returns the load; None without reports on attempts and requests."""
         utilization = max(self.utilization_of(now, table) for table in self._fleet.default_tables)
         self._assume_success_if_calm(utilization)
         projected = self._project(now, utilization)
@@ -95,35 +95,44 @@
             for endpoint in self._fleet.endpoints.values()
             if endpoint.is_in_service and not endpoint.is_ejected
         ]
-        answering = [row for row in sums if row.attempts > row.failures]
+        successful = [
+            endpoint_sums for endpoint_sums in sums if endpoint_sums.attempts > endpoint_sums.failures
+        ]
         rates = [(self._demand.total(route), route) for route in self._fleet.settings.routes]
-        rate = sum(rate for rate, _ in rates)
+        total_rate = sum(rate for rate, _ in rates)
         successes, attempts = self._attempts.total(now, RECENT_BUCKETS, skip=1)
-        if not answering or attempts == 0 or not rate:
+        if not successful or attempts == 0 or not total_rate:
             return None
-        objectives = sum(rate * route.latency_objective_ticks for rate, route in rates)
-        mean_latency = weighted_median([(row.mean_latency_ticks, row.attempts) for row in answering])
-        failures = weighted_median([(row.failures / row.attempts, row.attempts) for row in answering])
+        weighted_objectives = sum(rate * route.latency_objective_ticks for rate, route in rates)
+        mean_latency = weighted_median(
+            [(endpoint_sums.mean_latency_ticks, endpoint_sums.attempts) for endpoint_sums in successful]
+        )
+        failure_fraction = weighted_median(
+            [
+                (endpoint_sums.failures / endpoint_sums.attempts, endpoint_sums.attempts)
+                for endpoint_sums in successful
+            ]
+        )
         return LoadSample(
             utilization=utilization,
             projected_utilization=projected,
             mean_latency_ticks=mean_latency,
-            latency_fraction=mean_latency * rate / objectives,
-            median_success_fraction=1 - failures,
+            latency_fraction=mean_latency * total_rate / weighted_objectives,
+            median_success_fraction=1 - failure_fraction,
             overall_success_fraction=successes / attempts,
         )
 
     def utilization_of(self, now: int, table: EndpointTable) -> float:
-        """The share of cores in use at the endpoints of a table, by weight, as far as reported lately."""
-        rows = [
+        """Returns the weighted mean of recently reported utilizations of the endpoints of a table."""
+        weighted_utilizations = [
             (endpoint.utilization, self._load_weight(now, endpoint))
             for endpoint in self._fleet.endpoints.values()
             if endpoint.has_recent_utilization(now, MAX_LOAD_AGE_TICKS)
             and self._fleet.is_eligible(table, endpoint)
         ]
-        if rows:
-            busy = sum(utilization * weight for utilization, weight in rows)
-            return max(busy / sum(weight for _, weight in rows), MIN_UTILIZATION)
+        if weighted_utilizations:
+            busy_weight = sum(utilization * weight for utilization, weight in weighted_utilizations)
+            return max(busy_weight / sum(weight for _, weight in weighted_utilizations), MIN_UTILIZATION)
         nothing_reports = self._fleet.settings.fleet.load_source is LoadSource.NONE
         return HIGH_UTILIZATION if nothing_reports else IDLE_UTILIZATION
 
@@ -132,7 +141,7 @@
         return endpoint.capacity * endpoint.latency_factor * fraction
 
     def _assume_success_if_calm(self, utilization: float) -> None:
-        """Before the first reports on attempts, low utilization is taken as success."""
+        """Takes low utilization as success until there are reports on attempts."""
         if self._conditions.pressure or utilization >= CALM_UTILIZATION:
             return
         if any(endpoint.utilization_at is not None for endpoint in self._fleet.endpoints.values()):
--- a/willowhook/decisions/locality.py
+++ b/willowhook/decisions/locality.py
@@ -1,4 +1,4 @@
-"""Locality spillover: where crossing zones has a price, a zone keeps the requests that it can serve."""
+"""Locality spillover: where cross-zone requests have a price, a zone keeps the requests it can serve."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from .model import EndpointTable
 from .weights import EndpointWeights
 
-MAX_KEPT_FRACTION = 0.95  # share of a zone's requests kept local; the rest still reaches other zones
-MIN_ZONE_DEMAND_FRACTION = 0.01  # least share of all requests that a zone is assumed to have
+MAX_KEPT_FRACTION = 0.95  # maximum share of a zone's requests kept local; the rest still reaches other zones
+MIN_ZONE_DEMAND_FRACTION = 0.01  # minimum share of all requests assumed for a zone
 
 
 class LocalitySpillover:
-    """Sets how much endpoints in other zones count in a zone's table."""
+    """Sets the factor on the weights of remote endpoints in the table of a zone."""
 
     def __init__(
         self, context: ControllerContext, admission: AdmissionController, weights: EndpointWeights
@@ -27,7 +27,7 @@
             self.rebalance(now, table)
 
     def rebalance(self, now: int, table: EndpointTable) -> None:
-        """Updates the remote factor of a table. Under load shedding every endpoint serves all zones."""
+        """Updates the remote factor of a table; while load is shed, all endpoints serve all zones."""
         table.remote_factor = 1.0
         if table.zone is None or self._admission.is_shedding:
             return
@@ -39,7 +39,7 @@
         table.remote_factor = min(1.0, local * (1 - kept) / (kept * remote))
 
     def _capacity_by_side(self, now: int, table: EndpointTable) -> tuple[float, float]:
-        """The weight of the endpoints in the table's zone, and of all others."""
+        """Returns the total weight of the endpoints in the zone of the table, and of all others."""
         local = remote = 0.0
         for endpoint in self._fleet.endpoints.values():
             weight = self._weights.weight(now, table, endpoint)
@@ -50,7 +50,7 @@
         return local, remote
 
     def _demand_fraction(self, zone: str) -> float:
-        """The share of all requests that reaches the proxies of a zone; absent proxies count as average."""
+        """Returns the share of all requests at the proxies of a zone; absent proxies count as average."""
         sessions = self._fleet.proxies.values()
         rates = [session.usual_rate_per_second for session in sessions] or [1.0]
         absent = self._fleet.absent_proxies * sum(rates) / len(rates)
--- a/willowhook/decisions/model.py
+++ b/willowhook/decisions/model.py
@@ -1,4 +1,4 @@
-"""What a controller knows of endpoints, tables and proxies. No decisions."""
+"""Data model of endpoints, tables and proxies, without decisions."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from .settings import Route
 from .windows import WindowedSums
 
-REPORT_BUCKETS = 4  # buckets kept, and used to judge one endpoint; see ControllerContext.bucket_ticks
-RECENT_BUCKETS = 2  # buckets used to judge the fleet, which needs less
+REPORT_BUCKETS = 4  # buckets kept, and summed for single endpoints; see ControllerContext.bucket_ticks
+RECENT_BUCKETS = 2  # buckets summed for the whole fleet, which needs fewer reports
 
 
 class AttemptSums(NamedTuple):
@@ -19,8 +19,8 @@
 
     Attributes:
         attempts: number of attempts.
-        failures: number of these that failed.
-        latency_ticks: sum of the latencies of those that succeeded.
+        failures: number of failed attempts.
+        latency_ticks: sum of the latencies of the successful attempts.
     """
 
     attempts: float
@@ -29,31 +29,34 @@
 
     @property
     def successes(self) -> float:
-        """Attempts that succeeded."""
+        """Number of successful attempts."""
         return self.attempts - self.failures
 
     @property
     def mean_latency_ticks(self) -> float:
-        """Mean latency of the attempts that succeeded; there must be one."""
+        """Mean latency of the successful attempts; requires at least one."""
         return self.latency_ticks / (self.attempts - self.failures)
 
 
 class Endpoint:
-    """A listed endpoint, as this controller knows it.
+    """State of a listed endpoint.
 
     Attributes:
-        name: as in the endpoint list.
-        state, is_in_service: as last listed; set by `set_state`.
-        started_at: when its process started; 0: long ago.
-        endpoint_class: the kind of machine.
-        zone: where it is.
-        capacity: relative to the mean, as listed or as learnt.
+        name: name in the endpoint list.
+        state, is_in_service: state as last listed; set by `set_state`.
+        started_at: start time of its process; 0 if it started long ago.
+        endpoint_class: its endpoint class, such as a machine type.
+        zone: zone of the endpoint.
+        capacity: capacity relative to the mean, listed or learnt.
         latency_factor: factor on its capacity, learnt from its latency.
         is_ejected, ejected_until, ejection_ticks: outlier ejection, its end, and its duration.
-        utilization, utilization_at: share of cores in use as last reported, and when; None: never.
-        next_health_check_at, missed_health_check: when the next is due; whether the last one failed.
-        is_excluded, exclusion_changed_at: whether proxies were told not to use it, and since when.
-        is_new: whether it was listed for the first time while this controller was running.
+        utilization, utilization_at: last reported share of cores in use, and its time; the time is None if
+            none was reported.
+        next_health_check_at, missed_health_check: time of the next check, and whether the last one timed out
+            or could not reach the endpoint.
+        is_excluded, exclusion_changed_at: whether proxies were notified not to use it, and the time of the
+            last change.
+        is_new: whether it was first listed while this controller was running.
         restarted_in_service: whether it restarted without being listed as draining in between; it is
             excluded first, so that its readmission carries its slow-start weight.
     """
@@ -61,7 +64,7 @@
     def __init__(self, name: str, bucket_ticks: int) -> None:
         self.name = name
         self.state = EndpointState.REMOVED
-        self.is_in_service = False  # kept beside the state: read for each endpoint of each table
+        self.is_in_service = False  # cached, as it is read for each endpoint of each table
         self.started_at = 0
         self.endpoint_class = ""
         self.zone = ""
@@ -81,42 +84,42 @@
         self._attempts = WindowedSums(bucket_ticks, REPORT_BUCKETS, len(AttemptSums._fields))
 
     def set_state(self, state: EndpointState) -> None:
-        """Notes what the endpoint list says of its life."""
+        """Sets the state that the endpoint list gives."""
         self.state = state
         self.is_in_service = state is EndpointState.IN_SERVICE
 
     def record_attempts(self, now: int, attempts: int, failures: int, latency_ticks: int) -> None:
-        """Adds reported attempts; `latency_ticks` is the sum over those that succeeded."""
+        """Adds reported attempts; `latency_ticks` is the sum over the successful ones."""
         self._attempts.add(now, attempts, failures, latency_ticks)
 
     def attempts(self, now: int, buckets: int = REPORT_BUCKETS) -> AttemptSums:
-        """The outcomes of the attempts in the last buckets."""
+        """Returns the outcomes of the attempts in the last `buckets` buckets."""
         return AttemptSums(*self._attempts.total(now, buckets))
 
     def forget_attempts(self) -> None:
-        """Drops the sums: they are of an earlier process, or from before an ejection."""
+        """Clears the sums when they date from a previous process or from before an ejection."""
         self._attempts.clear()
 
     def has_recent_utilization(self, now: int, max_age_ticks: int) -> bool:
-        """Whether its utilization was reported within this time."""
+        """Whether the last reported utilization is more recent than this age."""
         return self.utilization_at is not None and now - self.utilization_at < max_age_ticks
 
 
 @dataclass(eq=False, slots=True)
 class EndpointTable:
-    """A table of weighted endpoints, shared by all proxies that are bound to it.
+    """A table of weighted endpoints, shared by all proxies bound to it.
 
     Attributes:
-        number: as in commands.
-        routes: the indexes of the routes that it serves.
+        number: number of the table in commands.
+        routes: indexes of the routes that it serves.
         requirements: one of these routes, for its placement constraints; all of them have the same.
-        zone: zone of the proxies that use it; None: proxies of all zones.
-        subset: the subset of proxies that uses it; None: it is a default table.
-        members: the endpoints of a subset table; empty: all that the requirements allow.
+        zone: zone of the proxies that use it; None for proxies of all zones.
+        subset: subset of proxies that uses it; None for a default table.
+        members: endpoints of a subset table; empty if all that meet the requirements are allowed.
         remote_factor: factor on the weights of endpoints in other zones.
-        entries: by endpoint, the weight that was sent last.
-        limits: by route, the admission limit that was sent last.
-        pending_resend: entries to send again: proxies were bound after these were sent.
+        entries: last sent weight, by endpoint.
+        limits: last sent admission limit, by route index.
+        pending_resend: entries to send again because proxies were bound after they were sent.
     """
 
     number: int
@@ -131,16 +134,16 @@
     pending_resend: dict[str, None] = field(default_factory=dict)
 
     def is_for_zone(self, zone: str) -> bool:
-        """Whether proxies of this zone use it."""
+        """Whether proxies of this zone use the table."""
         return self.zone is None or self.zone == zone
 
 
 class ProxySession(NamedTuple):
-    """A proxy that has joined.
+    """Session of a proxy that has joined.
 
     Attributes:
-        zone: its zone.
-        usual_rate_per_second: the rate of requests that usually reach it.
+        zone: zone of the proxy.
+        usual_rate_per_second: usual rate of requests at the proxy.
     """
 
     zone: str
--- a/willowhook/decisions/partitions.py
+++ b/willowhook/decisions/partitions.py
@@ -1,4 +1,4 @@
-"""Network partitions: zones that cannot be reached from here, by health checks that time out together."""
+"""Network partition detection: finds unreachable zones by health checks that fail together."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 from .model import Endpoint
 from .slow_start import SlowStart
 
-MISSED_FRACTION = 0.7  # share of a zone's endpoints that missed their last check when it is cut off
+MISSED_FRACTION = 0.7  # share of missed last checks above which a zone is unreachable
 
 
 class PartitionDetector:
-    """Judges zones by the health checks of their endpoints.
+    """Detects unreachable zones by the health checks of their endpoints.
 
-    Requests to a zone that is cut off time out seconds before the reports on them tell. Without health checks
-    nothing is detected.
+    Reports would show a partition only seconds after the first requests have timed out. Without health checks
+    no partition is detected.
 
     Attributes:
-        unreachable_zones: those that are cut off now.
+        unreachable_zones: zones that are currently unreachable.
     """
 
     def __init__(self, context: ControllerContext, slow_start: SlowStart) -> None:
@@ -26,7 +26,7 @@
         self.unreachable_zones: list[str] = []
 
     def update(self, now: int) -> bool:
-        """Judges all zones again; returns whether the set of unreachable zones has changed."""
+        """Updates the unreachable zones; returns whether they have changed."""
         checked = self._checked_endpoints(now)
         zones = self._find_unreachable(checked)
         if zones == self.unreachable_zones:
@@ -39,7 +39,7 @@
         return True
 
     def _checked_endpoints(self, now: int) -> list[Endpoint]:
-        # a warming endpoint answers its health checks whatever becomes of the rest
+        # warming endpoints are left out: they answer health checks even if the others of their zone do not
         return [
             endpoint
             for endpoint in self._fleet.endpoints.values()
@@ -56,7 +56,9 @@
         }
         local = missed.get(settings.local_zone, [])
         if not local or sum(local) > (1 - MISSED_FRACTION) * len(local):
-            return []  # the trouble is here, or everywhere
+            return []  # the local zone is affected too, so the problem is not a partition of other zones
         return [
-            zone for zone, rows in missed.items() if len(rows) > 1 and sum(rows) > MISSED_FRACTION * len(rows)
+            zone
+            for zone, results in missed.items()
+            if len(results) > 1 and sum(results) > MISSED_FRACTION * len(results)
         ]
--- a/willowhook/decisions/settings.py
+++ b/willowhook/decisions/settings.py
@@ -1,8 +1,8 @@
-"""The settings of a deployment, as the decisions read them.
+"""Settings of a deployment.
 
-Times are ticks, rates are per second, and the cost of an update is counted in endpoint entries. The settings
-document is read by `willowhook.settings_codec`, the configuration file of the file control plane by
-`willowhook.config`; nothing past those two knows the keys.
+Times are in ticks, rates are per second, and update costs are in endpoint entries. The settings document is
+read by `willowhook.settings_codec`, the configuration file of the file control plane by `willowhook.config`;
+only these two know the keys.
 """
 
 from __future__ import annotations
@@ -14,23 +14,23 @@
 
 
 class RequestSemantics(Enum):
-    """What running a request a second time does. The values are those of the settings document."""
+    """Effect of running a request twice. The values are those of the settings document."""
 
     IDEMPOTENT = "idempotent"
-    DEDUPLICATED = "deduplicated"  # an endpoint recognizes a repeat by its idempotency key
+    DEDUPLICATED = "deduplicated"  # endpoints detect repeated requests by their idempotency key
     AT_MOST_ONCE = "at_most_once"
 
 
 class AdmissionUnit(Enum):
-    """How proxies read an admission limit."""
+    """Unit of the admission limits, as proxies interpret them."""
 
     FRACTION = "fraction"  # of the route's requests
     REQUESTS_PER_SECOND = "requests_per_second"  # at each proxy
-    NONE = "none"  # limits are ignored, retry modes are followed
+    NONE = "none"  # proxies ignore limits, but follow retry modes
 
 
 class LoadSource(Enum):
-    """Where endpoints report their load."""
+    """How endpoints report their load."""
 
     RESPONSES = "responses"  # with requests and health checks
     HEALTH_CHECKS = "health_checks"  # with health checks only
@@ -38,17 +38,17 @@
 
 
 class Route(NamedTuple):
-    """A class of requests.
+    """A class of requests with common settings.
 
     Attributes:
-        name: the name used in reports.
-        latency_objective_ticks: a response that is later earns less.
-        deadline_ticks: a response that is later earns nothing.
-        priority_weight: the value of a response within the latency objective.
+        name: name in load reports.
+        latency_objective_ticks: latency above which a response has a lower value.
+        deadline_ticks: latency above which a response has no value.
+        priority_weight: value of a response within the latency objective.
         semantics: whether a request may run more than once.
         same_zone_only: whether only endpoints in the proxy's zone may serve it.
-        allowed_zones: zones whose endpoints may serve it; empty: any.
-        allowed_classes: endpoint classes that may serve it; empty: any.
+        allowed_zones: zones whose endpoints may serve it; empty if any may.
+        allowed_classes: endpoint classes that may serve it; empty if any may.
     """
 
     name: str
@@ -65,13 +65,13 @@
     """The channel that carries a controller's updates to its proxies.
 
     Attributes:
-        entries_per_second: the rate at which it carries endpoint entries.
-        message_overhead_entries: the cost of a message without its entries.
-        queue_limit_entries: the most entries that may wait in the channel.
-        typical_delay_ticks: how long a message usually takes once it has left the queue.
-        max_delay_ticks: how long one may take.
-        message_cap: messages to one proxy within `message_cap_window_ticks`; 0: no cap.
-        message_cap_window_ticks: the window of the cap.
+        entries_per_second: rate at which it carries endpoint entries.
+        message_overhead_entries: cost of a message without its entries.
+        queue_limit_entries: maximum number of entries that may wait in the channel.
+        typical_delay_ticks: typical delay of a message after it has left the queue.
+        max_delay_ticks: maximum delay of a message after it has left the queue.
+        message_cap: maximum number of messages to one proxy within `message_cap_window_ticks`; 0 for no cap.
+        message_cap_window_ticks: window of the message cap.
         entry_price: price of one entry, in the unit of `Route.priority_weight`.
     """
 
@@ -86,15 +86,15 @@
 
 
 class RuleSettings(NamedTuple):
-    """The limits of the rules that a controller has to keep.
+    """Limits that a controller has to respect.
 
     Attributes:
-        empty_table_grace_ticks: how long a connected proxy may be without a usable endpoint.
+        empty_table_grace_ticks: maximum time that a connected proxy may be without a usable endpoint.
         drain_grace_ticks: time after which no request may reach a draining or removed endpoint.
-        discovery_poll_ticks: the longest time between two requests for the endpoint list; bounds the backoff.
-        slow_start_fraction: share of its capacity that a newly started endpoint has at once.
-        slow_start_ticks: time after its start when an endpoint has all of its capacity.
-        recovery_overload_factor: how far over its capacity a recovering endpoint may be loaded.
+        discovery_poll_ticks: maximum time between two requests for the endpoint list; bounds the backoff.
+        slow_start_fraction: share of its capacity that an endpoint has when it starts.
+        slow_start_ticks: time after its start when an endpoint has its full capacity.
+        recovery_overload_factor: maximum load of a recovering endpoint, as a multiple of its capacity.
     """
 
     empty_table_grace_ticks: int
@@ -109,15 +109,15 @@
     """The fleet of proxies.
 
     Attributes:
-        proxy_count: in the whole deployment, over all controllers.
-        avoidance_failures: failures in a row after which a proxy avoids an endpoint by itself; 0: never.
-        bootstrap_table_size: number of endpoints in the table that a proxy starts with; 0: it has none.
-        admission_unit: how proxies read admission limits.
-        default_retries: when a proxy retries before a controller sets it.
-        report_interval_ticks: between two reports of one sender.
-        cross_zone_price: what a request to an endpoint in another zone costs, in the unit of
+        proxy_count: number of proxies in the deployment, over all controllers.
+        avoidance_failures: consecutive failures after which a proxy itself avoids an endpoint; 0 for never.
+        bootstrap_table_size: number of endpoints in the table that a proxy starts with; 0 for no table.
+        admission_unit: unit of the admission limits.
+        default_retries: retry mode of a proxy until a controller sets one.
+        report_interval_ticks: interval between two reports of one sender.
+        cross_zone_price: price of a request to an endpoint in another zone, in the unit of
             `Route.priority_weight`.
-        load_source: where endpoints report their load.
+        load_source: how endpoints report their load.
     """
 
     proxy_count: int
@@ -131,20 +131,20 @@
 
 
 class DeploymentSettings(NamedTuple):
-    """All that a controller is told of its deployment.
+    """Settings of a deployment, for one of its controllers.
 
     Attributes:
-        local_zone: the controller's own zone.
+        local_zone: zone of the controller.
         zones: all zones, in the order of the settings document.
-        list_on_request: whether the endpoint list comes only when it is asked for.
+        list_on_request: whether the endpoint list is sent only on request.
         health_checks: whether the controller may send health checks.
-        lists_capacity: whether the weight of a listed endpoint tells of its capacity.
+        lists_capacity: whether the listed weight of an endpoint is its capacity.
         routes: in the order of the settings document; commands name a route by its index here.
-        channel: the channel to the proxies.
-        rules: the limits of the rules.
-        fleet: the proxies.
-        exclusions_outlive_sessions: whether a proxy keeps, when it joins another controller, the endpoints
-            that the one before excluded.
+        channel: settings of the channel to the proxies.
+        rules: limits that the controller has to respect.
+        fleet: settings of the proxies.
+        exclusions_outlive_sessions: whether a proxy that joins another controller keeps the exclusions of the
+            previous one.
     """
 
     local_zone: str
--- a/willowhook/decisions/slow_start.py
+++ b/willowhook/decisions/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: a newly started endpoint gets the share that it can serve, which grows with its age."""
+"""Slow start: the weight of a newly started endpoint grows with its age, as its capacity does."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 from .context import ControllerContext
 from .model import Endpoint
 
-HOLD_TICKS = 8 * TICKS_PER_SECOND  # how long proxies avoid endpoints after a partition or start
-HOLD_SUCCESS_FRACTION = 0.5  # share of successful attempts up to which warming endpoints get nothing
+HOLD_TICKS = 8 * TICKS_PER_SECOND  # time for which proxies avoid endpoints after a partition or start
+HOLD_SUCCESS_FRACTION = 0.5  # up to this success fraction warming endpoints get no weight
 
 
 class SlowStart:
-    """How much of its weight a warming endpoint gets.
+    """Computes the share of its weight that a warming endpoint gets.
 
-    Hazard: a thundering herd. Proxies that avoid endpoints after failures send everything to the one that has
-    not failed yet, and a newly started endpoint is that one. So it gets nothing while most attempts fail, and
-    for some time after a partition or after this controller's start.
+    Prevents a thundering herd: proxies that avoid endpoints after failures send all requests to an endpoint
+    that has not failed yet, such as a newly started one. A warming endpoint therefore gets no weight while
+    most attempts fail, and for some time after a partition or after the start of this controller.
     """
 
     def __init__(self, context: ControllerContext) -> None:
@@ -26,19 +26,19 @@
         self.hold_warming_endpoints(context.started_at)
 
     def hold_warming_endpoints(self, now: int) -> None:
-        """Gives warming endpoints nothing for a while, as proxies may be avoiding the others."""
+        """Gives warming endpoints no weight for `HOLD_TICKS`, as proxies may be avoiding the others."""
         self._held_until = now + HOLD_TICKS if self._proxies_avoid else 0
 
     def is_warming_up(self, now: int, endpoint: Endpoint) -> bool:
-        """Whether it started less than the slow-start time ago."""
+        """Whether an endpoint started less than the slow-start time ago."""
         return endpoint.started_at > 0 and now - endpoint.started_at < self._rules.slow_start_ticks
 
     def weight_fraction(self, now: int, endpoint: Endpoint) -> float:
-        """The share of its weight that an endpoint may have now, from 0 to 1."""
+        """Returns the share of its weight that an endpoint may have now, from 0 to 1."""
         if not self.is_warming_up(now, endpoint):
             return 1.0
         if self._conditions.success_fraction <= HOLD_SUCCESS_FRACTION or now < self._held_until:
             return 0.0
-        first = self._rules.slow_start_fraction
+        initial_fraction = self._rules.slow_start_fraction
         age = max(now - endpoint.started_at, 0)
-        return first + (1 - first) * (age / self._rules.slow_start_ticks)
+        return initial_fraction + (1 - initial_fraction) * (age / self._rules.slow_start_ticks)
--- a/willowhook/decisions/status.py
+++ b/willowhook/decisions/status.py
@@ -1,4 +1,4 @@
-"""A controller's state in figures, for log lines and records."""
+"""Status figures of a controller, for log lines and records."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class ControllerStatus(NamedTuple):
-    """What a controller believes now.
+    """Current state of a controller, as far as it knows.
 
     Attributes:
-        endpoints_in_service: of those that it knows.
-        endpoint_count: all that it knows, with those that drain or are removed.
+        endpoints_in_service: number of endpoints in service.
+        endpoint_count: number of all known endpoints, including draining and removed ones.
         load_fraction: share of cores in use at the busiest table, at the last evaluation.
-        admitted_fraction: of the requests' work that is let in; 1.4 if nothing is shed.
-        queue_entries: that wait in the channel, as far as is known.
+        admitted_fraction: admitted share of the work of all requests; 1.4 while no load is shed.
+        queue_entries: estimated number of entries that wait in the channel.
     """
 
     endpoints_in_service: int
--- a/willowhook/decisions/windows.py
+++ b/willowhook/decisions/windows.py
@@ -1,15 +1,15 @@
-"""Figures by time: sums over a sliding window, and values by interval. No clock; times are ticks."""
+"""Time series: sums over a sliding window, and one value per interval. Callers pass the time, in ticks."""
 
 from __future__ import annotations
 
 
 class WindowedSums:
-    """Sums of several values over a sliding window, in fixed buckets of time.
+    """Sums of several values over a sliding window, in time buckets of fixed length.
 
     Args:
-        bucket_ticks: the length of a bucket.
-        buckets: how many are kept.
-        fields: how many values each `add` brings.
+        bucket_ticks: length of a bucket.
+        buckets: number of buckets kept.
+        fields: number of values passed to each `add`.
     """
 
     def __init__(self, bucket_ticks: int, buckets: int, fields: int) -> None:
@@ -19,31 +19,33 @@
         self.clear()
 
     def clear(self) -> None:
-        """Forgets everything."""
-        self._rows: list[tuple[int | None, list[float]]] = [(None, self._zeros)] * self._buckets
+        """Resets all sums to zero."""
+        self._stamped_sums: list[tuple[int | None, list[float]]] = [(None, self._zeros)] * self._buckets
 
     def add(self, now: int, *values: float) -> None:
-        """Adds these values to the bucket of `now`."""
+        """Adds values to the bucket of `now`."""
         stamp = now // self._bucket_ticks
-        found, sums = self._rows[stamp % self._buckets]
-        base = sums if found == stamp else self._zeros
-        added = [old + value for old, value in zip(base, values, strict=True)]
-        self._rows[stamp % self._buckets] = (stamp, added)
+        stored_stamp, sums = self._stamped_sums[stamp % self._buckets]
+        base_sums = sums if stored_stamp == stamp else self._zeros
+        new_sums = [old + value for old, value in zip(base_sums, values, strict=True)]
+        self._stamped_sums[stamp % self._buckets] = (stamp, new_sums)
 
     def total(self, now: int, buckets: int, skip: int = 0) -> list[float]:
-        """The sums over the last `buckets` buckets, the newest `skip` of them left out."""
+        """Returns the sums over `buckets` buckets, after leaving out the newest `skip` buckets."""
         last = now // self._bucket_ticks - skip
-        kept = [sums for stamp, sums in self._rows if stamp is not None and last - buckets < stamp <= last]
+        kept = [
+            sums for stamp, sums in self._stamped_sums if stamp is not None and last - buckets < stamp <= last
+        ]
         return [sum(column) for column in zip(*kept, strict=True)] if kept else self._zeros
 
 
 class IntervalHistory:
-    """One value an interval, for the last `length` intervals.
+    """One value per interval, for the last `length` intervals.
 
     Args:
-        interval_ticks: the length of an interval.
-        length: how many intervals are kept; an older one reads as one of these.
-        initial: what an interval reads before it was recorded.
+        interval_ticks: length of an interval.
+        length: number of intervals kept; reading an older one returns the value of one of these.
+        initial: value of an interval that has not been recorded.
     """
 
     def __init__(self, interval_ticks: int, length: int, initial: float) -> None:
@@ -55,7 +57,7 @@
         self._values[self._index(now, 0)] = value
 
     def at(self, now: int, offset: int = 0) -> float:
-        """The value of the interval that lies `offset` intervals after that of `now`."""
+        """Returns the value of the interval `offset` intervals after that of `now`."""
         return self._values[self._index(now, offset)]
 
     def _index(self, now: int, offset: int) -> int:
