--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -15,7 +15,7 @@
 from willowhook.decisions.settings import AdmissionUnit
 
 
-def test_overload_sheds_the_route_of_least_priority_first() -> None:
+def test_overload_sheds_the_route_of_lowest_priority_first() -> None:
     harness = start_fleet()
     for _ in range(12):
         for k in range(8):
@@ -26,12 +26,15 @@
         harness.advance(SECOND)
     limits = harness.runtime.admission_limits
     assert limits[0, 0] < 0.9 and limits[0, 0] < limits[0, 1] <= 1
-    began = [text for text in harness.runtime.log_lines if text.startswith("load shedding began ")]
-    assert any(" before=1.40 " in text for text in began)
-    assert began[0].rpartition("limited_routes=")[2] == "read" and " projected_utilization=" in began[0]
+    start_lines = [line for line in harness.runtime.log_lines if line.startswith("load shedding began ")]
+    assert any(" before=1.40 " in line for line in start_lines)
+    assert (
+        start_lines[0].rpartition("limited_routes=")[2] == "read"
+        and " projected_utilization=" in start_lines[0]
+    )
 
 
-def test_admission_limits_stay_while_no_reports_come() -> None:
+def test_admission_limits_are_kept_without_reports() -> None:
     harness = start_fleet()
     for second in range(14):
         if second < 8:
@@ -46,7 +49,7 @@
 
 
 def admission_with(rates: list[float]) -> AdmissionController:
-    """Admission control that knows these rates of read, save and book, at one proxy each."""
+    """Returns admission control with these demand rates of read, save and book, at one proxy each."""
     demand = RequestDemand(SETTINGS.routes)
     for proxy, (route, rate) in enumerate(zip(SETTINGS.routes, rates, strict=True)):
         if rate:
@@ -58,16 +61,16 @@
     ("admitted_fraction", "expected"),
     [
         (1.4, [1.0, 1.0, 1.0]),  # nothing is shed
-        (0.8, [0.3, 1.0, 1.0]),  # read has the least priority for its latency objective
+        (0.8, [0.3, 1.0, 1.0]),  # read has the lowest priority weight per latency objective
         (0.6, [0.1, 1.0, 0.1 + 8.5 / 15]),
         (0.3, [0.1, 0.8, 0.1]),
-        (0.1, [0.1, 0.1, 0.1]),  # the floor of each
+        (0.1, [0.1, 0.1, 0.1]),  # the minimum of each
     ],
 )
 def test_route_fractions_admit_work_by_priority_above_a_floor(
     admitted_fraction: float, expected: list[float]
 ) -> None:
-    admission = admission_with([10.0, 10.0, 10.0])  # of 1, 1 and 1.5 seconds: 35 seconds of work
+    admission = admission_with([10.0, 10.0, 10.0])  # latency objectives of 1, 1 and 1.5 s: 35 s of work
     admission.admitted_fraction = admitted_fraction
     assert admission.route_fractions() == pytest.approx(expected)
 
@@ -85,12 +88,14 @@
     assert admitted == pytest.approx(min(admitted_fraction, 1.0) * sum(work))
 
 
-def test_route_fraction_without_demand_is_the_floor_and_all() -> None:
+def test_route_fraction_without_demand_is_the_minimum_plus_one() -> None:
     assert admission_with([0.0, 0.0, 10.0]).route_fractions() == pytest.approx([1.1, 1.1, 1.0])
 
 
 @pytest.mark.parametrize(("admitted_fraction", "retries"), [(1.0, 1), (0.999, 0)])
-def test_limits_allow_a_retry_while_everything_is_admitted(admitted_fraction: float, retries: int) -> None:
+def test_limits_allow_a_retry_only_while_everything_is_admitted(
+    admitted_fraction: float, retries: int
+) -> None:
     admission = admission_with([10.0, 10.0, 10.0])
     admission.admitted_fraction = admitted_fraction
     table = build_default_tables(SETTINGS)[0]
@@ -108,7 +113,7 @@
     admission = AdmissionController(make_context(per_second), demand)
     table = build_default_tables(per_second)[0]
     limits = admission.limits(table, [0.5, 0.5, 0.5])
-    assert limits[0].limit == pytest.approx(7.0)  # 2 + 7 + 7 of 32 requests
+    assert limits[0].limit == pytest.approx(7.0)  # 2 + 7 + 7 = 0.5 * 32 requests per second
     assert limits[1].limit == 1e6  # no demand known: no limit
     assert admission.limits(table, [0.999, 0.0, 0.0])[0].limit == 1e6
-    assert admission.limits(table, [0.0, 0.0, 0.0])[0].limit == 0.1  # never nothing
+    assert admission.limits(table, [0.0, 0.0, 0.0])[0].limit == 0.1  # the minimum rate
--- a/tests/decisions/test_arithmetic.py
+++ b/tests/decisions/test_arithmetic.py
@@ -23,7 +23,7 @@
     assert weighted_median(rows) == min(covering)
 
 
-def test_weighted_median_of_no_rows_is_refused() -> None:
+def test_weighted_median_of_no_values_raises() -> None:
     with pytest.raises(StopIteration):
         weighted_median([])
 
--- a/tests/decisions/test_demand.py
+++ b/tests/decisions/test_demand.py
@@ -11,11 +11,11 @@
 
 
 def report(proxy: int, requests: int) -> RequestReport:
-    """So many read requests at a proxy, within two seconds."""
+    """Returns a report of this many read requests at a proxy within two seconds."""
     return RequestReport(proxy, "read", requests, 2 * SECOND)
 
 
-def test_demand_moves_half_the_way_to_each_report() -> None:
+def test_demand_moves_halfway_to_each_reported_rate() -> None:
     demand = RequestDemand(SETTINGS.routes)
     demand.record(report(0, 20), is_shedding=False)
     assert demand.by_proxy(READ) == {0: 10.0}
@@ -25,7 +25,7 @@
     assert demand.total(READ) == 17.0 and demand.total(SAVE) == 0
 
 
-def test_demand_under_load_shedding_keeps_known_rates_and_takes_new_ones() -> None:
+def test_demand_under_load_shedding_keeps_known_rates_and_adds_new_ones() -> None:
     demand = RequestDemand(SETTINGS.routes)
     demand.record(report(0, 20), is_shedding=False)
     demand.record(report(0, 400), is_shedding=True)
--- a/tests/decisions/test_endpoint_list.py
+++ b/tests/decisions/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Tests of the endpoint list: what it changes, and when it is doubted or fetched for again."""
+"""Tests of endpoint list handling: applied changes, implausible lists, and repeated requests."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize("listed", [0, 2])
-def test_list_that_lacks_most_endpoints_removes_only_those_that_fail(listed: int) -> None:
+def test_implausible_list_removes_only_failing_endpoints(listed: int) -> None:
     harness = start_fleet(endpoints=8)
     complete = {f"h{k}": (IN_SERVICE, 0) for k in range(8)}
     partial = dict(list(complete.items())[:listed])
@@ -34,7 +34,7 @@
     harness.receive_endpoint_list(partial)
     harness.flush()
     assert harness.runtime.excluded == {"h7": True} and not harness.runtime.fetch_count
-    for _ in range(8):  # h6 stops answering too: it was removed
+    for _ in range(8):  # h6 stops answering too, as it was removed
         for k in range(6):
             harness.report_endpoint(f"h{k}", 20, 0, 100.0)
         harness.advance(SECOND // 2)
@@ -43,18 +43,20 @@
     harness.flush()
     harness.advance(SECOND)
     assert harness.runtime.excluded == {"h7": True, "h6": True}
-    fetched = harness.runtime.fetch_count
+    previous_fetch_count = harness.runtime.fetch_count
     harness.receive_endpoint_list(dict(list(complete.items())[:6]))
     harness.advance(8 * SECOND)
-    assert harness.runtime.fetch_count == fetched
+    assert harness.runtime.fetch_count == previous_fetch_count
     assert set(harness.usable_weights()) <= {f"h{k}" for k in range(6)}
-    harness.receive_endpoint_list(dict(list(complete.items())[:3]))  # half of them may be removed at once
+    harness.receive_endpoint_list(
+        dict(list(complete.items())[:3])
+    )  # a list may remove half of the endpoints at once
     harness.flush()
     harness.advance(SECOND)
     assert sum(harness.runtime.excluded.values()) == 5
 
 
-def test_lost_endpoint_list_is_watched_again() -> None:
+def test_failed_endpoint_list_request_is_repeated() -> None:
     harness = start_fleet()
     assert harness.runtime.watch_count == 1
     harness.controller.handle(harness.now, EndpointListLost())
@@ -62,10 +64,10 @@
     assert harness.runtime.watch_count == 2 and len(harness.usable_weights()) == 8
 
 
-def test_removed_endpoints_are_forgotten_and_may_return_in_slow_start() -> None:
+def test_removed_endpoints_are_dropped_and_may_return_in_slow_start() -> None:
     harness = start_fleet()
     most_known = 0
-    for number in range(40):  # new endpoints under new names all the time
+    for number in range(40):  # each step replaces an endpoint by one with a new name
         harness.receive_endpoint_list(
             {f"h{number}": (REMOVED, 0), f"h{number + 8}": (IN_SERVICE, harness.now)}, is_complete=False
         )
--- a/tests/decisions/test_exclusions.py
+++ b/tests/decisions/test_exclusions.py
@@ -12,7 +12,7 @@
     assert harness.runtime.excluded["h2"] and "h2" not in harness.usable_weights()
 
 
-def test_exclusions_in_a_large_fleet_go_in_few_messages_and_in_time() -> None:
+def test_exclusions_in_a_large_fleet_are_batched_and_in_time() -> None:
     settings = settings_with(
         fleet__proxy_count=200, channel__queue_limit_entries=5000, channel__entries_per_second=3000
     )
@@ -46,8 +46,8 @@
     assert not harness.controller.pending_binds and not harness.runtime.excluded["h0"]
 
 
-def test_exclusions_do_not_leave_one_by_one_while_the_queue_drains() -> None:
-    """Guards against messages whose overhead is most of what the channel carries."""
+def test_exclusions_are_not_sent_one_by_one_while_the_queue_drains() -> None:
+    """Guards against messages whose overhead takes most of the channel's rate."""
     settings = settings_with(
         fleet__proxy_count=40, channel__entries_per_second=800, channel__queue_limit_entries=3200
     )
@@ -69,7 +69,7 @@
 
 
 def test_exclusions_that_wait_for_long_are_logged_once_with_what_is_ahead_of_them() -> None:
-    """Guards against a drain that is told late without a line that says why."""
+    """Guards against late exclusions without a log line that gives the reason."""
     settings = settings_with(
         fleet__proxy_count=40, channel__entries_per_second=800, channel__queue_limit_entries=3200
     )
@@ -79,7 +79,7 @@
     harness.flush()
     harness.advance(4 * SECOND)
     assert not [line for line in harness.runtime.log_lines if line.startswith("exclusions late")]
-    for _ in range(2):  # once in each of two episodes
+    for _ in range(2):  # two separate periods with late exclusions
         harness.runtime.queued_entries = harness.controller.channel.queued = 3000.0
         draining = {f"h{k}": (DRAINING, 0) for k in range(1, 31)}
         harness.receive_endpoint_list(draining, is_complete=False)
@@ -88,12 +88,14 @@
         harness.receive_endpoint_list({name: WARM for name in draining}, is_complete=False)
         harness.flush()
         harness.advance(8 * SECOND)
-    late = [line for line in harness.runtime.log_lines if line.startswith("exclusions late")]
-    assert len(late) == 2 and " waiting_proxies=0" in late[0] and " endpoints=30 " in late[0]
+    late_lines = [line for line in harness.runtime.log_lines if line.startswith("exclusions late")]
+    assert (
+        len(late_lines) == 2 and " waiting_proxies=0" in late_lines[0] and " endpoints=30 " in late_lines[0]
+    )
 
 
 def test_healthy_endpoints_that_wait_for_the_spacing_are_not_logged_as_late() -> None:
-    """Guards against a line under a message cap that tells of exclusions where there are none."""
+    """Guards against a log line on late exclusions under a message cap when nothing is to be excluded."""
     settings = settings_with(channel__message_cap=2, channel__message_cap_window_ticks=30 * SECOND)
     harness = start_fleet(settings)
     harness.advance(SECOND)
--- a/tests/decisions/test_locality.py
+++ b/tests/decisions/test_locality.py
@@ -13,7 +13,7 @@
     assert weights["h0"] > 5 * weights["h1"] > 0
 
 
-def test_zone_that_loses_endpoints_spills_over_with_the_exclusions() -> None:
+def test_zone_that_loses_endpoints_spills_over_in_the_message_of_the_exclusions() -> None:
     harness = start_fleet(settings_with(fleet__cross_zone_price=0.08), endpoints=12, proxies=8)
     for _ in range(8):
         for k in range(12):
@@ -24,12 +24,12 @@
     north = next(
         table for table in harness.controller.fleet.tables if table.zone == "north" and 0 in table.routes
     )
-    before = north.remote_factor
+    previous_factor = north.remote_factor
     harness.receive_endpoint_list({f"h{k}": (DRAINING, 0) for k in (0, 2, 4, 6)}, is_complete=False)
     harness.flush()
     while not harness.runtime.excluded.get("h6"):
         harness.advance(SECOND // 10)
         assert harness.now < 20 * SECOND, "h6 is never excluded"
-    assert before < 0.2
-    assert north.remote_factor > 2 * before
-    assert harness.usable_weights(north.number)["h1"] > 2 * before  # in the same message
+    assert previous_factor < 0.2
+    assert north.remote_factor > 2 * previous_factor
+    assert harness.usable_weights(north.number)["h1"] > 2 * previous_factor  # in the same message
--- a/tests/decisions/test_partitions.py
+++ b/tests/decisions/test_partitions.py
@@ -1,4 +1,4 @@
-"""Tests of network partitions, as found by health checks."""
+"""Tests of network partition detection by health checks."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def detector_after(missed: dict[str, int], checked: int = 10) -> tuple[PartitionDetector, bool]:
-    """A detector after so many missed health checks by zone, and whether it found a change."""
+    """Returns a detector after these missed health checks by zone, and whether it found a change."""
     context = make_context()
     for zone, misses in missed.items():
         for number in range(checked):
@@ -43,8 +43,8 @@
         ({"north": 0, "south": 7}, []),
         ({"north": 0, "south": 8}, ["south"]),  # more than 0.7 of the zone
         ({"north": 3, "south": 8}, ["south"]),
-        ({"north": 4, "south": 10}, []),  # the controller's own zone misses too many as well
-        ({"south": 10}, []),  # nothing to compare with
+        ({"north": 4, "south": 10}, []),  # the zone of the controller misses too many as well
+        ({"south": 10}, []),  # no local endpoints to compare with
     ],
 )
 def test_zone_is_unreachable_when_it_misses_health_checks_and_the_local_one_does_not(
@@ -52,7 +52,7 @@
 ) -> None:
     detector, has_changed = detector_after(missed)
     assert detector.unreachable_zones == unreachable and has_changed == bool(unreachable)
-    assert not detector.update(1)  # the same again
+    assert not detector.update(1)  # no change the second time
 
 
 def test_zone_with_a_single_checked_endpoint_is_never_unreachable() -> None:
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -15,9 +15,8 @@
     harness.advance(SECOND)
     harness.receive_endpoint_list({"h6": (IN_SERVICE, harness.now)}, is_complete=False)
     harness.flush()
-    assert (
-        "h6" not in harness.usable_weights()
-    )  # nor before the first reports, as after a controller's restart
+    # nor before the first reports, as after a restart of the controller
+    assert "h6" not in harness.usable_weights()
     for _ in range(6):
         for k in range(6):
             harness.report_endpoint(f"h{k}", 50, 48, 2000, cpu_utilization=1.0)
@@ -61,14 +60,14 @@
         assert second in (15, 16, 17) or ("h6" in harness.usable_weights()) == (second < 9 or second > 17)
 
 
-def test_weight_fraction_of_a_warming_endpoint_grows_from_its_first_share_to_all() -> None:
+def test_weight_fraction_of_a_warming_endpoint_grows_from_its_initial_value_to_one() -> None:
     context = make_context()
     slow_start = SlowStart(context)
     endpoint = add_endpoint(context, "h0", started_at=10_000)
-    ages = (0, 75_000, 150_000)  # none, half and all of the slow-start time
+    ages = (0, 75_000, 150_000)  # 0, 0.5 and 1 of the slow-start time
     assert [slow_start.weight_fraction(10_000 + age, endpoint) for age in ages] == [0.25, 0.625, 1.0]
     assert [slow_start.is_warming_up(10_000 + age, endpoint) for age in ages] == [True, True, False]
-    assert slow_start.weight_fraction(0, endpoint) == 0.25  # its clock is ahead of ours
+    assert slow_start.weight_fraction(0, endpoint) == 0.25  # its clock is ahead of the controller's
 
 
 def test_weight_fraction_while_half_of_the_attempts_fail_is_zero_for_warming_endpoints_only() -> None:
@@ -79,13 +78,13 @@
     assert slow_start.weight_fraction(20_000, add_endpoint(context, "h1")) == 1.0
 
 
-@pytest.mark.parametrize(("avoidance_failures", "held"), [(0, 0.25), (3, 0.0)])
-def test_weight_fraction_after_a_partition_is_held_where_proxies_avoid_endpoints(
-    avoidance_failures: int, held: float
+@pytest.mark.parametrize(("avoidance_failures", "held_fraction"), [(0, 0.25), (3, 0.0)])
+def test_weight_fraction_after_a_partition_is_zero_where_proxies_avoid_endpoints(
+    avoidance_failures: int, held_fraction: float
 ) -> None:
     context = make_context(settings_with(fleet__avoidance_failures=avoidance_failures))
     slow_start = SlowStart(context)
     slow_start.hold_warming_endpoints(20 * SECOND)
     endpoint = add_endpoint(context, "h0", started_at=28 * SECOND)
-    assert slow_start.weight_fraction(28 * SECOND - 1, endpoint) == held
+    assert slow_start.weight_fraction(28 * SECOND - 1, endpoint) == held_fraction
     assert slow_start.weight_fraction(28 * SECOND, endpoint) == 0.25
--- a/tests/decisions/test_weight_solver.py
+++ b/tests/decisions/test_weight_solver.py
@@ -18,14 +18,16 @@
 def test_class_capacity_is_its_successes_per_core_in_use() -> None:
     harness = start_fleet(settings_with(lists_capacity=False))
     for _ in range(8):
-        for k in range(8):  # the odd ones serve three times as many at the same load and latency
+        for k in range(
+            8
+        ):  # odd endpoints serve three times as many attempts at equal utilization and latency
             harness.report_endpoint(f"h{k}", 30 if k % 2 else 10, 0, 200, cpu_utilization=0.6)
         harness.advance(SECOND)
     assert 2.5 < harness.usable_weights()["h1"] / harness.usable_weights()["h0"] < 3.5
 
 
 def test_faulty_endpoints_do_not_change_the_capacity_of_their_class() -> None:
-    """Guards against weights that favour slow classes while some fast endpoints are stuck."""
+    """Guards against weights that favour a slow class because some endpoints of a fast class are stuck."""
     harness = start_fleet(settings_with(lists_capacity=False))
     for _ in range(4):
         for k in range(8):
--- a/tests/decisions/test_weights.py
+++ b/tests/decisions/test_weights.py
@@ -17,7 +17,7 @@
     assert set(harness.usable_weights(1)) == {"h1", "h3"}
 
 
-def test_last_resort_is_endpoints_that_are_not_warming_up() -> None:
+def test_last_resort_prefers_endpoints_that_are_not_warming_up() -> None:
     harness = start_fleet()
     harness.advance(SECOND)
     harness.receive_endpoint_list({f"h{k}": (IN_SERVICE, harness.now) for k in range(4)}, is_complete=False)
--- a/tests/decisions/test_windows.py
+++ b/tests/decisions/test_windows.py
@@ -1,4 +1,4 @@
-"""Tests of figures by time, against sums over all that was ever added."""
+"""Tests of windowed sums and interval histories, against all values that were added."""
 
 from __future__ import annotations
 
--- a/willowhook/decisions/outliers.py
+++ b/willowhook/decisions/outliers.py
@@ -1,8 +1,8 @@
 """Outlier detection: ejects endpoints that fail nearly all attempts while others do not.
 
 An endpoint that answers some attempts is not ejected: in an asymmetric fault, or under overload, the others
-could not serve its requests as well. Each ejection lasts longer than the one before, until the endpoint has
-gone without one for a while.
+could not serve its requests as well. Each ejection lasts longer than the one before, up to a maximum, until
+the endpoint has not been ejected for a while.
 """
 
 from __future__ import annotations
