--- a/willowhook/decisions/exclusions.py
+++ b/willowhook/decisions/exclusions.py
@@ -26,7 +26,7 @@
 from .context import ControllerContext
 from .model import Endpoint, EndpointTable
 from .pending_binds import PendingBinds
-from .queue_limits import EXCLUSION_GATHER_DIVISOR
+from .queue_limits import EXCLUSION_BATCH_DIVISOR
 from .slow_start import SlowStart
 from .table_updates import TableUpdater
 from .timing import urgent_after_ticks
@@ -155,7 +155,7 @@
         waiting = [endpoint for endpoint in due if not endpoint.is_excluded]
         age_ticks = max((now - self._changed[endpoint.name] for endpoint in waiting), default=0)
         elapsed_intervals = (
-            age_ticks * EXCLUSION_GATHER_DIVISOR // self._fleet.settings.rules.drain_grace_ticks
+            age_ticks * EXCLUSION_BATCH_DIVISOR // self._fleet.settings.rules.drain_grace_ticks
         )
         if elapsed_intervals < 1:
             return True
