--- a/tests/decisions/test_message_cap.py
+++ b/tests/decisions/test_message_cap.py
@@ -144,20 +144,20 @@
 def test_message_cap_counts_from_joining_and_within_the_window() -> None:
     cap = MessageCap(settings_with(channel__message_cap=2).channel)
     cap.add_proxy(7)
-    cap.note_messages(0, [7])
-    assert cap.allows(0, [7]) and not cap.is_unsent(0, 7)
-    cap.note_messages(10, [7])
+    cap.record_messages(0, [7])
+    assert cap.allows(0, [7]) and not cap.has_no_recent_messages(0, 7)
+    cap.record_messages(10, [7])
     assert not cap.allows(10 * SECOND, [7])
-    assert cap.allows(11 * SECOND, [7]) and cap.is_unsent(11 * SECOND, 7)
+    assert cap.allows(11 * SECOND, [7]) and cap.has_no_recent_messages(11 * SECOND, 7)
     cap.remove_proxy(7)
     cap.add_proxy(7)
-    assert cap.is_unsent(10, 7)
+    assert cap.has_no_recent_messages(10, 7)
 
 
 def test_message_cap_keeps_one_message_back_from_what_keeps_no_rule() -> None:
     cap = MessageCap(settings_with(channel__message_cap=3).channel)
     cap.add_proxy(7)
-    cap.note_messages(0, [7])
+    cap.record_messages(0, [7])
     assert cap.allows_with_reserve(0, [7])
-    cap.note_messages(0, [7])
+    cap.record_messages(0, [7])
     assert cap.allows(0, [7]) and not cap.allows_with_reserve(0, [7])
--- a/tests/decisions/test_pacing.py
+++ b/tests/decisions/test_pacing.py
@@ -25,26 +25,26 @@
 def test_pacer_with_a_message_cap_spaces_messages() -> None:
     pacer = UpdatePacer(make_context(settings_with(channel__message_cap=11)))  # in 100,000 ticks
     assert pacer.can_send(0)
-    pacer.note_messages(0)
+    pacer.record_messages(0)
     assert not pacer.can_send(10_000) and pacer.can_send(10_001)
 
 
 def test_pacer_pauses_table_updates_until_half_the_rate_has_paid_for_the_last() -> None:
     pacer = UpdatePacer(make_context())
-    assert pacer.are_tables_due(0)
-    pacer.note_tables(0, entries=1600.0, has_changes=False)  # at half of 0.16 entries a tick
-    assert not pacer.are_tables_due(19_999) and pacer.are_tables_due(20_000)
+    assert pacer.are_table_updates_due(0)
+    pacer.record_table_updates(0, entries=1600.0, has_changes=False)  # at half of 0.16 entries a tick
+    assert not pacer.are_table_updates_due(19_999) and pacer.are_table_updates_due(20_000)
 
 
 def test_pacer_pauses_one_evaluation_while_changes_are_left_or_little_was_sent() -> None:
     pacer = UpdatePacer(make_context())
     for entries, has_changes in ((1600.0, True), (1.0, False)):
-        pacer.note_tables(0, entries, has_changes)
-        assert not pacer.are_tables_due(4999) and pacer.are_tables_due(5000)
+        pacer.record_table_updates(0, entries, has_changes)
+        assert not pacer.are_table_updates_due(4999) and pacer.are_table_updates_due(5000)
 
 
 def test_pacer_hastens_table_updates_after_an_ejection() -> None:
     pacer = UpdatePacer(make_context())
-    pacer.note_tables(0, entries=1600.0, has_changes=False)
-    pacer.hasten_tables(100)
-    assert pacer.are_tables_due(100)
+    pacer.record_table_updates(0, entries=1600.0, has_changes=False)
+    pacer.expedite_table_updates(100)
+    assert pacer.are_table_updates_due(100)
--- a/willowhook/decisions/binding.py
+++ b/willowhook/decisions/binding.py
@@ -17,7 +17,7 @@
 from .update_cost import bind_cost
 from .weight_solver import STEP_INTERVAL_TICKS
 
-SAFETY_ENTRIES = 1  # added to the estimated cost of a bind, to err on the safe side
+BIND_COST_MARGIN_ENTRIES = 1  # added to the estimated cost of a bind, to err on the safe side
 
 
 class ProxyBinder:
@@ -38,13 +38,13 @@
         self._readmissions = readmissions
         self._subsets = subsets
         self._updater = updater
-        self._holds_back_until = context.started_at + STEP_INTERVAL_TICKS
+        self._delay_binds_until = context.started_at + STEP_INTERVAL_TICKS
         grace_ticks = context.settings.rules.empty_table_grace_ticks
         self._urgent_after_ticks = urgent_after_ticks(grace_ticks, context.settings.channel)
 
     def stop_holding_back(self) -> None:
         """Weights are known, or binds are needed to keep the drain rule: no proxy is held back any more."""
-        self._holds_back_until = 0
+        self._delay_binds_until = 0
 
     def due(self, now: int) -> list[int]:
         """The proxies that may be bound now, the most urgent first; none while no endpoint is known."""
@@ -52,7 +52,7 @@
         if not endpoints:
             return []  # an empty table would replace the one that a proxy holds
         excluded = sum(endpoint.is_excluded for endpoint in endpoints)
-        if now >= self._holds_back_until or 2 * excluded >= len(endpoints):
+        if now >= self._delay_binds_until or 2 * excluded >= len(endpoints):
             return self._pending_binds.in_order(with_earlier_table=True)
         settings = self._fleet.settings
         bootstrap_table_is_as_good = settings.fleet.bootstrap_table_size and not settings.lists_capacity
@@ -67,7 +67,7 @@
             proxy
             for proxy in self.due(now)
             if self._pending_binds.waited_ticks(now, proxy) >= self._urgent_after_ticks
-            and message_cap.is_unsent(now, proxy)
+            and message_cap.has_no_recent_messages(now, proxy)
         ]
 
     def bind_burst(self, now: int, due: list[int]) -> None:
@@ -113,5 +113,5 @@
             self._runtime.bind(proxy, table.number, table.routes)
             excluded = sum(self._fleet.endpoints[name].is_excluded for name in table.entries)
             cost = bind_cost(len(table.entries), len(table.limits), excluded)
-            self._channel.charge([proxy], cost + SAFETY_ENTRIES)
+            self._channel.charge([proxy], cost + BIND_COST_MARGIN_ENTRIES)
             table.pending_resend = dict.fromkeys(table.entries)
--- a/willowhook/decisions/channel.py
+++ b/willowhook/decisions/channel.py
@@ -61,11 +61,11 @@
         self._possibly_waiting = 0.0  # not proven to have left
         self._certainly_waiting = 0.0  # of these, what cannot be on its way even at the stated rate
         self._drained_at = now
-        self._heard_at = now  # the last acknowledgement
+        self._last_acknowledgement_at = now  # the last acknowledgement
         self._lost_before = now  # what was due by then is lost, or does not count any more
         self.last_marker = 0
-        self._flushes = 0
-        self._flushes_proven = 0  # these have left whole
+        self._flush_count = 0
+        self._last_proven_flush = 0  # these have left whole
 
     def add_proxy(self, proxy: int) -> None:
         """Starts to track the acknowledgements of a proxy that has joined."""
@@ -116,20 +116,22 @@
         """Turns what is pending into messages under one marker, and returns the marker."""
         self.last_marker = (self.last_marker + 1) % MARKERS
         due_at = now + int(self.queue_estimate() / self.entries_per_tick) + self._max_delay_ticks
-        self._flushes += 1
-        self.message_cap.note_messages(now, self.pending)
+        self._flush_count += 1
+        self.message_cap.record_messages(now, self.pending)
         for proxy, entries in self.pending.items():
-            self.unacknowledged[proxy].append(SentMessage(self.last_marker, entries, due_at, self._flushes))
+            self.unacknowledged[proxy].append(
+                SentMessage(self.last_marker, entries, due_at, self._flush_count)
+            )
         self.pending.clear()
         return self.last_marker
 
     def acknowledge(self, now: int, proxy: int, marker: int) -> None:
         """A proxy has applied the message with this marker, and all before it."""
-        self._heard_at = now
+        self._last_acknowledgement_at = now
         messages = self.unacknowledged.get(proxy, [])
         for index, message in enumerate(messages):
             if message.marker == marker:
-                self._flushes_proven = max(self._flushes_proven, message.flush - 1)
+                self._last_proven_flush = max(self._last_proven_flush, message.flush - 1)
                 del messages[: index + 1]
                 return
 
@@ -143,7 +145,7 @@
         While acknowledgements come, however late, the channel is slow, and unacknowledged messages still wait
         in it. When none has come for `lost_after_ticks`, messages overdue for as long count as lost.
         """
-        if now - self._heard_at >= lost_after_ticks:
+        if now - self._last_acknowledgement_at >= lost_after_ticks:
             self._lost_before = now - lost_after_ticks
         self.overdue = sum(message.entries for message in self._unproven_messages() if message.due_at < now)
 
@@ -153,13 +155,13 @@
             proxy
             for proxy, messages in self.unacknowledged.items()
             if len(messages) > MAX_UNACKNOWLEDGED_MESSAGES
-            and messages[MAX_UNACKNOWLEDGED_MESSAGES].flush <= self._flushes_proven
+            and messages[MAX_UNACKNOWLEDGED_MESSAGES].flush <= self._last_proven_flush
         ]
 
     def give_up_messages(self, proxy: int) -> int:
         """Forgets what was sent to a proxy and is proven to have left. Returns the number of messages."""
         messages = self.unacknowledged.get(proxy, [])
-        left = [message for message in messages if message.flush > self._flushes_proven]
+        left = [message for message in messages if message.flush > self._last_proven_flush]
         given_up = len(messages) - len(left)
         messages[:] = left
         return given_up
@@ -167,5 +169,5 @@
     def _unproven_messages(self) -> Iterator[SentMessage]:
         for messages in self.unacknowledged.values():
             for message in messages:
-                if message.flush > self._flushes_proven and message.due_at > self._lost_before:
+                if message.flush > self._last_proven_flush and message.due_at > self._lost_before:
                     yield message
--- a/willowhook/decisions/controller.py
+++ b/willowhook/decisions/controller.py
@@ -190,7 +190,7 @@
         if self._partitions.update(now):
             self.updater.has_changes = True
         if self._outliers.update(now):
-            self._pacer.hasten_tables(now)
+            self._pacer.expedite_table_updates(now)
             self.updater.has_changes = True
         self._evaluate_load(now)
         self._health_checks.send_due(now)
--- a/willowhook/decisions/message_cap.py
+++ b/willowhook/decisions/message_cap.py
@@ -38,15 +38,15 @@
         """Forgets a proxy that has left."""
         self._sent_at.pop(proxy, None)
 
-    def note_messages(self, now: int, proxies: Iterable[int]) -> None:
+    def record_messages(self, now: int, proxies: Iterable[int]) -> None:
         """One message has left to each of these proxies."""
         if self.is_limited:
             for proxy in proxies:
                 self._sent_at[proxy].append(now)
 
-    def is_unsent(self, now: int, proxy: int) -> bool:
+    def has_no_recent_messages(self, now: int, proxy: int) -> bool:
         """Whether a proxy was sent nothing within the window."""
-        return self._recent(now, proxy) == 0
+        return self._recent_message_count(now, proxy) == 0
 
     def allows(self, now: int, proxies: Iterable[int]) -> bool:
         """Whether all of these proxies may be sent a message."""
@@ -59,9 +59,9 @@
     def _has_room(self, now: int, proxies: Iterable[int], messages: int) -> bool:
         if not self.is_limited:
             return True
-        return all(self._recent(now, proxy) + messages <= self._cap for proxy in proxies)
+        return all(self._recent_message_count(now, proxy) + messages <= self._cap for proxy in proxies)
 
-    def _recent(self, now: int, proxy: int) -> int:
+    def _recent_message_count(self, now: int, proxy: int) -> int:
         """How many messages it was sent within the window."""
         sent_at = self._sent_at[proxy]
         while sent_at and sent_at[0] <= now - self._window_ticks:
--- a/willowhook/decisions/pacing.py
+++ b/willowhook/decisions/pacing.py
@@ -16,25 +16,25 @@
         self._channel = context.channel
         self._spacing_ticks = message_spacing(context.settings.channel)
         self._next_message_at = context.started_at
-        self._next_tables_at = 0
+        self._next_table_updates_at = 0
 
     def can_send(self, now: int) -> bool:
         """Whether messages may leave now."""
         return now >= self._next_message_at
 
-    def note_messages(self, now: int) -> None:
+    def record_messages(self, now: int) -> None:
         """Messages have left."""
         self._next_message_at = now + self._spacing_ticks
 
-    def are_tables_due(self, now: int) -> bool:
+    def are_table_updates_due(self, now: int) -> bool:
         """Whether table updates may be sent for their own sake."""
-        return now >= self._next_tables_at
+        return now >= self._next_table_updates_at
 
-    def hasten_tables(self, now: int) -> None:
+    def expedite_table_updates(self, now: int) -> None:
         """Table updates may be sent at once: an endpoint was ejected."""
-        self._next_tables_at = now
+        self._next_table_updates_at = now
 
-    def note_tables(self, now: int, entries: float, has_changes: bool) -> None:
+    def record_table_updates(self, now: int, entries: float, has_changes: bool) -> None:
         """Table updates of this cost were sent.
 
         Args:
@@ -46,7 +46,7 @@
         pause = EVALUATION_INTERVAL_TICKS
         if not has_changes:
             pause = max(pause, int(paid_ticks))
-        self._next_tables_at = now + pause
+        self._next_table_updates_at = now + pause
 
 
 def message_spacing(channel: ChannelSettings) -> int:
--- a/willowhook/decisions/queue_limits.py
+++ b/willowhook/decisions/queue_limits.py
@@ -14,7 +14,7 @@
 BIND_DIVISOR = 3  # binds may fill this part of the limit, or of what can leave within the grace
 EXCLUSION_BATCH_DIVISOR = 8  # while the queue is long, exclusions gather for this part of the grace
 REMINDER_DIVISOR = 4  # proxies that wait for this part of the grace are sent earlier exclusions
-CALM_FRACTION = 0.5  # share of the limit for binds below which tables may be sent for their own sake
+SHORT_QUEUE_FRACTION = 0.5  # share of the limit for binds below which tables may be sent for their own sake
 
 
 class QueueLimits:
--- a/willowhook/decisions/reminders.py
+++ b/willowhook/decisions/reminders.py
@@ -33,7 +33,7 @@
         self._pending_binds = pending_binds
         self._subsets = subsets
         self._exclusions = exclusions
-        self._per_proxy = context.settings.exclusions_outlive_sessions
+        self._excludes_per_proxy = context.settings.exclusions_outlive_sessions
         self._unreminded: dict[int, None] = {}
         self._last_joined_at = 0
         self._due_at: int | None = None
@@ -73,7 +73,7 @@
         told: list[str] = []
         all_told = True
         for name in self._earlier_exclusions():
-            holders = waiting if self._per_proxy else self._exclusions.holders(name)
+            holders = waiting if self._excludes_per_proxy else self._exclusions.holders(name)
             is_over_limit = (
                 self._channel.queue_ceiling() + self._channel.cost(holders, UPDATE_ENTRIES) > limit
             )
@@ -82,9 +82,9 @@
                 break
             told.append(name)
             self._channel.charge(holders, UPDATE_ENTRIES)
-            if not self._per_proxy:
+            if not self._excludes_per_proxy:
                 self._runtime.exclude_endpoint(name)
-        if told and self._per_proxy:
+        if told and self._excludes_per_proxy:
             for proxy in waiting:
                 self._runtime.exclude_for_proxy(proxy, told)
         return all_told
--- a/willowhook/decisions/subsets.py
+++ b/willowhook/decisions/subsets.py
@@ -43,15 +43,15 @@
         self._random_fraction = context.random_fraction
         self._weights = weights
         self._assigned: dict[int, int] = {}  # by proxy, its subset
-        self._count = 1
-        self._endpoints_each = MIN_ENDPOINTS
-        self._last_table = len(context.fleet.default_tables)
+        self._subset_count = 1
+        self._endpoints_per_subset = MIN_ENDPOINTS
+        self._last_table_number = len(context.fleet.default_tables)
         self._limited_until: int | None = None
         self._limit_ended_at = 0
         self._next_limit_ticks = FIRST_CONNECTION_LIMIT_TICKS
         # those of one zone: every proxy uses as many
         tables = context.fleet.default_tables
-        self._tables_of_one_proxy = [table for table in tables if table.zone == tables[0].zone]
+        self._tables_per_proxy = [table for table in tables if table.zone == tables[0].zone]
 
     @property
     def mode(self) -> SubsetMode:
@@ -77,7 +77,7 @@
             return False
         entries = sum(
             len(table.entries) + len(table.limits) + TABLE_OVERHEAD_ENTRIES
-            for table in self._tables_of_one_proxy
+            for table in self._tables_per_proxy
         )
         cost = self._channel.cost(waiting, entries)
         return self._channel.queue_estimate() + cost > self._entries_in_time()
@@ -87,14 +87,14 @@
         if self.mode is SubsetMode.OFF:
             if self._fleet.has_subset_bindings():
                 return []  # their tables' numbers would be used again
-            self._endpoints_each = self._burst_table_size(len(waiting))
-            self._make_tables(now, self._endpoints_each)
-            self._runtime.log(f"join burst began waiting={len(waiting)} subsets={self._count}")
+            self._endpoints_per_subset = self._burst_table_size(len(waiting))
+            self._make_tables(now, self._endpoints_per_subset)
+            self._runtime.log(f"join burst began waiting={len(waiting)} subsets={self._subset_count}")
         drawn = {proxy: self._draw_subset() for proxy in waiting}
         self._assigned = drawn | self._assigned
         routes = len(self._fleet.settings.routes)
-        table_cost = TABLE_OVERHEAD_ENTRIES + self._endpoints_each + routes
-        cost = self._channel.overhead_entries + len(self._tables_of_one_proxy) * table_cost
+        table_cost = TABLE_OVERHEAD_ENTRIES + self._endpoints_per_subset + routes
+        cost = self._channel.overhead_entries + len(self._tables_per_proxy) * table_cost
         room = self._limits.for_exclusions() - self._channel.queue_ceiling()
         return waiting[: max(0, int(room / cost))]
 
@@ -109,7 +109,7 @@
         expected = waiting + self._fleet.absent_proxies
         entries_left = self._entries_in_time() - self._channel.queue_estimate()
         entries = entries_left / expected - self._channel.overhead_entries
-        affordable = int(entries / len(self._tables_of_one_proxy)) - TABLE_OVERHEAD_ENTRIES
+        affordable = int(entries / len(self._tables_per_proxy)) - TABLE_OVERHEAD_ENTRIES
         return max(MIN_BURST_ENDPOINTS, self._fleet.settings.fleet.bootstrap_table_size, affordable)
 
     def _entries_in_time(self) -> float:
@@ -139,7 +139,7 @@
         self._limited_until = now + self._next_limit_ticks
         self._next_limit_ticks *= 2
         self._make_tables(now, MIN_ENDPOINTS)
-        there_and_back = [*range(self._count), *reversed(range(self._count))]
+        there_and_back = [*range(self._subset_count), *reversed(range(self._subset_count))]
         proxies = self._fleet.proxies
         for zone in dict.fromkeys(table.zone for table in self._fleet.default_tables):
             local = [proxy for proxy, session in proxies.items() if zone is None or session.zone == zone]
@@ -160,28 +160,28 @@
     # Tables.
 
     def _draw_subset(self) -> int:
-        return int(self._random_fraction() * self._count)
+        return int(self._random_fraction() * self._subset_count)
 
     def _make_tables(self, now: int, endpoints_each: int) -> None:
         """Adds to the default tables those of the subsets, with so many endpoints in each."""
         fleet = self._fleet
         fleet.tables = list(fleet.default_tables)
         if not fleet.has_subset_bindings():
-            self._last_table = len(fleet.default_tables)
+            self._last_table_number = len(fleet.default_tables)
         zones = len({table.zone for table in fleet.default_tables})
         in_service = sum(endpoint.is_in_service for endpoint in fleet.endpoints.values())
-        self._count = max(1, in_service // (endpoints_each * zones))
+        self._subset_count = max(1, in_service // (endpoints_each * zones))
         for table in fleet.default_tables:
             endpoints = self._best_endpoints(now, table)
-            for subset in range(self._count if endpoints else 0):
+            for subset in range(self._subset_count if endpoints else 0):
                 fleet.tables.append(self._make_table(table, subset, endpoints))
 
     def _make_table(self, table: EndpointTable, subset: int, endpoints: list[Endpoint]) -> EndpointTable:
-        self._last_table += 1
-        self._runtime.clear_table(self._last_table)
-        made = EndpointTable(self._last_table, table.routes, table.requirements, table.zone, subset)
-        end = max(len(endpoints), subset + 1 + self._count * (MIN_ENDPOINTS - 1))
-        places = range(subset, end, self._count)
+        self._last_table_number += 1
+        self._runtime.clear_table(self._last_table_number)
+        made = EndpointTable(self._last_table_number, table.routes, table.requirements, table.zone, subset)
+        end = max(len(endpoints), subset + 1 + self._subset_count * (MIN_ENDPOINTS - 1))
+        places = range(subset, end, self._subset_count)
         made.members = [endpoints[place % len(endpoints)] for place in places]
         return made
 
--- a/willowhook/decisions/table_updates.py
+++ b/willowhook/decisions/table_updates.py
@@ -22,7 +22,7 @@
 from .weights import EndpointWeights
 
 MIN_CHANGE = 0.1  # a smaller change is not sent; logarithm of the ratio of new to old weight
-ENTERS_OR_LEAVES = 9.0  # stands for that logarithm when an entry is added or removed
+MEMBERSHIP_CHANGE_DISTANCE = 9.0  # stands for that logarithm when an entry is added or removed
 MIN_LIMIT_CHANGE = MIN_CHANGE / 2  # of an admission limit, relative
 PAYBACK_TICKS = 2 * TICKS_PER_SECOND  # time within which a change must earn its price
 MIN_TRAFFIC_FRACTION = 0.1  # least share of all requests that a table is assumed to carry
@@ -32,7 +32,7 @@
 class Urgency(IntEnum):
     """The order in which changes go out."""
 
-    LEAVES_OR_NEEDED = 0  # leaves its table, or enters one without a usable endpoint
+    URGENT = 0  # leaves its table, or enters one without a usable endpoint
     CHANGED = 1
     RESEND = 2
 
@@ -63,7 +63,7 @@
         change: the weight change.
     """
 
-    order: tuple[int, float, float]
+    sort_key: tuple[int, float, float]
     table: EndpointTable
     users: list[int]
     change: WeightChange
@@ -113,7 +113,7 @@
             users = self._fleet.users(table)
             self._send_limits(table, users, fractions)
             planned += self._plan(now, table, users)
-        planned.sort(key=lambda row: row.order)
+        planned.sort(key=lambda row: row.sort_key)
         return self._send(now, planned, limit)
 
     def fill_empty_tables(self, now: int, limit: float) -> None:
@@ -148,7 +148,7 @@
         return [
             PlannedChange((change.urgency, -moved, -change.magnitude), table, users, change)
             for change in changes
-            if self.has_changes or not users or change.urgency is Urgency.LEAVES_OR_NEEDED
+            if self.has_changes or not users or change.urgency is Urgency.URGENT
         ]
 
     def _send(self, now: int, planned: list[PlannedChange], limit: float) -> bool:
@@ -181,7 +181,7 @@
             if moved > threshold:
                 is_excluded = self._fleet.endpoints[name].is_excluded
                 is_urgent = (not weight or (not old and is_needed)) and not is_excluded
-                urgency = Urgency.LEAVES_OR_NEEDED if is_urgent else Urgency.CHANGED
+                urgency = Urgency.URGENT if is_urgent else Urgency.CHANGED
                 changes.append(WeightChange(urgency, moved * traffic * (not is_excluded), name, weight))
             elif name in table.pending_resend and weight and now >= self._resend_at:
                 changes.append(WeightChange(Urgency.RESEND, 0.0, name, weight))
@@ -212,4 +212,4 @@
     """How far a weight moved: the logarithm of the ratio."""
     if new and old:
         return abs(math.log(new / old))
-    return ENTERS_OR_LEAVES if new or old else 0.0
+    return MEMBERSHIP_CHANGE_DISTANCE if new or old else 0.0
--- a/willowhook/decisions/update_sequence.py
+++ b/willowhook/decisions/update_sequence.py
@@ -14,7 +14,7 @@
 from .locality import LocalitySpillover
 from .pacing import UpdatePacer
 from .pending_binds import PendingBinds
-from .queue_limits import CALM_FRACTION
+from .queue_limits import SHORT_QUEUE_FRACTION
 from .reminders import ExclusionReminders
 from .table_updates import TableUpdater
 
@@ -62,7 +62,7 @@
         if self._channel.pending:
             self._runtime.send_sync_marker(self._channel.flush(now))
             if has_messaged_all:
-                self._pacer.note_messages(now)
+                self._pacer.record_messages(now)
 
     def _may_send_to_all(self, now: int) -> bool:
         """Whether the spacing and the message cap allow messages that keep no rule."""
@@ -89,13 +89,13 @@
         self._send_reminders_and_fill_tables(now)
         # where messages go to most proxies anyway, changed weights go with them
         is_broadcast = 2 * len(self._channel.pending) > len(self._fleet.proxies)
-        if is_broadcast or (self._admission.is_shedding and self._pacer.are_tables_due(now)):
+        if is_broadcast or (self._admission.is_shedding and self._pacer.are_table_updates_due(now)):
             self._updater.has_changes = True
         bind_limit = 0.0 if self._exclusions.has_pending_exclusions() else self._limits.for_binds()
         waiting = [proxy for proxy in due if proxy in self._pending_binds]
         self._binder.bind_in_order(now, waiting, bind_limit)
-        self._update_tables(now, is_broadcast, CALM_FRACTION * bind_limit, queue_before)
-        self._binder.end_burst(now, CALM_FRACTION * bind_limit)
+        self._update_tables(now, is_broadcast, SHORT_QUEUE_FRACTION * bind_limit, queue_before)
+        self._binder.end_burst(now, SHORT_QUEUE_FRACTION * bind_limit)
 
     def _send_reminders_and_fill_tables(self, now: int) -> None:
         all_reminded = self._reminders.send_if_due(now)
@@ -108,10 +108,10 @@
             self._locality.rebalance_all(now)
         table_limit = self._limits.for_table_updates()
         is_queue_short = self._channel.queue_estimate() < calm_limit
-        is_calm = self._pacer.are_tables_due(now) and is_queue_short
+        is_calm = self._pacer.are_table_updates_due(now) and is_queue_short
         # a table update also waits for acknowledgements: a channel that has become slow shows late
         if not (is_broadcast or is_calm) or self._channel.unproven_entries() >= table_limit:
             return
         has_changes = self._updater.update(now, self._fleet.tables, table_limit)
         self._updater.has_changes = has_changes
-        self._pacer.note_tables(now, self._channel.queue_estimate() - queue_before, has_changes)
+        self._pacer.record_table_updates(now, self._channel.queue_estimate() - queue_before, has_changes)
--- a/willowhook/settings_codec.py
+++ b/willowhook/settings_codec.py
@@ -32,8 +32,8 @@
     read_objects,
     read_positive_number,
     read_positive_ticks,
-    read_text,
-    read_texts,
+    read_string,
+    read_strings,
     read_ticks,
 )
 from .ticks import TICKS_PER_SECOND, ticks_from_seconds
@@ -93,7 +93,7 @@
     same_zone_flags = read_booleans(extra, "class-own-zone")
     return DeploymentSettings(
         local_zone=str(document.get("locality", "")),
-        zones=read_texts(document, "zones"),
+        zones=read_strings(document, "zones"),
         list_on_request=document.get("discovery") == "subscribe",
         health_checks=read_boolean(read_object(document, "allowed"), "probes"),
         lists_capacity=str(document.get("weights", "none")) in CAPACITY_WEIGHTS,
@@ -106,14 +106,14 @@
 
 def _decode_route(row: Document, same_zone_only: bool) -> Route:
     return Route(
-        name=read_text(row, "name"),
+        name=read_string(row, "name"),
         latency_objective_ticks=read_positive_ticks(row, "aim"),
         deadline_ticks=read_positive_ticks(row, "deadline"),
         priority_weight=read_number(row, "points", 1.0),
         semantics=SEMANTICS.get(str(row.get("semantics")), RequestSemantics.AT_MOST_ONCE),
         same_zone_only=same_zone_only,
-        allowed_zones=read_texts(row, "only-zones"),
-        allowed_classes=read_texts(row, "only-kinds"),
+        allowed_zones=read_strings(row, "only-zones"),
+        allowed_classes=read_strings(row, "only-kinds"),
     )
 
 
@@ -161,7 +161,7 @@
     for key in ("partitions-n", "try-factor", "reports-per-s", "settle"):
         read_number(extra, key, 0)
     read_number(read_object(document, "contract"), "fall", 0)
-    read_texts(read_object(document, "load-info"), "fields")
+    read_strings(read_object(document, "load-info"), "fields")
     read_integer(document, "rank", 0)
     read_integer(document, "balancers", 1)
     for row in read_objects(document, "request-classes"):
--- a/willowhook/settings_fields.py
+++ b/willowhook/settings_fields.py
@@ -40,7 +40,7 @@
     return [check_object(f"{key}[{index}]", row) for index, row in enumerate(value)]
 
 
-def read_text(document: Document, key: str) -> str:
+def read_string(document: Document, key: str) -> str:
     """A text, which has to be there. Raises SettingsError."""
     value = _required(document, key)
     if not isinstance(value, str):
@@ -48,7 +48,7 @@
     return value
 
 
-def read_texts(document: Document, key: str) -> tuple[str, ...]:
+def read_strings(document: Document, key: str) -> tuple[str, ...]:
     """A list of texts; an empty one if the key is missing. Raises SettingsError."""
     value = document.get(key)
     if value is None:
--- a/willowhook/simulator/codec.py
+++ b/willowhook/simulator/codec.py
@@ -37,8 +37,8 @@
         self._lines = iter(lines)
         self._lists = EndpointListRegistry()
         list_change = EventFormat(LIST_CHANGE_FIELDS, self._lists.parse_change)
-        self._events = {**EVENT_FORMATS, "ROSTER_CHANGE": list_change}
-        self._controls: dict[str, Callable[[list[str]], Message | None]] = {
+        self._event_formats = {**EVENT_FORMATS, "ROSTER_CHANGE": list_change}
+        self._control_parsers: dict[str, Callable[[list[str]], Message | None]] = {
             "CLOCK": self._parse_clock,
             "COMMIT": self._parse_commit,
             "REGISTER": self._register_list,
@@ -58,12 +58,12 @@
         """The message on a line; None if it has none, or only registers an endpoint list."""
         fields = line.split("\t")
         name = fields[0]
-        event_format = self._events.get(name)
+        event_format = self._event_formats.get(name)
         if event_format is not None:
             if len(fields) != event_format.field_count:
-                raise _wrong_count(fields, event_format.field_count)
+                raise _wrong_field_count(fields, event_format.field_count)
             return InstanceEvent(fields[1], fields, event_format.parse)
-        parse_control = self._controls.get(name)
+        parse_control = self._control_parsers.get(name)
         if parse_control is not None:
             try:
                 return parse_control(fields)
@@ -75,7 +75,7 @@
 
     def _parse_clock(self, fields: list[str]) -> BatchStarted:
         if len(fields) < CLOCK_FIELDS:
-            raise _wrong_count(fields, CLOCK_FIELDS)
+            raise _wrong_field_count(fields, CLOCK_FIELDS)
         return BatchStarted(parse_ticks("clock", fields[1]), fields[2])
 
     def _parse_commit(self, _: list[str]) -> BatchEnded:
@@ -87,15 +87,15 @@
     def _parse_hello(self, _: list[str]) -> InstanceStarted:
         fields = self.line.split("\t", HELLO_FIELDS - 1)  # the settings run to the end of the line
         if len(fields) < HELLO_FIELDS:
-            raise _wrong_count(fields, HELLO_FIELDS)
+            raise _wrong_field_count(fields, HELLO_FIELDS)
         instance, seed, settings = fields[1:]
         return InstanceStarted(instance, parse_integer("entropy", seed), parse_settings(settings))
 
     def _parse_teardown(self, fields: list[str]) -> InstanceStopped:
         if len(fields) < TEARDOWN_FIELDS:
-            raise _wrong_count(fields, TEARDOWN_FIELDS)
+            raise _wrong_field_count(fields, TEARDOWN_FIELDS)
         return InstanceStopped(fields[1])
 
 
-def _wrong_count(fields: list[str], expected: int) -> MalformedMessageError:
+def _wrong_field_count(fields: list[str], expected: int) -> MalformedMessageError:
     return MalformedMessageError(f"{fields[0]} has {len(fields) - 1} values, not {expected - 1}")
--- a/willowhook/simulator/endpoint_lists.py
+++ b/willowhook/simulator/endpoint_lists.py
@@ -20,8 +20,8 @@
     "terminated": EndpointState.REMOVED,
 }
 CHANGES_ONLY, LOST = "incr", "lost"
-LIST_FORMS = frozenset((CHANGES_ONLY, "total", "warm_copy", LOST))
-LONG_AGO = 0  # ticks: the start of an endpoint that the list gives none for
+LIST_CHANGE_TYPES = frozenset((CHANGES_ONLY, "total", "warm_copy", LOST))
+DEFAULT_STARTED_AT = 0  # ticks: the start of an endpoint that the list gives none for
 DEFAULT_WEIGHT = 1.0
 
 
@@ -60,7 +60,7 @@
     def parse_change(self, fields: list[str]) -> EndpointListReceived | EndpointListLost:
         """Reads ROSTER_CHANGE. Raises MalformedMessageError, FieldError."""
         _, _, _, number, form = fields
-        if form not in LIST_FORMS:
+        if form not in LIST_CHANGE_TYPES:
             raise MalformedMessageError(f"ROSTER_CHANGE: unknown form {form!r}")
         if form == LOST:
             return EndpointListLost()
@@ -81,7 +81,7 @@
     return EndpointEntry(
         name=name,
         state=ENDPOINT_STATES[state],
-        started_at=LONG_AGO if started_at == ABSENT else parse_ticks("ready-at", started_at),
+        started_at=DEFAULT_STARTED_AT if started_at == ABSENT else parse_ticks("ready-at", started_at),
         listed_weight=DEFAULT_WEIGHT if weight == ABSENT else parse_number("size", weight),
         endpoint_class=endpoint_class,
         zone=zone,
