--- a/willowhook/decisions/__init__.py
+++ b/willowhook/decisions/__init__.py
@@ -1,5 +1,5 @@
-"""All decisions of a controller, without I/O or clock: events come in, commands go out.
+"""The decision logic of a controller: maps events to commands, without I/O and without a clock of its own.
 
-`Controller` (controller.py) is the entry point. Events are in events.py, the commands that a controller gives
-in runtime.py, the deployment's settings in settings.py. Times are ticks (`willowhook.ticks`).
+`Controller` (controller.py) is the entry point. events.py defines the events, runtime.py the commands and
+settings.py the settings of a deployment. All times are in ticks (see `willowhook.ticks`).
 """
--- a/willowhook/decisions/binding.py
+++ b/willowhook/decisions/binding.py
@@ -1,7 +1,8 @@
-"""Binding: which joining proxy gets its tables when.
+"""Binding: decides when each joining proxy is bound to its tables.
 
-A controller that has just started knows no endpoint's latency. A proxy with a table of another controller, or
-with a bootstrap table that is as good, keeps it until the first step of the weight solver.
+A controller that has just started has no latency measurements. A proxy that still has tables from another
+controller, or a bootstrap table that serves it equally well, keeps them until the first step of the weight
+solver.
 """
 
 from __future__ import annotations
@@ -17,11 +18,11 @@
 from .update_cost import bind_cost
 from .weight_solver import STEP_INTERVAL_TICKS
 
-BIND_COST_MARGIN_ENTRIES = 1  # added to the estimated cost of a bind, to err on the safe side
+BIND_COST_MARGIN_ENTRIES = 1  # added to the estimated cost of a bind, which must not be too low
 
 
 class ProxyBinder:
-    """Binds proxies to the default tables or to those of their subset."""
+    """Binds proxies to the default tables or to the tables of their subset."""
 
     def __init__(
         self,
@@ -43,25 +44,25 @@
         self._urgent_after_ticks = urgent_after_ticks(grace_ticks, context.settings.channel)
 
     def stop_holding_back(self) -> None:
-        """Weights are known, or binds are needed to keep the drain rule: no proxy is held back any more."""
+        """Lifts the startup delay: weights are known, or binds have to carry exclusions that did not fit."""
         self._delay_binds_until = 0
 
     def due(self, now: int) -> list[int]:
-        """The proxies that may be bound now, the most urgent first; none while no endpoint is known."""
+        """Returns the proxies that may be bound now, most urgent first; none while no endpoint is known."""
         endpoints = self._fleet.endpoints.values()
         if not endpoints:
-            return []  # an empty table would replace the one that a proxy holds
+            return []  # a bind would replace the proxy's table with an empty one
         excluded = sum(endpoint.is_excluded for endpoint in endpoints)
         if now >= self._delay_binds_until or 2 * excluded >= len(endpoints):
             return self._pending_binds.in_order(with_earlier_table=True)
         settings = self._fleet.settings
-        bootstrap_table_is_as_good = settings.fleet.bootstrap_table_size and not settings.lists_capacity
-        if bootstrap_table_is_as_good:
+        bootstrap_table_suffices = settings.fleet.bootstrap_table_size and not settings.lists_capacity
+        if bootstrap_table_suffices:
             return []
         return self._pending_binds.in_order(with_earlier_table=False)
 
     def urgent(self, now: int) -> list[int]:
-        """Of those due, the ones that were sent nothing yet and may soon lack an endpoint for too long."""
+        """Returns the due proxies that were sent nothing recently and may exceed the empty-table grace."""
         message_cap = self._channel.message_cap
         return [
             proxy
@@ -71,19 +72,19 @@
         ]
 
     def bind_burst(self, now: int, due: list[int]) -> None:
-        """Binds proxies that never were to subsets, if too many of them wait for whole tables.
+        """Binds proxies that were never bound to subsets, if complete tables would reach them too late.
 
-        A subset table holds nothing that has to be excluded, and its bind costs less than telling a proxy
-        what has been.
+        A subset table contains no excluded endpoint, and binding a proxy to one costs less than sending it
+        all earlier exclusions.
         """
-        new = [proxy for proxy in due if proxy not in self._fleet.subset_of]
-        if self._subsets.is_burst(new):
-            self.bind_in_order(now, self._subsets.assign_burst(now, new), math.inf)
+        never_bound = [proxy for proxy in due if proxy not in self._fleet.subset_of]
+        if self._subsets.is_burst(never_bound):
+            self.bind_in_order(now, self._subsets.assign_burst(now, never_bound), math.inf)
 
     def bind_in_order(self, now: int, due: list[int], limit: float) -> None:
-        """Binds those of these proxies that still wait, as long as the queue stays under the limit."""
+        """Binds these pending proxies in order while the queue is shorter than the limit."""
         if due and self._channel.queue_estimate() < limit:
-            # a table that nobody uses yet is brought up to date before anyone is bound, and costs nothing
+            # updating a table that no proxy uses costs nothing, so do it before the first bind
             unused = [table for table in self._fleet.tables if not self._fleet.users(table)]
             self._updater.update(now, unused, limit)
         for proxy in due:
@@ -93,7 +94,7 @@
             self._pending_binds.remove(proxy)
 
     def end_burst(self, now: int, limit: float) -> None:
-        """Binds proxies with a subset to the default tables, once nobody waits, as the queue allows."""
+        """Rebinds proxies of a join burst to the default tables when no bind is pending."""
         if self._subsets.mode is not SubsetMode.JOIN_BURST or self._pending_binds:
             return
         while self._subsets.mode is SubsetMode.JOIN_BURST:
--- a/willowhook/decisions/channel.py
+++ b/willowhook/decisions/channel.py
@@ -1,8 +1,9 @@
-"""An estimate of what waits in the channel to the proxies, by what was sent and what was acknowledged.
+"""Estimates the queue in the channel to the proxies from the messages sent and their acknowledgements.
 
-The channel carries entries at a stated rate, and messages leave it in the order in which they were sent. So
-an acknowledgement proves that everything sent before that message's flush has left. It proves nothing of its
-own flush: if one flush sends to 300 proxies, the first acknowledgement comes while most of them still wait.
+The channel carries entries at a stated rate and delivers messages in the order in which they were sent. An
+acknowledgement therefore proves that everything sent in earlier flushes has left the queue. It proves nothing
+about its own flush: when one flush sends to 300 proxies, the first acknowledgement arrives while most of the
+messages are still queued.
 """
 
 from __future__ import annotations
@@ -15,17 +16,19 @@
 from .settings import ChannelSettings
 from .update_cost import SYNC_MARKER_ENTRIES, message_overhead
 
-MAX_UNACKNOWLEDGED_MESSAGES = 64  # of one proxy, once they have left; one that is only slow catches up before
-MARKERS = 1 << 16  # number of sync markers: two bytes on the wire
+MAX_UNACKNOWLEDGED_MESSAGES = (
+    64  # per proxy, after they left the queue; a merely slow proxy catches up before
+)
+MARKERS = 1 << 16  # number of distinct sync markers; they take two bytes on the wire
 
 
 class SentMessage(NamedTuple):
-    """A message that was sent and not acknowledged yet.
+    """A message that was sent and has not been acknowledged.
 
     Attributes:
         marker: its sync marker.
         entries: its cost.
-        due_at: when its acknowledgement is overdue.
+        due_at: the time after which its acknowledgement is overdue.
         flush: the number of the flush that sent it.
     """
 
@@ -36,17 +39,17 @@
 
 
 class ChannelEstimate:
-    """Estimates the entries that wait in the channel.
+    """Estimates how many entries are queued in the channel.
 
     Attributes:
         entries_per_tick: the channel's stated rate.
-        overhead_entries: the cost of a message with its marker, before it carries anything.
-        queued: entries that would wait if the channel kept its stated rate.
+        overhead_entries: the cost of a message that carries only its sync marker.
+        queued: entries in the queue if the channel has kept its stated rate.
         last_marker: the marker of the last flush.
         overdue: entries of messages whose acknowledgement is overdue.
-        pending: entries by proxy, charged since the last flush.
-        unacknowledged: by joined proxy, its messages in the order in which they were sent.
-        message_cap: which proxies may be sent another message.
+        pending: by proxy, the entries charged since the last flush.
+        unacknowledged: by joined proxy, its unacknowledged messages in sending order.
+        message_cap: tracks which proxies may be sent another message.
     """
 
     def __init__(self, settings: ChannelSettings, now: int) -> None:
@@ -58,44 +61,47 @@
         self._max_delay_ticks = settings.max_delay_ticks
         self.queued = 0.0
         self.overdue = 0.0
-        self._possibly_waiting = 0.0  # not proven to have left
-        self._certainly_waiting = 0.0  # of these, what cannot be on its way even at the stated rate
+        self._possibly_waiting = 0.0  # entries not proven to have left the queue
+        self._certainly_waiting = 0.0  # those of them that cannot be in transit at the stated rate
         self._drained_at = now
-        self._last_acknowledgement_at = now  # the last acknowledgement
-        self._lost_before = now  # what was due by then is lost, or does not count any more
+        self._last_acknowledgement_at = now
+        self._lost_before = now  # messages due by then are lost and no longer count
         self.last_marker = 0
         self._flush_count = 0
-        self._last_proven_flush = 0  # these have left whole
+        self._last_proven_flush = 0  # all messages up to this flush have left the queue
 
     def add_proxy(self, proxy: int) -> None:
-        """Starts to track the acknowledgements of a proxy that has joined."""
+        """Starts tracking the acknowledgements of a proxy that has joined."""
         self.unacknowledged[proxy] = []
         self.message_cap.add_proxy(proxy)
 
     def remove_proxy(self, proxy: int) -> None:
-        """Forgets what was sent to a proxy that has left."""
+        """Drops the state of a proxy that has left."""
         self.unacknowledged.pop(proxy, None)
         self.message_cap.remove_proxy(proxy)
 
     def queue_estimate(self) -> float:
-        """Entries that wait, as far as is known."""
+        """Returns the best estimate of the queued entries."""
         return max(self.queued + self.overdue, self._certainly_waiting)
 
     def queue_ceiling(self) -> float:
-        """The most entries that can wait, however slow the channel has become; checked against its limit."""
+        """Returns an upper bound on the queued entries, however slow the channel is.
+
+        Exclusions, reminders and the binds of a join burst are limited by it.
+        """
         return max(self.queue_estimate(), self._possibly_waiting)
 
     def cost(self, proxies: Sequence[int], entries: int) -> int:
-        """The cost of this many entries for each proxy, with the overhead of messages not pending yet."""
+        """Returns the cost of this many entries for each proxy, including overhead of new messages."""
         new_messages = sum(proxy not in self.pending for proxy in proxies)
         return entries * len(proxies) + self.overhead_entries * new_messages
 
     def can_message(self, now: int, proxies: Iterable[int]) -> bool:
-        """Whether the message cap lets all of these proxies have a message in the next flush."""
+        """Whether the message cap allows a message to each of these proxies in the next flush."""
         return self.message_cap.allows(now, (proxy for proxy in proxies if proxy not in self.pending))
 
     def charge(self, proxies: Sequence[int], entries: int) -> None:
-        """Adds this number of entries for each of these proxies to the next flush."""
+        """Charges this many entries for each of these proxies to the next flush."""
         cost = self.cost(proxies, entries)
         self.queued += cost
         self._certainly_waiting += cost
@@ -104,16 +110,16 @@
             self.pending[proxy] = self.pending.get(proxy, self.overhead_entries) + entries
 
     def drain(self, now: int) -> None:
-        """Subtracts what has left since the last call."""
+        """Subtracts the entries that have left the queue since the last call."""
         self.queued = max(0.0, self.queued - self.entries_per_tick * (now - self._drained_at))
         self._drained_at = now
         self._possibly_waiting = self.unproven_entries()
-        # what left within a message's longest delay may not be acknowledged yet; the rest still waits
-        on_its_way = self.entries_per_tick * self._max_delay_ticks
-        self._certainly_waiting = max(0.0, self._possibly_waiting - on_its_way)
+        # entries that left within the maximum message delay may not be acknowledged yet; the rest is queued
+        in_transit = self.entries_per_tick * self._max_delay_ticks
+        self._certainly_waiting = max(0.0, self._possibly_waiting - in_transit)
 
     def flush(self, now: int) -> int:
-        """Turns what is pending into messages under one marker, and returns the marker."""
+        """Turns the pending entries into messages with one sync marker, and returns the marker."""
         self.last_marker = (self.last_marker + 1) % MARKERS
         due_at = now + int(self.queue_estimate() / self.entries_per_tick) + self._max_delay_ticks
         self._flush_count += 1
@@ -126,7 +132,7 @@
         return self.last_marker
 
     def acknowledge(self, now: int, proxy: int, marker: int) -> None:
-        """A proxy has applied the message with this marker, and all before it."""
+        """Handles the acknowledgement of the message with this marker and all earlier ones by a proxy."""
         self._last_acknowledgement_at = now
         messages = self.unacknowledged.get(proxy, [])
         for index, message in enumerate(messages):
@@ -136,21 +142,22 @@
                 return
 
     def unproven_entries(self) -> int:
-        """Entries that no acknowledgement has proven to have left."""
+        """Returns the entries that no acknowledgement has proven to have left the queue."""
         return sum(message.entries for message in self._unproven_messages())
 
     def update_overdue(self, now: int, lost_after_ticks: int) -> None:
-        """Sums what is overdue, and gives up what has been overdue for too long.
+        """Updates the overdue entries, and gives up messages that have been overdue for too long.
 
-        While acknowledgements come, however late, the channel is slow, and unacknowledged messages still wait
-        in it. When none has come for `lost_after_ticks`, messages overdue for as long count as lost.
+        As long as acknowledgements arrive, however late, the channel is merely slow and unacknowledged
+        messages are still queued. If none has arrived for `lost_after_ticks`, messages that have been overdue
+        for that long count as lost.
         """
         if now - self._last_acknowledgement_at >= lost_after_ticks:
             self._lost_before = now - lost_after_ticks
         self.overdue = sum(message.entries for message in self._unproven_messages() if message.due_at < now)
 
     def unresponsive_proxies(self) -> list[int]:
-        """Proxies that acknowledge nothing, though many messages to them are proven to have left."""
+        """Returns proxies that acknowledge nothing although many messages to them have left the queue."""
         return [
             proxy
             for proxy, messages in self.unacknowledged.items()
@@ -159,11 +166,11 @@
         ]
 
     def give_up_messages(self, proxy: int) -> int:
-        """Forgets what was sent to a proxy and is proven to have left. Returns the number of messages."""
+        """Drops the messages to a proxy that are proven to have left the queue, and returns their number."""
         messages = self.unacknowledged.get(proxy, [])
-        left = [message for message in messages if message.flush > self._last_proven_flush]
-        given_up = len(messages) - len(left)
-        messages[:] = left
+        remaining = [message for message in messages if message.flush > self._last_proven_flush]
+        given_up = len(messages) - len(remaining)
+        messages[:] = remaining
         return given_up
 
     def _unproven_messages(self) -> Iterator[SentMessage]:
--- a/willowhook/decisions/context.py
+++ b/willowhook/decisions/context.py
@@ -1,4 +1,4 @@
-"""What the components of one controller share."""
+"""The state that the components of one controller share."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ControllerContext:
-    """Shared state and the way out.
+    """Shared state, and the runtime that carries out commands.
 
     Attributes:
-        settings: the deployment's.
+        settings: the settings of the deployment.
         runtime: carries out the commands.
         fleet: endpoints, proxies and tables.
-        conditions: what the reports say of the fleet as a whole.
-        channel: the estimate of what waits in the channel to the proxies.
-        limits: how much may wait there.
-        random_fraction: a seeded source of numbers from 0 to 1.
-        bucket_ticks: the length of the buckets in which reports are summed.
+        conditions: fleet-wide conditions derived from the reports.
+        channel: the estimate of the queue in the channel to the proxies.
+        limits: limits of that queue.
+        random_fraction: a seeded source of random numbers from 0 to 1.
+        bucket_ticks: the length of the time buckets in which reports are summed.
         started_at: when this controller started.
     """
 
--- a/willowhook/decisions/controller.py
+++ b/willowhook/decisions/controller.py
@@ -1,18 +1,19 @@
 """One controller: events in, commands out.
 
-`Controller` joins the components of this package and decides nothing itself. Call `handle` with each event,
-and `flush` after the last event of a batch: it gives the commands, through the `ControllerRuntime`.
+`Controller` connects the components of this package and has no decision logic of its own. Call `handle` with
+each event and `flush` after the last event of a batch; `flush` issues the commands through the
+`ControllerRuntime`.
 
 | concern                                    | modules                                              |
 | ------------------------------------------ | ---------------------------------------------------- |
-| endpoints, proxies, tables, who uses which | fleet, model                                         |
+| endpoints, proxies, tables and their users | fleet, model                                         |
 | the endpoint list                          | endpoint_list                                        |
 | draining, removed and returning endpoints  | exclusions, reminders, readmissions                  |
 | binding proxies to tables                  | binding, pending_binds, subsets                      |
 | weights                                    | weights, weight_solver, slow_start, locality         |
 | health                                     | outliers, partitions, health_checks                  |
 | load, admission, retries                   | load, demand, conditions, admission                  |
-| what is sent when                          | update_sequence, table_updates, pacing,              |
+| order and pacing of updates                | update_sequence, table_updates, pacing,              |
 |                                            | queue_limits, channel, message_cap                   |
 """
 
@@ -65,26 +66,26 @@
 from .weight_solver import WeightSolver
 from .weights import EndpointWeights
 
-LOST_AFTER_GRACES = 2  # drain graces without any acknowledgement after which overdue messages are lost
+LOST_AFTER_GRACES = 2  # after this many drain graces without acknowledgements, overdue messages are lost
 
 
 class Controller:
-    """Serves the proxies that have joined it. Controllers share nothing and never coordinate.
+    """Configures the proxies that have joined it. Controllers share no state and do not coordinate.
 
     Args:
         runtime: carries out the commands.
-        settings: the deployment's.
+        settings: the settings of the deployment.
         seed: seed for retry jitter and subset selection.
-        now: the time, in ticks.
+        now: the current time, in ticks.
 
     Attributes:
         fleet: endpoints, proxies and tables.
-        channel: the estimate of what waits in the channel to the proxies.
-        admission: how much of the requests is let in.
-        pending_binds: proxies that wait for their tables.
-        subsets: subset tables and their proxies.
-        exclusions: endpoints that proxies are told not to use.
-        updater: what of the tables is to be sent.
+        channel: the estimate of the queue in the channel to the proxies.
+        admission: the admitted fraction of requests and the admission limits.
+        pending_binds: proxies that wait to be bound to their tables.
+        subsets: subset tables and the proxies assigned to them.
+        exclusions: excludes and readmits endpoints.
+        updater: brings the tables at the proxies up to date.
     """
 
     def __init__(self, runtime: ControllerRuntime, settings: DeploymentSettings, seed: int, now: int) -> None:
@@ -131,19 +132,19 @@
 
     @property
     def endpoints(self) -> dict[str, Endpoint]:
-        """All endpoints that it knows, by name."""
+        """All known endpoints, by name."""
         return self.fleet.endpoints
 
     def queue_estimate(self) -> float:
-        """Entries that wait in the channel, as far as is known."""
+        """Returns the estimated number of entries queued in the channel."""
         return self.channel.queue_estimate()
 
     def learnt_capacities(self) -> dict[str, float]:
-        """The capacity of each endpoint relative to the mean, as listed or learnt."""
+        """Returns the capacity of each endpoint relative to the mean, as listed or learnt."""
         return {name: endpoint.capacity for name, endpoint in self.fleet.endpoints.items()}
 
     def status(self, now: int) -> ControllerStatus:
-        """What it believes now, in figures."""
+        """Returns figures on the current state of the fleet and the channel."""
         endpoints = self.fleet.endpoints.values()
         return ControllerStatus(
             endpoints_in_service=sum(endpoint.is_in_service for endpoint in endpoints),
@@ -154,7 +155,7 @@
         )
 
     def handle(self, now: int, event: Event) -> None:
-        """Handles one event; the commands that follow from it are given by the next `flush`."""
+        """Handles one event; the next `flush` issues the resulting commands."""
         match event:
             case EndpointReport():
                 self._record_endpoint_report(now, event)
@@ -178,12 +179,12 @@
                 assert_never(event)
 
     def flush(self, now: int) -> None:
-        """Gives the commands of a batch of events, in the order of `UpdateSequence`."""
+        """Issues the commands for a batch of events, in the order of `UpdateSequence`."""
         self._endpoint_list.watch_if_due(now)
         self._updates.send(now)
 
     def _evaluate(self, now: int) -> None:
-        """The periodic evaluation: health, load, admission, weights."""
+        """Runs the periodic evaluation of health, load, admission and weights."""
         self.channel.update_overdue(now, LOST_AFTER_GRACES * self._settings.rules.drain_grace_ticks)
         self._endpoint_list.forget_removed(now)
         self.exclusions.log_if_late(now)
--- a/willowhook/decisions/message_cap.py
+++ b/willowhook/decisions/message_cap.py
@@ -1,7 +1,7 @@
-"""The cap on messages to one proxy: which proxies may be sent another one now.
+"""The message cap: limits how many messages a proxy is sent within a time window.
 
-Messages that only improve service are spaced evenly by `pacing.UpdatePacer`, and leave one message of the cap
-unused. What keeps a rule does not wait for them: it may use the whole cap, proxy by proxy.
+Messages that only improve service are spaced evenly by `pacing.UpdatePacer` and leave one message of the cap
+unused. Messages that are needed to keep a rule skip the spacing and may use the complete cap of each proxy.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 from ..ticks import TICKS_PER_SECOND
 from .settings import ChannelSettings
 
-WRITE_DELAY_TICKS = TICKS_PER_SECOND // 2  # how much sooner than the one before a message may be written
-MIN_CAP_WITH_RESERVE = 3  # a smaller cap has no message to keep back
+WRITE_DELAY_TICKS = TICKS_PER_SECOND // 2  # by how much the delay from sending to writing may vary
+MIN_CAP_WITH_RESERVE = 3  # a smaller cap is too small to reserve a message
 
 
 class MessageCap:
-    """Counts the messages to each proxy within the window of the cap, from its joining."""
+    """Counts the messages to each proxy since it joined, within the window of the cap."""
 
     def __init__(self, settings: ChannelSettings) -> None:
         self._cap = settings.message_cap
@@ -31,21 +31,21 @@
         return self._cap > 0
 
     def add_proxy(self, proxy: int) -> None:
-        """Starts to count for a proxy that has joined."""
+        """Starts counting messages to a proxy that has joined."""
         self._sent_at[proxy] = deque()
 
     def remove_proxy(self, proxy: int) -> None:
-        """Forgets a proxy that has left."""
+        """Drops the state of a proxy that has left."""
         self._sent_at.pop(proxy, None)
 
     def record_messages(self, now: int, proxies: Iterable[int]) -> None:
-        """One message has left to each of these proxies."""
+        """Records that each of these proxies was sent one message."""
         if self.is_limited:
             for proxy in proxies:
                 self._sent_at[proxy].append(now)
 
     def has_no_recent_messages(self, now: int, proxy: int) -> bool:
-        """Whether a proxy was sent nothing within the window."""
+        """Whether a proxy was sent no message within the window."""
         return self._recent_message_count(now, proxy) == 0
 
     def allows(self, now: int, proxies: Iterable[int]) -> bool:
@@ -53,7 +53,7 @@
         return self._has_room(now, proxies, 1)
 
     def allows_with_reserve(self, now: int, proxies: Iterable[int]) -> bool:
-        """Whether all of these proxies may be sent a message, and then one more that keeps a rule."""
+        """Whether all of these proxies may be sent a message and still have the reserved one left."""
         return self._has_room(now, proxies, 1 + self._reserve)
 
     def _has_room(self, now: int, proxies: Iterable[int], messages: int) -> bool:
@@ -62,7 +62,7 @@
         return all(self._recent_message_count(now, proxy) + messages <= self._cap for proxy in proxies)
 
     def _recent_message_count(self, now: int, proxy: int) -> int:
-        """How many messages it was sent within the window."""
+        """Returns how many messages a proxy was sent within the window."""
         sent_at = self._sent_at[proxy]
         while sent_at and sent_at[0] <= now - self._window_ticks:
             sent_at.popleft()
--- a/willowhook/decisions/pacing.py
+++ b/willowhook/decisions/pacing.py
@@ -1,4 +1,4 @@
-"""When messages leave and when tables are sent: within the message cap and a part of the channel's rate."""
+"""Paces messages to stay within the message cap, and table updates to a fraction of the channel's rate."""
 
 from __future__ import annotations
 
@@ -19,38 +19,39 @@
         self._next_table_updates_at = 0
 
     def can_send(self, now: int) -> bool:
-        """Whether messages may leave now."""
+        """Whether messages may be sent to all proxies now."""
         return now >= self._next_message_at
 
     def record_messages(self, now: int) -> None:
-        """Messages have left."""
+        """Records that messages were sent to all proxies."""
         self._next_message_at = now + self._spacing_ticks
 
     def are_table_updates_due(self, now: int) -> bool:
-        """Whether table updates may be sent for their own sake."""
+        """Whether messages may be sent for table updates alone."""
         return now >= self._next_table_updates_at
 
     def expedite_table_updates(self, now: int) -> None:
-        """Table updates may be sent at once: an endpoint was ejected."""
+        """Allows table updates at once, after an endpoint was ejected."""
         self._next_table_updates_at = now
 
     def record_table_updates(self, now: int, entries: float, has_changes: bool) -> None:
-        """Table updates of this cost were sent.
+        """Records that table updates were sent, and schedules the next ones.
 
         Args:
-            now: the time.
-            entries: their cost.
-            has_changes: whether some are left; then the next ones need not be paid for by a pause.
+            now: the current time.
+            entries: the cost of the updates that were sent.
+            has_changes: whether changes are left to send; the next updates then follow without the pause that
+                keeps table updates within their share of the channel's rate.
         """
-        paid_ticks = entries / (self._channel.entries_per_tick * TABLE_RATE_FRACTION)
+        transfer_ticks = entries / (self._channel.entries_per_tick * TABLE_RATE_FRACTION)
         pause = EVALUATION_INTERVAL_TICKS
         if not has_changes:
-            pause = max(pause, int(paid_ticks))
+            pause = max(pause, int(transfer_ticks))
         self._next_table_updates_at = now + pause
 
 
 def message_spacing(channel: ChannelSettings) -> int:
-    """Ticks between two messages to a proxy at which it cannot get more than its cap."""
+    """Returns the ticks between two messages to a proxy that keep it within the message cap."""
     if not channel.message_cap:
         return 0
     return channel.message_cap_window_ticks // max(channel.message_cap - 1, 1) + 1
--- a/willowhook/decisions/pending_binds.py
+++ b/willowhook/decisions/pending_binds.py
@@ -1,4 +1,4 @@
-"""Proxies that wait to be bound to their tables, and their order."""
+"""Tracks the proxies that wait to be bound to their tables, and orders them by priority."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 from ..ticks import TICKS_PER_SECOND
 
-FRESH_HEAD_START_SECONDS = 2  # a proxy without a controller's table has few endpoints and may lose them all
+FRESH_HEAD_START_SECONDS = 2  # a bootstrap table has few endpoints, all of which may become unusable
 
 
 class BindPriority(NamedTuple):
-    """Sort key of waiting proxies: the longest wait first, then the most traffic.
+    """Sort key of waiting proxies: longest wait first, then highest request rate.
 
     Attributes:
-        waiting_since_second: when it joined; earlier for a proxy that no controller has sent a table.
-        negative_rate: minus its usual requests per second.
-        has_earlier_table: whether another controller has sent it one.
+        waiting_since_second: when the proxy joined, less a head start if no controller has sent it a table.
+        negative_rate: its usual requests per second, negated.
+        has_earlier_table: whether another controller has sent it a table.
     """
 
     waiting_since_second: int
@@ -25,11 +25,11 @@
 
 
 class PendingBinds:
-    """The proxies that wait to be bound."""
+    """The set of proxies that wait to be bound."""
 
     def __init__(self) -> None:
         self._waiting: dict[int, BindPriority] = {}
-        self._since: dict[int, int] = {}  # in ticks
+        self._since: dict[int, int] = {}  # by proxy, the tick at which it started to wait
 
     def __contains__(self, proxy: int) -> bool:
         return proxy in self._waiting
@@ -41,28 +41,28 @@
         return len(self._waiting)
 
     def add(self, now: int, proxy: int, rate_per_second: float, is_fresh: bool) -> None:
-        """A proxy has joined."""
+        """Adds a proxy that has joined."""
         since = now // TICKS_PER_SECOND - FRESH_HEAD_START_SECONDS * is_fresh
         self._waiting[proxy] = BindPriority(since, -rate_per_second, not is_fresh)
         self._since[proxy] = now
 
     def rebind_all(self, now: int, proxies: Iterable[int]) -> None:
-        """These proxies, and no others, are to be bound again."""
+        """Replaces the waiting proxies by these, which are to be bound again."""
         priority = BindPriority(now // TICKS_PER_SECOND, 0.0, has_earlier_table=False)
         self._waiting = dict.fromkeys(proxies, priority)
         self._since = dict.fromkeys(self._waiting, now)
 
     def remove(self, proxy: int) -> None:
-        """A proxy was bound, or has left."""
+        """Removes a proxy that was bound or has left."""
         self._waiting.pop(proxy, None)
         self._since.pop(proxy, None)
 
     def waited_ticks(self, now: int, proxy: int) -> int:
-        """How long a waiting proxy has waited."""
+        """Returns how long a waiting proxy has waited."""
         return now - self._since[proxy]
 
     def in_order(self, *, with_earlier_table: bool) -> list[int]:
-        """The waiting proxies, the most urgent first, with or without those that have an earlier table."""
+        """Returns the waiting proxies, most urgent first, with or without those with an earlier table."""
         due = [
             proxy
             for proxy, priority in self._waiting.items()
--- a/willowhook/decisions/queue_limits.py
+++ b/willowhook/decisions/queue_limits.py
@@ -1,7 +1,7 @@
-"""How much may wait in the channel, for each kind of update.
+"""Limits on the queued entries in the channel, for each kind of update.
 
-Exclusions keep a rule, so they may fill nearly all of the queue. Binds and table updates leave room, so that
-the exclusions that come next still reach all proxies within the drain grace.
+Exclusions keep the drain rule, so they may fill nearly all of the queue. Binds and table updates leave
+capacity, so that later exclusions still reach all proxies within the drain grace.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 
 EXCLUSION_FRACTION = 0.95  # share of the queue's limit that exclusions may fill
 TABLE_FRACTION = 0.4  # share of the queue's limit that table updates may fill
-BIND_DIVISOR = 3  # binds may fill this part of the limit, or of what can leave within the grace
-EXCLUSION_BATCH_DIVISOR = 8  # while the queue is long, exclusions gather for this part of the grace
-REMINDER_DIVISOR = 4  # proxies that wait for this part of the grace are sent earlier exclusions
-SHORT_QUEUE_FRACTION = 0.5  # share of the limit for binds below which tables may be sent for their own sake
+BIND_DIVISOR = 3  # binds may fill 1/3 of the queue's limit, or of the entries that can leave within the grace
+EXCLUSION_BATCH_DIVISOR = 8  # while the queue is long, exclusions are batched for 1/8 of the drain grace
+REMINDER_DIVISOR = 4  # proxies that wait for 1/4 of the drain grace are sent earlier exclusions
+SHORT_QUEUE_FRACTION = 0.5  # share of the bind limit below which messages may be sent for table updates alone
 
 
 class QueueLimits:
-    """Limits of the queue, in entries."""
+    """Computes limits of the queue, in entries."""
 
     def __init__(self, fleet: FleetState, channel: ChannelEstimate) -> None:
         self._fleet = fleet
@@ -27,33 +27,34 @@
         self._grace_ticks = fleet.settings.rules.drain_grace_ticks
 
     def for_exclusions(self) -> float:
-        """For what keeps the rule on draining endpoints and the rule on empty tables."""
+        """Returns the limit for updates that keep the rules on draining endpoints and on empty tables."""
         return self._settings.queue_limit_entries * EXCLUSION_FRACTION
 
     def for_binds(self) -> float:
-        """For binds: a third of the queue, or down to a sixth of it.
+        """Returns the limit for binds: from a sixth to a third of the queue.
 
-        Two rounds of exclusions must still reach all in time: one to the proxies that have joined, one to all
-        of the deployment, should they join here. Each costs a proxy a message with one entry.
+        Two rounds of exclusions must still arrive in time: one to the proxies that have joined, one to all
+        proxies of the deployment, in case they join here. Each round costs one message with one entry per
+        proxy.
         """
-        reach = self._channel.entries_per_tick * (self._grace_ticks - self._settings.max_delay_ticks)
+        sendable = self._channel.entries_per_tick * (self._grace_ticks - self._settings.max_delay_ticks)
         proxies = self._fleet.settings.fleet.proxy_count + len(self._fleet.proxies)
-        reach -= proxies * (self._channel.overhead_entries + 1)
+        sendable -= proxies * (self._channel.overhead_entries + 1)
         limit = self._settings.queue_limit_entries
-        return min(limit, max(reach, limit / 2)) / BIND_DIVISOR
+        return min(limit, max(sendable, limit / 2)) / BIND_DIVISOR
 
     def for_table_updates(self) -> float:
-        """For weights: the next exclusions must still reach all proxies within the grace."""
-        gathering = self._grace_ticks / EXCLUSION_BATCH_DIVISOR
-        in_time = self._grace_ticks - gathering - self._settings.max_delay_ticks
-        reach = self._channel.entries_per_tick * in_time
-        reach -= len(self._fleet.proxies) * (self._channel.overhead_entries + 1)
-        return max(self.for_binds(), min(self._settings.queue_limit_entries * TABLE_FRACTION, reach))
+        """Returns the limit for weights: later exclusions must still arrive within the drain grace."""
+        batching_ticks = self._grace_ticks / EXCLUSION_BATCH_DIVISOR
+        sending_ticks = self._grace_ticks - batching_ticks - self._settings.max_delay_ticks
+        sendable = self._channel.entries_per_tick * sending_ticks
+        sendable -= len(self._fleet.proxies) * (self._channel.overhead_entries + 1)
+        return max(self.for_binds(), min(self._settings.queue_limit_entries * TABLE_FRACTION, sendable))
 
     def for_reminders(self) -> float:
-        """For earlier exclusions sent to waiting proxies: after the grace they are of no use."""
-        waited = self._grace_ticks / REMINDER_DIVISOR
-        in_time = self._grace_ticks - waited - self._settings.max_delay_ticks
-        reach = self._channel.entries_per_tick * in_time
+        """Returns the limit for reminders to waiting proxies, which are useless after the drain grace."""
+        waited_ticks = self._grace_ticks / REMINDER_DIVISOR
+        sending_ticks = self._grace_ticks - waited_ticks - self._settings.max_delay_ticks
+        sendable = self._channel.entries_per_tick * sending_ticks
         limit = self._settings.queue_limit_entries
-        return min(limit * EXCLUSION_FRACTION, max(reach, limit / 2))
+        return min(limit * EXCLUSION_FRACTION, max(sendable, limit / 2))
--- a/willowhook/decisions/reminders.py
+++ b/willowhook/decisions/reminders.py
@@ -1,9 +1,9 @@
-"""Reminders: proxies that wait to be bound are sent the exclusions of before they joined.
+"""Reminders: sends proxies that wait to be bound the exclusions from before they joined.
 
-An exclusion is lost with the session that carried it, and a proxy that never was bound has a bootstrap table
-that may name removed endpoints. A bind carries the same and more, so there is one reminder for all waiting
-proxies, a part of the drain grace after the first of them joined. Later exclusions reach them as they are
-sent.
+An exclusion is lost with the session that received it, and a proxy that was never bound has a bootstrap table
+that may contain removed endpoints. A bind includes these exclusions, so there is only one reminder for all
+waiting proxies, sent a fraction of the drain grace after the first of them joined. Exclusions that are sent
+after a proxy has joined reach it directly.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class ExclusionReminders:
-    """Sends waiting proxies the exclusions of before they joined."""
+    """Sends waiting proxies the exclusions from before they joined."""
 
     def __init__(
         self,
@@ -39,21 +39,21 @@
         self._due_at: int | None = None
 
     def add_proxy(self, now: int, proxy: int) -> None:
-        """A proxy has joined."""
+        """Schedules a reminder to a proxy that has joined."""
         self._unreminded[proxy] = None
         self._last_joined_at = now
         if self._due_at is None:
             self._due_at = now + self._fleet.settings.rules.drain_grace_ticks // REMINDER_DIVISOR
 
     def remove_proxy(self, proxy: int) -> None:
-        """A proxy has left."""
+        """Drops the reminder to a proxy that has left."""
         self._unreminded.pop(proxy, None)
 
     def send_if_due(self, now: int) -> bool:
-        """Sends reminders that are due, the last exclusions first.
+        """Sends the reminders that are due, latest exclusions first.
 
         Returns:
-            False if some were due and did not fit in the queue or the message cap.
+            False if some were due and exceeded the queue limit or the message cap.
         """
         if self._due_at is None or now < self._due_at:
             return True
@@ -65,32 +65,32 @@
         return not waiting or self._send(now, waiting)
 
     def _is_waiting(self, proxy: int) -> bool:
-        """Whether a proxy waits for a bind to whole tables; one to a subset comes at once."""
+        """Whether a proxy waits for a bind to complete tables; binds to subsets are sent at once."""
         return proxy in self._pending_binds and self._subsets.assigned(proxy) is None
 
     def _send(self, now: int, waiting: list[int]) -> bool:
         limit = self._limits.for_reminders()
-        told: list[str] = []
-        all_told = True
+        reminded: list[str] = []
+        all_sent = True
         for name in self._earlier_exclusions():
             holders = waiting if self._excludes_per_proxy else self._exclusions.holders(name)
             is_over_limit = (
                 self._channel.queue_ceiling() + self._channel.cost(holders, UPDATE_ENTRIES) > limit
             )
             if is_over_limit or not self._channel.can_message(now, holders):
-                all_told = False
+                all_sent = False
                 break
-            told.append(name)
+            reminded.append(name)
             self._channel.charge(holders, UPDATE_ENTRIES)
             if not self._excludes_per_proxy:
                 self._runtime.exclude_endpoint(name)
-        if told and self._excludes_per_proxy:
+        if reminded and self._excludes_per_proxy:
             for proxy in waiting:
-                self._runtime.exclude_for_proxy(proxy, told)
-        return all_told
+                self._runtime.exclude_for_proxy(proxy, reminded)
+        return all_sent
 
     def _earlier_exclusions(self) -> list[str]:
-        """Endpoints that were excluded before the last proxy joined, the last one first."""
+        """Returns the endpoints that were excluded before the last proxy joined, latest exclusion first."""
         earlier = [
             endpoint
             for endpoint in self._fleet.endpoints.values()
--- a/willowhook/decisions/runtime.py
+++ b/willowhook/decisions/runtime.py
@@ -1,4 +1,4 @@
-"""The commands that a controller gives: the interface to whatever runs it."""
+"""The commands that a controller issues: the interface to the process that runs it."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class RetryMode(IntEnum):
-    """When a proxy may retry a request at another endpoint. The values are those of all wires."""
+    """When a proxy may retry a request at another endpoint. All wire formats use these values."""
 
     NEVER = 0
     IF_NOT_EXECUTED = 1  # once, after proof that the first attempt was never executed
@@ -17,7 +17,7 @@
 
 
 class AdmissionLimit(NamedTuple):
-    """What proxies admit of a route, and when they retry it.
+    """The admission limit and the retry mode of a route.
 
     Attributes:
         retries: when a request may be retried.
@@ -29,25 +29,25 @@
 
 
 class ControllerRuntime(Protocol):
-    """Carries out commands. What is given between two flushes reaches each proxy as one message.
+    """Carries out commands. The commands issued between two flushes reach each proxy as one message.
 
-    Tables go by number, proxies by number, endpoints by name, routes by their index in the settings.
+    Tables and proxies are identified by number, endpoints by name, routes by their index in the settings.
     """
 
     def schedule_evaluation(self, delay_ticks: int) -> None:
-        """Hands the controller an `EvaluationDue` after this delay."""
+        """Passes the controller an `EvaluationDue` event after this delay."""
 
     def log(self, text: str) -> None:
         """Writes one line to the log."""
 
     def watch_endpoints(self) -> None:
-        """Asks for the endpoint list and, from then on, for its changes."""
+        """Requests the endpoint list and subscribes to its changes."""
 
     def fetch_endpoint_list(self) -> None:
-        """Asks for the complete endpoint list once."""
+        """Requests the complete endpoint list once."""
 
     def check_health(self, endpoint: str) -> None:
-        """Sends a health check; its end comes as a `HealthCheckCompleted`."""
+        """Sends a health check; its result arrives as a `HealthCheckCompleted` event."""
 
     def set_weight(self, table: int, endpoint: str, weight: float) -> None:
         """Sets the weight of an endpoint in a table; 0 removes its entry."""
@@ -56,13 +56,13 @@
         """Removes all entries and limits of a table."""
 
     def bind(self, proxy: int, table: int, routes: Sequence[int]) -> None:
-        """Makes a proxy use a table for these routes, in place of what it used."""
+        """Makes a proxy use a table for these routes, in place of its previous one."""
 
     def set_admission(self, table: int, route: int, admission: AdmissionLimit) -> None:
-        """Sets what the proxies that use a table admit of a route."""
+        """Sets the admission limit and the retry mode of a route at the proxies that use a table."""
 
     def exclude_endpoint(self, endpoint: str) -> None:
-        """Tells all proxies that may hold an entry for an endpoint not to use it, whatever the table says."""
+        """Stops all proxies that may hold an entry for an endpoint from using it, whatever its weight."""
 
     def readmit_endpoint(self, endpoint: str) -> None:
         """Reverts `exclude_endpoint`."""
@@ -74,13 +74,13 @@
         """Readmits endpoints at one proxy that may hold exclusions of another controller."""
 
     def end_session(self, proxy: int) -> None:
-        """Ends the session of a proxy that acknowledges nothing; it may join again.
+        """Ends the session of a proxy that acknowledges nothing; the proxy may join again.
 
-        The end comes as a `ProxyLeft`. Where proxies cannot be made to leave, nothing happens.
+        A `ProxyLeft` event follows. Has no effect where the runtime cannot end sessions.
         """
 
     def forget_endpoint(self, endpoint: str) -> None:
-        """Says that an endpoint is gone for good and will not be named again."""
+        """Drops an endpoint that was removed for good; no later command names it."""
 
     def send_sync_marker(self, marker: int) -> None:
-        """Adds a marker to each message of this flush; its arrival comes as a `MessageAcknowledged`."""
+        """Adds a marker to each message of this flush; proxies return it in a `MessageAcknowledged` event."""
--- a/willowhook/decisions/timing.py
+++ b/willowhook/decisions/timing.py
@@ -1,4 +1,4 @@
-"""The interval of the periodic evaluation, and how long what keeps a rule may wait for other messages."""
+"""The interval of the periodic evaluation, and the time that urgent messages may wait for the spacing."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 
 def urgent_after_ticks(grace_ticks: int, channel: ChannelSettings) -> int:
-    """How long a message that has to arrive within this grace may wait for the spacing of messages.
+    """Returns how long a message that has to arrive within a grace may wait for the spacing of messages.
 
-    Half of what the grace leaves, once the delay of the message and the wait for a flush are taken off.
+    This is half of the grace that is left after the maximum message delay and the wait for a flush.
     """
     return max(grace_ticks - channel.max_delay_ticks - EVALUATION_INTERVAL_TICKS, 0) // 2
--- a/willowhook/decisions/update_cost.py
+++ b/willowhook/decisions/update_cost.py
@@ -1,30 +1,30 @@
-"""What updates cost in the channel, counted in endpoint entries.
+"""The cost of updates in the channel, in endpoint entries.
 
-The decisions estimate the queue by these, the file control plane measures it by them. A message costs its
-overhead and what it carries; each weight, admission limit, exclusion, readmission and sync marker counts as
-one entry at each proxy that it reaches.
+The decisions use these costs to estimate the queue, and the file control plane to measure it. A message costs
+its overhead and its content; each weight, admission limit, exclusion, readmission and sync marker counts as
+one entry for each proxy that it is sent to.
 """
 
 from __future__ import annotations
 
 from .settings import ChannelSettings
 
-UPDATE_ENTRIES = 1  # a weight, an admission limit, an exclusion or a readmission, at one proxy
+UPDATE_ENTRIES = 1  # a weight, admission limit, exclusion or readmission, for one proxy
 SYNC_MARKER_ENTRIES = 1
-BIND_ENTRIES = 1  # naming the table; what the table holds comes on top
+BIND_ENTRIES = 1  # the bind itself, without the content of the table
 
 
 def message_overhead(channel: ChannelSettings) -> int:
-    """Entries that a message costs before it carries anything."""
+    """Returns the cost of a message without content, in entries."""
     return int(channel.message_overhead_entries)
 
 
 def bind_cost(entries: int, limits: int, excluded: int) -> int:
-    """Entries that binding a proxy to a table costs.
+    """Returns the cost of binding a proxy to a table, in entries.
 
     Args:
-        entries: that the table holds.
-        limits: admission limits that it holds.
-        excluded: endpoints among its entries that are excluded now, and are told to be.
+        entries: number of entries of the table.
+        limits: number of admission limits of the table.
+        excluded: number of its endpoints that are excluded; the bind includes these exclusions.
     """
     return BIND_ENTRIES + entries + limits + excluded
