--- a/willowhook/decisions/subsets.py
+++ b/willowhook/decisions/subsets.py
@@ -1,8 +1,9 @@
-"""Subsets: small tables of a few endpoints, each for a part of the proxies.
+"""Subsets: small tables with a few endpoints, each used by a part of the proxies.
 
-One mechanism with two triggers. In a join burst, too many proxies wait for whole tables to reach all within
-the drain grace: each gets a part of the tables first, and the whole when nobody waits. And where idle
-endpoints refuse connections, each proxy is kept to a few endpoints for a time, which doubles.
+Two conditions trigger subsets. In a join burst, so many proxies wait that complete tables would not reach all
+of them within the drain grace: each is bound to a subset first, and to the default tables when no bind is
+pending. When idle endpoints refuse connections, each proxy is limited to a few endpoints for a time that
+doubles with each repetition.
 """
 
 from __future__ import annotations
@@ -17,10 +18,14 @@
 from .weights import EndpointWeights
 
 MIN_ENDPOINTS = 2  # endpoints in a subset table
-MIN_BURST_ENDPOINTS = 3  # two are often next to each other, and drain together
+MIN_BURST_ENDPOINTS = 3  # two are often neighbours that drain together
 FIRST_CONNECTION_LIMIT_TICKS = 30 * TICKS_PER_SECOND
-REFUSED_SUCCESS_FRACTION = 0.4  # below it, idle endpoints that answer in time refuse connections
-TABLE_OVERHEAD_ENTRIES = BIND_ENTRIES + 1  # estimated cost of a bind without its entries; one in reserve
+REFUSED_SUCCESS_FRACTION = (
+    0.4  # success fraction of idle, fast endpoints below which they count as refusing connections
+)
+TABLE_OVERHEAD_ENTRIES = (
+    BIND_ENTRIES + 1
+)  # estimated cost of a bind without its entries, plus a margin of one
 GRACE_FRACTION = 0.5  # share of the drain grace within which all joining proxies should be bound
 
 
@@ -42,14 +47,14 @@
         self._limits = context.limits
         self._random_fraction = context.random_fraction
         self._weights = weights
-        self._assigned: dict[int, int] = {}  # by proxy, its subset
+        self._assigned: dict[int, int] = {}  # by proxy, the subset it is assigned to
         self._subset_count = 1
         self._endpoints_per_subset = MIN_ENDPOINTS
         self._last_table_number = len(context.fleet.default_tables)
         self._limited_until: int | None = None
         self._limit_ended_at = 0
         self._next_limit_ticks = FIRST_CONNECTION_LIMIT_TICKS
-        # those of one zone: every proxy uses as many
+        # every proxy uses as many tables as there are for one zone
         tables = context.fleet.default_tables
         self._tables_per_proxy = [table for table in tables if table.zone == tables[0].zone]
 
@@ -61,18 +66,18 @@
         return SubsetMode.JOIN_BURST if self._assigned else SubsetMode.OFF
 
     def assigned(self, proxy: int) -> int | None:
-        """The subset that a proxy is to be bound to; None: the default tables."""
+        """Returns the subset that a proxy is to be bound to; None: the default tables."""
         return self._assigned.get(proxy)
 
     def add_proxy(self, proxy: int) -> None:
-        """A proxy has joined: it gets a subset too while connections are limited."""
+        """Assigns a proxy that has joined to a subset while connections are limited."""
         if self.mode is SubsetMode.CONNECTION_LIMIT:
             self._assigned.setdefault(proxy, self._draw_subset())
 
     # Join bursts.
 
     def is_burst(self, waiting: list[int]) -> bool:
-        """Whether whole tables would reach these proxies too late for what is excluded in them."""
+        """Whether complete tables would reach these proxies too late to exclude endpoints in time."""
         if self.mode is SubsetMode.CONNECTION_LIMIT or not waiting:
             return False
         entries = sum(
@@ -83,29 +88,29 @@
         return self._channel.queue_estimate() + cost > self._entries_in_time()
 
     def assign_burst(self, now: int, waiting: list[int]) -> list[int]:
-        """Assigns waiting proxies to subsets at random; returns those whose binds fit in the queue now."""
+        """Assigns waiting proxies to random subsets; returns those whose binds fit in the queue now."""
         if self.mode is SubsetMode.OFF:
             if self._fleet.has_subset_bindings():
-                return []  # their tables' numbers would be used again
+                return []  # the table numbers in use would be assigned again
             self._endpoints_per_subset = self._burst_table_size(len(waiting))
             self._make_tables(now, self._endpoints_per_subset)
-            self._runtime.log(f"join burst began waiting={len(waiting)} subsets={self._subset_count}")
-        drawn = {proxy: self._draw_subset() for proxy in waiting}
-        self._assigned = drawn | self._assigned
+            self._runtime.log(f"join burst started waiting={len(waiting)} subsets={self._subset_count}")
+        assignments = {proxy: self._draw_subset() for proxy in waiting}
+        self._assigned = assignments | self._assigned
         routes = len(self._fleet.settings.routes)
         table_cost = TABLE_OVERHEAD_ENTRIES + self._endpoints_per_subset + routes
         cost = self._channel.overhead_entries + len(self._tables_per_proxy) * table_cost
-        room = self._limits.for_exclusions() - self._channel.queue_ceiling()
-        return waiting[: max(0, int(room / cost))]
+        free_entries = self._limits.for_exclusions() - self._channel.queue_ceiling()
+        return waiting[: max(0, int(free_entries / cost))]
 
     def release_next(self) -> int:
-        """Ends the assignment of the next proxy of a join burst, and returns the proxy."""
+        """Removes the next proxy of a join burst from its subset, and returns the proxy."""
         proxy = next(iter(self._assigned))
         del self._assigned[proxy]
         return proxy
 
     def _burst_table_size(self, waiting: int) -> int:
-        """So large that all who may still come are bound in time, and as a default table at least."""
+        """Returns the largest size that binds all expected proxies in time, at least the bootstrap size."""
         expected = waiting + self._fleet.absent_proxies
         entries_left = self._entries_in_time() - self._channel.queue_estimate()
         entries = entries_left / expected - self._channel.overhead_entries
@@ -113,14 +118,14 @@
         return max(MIN_BURST_ENDPOINTS, self._fleet.settings.fleet.bootstrap_table_size, affordable)
 
     def _entries_in_time(self) -> float:
-        """Entries that the channel carries within the part of the grace that binds may take."""
+        """Returns the entries that the channel carries within the share of the drain grace for binds."""
         grace = self._fleet.settings.rules.drain_grace_ticks
         return self._channel.entries_per_tick * grace * GRACE_FRACTION
 
     # Refused connections.
 
     def refuses_connections(self, sample: LoadSample) -> bool:
-        """Whether idle endpoints fail most attempts and answer the others in time: too many connections."""
+        """Whether idle endpoints fail most attempts but answer the rest in time: they refuse connections."""
         return (
             self.mode is not SubsetMode.CONNECTION_LIMIT
             and sample.best_success_fraction < REFUSED_SUCCESS_FRACTION
@@ -129,26 +134,27 @@
         )
 
     def limit_connections(self, now: int, sample: LoadSample) -> None:
-        """Keeps each proxy to few endpoints, with about as much traffic for each subset, for a time."""
+        """Limits each proxy to a few endpoints for a time, with about equal traffic to each subset."""
         self._runtime.log(
-            f"connection limit began success_fraction={sample.median_success_fraction:.2f} "
+            f"connection limit started success_fraction={sample.median_success_fraction:.2f} "
             f"utilization={sample.utilization:.2f}"
         )
-        if now - self._limit_ended_at > self._next_limit_ticks:  # the trouble before this one was over
+        if now - self._limit_ended_at > self._next_limit_ticks:  # a new incident
             self._next_limit_ticks = FIRST_CONNECTION_LIMIT_TICKS
         self._limited_until = now + self._next_limit_ticks
         self._next_limit_ticks *= 2
         self._make_tables(now, MIN_ENDPOINTS)
-        there_and_back = [*range(self._subset_count), *reversed(range(self._subset_count))]
+        # alternating the direction balances the traffic: proxies are sorted by their request rate
+        subset_order = [*range(self._subset_count), *reversed(range(self._subset_count))]
         proxies = self._fleet.proxies
         for zone in dict.fromkeys(table.zone for table in self._fleet.default_tables):
             local = [proxy for proxy, session in proxies.items() if zone is None or session.zone == zone]
             local.sort(key=lambda proxy: -proxies[proxy].usual_rate_per_second)
             for index, proxy in enumerate(local):
-                self._assigned[proxy] = there_and_back[index % len(there_and_back)]
+                self._assigned[proxy] = subset_order[index % len(subset_order)]
 
     def end_connection_limit_if_due(self, now: int) -> bool:
-        """Whether the time of limited connections has just ended."""
+        """Ends the connection limit if it is due. Returns whether it has just ended."""
         if self._limited_until is None or now < self._limited_until:
             return False
         self._limited_until = None
@@ -162,15 +168,15 @@
     def _draw_subset(self) -> int:
         return int(self._random_fraction() * self._subset_count)
 
-    def _make_tables(self, now: int, endpoints_each: int) -> None:
-        """Adds to the default tables those of the subsets, with so many endpoints in each."""
+    def _make_tables(self, now: int, endpoints_per_subset: int) -> None:
+        """Adds tables for subsets with this many endpoints each to the default tables."""
         fleet = self._fleet
         fleet.tables = list(fleet.default_tables)
         if not fleet.has_subset_bindings():
             self._last_table_number = len(fleet.default_tables)
         zones = len({table.zone for table in fleet.default_tables})
         in_service = sum(endpoint.is_in_service for endpoint in fleet.endpoints.values())
-        self._subset_count = max(1, in_service // (endpoints_each * zones))
+        self._subset_count = max(1, in_service // (endpoints_per_subset * zones))
         for table in fleet.default_tables:
             endpoints = self._best_endpoints(now, table)
             for subset in range(self._subset_count if endpoints else 0):
@@ -179,14 +185,16 @@
     def _make_table(self, table: EndpointTable, subset: int, endpoints: list[Endpoint]) -> EndpointTable:
         self._last_table_number += 1
         self._runtime.clear_table(self._last_table_number)
-        made = EndpointTable(self._last_table_number, table.routes, table.requirements, table.zone, subset)
+        subset_table = EndpointTable(
+            self._last_table_number, table.routes, table.requirements, table.zone, subset
+        )
         end = max(len(endpoints), subset + 1 + self._subset_count * (MIN_ENDPOINTS - 1))
-        places = range(subset, end, self._subset_count)
-        made.members = [endpoints[place % len(endpoints)] for place in places]
-        return made
+        positions = range(subset, end, self._subset_count)
+        subset_table.members = [endpoints[position % len(endpoints)] for position in positions]
+        return subset_table
 
     def _best_endpoints(self, now: int, table: EndpointTable) -> list[Endpoint]:
-        """Those that may serve a table, usable and local ones where there are any, the largest first."""
+        """Returns the endpoints allowed in a table, usable and local ones if there are any, largest first."""
         fleet = self._fleet
         eligible = [endpoint for endpoint in fleet.endpoints.values() if fleet.is_eligible(table, endpoint)]
         usable = [
--- a/willowhook/decisions/table_updates.py
+++ b/willowhook/decisions/table_updates.py
@@ -1,8 +1,9 @@
-"""Table updates: which weights and admission limits are sent, in which order, and when again.
+"""Table updates: decides which weights and admission limits are sent or resent, and in which order.
 
-A message costs as much as several entries, so changed weights wait for the next step of the solver and go
-out a table at a time. Only what leaves a table, and what enters one that has nothing open, is urgent. Entries
-that proxies may lack, as they were bound after these were sent, are sent again at a small rate.
+A message costs as much as several entries, so changed weights wait for the next step of the weight solver and
+are sent table by table. Only entries that leave a table, or enter one without a usable endpoint, are urgent.
+Entries that some proxies may lack, because they were bound after the entries were sent, are resent at a low
+rate.
 """
 
 from __future__ import annotations
@@ -21,29 +22,29 @@
 from .update_cost import UPDATE_ENTRIES
 from .weights import EndpointWeights
 
-MIN_CHANGE = 0.1  # a smaller change is not sent; logarithm of the ratio of new to old weight
-MEMBERSHIP_CHANGE_DISTANCE = 9.0  # stands for that logarithm when an entry is added or removed
-MIN_LIMIT_CHANGE = MIN_CHANGE / 2  # of an admission limit, relative
-PAYBACK_TICKS = 2 * TICKS_PER_SECOND  # time within which a change must earn its price
-MIN_TRAFFIC_FRACTION = 0.1  # least share of all requests that a table is assumed to carry
+MIN_CHANGE = 0.1  # smallest change that is sent, as logarithm of the ratio of new to old weight
+MEMBERSHIP_CHANGE_DISTANCE = 9.0  # used in place of that logarithm when an entry is added or removed
+MIN_LIMIT_CHANGE = MIN_CHANGE / 2  # smallest relative change of an admission limit that is sent
+PAYBACK_TICKS = 2 * TICKS_PER_SECOND  # time within which a change must pay for the price of its entries
+MIN_TRAFFIC_FRACTION = 0.1  # lower bound on the share of all requests that a table is assumed to carry
 RESEND_RATE = 0.05  # share of the channel's rate that resends may take
 
 
 class Urgency(IntEnum):
-    """The order in which changes go out."""
+    """The order in which changes are sent."""
 
-    URGENT = 0  # leaves its table, or enters one without a usable endpoint
+    URGENT = 0  # the entry leaves its table, or enters one without a usable endpoint
     CHANGED = 1
     RESEND = 2
 
 
 class WeightChange(NamedTuple):
-    """A weight worth sending.
+    """A weight change that is worth its cost.
 
     Attributes:
-        urgency: the order in which it goes out.
-        magnitude: how far the weight moved, multiplied by the share of requests that use the table.
-        endpoint: its name.
+        urgency: its place in the sending order.
+        magnitude: the distance between old and new weight, times the share of requests that use the table.
+        endpoint: the name of the endpoint.
         weight: the new weight; 0 removes the entry.
     """
 
@@ -54,10 +55,10 @@
 
 
 class PlannedChange(NamedTuple):
-    """A weight change with its table and its place among the changes of all tables.
+    """A weight change with its table and its place in the sending order of all tables.
 
     Attributes:
-        order: sort key: urgency, then the table that moved most, then the change that moved most.
+        order: sort key: urgency, then the total change of the table, then that of the entry, largest first.
         table: the table to change.
         users: the proxies that use the table.
         change: the weight change.
@@ -70,10 +71,10 @@
 
 
 class TableUpdater:
-    """Brings tables up to date, within a limit of the queue.
+    """Brings tables up to date within a queue limit.
 
     Attributes:
-        has_changes: whether weights may differ from those that were sent.
+        has_changes: whether weights may differ from the ones sent last.
     """
 
     def __init__(
@@ -95,17 +96,17 @@
         self.has_changes = True
 
     def update(self, now: int, tables: list[EndpointTable], limit: float) -> bool:
-        """Sends admission limits, then changed weights, then resends, as far as the queue stays in the limit.
+        """Sends admission limits, then changed weights, then resends, until the queue reaches the limit.
 
-        Tables that nobody uses cost nothing and are brought up to date whole.
+        Tables that no proxy uses cost nothing and are updated completely.
 
         Args:
-            now: the time.
-            tables: the tables to bring up to date.
-            limit: entries that may wait in the queue.
+            now: the current time.
+            tables: the tables to update.
+            limit: the queue limit, in entries.
 
         Returns:
-            Whether changed weights are left.
+            Whether changed weights are left to send.
         """
         planned: list[PlannedChange] = []
         fractions = self._admission.route_fractions()
@@ -113,21 +114,21 @@
             users = self._fleet.users(table)
             self._send_limits(table, users, fractions)
             planned += self._plan(now, table, users)
-        planned.sort(key=lambda row: row.sort_key)
+        planned.sort(key=lambda planned_change: planned_change.sort_key)
         return self._send(now, planned, limit)
 
     def fill_empty_tables(self, now: int, limit: float) -> None:
-        """Fills tables with no open entry: before a proxy is bound to them, or when their endpoints went."""
+        """Fills tables without a usable endpoint: new tables, and tables that lost all their endpoints."""
         for table in self._fleet.tables:
             may_send = self._channel.can_message(now, self._fleet.users(table))
             if may_send and self._fleet.is_without_open_entry(table):
                 if table.entries:
-                    table.members = []  # a subset table whose endpoints are all gone may use any
+                    table.members = []  # a subset table that lost all its endpoints may use any
                 self._locality.rebalance(now, table)
                 self.update(now, [table], limit)
 
     def set_weight(self, table: EndpointTable, users: list[int], endpoint: str, weight: float) -> None:
-        """Sends one weight; 0 removes the entry."""
+        """Sends one weight to the users of a table; 0 removes the entry."""
         self._runtime.set_weight(table.number, endpoint, weight)
         self._channel.charge(users, UPDATE_ENTRIES)
         table.pending_resend.pop(endpoint, None)
@@ -144,58 +145,58 @@
 
     def _plan(self, now: int, table: EndpointTable, users: list[int]) -> list[PlannedChange]:
         changes = self._changes(now, table, users)
-        moved = sum(change.magnitude for change in changes)
+        table_magnitude = sum(change.magnitude for change in changes)
         return [
-            PlannedChange((change.urgency, -moved, -change.magnitude), table, users, change)
+            PlannedChange((change.urgency, -table_magnitude, -change.magnitude), table, users, change)
             for change in changes
             if self.has_changes or not users or change.urgency is Urgency.URGENT
         ]
 
     def _send(self, now: int, planned: list[PlannedChange], limit: float) -> bool:
-        is_quiet = all(row.change.urgency is Urgency.RESEND for row in planned)
-        left = False
-        resent = 0
+        has_only_resends = all(planned_change.change.urgency is Urgency.RESEND for planned_change in planned)
+        has_changes_left = False
+        resent_entries = 0
         for _, table, users, change in planned:
             is_resend = change.urgency is Urgency.RESEND
-            if users and (self._channel.queue_estimate() >= limit or (is_resend and not is_quiet)):
-                left = not is_resend
+            if users and (self._channel.queue_estimate() >= limit or (is_resend and not has_only_resends)):
+                has_changes_left = not is_resend
                 break
             if is_resend:
-                resent += self._channel.cost(users, UPDATE_ENTRIES)
+                resent_entries += self._channel.cost(users, UPDATE_ENTRIES)
             self.set_weight(table, users, change.endpoint, change.weight)
-        pause = int(resent / (self._channel.entries_per_tick * RESEND_RATE))
-        self._resend_at = max(self._resend_at, now + pause)
-        return left
+        pause_ticks = int(resent_entries / (self._channel.entries_per_tick * RESEND_RATE))
+        self._resend_at = max(self._resend_at, now + pause_ticks)
+        return has_changes_left
 
     def _changes(self, now: int, table: EndpointTable, users: list[int]) -> list[WeightChange]:
-        """The weights of a table that are worth sending."""
+        """Returns the weight changes of a table that are worth sending."""
         weights = self._weights.weights(now, table)
         traffic = self._traffic_fraction(table, users)
         threshold = self._change_threshold(len(users), len(weights), traffic)
-        # a table without a usable endpoint waits for nothing, nor does one under load shedding
+        # new entries are urgent in a table without a usable endpoint, and while load is shed
         is_needed = self._fleet.is_without_open_entry(table) or self._admission.is_shedding
         changes: list[WeightChange] = []
         for name, weight in weights.items():
-            old = table.entries.get(name, 0.0)
-            moved = _distance(old, weight) if weight != old else 0.0
-            if moved > threshold:
+            old_weight = table.entries.get(name, 0.0)
+            distance = _distance(old_weight, weight) if weight != old_weight else 0.0
+            if distance > threshold:
                 is_excluded = self._fleet.endpoints[name].is_excluded
-                is_urgent = (not weight or (not old and is_needed)) and not is_excluded
+                is_urgent = (not weight or (not old_weight and is_needed)) and not is_excluded
                 urgency = Urgency.URGENT if is_urgent else Urgency.CHANGED
-                changes.append(WeightChange(urgency, moved * traffic * (not is_excluded), name, weight))
+                changes.append(WeightChange(urgency, distance * traffic * (not is_excluded), name, weight))
             elif name in table.pending_resend and weight and now >= self._resend_at:
                 changes.append(WeightChange(Urgency.RESEND, 0.0, name, weight))
         return changes
 
     def _traffic_fraction(self, table: EndpointTable, users: list[int]) -> float:
-        """The share of all requests that uses a table."""
+        """Returns the share of all requests that use a table."""
         routes = self._fleet.settings.routes
         rates = [(index in table.routes, self._demand.by_proxy(route)) for index, route in enumerate(routes)]
-        own = sum(rate.get(proxy, 0.0) for is_own, rate in rates if is_own for proxy in users)
-        return own / (sum(sum(rate.values()) for _, rate in rates) or 1.0)
+        table_rate = sum(rate.get(proxy, 0.0) for is_own, rate in rates if is_own for proxy in users)
+        return table_rate / (sum(sum(rate.values()) for _, rate in rates) or 1.0)
 
     def _change_threshold(self, users: int, endpoints: int, traffic: float) -> float:
-        """How far a weight must move to earn what it costs at all users."""
+        """Returns the smallest distance that pays for sending the change to all users of the table."""
         price = self._fleet.settings.channel.entry_price * users * endpoints
         payback = self._channel.entries_per_tick * PAYBACK_TICKS * max(traffic, MIN_TRAFFIC_FRACTION)
         return max(MIN_CHANGE, math.sqrt(price / payback))
@@ -209,7 +210,7 @@
 
 
 def _distance(old: float, new: float) -> float:
-    """How far a weight moved: the logarithm of the ratio."""
+    """Returns the absolute logarithm of the ratio of two weights."""
     if new and old:
         return abs(math.log(new / old))
     return MEMBERSHIP_CHANGE_DISTANCE if new or old else 0.0
--- a/willowhook/decisions/update_sequence.py
+++ b/willowhook/decisions/update_sequence.py
@@ -1,8 +1,8 @@
-"""The order of one flush: what keeps the rules first, then binds, then tables.
+"""The order of updates in one flush: updates that keep the rules first, then binds, then table updates.
 
-Join bursts to subsets, exclusions and readmissions, reminders, tables without a usable endpoint, binds, table
-updates, the end of a join burst. Binds and table updates wait for exclusions that are left. Under a message
-cap most of this is spaced; what keeps the rules does not wait.
+The order is: binds of a join burst to subsets, exclusions, readmissions, reminders, tables without a usable
+endpoint, binds, table updates, the end of a join burst. Binds and table updates wait while exclusions are
+pending. With a message cap most updates are spaced; those that keep the rules do not wait for the spacing.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class UpdateSequence:
-    """Gives what is due of exclusions, binds and table updates, in this order."""
+    """Sends the exclusions, binds and table updates that are due, in this order."""
 
     def __init__(
         self,
@@ -48,14 +48,14 @@
         self._locality = locality
 
     def send(self, now: int) -> None:
-        """Gives the commands of a flush, and the sync marker of its messages."""
+        """Issues the commands of a flush, and the sync marker of its messages."""
         self._channel.drain(now)
         if self._may_send_to_all(now):
             self._send_updates(now)
             has_messaged_all = True
         else:
             self._send_urgent_updates(now)
-            # what waits for the spacing may go with messages that reach all proxies anyway
+            # updates that wait for the spacing join messages that reach all proxies anyway
             has_messaged_all = self._fleet.proxies.keys() == self._channel.pending.keys()
             if has_messaged_all:
                 self._send_updates(now)
@@ -65,13 +65,13 @@
                 self._pacer.record_messages(now)
 
     def _may_send_to_all(self, now: int) -> bool:
-        """Whether the spacing and the message cap allow messages that keep no rule."""
+        """Whether the spacing and the message cap allow messages that are not needed to keep a rule."""
         if not self._pacer.can_send(now):
             return False
         return self._channel.message_cap.allows_with_reserve(now, self._fleet.proxies)
 
     def _send_urgent_updates(self, now: int) -> None:
-        """Gives what keeps the rules, as far as the message cap allows."""
+        """Sends the updates that keep the rules, as far as the message cap allows."""
         urgent_binds = self._binder.urgent(now)
         self._binder.bind_burst(now, urgent_binds)
         self._exclusions.send_urgent(now)
@@ -80,14 +80,14 @@
         self._binder.bind_in_order(now, waiting, self._limits.for_binds())
 
     def _send_updates(self, now: int) -> None:
-        """Gives all that is due."""
+        """Sends all updates that are due."""
         queue_before = self._channel.queue_estimate()
         due = self._binder.due(now)
-        # a subset table holds nothing that is excluded, so these binds need not wait for exclusions
+        # subset tables contain no excluded endpoint, so these binds need not wait for exclusions
         self._binder.bind_burst(now, due)
         self._exclusions.send(now)
         self._send_reminders_and_fill_tables(now)
-        # where messages go to most proxies anyway, changed weights go with them
+        # changed weights join messages that go to most proxies anyway
         is_broadcast = 2 * len(self._channel.pending) > len(self._fleet.proxies)
         if is_broadcast or (self._admission.is_shedding and self._pacer.are_table_updates_due(now)):
             self._updater.has_changes = True
@@ -103,14 +103,16 @@
             self._binder.stop_holding_back()  # a bind carries the exclusions that did not fit
         self._updater.fill_empty_tables(now, self._limits.for_exclusions())
 
-    def _update_tables(self, now: int, is_broadcast: bool, calm_limit: float, queue_before: float) -> None:
+    def _update_tables(
+        self, now: int, is_broadcast: bool, short_queue_limit: float, queue_before: float
+    ) -> None:
         if is_broadcast:
             self._locality.rebalance_all(now)
         table_limit = self._limits.for_table_updates()
-        is_queue_short = self._channel.queue_estimate() < calm_limit
-        is_calm = self._pacer.are_table_updates_due(now) and is_queue_short
-        # a table update also waits for acknowledgements: a channel that has become slow shows late
-        if not (is_broadcast or is_calm) or self._channel.unproven_entries() >= table_limit:
+        is_queue_short = self._channel.queue_estimate() < short_queue_limit
+        are_updates_due = self._pacer.are_table_updates_due(now) and is_queue_short
+        # also wait for acknowledgements: the queue estimate shows a slow channel only with delay
+        if not (is_broadcast or are_updates_due) or self._channel.unproven_entries() >= table_limit:
             return
         has_changes = self._updater.update(now, self._fleet.tables, table_limit)
         self._updater.has_changes = has_changes
