--- a/willowhook/simulator/__init__.py
+++ b/willowhook/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter to the simulator: lines of its wire to events for the decisions, and commands back to lines."""
+"""Adapter to the simulator: decodes its messages into events, and encodes commands as reply lines."""
--- a/willowhook/simulator/__main__.py
+++ b/willowhook/simulator/__main__.py
@@ -9,10 +9,10 @@
 
 
 def main() -> int:
-    """Runs the adapter; its exit code."""
-    source = io.TextIOWrapper(sys.stdin.buffer, encoding="utf-8", newline="\n")
-    sink = io.TextIOWrapper(sys.stdout.buffer, encoding="utf-8", newline="\n", write_through=False)
-    return SimulatorAdapter(source, sink).run()
+    """Runs the adapter and returns its exit code."""
+    input_lines = io.TextIOWrapper(sys.stdin.buffer, encoding="utf-8", newline="\n")
+    output = io.TextIOWrapper(sys.stdout.buffer, encoding="utf-8", newline="\n", write_through=False)
+    return SimulatorAdapter(input_lines, output).run()
 
 
 if __name__ == "__main__":
--- a/willowhook/simulator/adapter.py
+++ b/willowhook/simulator/adapter.py
@@ -1,7 +1,7 @@
-"""Runs the instances of the controller that the simulator asks for, batch by batch.
+"""Runs the controller instances that the simulator starts, and processes events batch by batch.
 
-The simulator starts one process for any number of instances, which share nothing here but the reader and the
-writer. What the wire looks like, only the codec modules know.
+The simulator starts one process for any number of instances, which share only the reader and the writer. The
+codec modules define the wire format.
 """
 
 from __future__ import annotations
@@ -26,18 +26,18 @@
     Message,
 )
 
-SHOWN_CHARACTERS = 200  # of a malformed line
+SHOWN_CHARACTERS = 200  # of a malformed line, in the error message
 
 
 class SimulatorAdapter:
-    """Hands events to the controllers of the instances and their commands back.
+    """Passes events to the controllers of the instances, and returns their commands.
 
-    An instance whose controller raises is reported on the wire and takes no further part, until it is started
-    again. A line that is malformed ends the process.
+    If the controller of an instance raises, the failure is reported to the simulator, and the instance is
+    ignored until it is started again. A malformed line ends the process.
     """
 
     def __init__(self, source: Iterable[str], sink: TextIO, errors: TextIO = sys.stderr) -> None:
-        """Reads lines from `source`, writes replies to `sink` and what went wrong to `errors`."""
+        """Reads lines from `source`, writes replies to `sink` and error messages to `errors`."""
         self._reader = MessageReader(source)
         self._reply = ReplyWriter(sink)
         self._errors = errors
@@ -45,10 +45,10 @@
         self._batch_id: str | None = None
         self._controllers: dict[str, Controller] = {}
         self._failed: set[str] = set()
-        self._unflushed: dict[str, None] = {}  # instances with an event in this batch, in order
+        self._unflushed: dict[str, None] = {}  # instances with an event in this batch, in order of arrival
 
     def run(self) -> int:
-        """Handles batches to the end of the input; the exit code: 1 if a line was malformed."""
+        """Handles batches until the input ends. Returns the exit code: 1 if a line was malformed, else 0."""
         try:
             for message in self._reader.messages():
                 self._process(message)
@@ -79,16 +79,16 @@
         if controller is None:
             if instance in self._failed:
                 return
-            raise MalformedMessageError(f"instance {instance} was not started")
+            raise MalformedMessageError(f"instance {instance} has not been started")
         self._unflushed[instance] = None
-        event = message.decode()  # not inside the try: a malformed line is no fault of the controller
+        event = message.decode()  # outside the try: a malformed line is not a failure of the controller
         if event is not None:
             self._handle(instance, controller, event)
 
     def _handle(self, instance: str, controller: Controller, event: Event) -> None:
         try:
             controller.handle(self._now, event)
-        except Exception as error:  # whatever it is, it concerns this instance alone
+        except Exception as error:  # any failure affects only this instance
             self._fail_instance(instance, error)
 
     def _start_instance(self, message: InstanceStarted) -> None:
@@ -99,21 +99,21 @@
         commands = InstanceCommands(instance, self._reply)
         try:
             controller = Controller(commands, message.settings, message.seed, self._now)
-        except Exception as error:  # whatever it is, it concerns this instance alone
+        except Exception as error:  # any failure affects only this instance
             self._fail_instance(instance, error)
         else:
             self._controllers[instance] = controller
 
     def _end_batch(self) -> None:
         if self._batch_id is None:
-            raise MalformedMessageError("a batch ends that has not been started")
+            raise MalformedMessageError("COMMIT without a preceding CLOCK")
         for instance in self._unflushed:
             controller = self._controllers.get(instance)
             if controller is None:
                 continue
             try:
                 controller.flush(self._now)
-            except Exception as error:  # whatever it is, it concerns this instance alone
+            except Exception as error:  # any failure affects only this instance
                 self._fail_instance(instance, error)
         self._unflushed.clear()
         self._reply.finish(self._batch_id)
--- a/willowhook/simulator/codec.py
+++ b/willowhook/simulator/codec.py
@@ -1,4 +1,4 @@
-"""Reads the lines of the simulator as typed messages; a message is one line of fields split by tabs."""
+"""Parses the lines of the simulator into typed messages. A message is one line of tab-separated fields."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 
 
 class MessageReader:
-    """Turns lines into messages.
+    """Parses lines into messages.
 
     Attributes:
-        line: the last one that was read, without its end.
+        line: the last line that was parsed, without its line ending.
     """
 
     def __init__(self, lines: Iterable[str]) -> None:
-        """Reads from these lines."""
+        """Parses these lines."""
         self.line = ""
         self._lines = iter(lines)
         self._lists = EndpointListRegistry()
@@ -47,7 +47,7 @@
         }
 
     def messages(self) -> Iterator[Message]:
-        """The messages to the end of the input. Raises MalformedMessageError, SettingsError."""
+        """Yields messages until the input ends. Raises MalformedMessageError, SettingsError."""
         for line in self._lines:
             self.line = line.rstrip("\r\n")
             message = self._parse(self.line)
@@ -55,7 +55,7 @@
                 yield message
 
     def _parse(self, line: str) -> Message | None:
-        """The message on a line; None if it has none, or only registers an endpoint list."""
+        """Returns the message of a line; None for an empty line or the registration of an endpoint list."""
         fields = line.split("\t")
         name = fields[0]
         event_format = self._event_formats.get(name)
@@ -85,7 +85,7 @@
         self._lists.register(fields, self._lines)
 
     def _parse_hello(self, _: list[str]) -> InstanceStarted:
-        fields = self.line.split("\t", HELLO_FIELDS - 1)  # the settings run to the end of the line
+        fields = self.line.split("\t", HELLO_FIELDS - 1)  # the settings take the rest of the line
         if len(fields) < HELLO_FIELDS:
             raise _wrong_field_count(fields, HELLO_FIELDS)
         instance, seed, settings = fields[1:]
@@ -98,4 +98,4 @@
 
 
 def _wrong_field_count(fields: list[str], expected: int) -> MalformedMessageError:
-    return MalformedMessageError(f"{fields[0]} has {len(fields) - 1} values, not {expected - 1}")
+    return MalformedMessageError(f"{fields[0]} has {len(fields) - 1} values, expected {expected - 1}")
--- a/willowhook/simulator/endpoint_lists.py
+++ b/willowhook/simulator/endpoint_lists.py
@@ -1,7 +1,7 @@
-"""The endpoint lists on the simulator's wire: REGISTER, its ENTRY lines, and ROSTER_CHANGE.
+"""Parses the endpoint lists of the simulator: REGISTER, its ENTRY lines, and ROSTER_CHANGE.
 
-A list is registered once for all instances under a number, which is used again later; the changes that
-instances receive refer to it.
+A list is registered once for all instances under a number, and the changes that instances receive refer to
+that number. A number may be registered again for a later list.
 """
 
 from __future__ import annotations
@@ -21,58 +21,60 @@
 }
 CHANGES_ONLY, LOST = "incr", "lost"
 LIST_CHANGE_TYPES = frozenset((CHANGES_ONLY, "total", "warm_copy", LOST))
-DEFAULT_STARTED_AT = 0  # ticks: the start of an endpoint that the list gives none for
+DEFAULT_STARTED_AT = 0  # tick, for endpoints listed without a start time: they started long ago
 DEFAULT_WEIGHT = 1.0
 
 
 class RegisteredList:
-    """The entries of one registered list, decoded when the first instance receives them."""
+    """The entries of one registered list, decoded when an instance first receives the list."""
 
-    def __init__(self, rows: list[list[str]]) -> None:
-        """Keeps the fields of the ENTRY lines."""
-        self._rows = rows
+    def __init__(self, entry_fields: list[list[str]]) -> None:
+        """Stores the fields of the ENTRY lines."""
+        self._entry_fields = entry_fields
         self._entries: tuple[EndpointEntry, ...] | None = None
 
     def entries(self) -> tuple[EndpointEntry, ...]:
-        """The entries in the order of the list. Raises FieldError."""
+        """Returns the entries in list order. Raises FieldError."""
         if self._entries is None:
-            self._entries = tuple(_parse_entry(row) for row in self._rows)
+            self._entries = tuple(_parse_entry(fields) for fields in self._entry_fields)
         return self._entries
 
 
 class EndpointListRegistry:
-    """The lists that are registered at present, by their number."""
+    """The currently registered lists, by number."""
 
     def __init__(self) -> None:
-        """Starts without a list."""
+        """Starts with no registered list."""
         self._lists: dict[str, RegisteredList] = {}
 
     def register(self, fields: list[str], lines: Iterator[str]) -> None:
-        """Reads REGISTER and takes its ENTRY lines from the input.
+        """Parses REGISTER and reads its ENTRY lines from the input.
 
         Raises MalformedMessageError, FieldError.
         """
         if len(fields) < REGISTER_FIELDS:
-            raise MalformedMessageError(f"REGISTER has {len(fields) - 1} values, not {REGISTER_FIELDS - 1}")
+            raise MalformedMessageError(
+                f"REGISTER has {len(fields) - 1} values, expected {REGISTER_FIELDS - 1}"
+            )
         count = parse_integer("members", fields[2])
         self._lists[fields[1]] = RegisteredList([_split_entry(next(lines, "")) for _ in range(count)])
 
     def parse_change(self, fields: list[str]) -> EndpointListReceived | EndpointListLost:
-        """Reads ROSTER_CHANGE. Raises MalformedMessageError, FieldError."""
-        _, _, _, number, form = fields
-        if form not in LIST_CHANGE_TYPES:
-            raise MalformedMessageError(f"ROSTER_CHANGE: unknown form {form!r}")
-        if form == LOST:
+        """Parses ROSTER_CHANGE. Raises MalformedMessageError, FieldError."""
+        _, _, _, number, change_type = fields
+        if change_type not in LIST_CHANGE_TYPES:
+            raise MalformedMessageError(f"ROSTER_CHANGE: unknown change type {change_type!r}")
+        if change_type == LOST:
             return EndpointListLost()
         if number not in self._lists:
-            raise MalformedMessageError(f"ROSTER_CHANGE: no REGISTER {number}")
-        return EndpointListReceived(form != CHANGES_ONLY, self._lists[number].entries())
+            raise MalformedMessageError(f"ROSTER_CHANGE: list {number} is not registered")
+        return EndpointListReceived(change_type != CHANGES_ONLY, self._lists[number].entries())
 
 
 def _split_entry(line: str) -> list[str]:
     fields = line.rstrip("\r\n").split("\t")
     if len(fields) != ENTRY_FIELDS or fields[0] != "ENTRY" or fields[2] not in ENDPOINT_STATES:
-        raise MalformedMessageError(f"not an ENTRY: {line.rstrip()[:120]}")
+        raise MalformedMessageError(f"malformed ENTRY: {line.rstrip()[:120]}")
     return fields
 
 
--- a/willowhook/simulator/event_codec.py
+++ b/willowhook/simulator/event_codec.py
@@ -1,7 +1,7 @@
-"""The events of an instance on the simulator's wire, message by message, apart from the endpoint list.
+"""Parses the event messages of the simulator, except those of the endpoint list.
 
-A parser gets all fields of a line, the message's name first and the instance's number second. It checks also
-the values that the decisions have no use for, so that a malformed line is never passed over.
+A parser gets all fields of a line: the message name, the number of the instance, and the values. It also
+validates values that the decisions do not use, so that no malformed line goes unnoticed.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from .messages import EventParser
 from .values import parse_bytes, parse_integer, parse_load_report, parse_number, parse_ticks
 
-CPU_UTILIZATION = "busy"  # its name in a load report
+CPU_UTILIZATION = "busy"  # name of the metric in a load report
 TRUE = "1"
 OUTCOMES = {
     0: HealthCheckOutcome.HEALTHY,
@@ -29,16 +29,16 @@
     2: HealthCheckOutcome.OVERLOADED,
     3: HealthCheckOutcome.TIMED_OUT,
     4: HealthCheckOutcome.UNREACHABLE,
-}  # any other: it was reset or given up
+}  # any other code: the health check was reset or aborted
 
 
 @dataclass(frozen=True, slots=True)
 class EventFormat:
-    """How one message is read.
+    """The format of one message.
 
     Attributes:
-        field_count: with the name of the message.
-        parse: reads the fields. Raises FieldError.
+        field_count: number of fields, including the message name.
+        parse: parses the fields. Raises FieldError.
     """
 
     field_count: int
@@ -78,7 +78,7 @@
 
 
 def _parse_timer(fields: list[str]) -> EvaluationDue:
-    parse_integer("key-back", fields[2])  # which timer: an instance has but one
+    parse_integer("key-back", fields[2])  # the timer key; an instance has only one timer
     return EvaluationDue()
 
 
@@ -107,7 +107,7 @@
 
 
 def _check_slice_requests(fields: list[str]) -> None:
-    """Tables by slice are not served."""
+    """Validates a request report of a slice. Tables by slice are not supported, so it is unused."""
     _, _, table, _, requests, failures, window = fields
     parse_integer("set-id", table)
     parse_integer("n", requests)
@@ -116,19 +116,19 @@
 
 
 def _check_peer_message(fields: list[str]) -> None:
-    """Instances do not coordinate, so nothing is made of it."""
+    """Validates a message from another instance. Instances do not coordinate, so its content is unused."""
     _, _, peer, contents = fields
     parse_integer("author", peer)
     parse_bytes("contents", contents)
 
 
 def _check_slice_lease(fields: list[str]) -> None:
-    """Tables by slice are not served."""
+    """Validates a lease of a slice. Tables by slice are not supported, so it is unused."""
     parse_integer("set-id", fields[2])
 
 
 def _check_slice_entry(fields: list[str]) -> None:
-    """Tables by slice are not served."""
+    """Validates a table entry of a slice. Tables by slice are not supported, so it is unused."""
     _, _, _, table, weight = fields
     parse_integer("set-id", table)
     parse_number("size", weight)
--- a/willowhook/simulator/messages.py
+++ b/willowhook/simulator/messages.py
@@ -1,4 +1,4 @@
-"""The messages that the simulator sends to the adapter, apart from the events of the decisions."""
+"""The messages that the simulator sends to the adapter; the events in them are defined by the decisions."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 
 class MalformedMessageError(WillowhookError):
-    """A line of the simulator is not what its wire allows; the message names the message and the field."""
+    """A line of the simulator violates the wire format; the error names the message and the field."""
 
 
 @dataclass(frozen=True, slots=True)
 class BatchStarted:
-    """A batch of events begins.
+    """A batch of events starts.
 
     Attributes:
         now: the time of all its events, in ticks.
-        batch_id: as the reply has to repeat it.
+        batch_id: identifier of the batch, which the reply repeats.
     """
 
     now: int
@@ -33,17 +33,17 @@
 
 @dataclass(frozen=True, slots=True)
 class BatchEnded:
-    """The batch is complete and waits for its reply."""
+    """The batch is complete; the simulator waits for the reply."""
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceStarted:
-    """An instance of the controller starts, or starts again.
+    """A controller instance starts or restarts.
 
     Attributes:
-        instance: its number, as text.
-        seed: of its random numbers.
-        settings: of its deployment.
+        instance: the number of the instance, as text.
+        seed: seed of its random numbers.
+        settings: the settings of its deployment.
     """
 
     instance: str
@@ -53,20 +53,20 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceStopped:
-    """An instance has been killed and loses its state."""
+    """An instance was killed; its state is lost."""
 
     instance: str
 
 
 class InstanceEvent(NamedTuple):
-    """An event of one instance. Its fields are decoded on demand: an instance that has failed needs none.
+    """An event of one instance. Its fields are decoded on demand, as events of failed instances are ignored.
 
-    A named tuple, as most lines are events and it is made faster than a frozen dataclass.
+    A named tuple because most lines are events, and it is faster to create than a frozen dataclass.
 
     Attributes:
         instance: the number of the instance, as text.
-        fields: the line's fields; the first is the name of the message.
-        parse: reads the fields.
+        fields: the fields of the line; the first is the message name.
+        parse: parses the fields.
     """
 
     instance: str
@@ -74,7 +74,7 @@
     parse: EventParser
 
     def decode(self) -> Event | None:
-        """The event for the decisions; None if it does not concern them. Raises MalformedMessageError."""
+        """Returns the event, or None if the decisions do not use it. Raises MalformedMessageError."""
         try:
             return self.parse(self.fields)
         except FieldError as error:
--- a/willowhook/simulator/values.py
+++ b/willowhook/simulator/values.py
@@ -1,6 +1,6 @@
-"""The values of the simulator's wire: text there, numbers and ticks here.
+"""Converts values between the text of the simulator's wire format and numbers or ticks.
 
-The wire gives times in seconds and writes `-` for a value that is absent.
+On the wire, times are in seconds and `-` stands for an absent value.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 
 
 class FieldError(WillowhookError):
-    """A field has no value of its type; the message names the field and the value."""
+    """A field has a value of the wrong type; the error names the field and the value."""
 
     def __init__(self, field: str, text: str, expected: str) -> None:
-        """Describes the field by its wire name, its text and what it should have been."""
+        """Takes the wire name of the field, its text and a description of the expected value."""
         super().__init__(f"{field} is {text[:60]!r}, not {expected}")
 
 
 def parse_integer(field: str, text: str) -> int:
-    """Reads a whole number. Raises FieldError."""
+    """Parses an integer. Raises FieldError."""
     try:
         return int(text)
     except ValueError as error:
@@ -31,7 +31,7 @@
 
 
 def parse_number(field: str, text: str) -> float:
-    """Reads a number. Raises FieldError."""
+    """Parses a number. Raises FieldError."""
     try:
         return float(text)
     except ValueError as error:
@@ -39,7 +39,7 @@
 
 
 def parse_ticks(field: str, text: str) -> int:
-    """Reads a time in seconds as whole ticks, rounded. Raises FieldError."""
+    """Parses a time in seconds and rounds it to ticks. Raises FieldError."""
     try:
         return ticks_from_seconds(text)
     except (ValueError, OverflowError) as error:
@@ -47,7 +47,7 @@
 
 
 def parse_bytes(field: str, text: str) -> bytes:
-    """Reads base64. Raises FieldError."""
+    """Decodes base64. Raises FieldError."""
     if text == ABSENT:
         return b""
     try:
@@ -57,7 +57,7 @@
 
 
 def parse_load_report(field: str, text: str) -> dict[str, float]:
-    """Reads a load report such as `busy:0.62,q:3`; a name without a number is left out. Raises FieldError."""
+    """Parses a load report such as `busy:0.62,q:3`; names without a number are skipped. Raises FieldError."""
     report: dict[str, float] = {}
     if text == ABSENT:
         return report
@@ -69,12 +69,12 @@
 
 
 def format_seconds(ticks: int) -> str:
-    """Ticks as seconds, exactly."""
+    """Formats ticks as seconds, without loss of precision."""
     seconds, fraction = divmod(ticks, TICKS_PER_SECOND)
     return f"{seconds}.{fraction:04d}"
 
 
 def format_number(value: float) -> str:
-    """A weight or a limit with up to six decimals and no exponent, as the wire knows none."""
+    """Formats a weight or limit with up to six decimals; the wire format allows no exponent."""
     text = f"{value:.6f}".rstrip("0").rstrip(".")
     return text if text else "0"
