--- a/tests/test_settings_codec.py
+++ b/tests/test_settings_codec.py
@@ -201,7 +201,7 @@
 @pytest.mark.parametrize("value", ["north", [1], {"north": 1}])
 def test_value_that_is_no_list_of_texts_is_refused_by_name(path: Path, value: object) -> None:
     """Guards against a text that becomes a list of its letters."""
-    with pytest.raises(SettingsError, match=f"^{path[-1]}: expected a list of texts, got "):
+    with pytest.raises(SettingsError, match=f"^{path[-1]}: expected a list of strings, got "):
         decode_settings(document_with(path, value))
 
 
@@ -209,12 +209,12 @@
     ("path", "value"), [(("allowed", "probes"), "false"), (("extra", "class-own-zone"), ["false"])]
 )
 def test_word_in_place_of_true_or_false_is_refused_by_name(path: Path, value: object) -> None:
-    with pytest.raises(SettingsError, match=f"^{path[-1]}: expected .*true .* false, got "):
+    with pytest.raises(SettingsError, match=f"^{path[-1]}: expected a (list of booleans|boolean), got "):
         decode_settings(document_with(path, value))
 
 
 def test_fraction_in_place_of_a_whole_number_is_refused_by_name() -> None:
-    with pytest.raises(SettingsError, match=r"^proxies: expected a whole number, got 2.5 "):
+    with pytest.raises(SettingsError, match=r"^proxies: expected an integer, got 2.5 "):
         decode_settings(document_with(("extra", "proxies"), 2.5))
 
 
--- a/willowhook/settings_codec.py
+++ b/willowhook/settings_codec.py
@@ -1,8 +1,8 @@
-"""Reads the settings document of a deployment: the one place that knows its keys.
+"""Decodes the settings document of a deployment. No other module uses the keys of the document.
 
-The simulator's adapter gets the document in its first message, the platform server finds it in its
-configuration. Times are seconds there and ticks here. A missing key takes its documented meaning, an unknown
-one is left alone.
+The simulator's adapter receives the document in its first message; the platform server reads it from its
+configuration. Times are converted from seconds to ticks. A missing key gets its documented default, and
+unknown keys are ignored.
 """
 
 from __future__ import annotations
@@ -58,38 +58,38 @@
 
 
 def parse_settings(text: str) -> DeploymentSettings:
-    """Reads the settings document from its JSON text. Raises SettingsError."""
+    """Parses the JSON text of a settings document. Raises SettingsError."""
     try:
         document = json.loads(text)
     except (ValueError, RecursionError) as error:
-        raise SettingsError(f"no JSON: {error}") from error
+        raise SettingsError(f"invalid JSON: {error}") from error
     return decode_settings(document)
 
 
 def decode_settings(document: Document) -> DeploymentSettings:
-    """Reads the decoded settings document. Raises SettingsError."""
+    """Decodes a parsed settings document. Raises SettingsError."""
     return _decode(check_object("settings", document))
 
 
 def load_source(word: str) -> LoadSource:
-    """The load source that a settings document or a configuration names."""
+    """Returns the load source with this name in a settings document or a configuration."""
     return LOAD_SOURCES.get(word, LoadSource.RESPONSES)
 
 
 def retry_mode(code: int) -> RetryMode:
-    """The retry mode with this code; an unknown one allows no retry."""
+    """Returns the retry mode with this code; unknown codes allow no retry."""
     return RetryMode(code) if code in RETRY_CODES else RetryMode.NEVER
 
 
 def admission_unit(word: str) -> AdmissionUnit:
-    """The admission unit that a settings document or a configuration names."""
+    """Returns the admission unit with this name in a settings document or a configuration."""
     return ADMISSION_UNITS.get(word, AdmissionUnit.NONE)
 
 
 def _decode(document: Document) -> DeploymentSettings:
     extra = read_object(document, "extra")
     _check_unread_settings(document, extra)
-    rows = read_objects(document, "request-classes")
+    routes = read_objects(document, "request-classes")
     same_zone_flags = read_booleans(extra, "class-own-zone")
     return DeploymentSettings(
         local_zone=str(document.get("locality", "")),
@@ -97,23 +97,26 @@
         list_on_request=document.get("discovery") == "subscribe",
         health_checks=read_boolean(read_object(document, "allowed"), "probes"),
         lists_capacity=str(document.get("weights", "none")) in CAPACITY_WEIGHTS,
-        routes=tuple(_decode_route(row, any(same_zone_flags[k : k + 1])) for k, row in enumerate(rows)),
+        routes=tuple(
+            _decode_route(route, any(same_zone_flags[index : index + 1]))
+            for index, route in enumerate(routes)
+        ),
         channel=_decode_channel(extra),
         rules=_decode_rules(read_object(document, "contract"), extra),
         fleet=_decode_fleet(document, extra),
     )
 
 
-def _decode_route(row: Document, same_zone_only: bool) -> Route:
+def _decode_route(route: Document, same_zone_only: bool) -> Route:
     return Route(
-        name=read_string(row, "name"),
-        latency_objective_ticks=read_positive_ticks(row, "aim"),
-        deadline_ticks=read_positive_ticks(row, "deadline"),
-        priority_weight=read_number(row, "points", 1.0),
-        semantics=SEMANTICS.get(str(row.get("semantics")), RequestSemantics.AT_MOST_ONCE),
+        name=read_string(route, "name"),
+        latency_objective_ticks=read_positive_ticks(route, "aim"),
+        deadline_ticks=read_positive_ticks(route, "deadline"),
+        priority_weight=read_number(route, "points", 1.0),
+        semantics=SEMANTICS.get(str(route.get("semantics")), RequestSemantics.AT_MOST_ONCE),
         same_zone_only=same_zone_only,
-        allowed_zones=read_strings(row, "only-zones"),
-        allowed_classes=read_strings(row, "only-kinds"),
+        allowed_zones=read_strings(route, "only-zones"),
+        allowed_classes=read_strings(route, "only-kinds"),
     )
 
 
@@ -157,13 +160,13 @@
 
 
 def _check_unread_settings(document: Document, extra: Document) -> None:
-    """Settings that nothing reads yet must be well formed all the same: a malformed document is refused."""
+    """Validates settings that are not used yet, so that a malformed document is always rejected."""
     for key in ("partitions-n", "try-factor", "reports-per-s", "settle"):
         read_number(extra, key, 0)
     read_number(read_object(document, "contract"), "fall", 0)
     read_strings(read_object(document, "load-info"), "fields")
     read_integer(document, "rank", 0)
     read_integer(document, "balancers", 1)
-    for row in read_objects(document, "request-classes"):
-        read_number(row, "late-worth", 0)
-        read_number(row, "window", 0)
+    for route in read_objects(document, "request-classes"):
+        read_number(route, "late-worth", 0)
+        read_number(route, "window", 0)
--- a/willowhook/ticks.py
+++ b/willowhook/ticks.py
@@ -1,7 +1,7 @@
-"""The unit of time inside the program: a tick is a tenth of a millisecond.
+"""The internal unit of time: one tick is 0.1 ms.
 
-Decisions and protocol code count time in whole ticks, so that every run with the same input gives the same
-result. Seconds and milliseconds are converted where they enter or leave the program.
+Decisions and protocol code measure time in whole ticks, so that the same input always gives the same result.
+Seconds and milliseconds are converted at the boundaries of the program.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 def ticks_from_seconds(seconds: str | float) -> int:
-    """Converts seconds to whole ticks, rounded. Raises ValueError on text that is no number."""
+    """Converts seconds to whole ticks, rounded. Raises ValueError if the text is not a number."""
     return round(float(seconds) * TICKS_PER_SECOND)
 
 
