--- a/tests/decisions/test_binding.py
+++ b/tests/decisions/test_binding.py
@@ -1,4 +1,4 @@
-"""Tests of binding: which joining proxy gets its tables when."""
+"""Tests of binding: when joining proxies are bound to their tables."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 def test_proxy_with_an_earlier_table_is_bound_after_the_first_weight_update() -> None:
-    """Guards against binding a fleet to equal weights, where other controllers have learnt better ones."""
+    """Guards against replacing weights learnt by another controller with equal weights."""
     harness = ControllerHarness(settings_with(fleet__bootstrap_table_size=5))
     harness.receive_endpoint_list({f"h{k}": WARM for k in range(8)})
     harness.join_proxy(0, is_fresh=False)
-    harness.join_proxy(1)  # its default table serves as well until then
+    harness.join_proxy(1)  # its bootstrap table serves it equally well until then
     harness.flush()
     assert not harness.runtime.bindings
     harness.receive_endpoint_list({"h0": (DRAINING, 0)}, is_complete=False)  # exclusions do not wait
@@ -32,7 +32,7 @@
 
 
 def test_proxies_keep_their_tables_while_no_endpoint_is_known() -> None:
-    """Guards against a start while discovery is down that empties the tables of all proxies."""
+    """Guards against emptying the tables of all proxies when a controller starts while discovery is down."""
     harness = ControllerHarness(settings_with(exclusions_outlive_sessions=True))
     harness.join_proxy(0, is_fresh=False)
     harness.join_proxy(1)
@@ -45,7 +45,7 @@
     assert set(harness.runtime.bindings) == {0, 1} and len(harness.usable_weights()) == 8
 
 
-def test_proxy_with_an_earlier_table_waits_neither_long_nor_while_most_endpoints_drain() -> None:
+def test_proxy_with_an_earlier_table_is_bound_within_seconds_or_sooner_during_mass_drains() -> None:
     harness = ControllerHarness()
     harness.receive_endpoint_list({f"h{k}": WARM for k in range(8)})
     harness.join_proxy(0, is_fresh=False)
--- a/tests/decisions/test_channel.py
+++ b/tests/decisions/test_channel.py
@@ -1,4 +1,4 @@
-"""Tests of the estimate of what waits in the update channel."""
+"""Tests of the estimate of the entries queued in the update channel."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def joined_channel(proxies: int) -> ChannelEstimate:
-    """A channel that carries 0.16 entries a tick, with an overhead of 7, to so many proxies."""
+    """Returns a channel of 0.16 entries per tick with an overhead of 7 entries per message."""
     changes = {"entries_per_second": 1600.0, "message_overhead_entries": 6.0, "max_delay_ticks": 4000}
     channel = ChannelEstimate(SETTINGS.channel._replace(**changes), 0)
     for proxy in range(proxies):
@@ -25,7 +25,7 @@
     channel.update_overdue(80_000, 20_000)
     channel.drain(80_000)
     assert channel.queue_ceiling() == channel.unproven_entries() == 5 * 107
-    channel.update_overdue(95_000, 20_000)  # no acknowledgement comes any more
+    channel.update_overdue(95_000, 20_000)  # no further acknowledgement arrives
     channel.drain(95_000)
     assert channel.queue_ceiling() == channel.unproven_entries() == 0
 
@@ -35,7 +35,7 @@
     channel.charge([0, 1], 300)
     assert channel.queue_ceiling() == 614
     channel.flush(0)
-    channel.drain(3000)  # at the stated rate 480 have left; a slow channel may hold them all
+    channel.drain(3000)  # at the stated rate 480 have left; in a slow channel all may be queued
     assert channel.queue_estimate() == 134 and channel.queue_ceiling() == 614
     channel.charge([0], 10)
     assert channel.queue_ceiling() == 631
@@ -52,7 +52,7 @@
         assert channel.flush(0) == number
     channel.update_overdue(6000, 50_000)
     assert channel.overdue == 68
-    channel.acknowledge(6000, 1, 1)  # the rest of its flush may still wait, and the second message to both
+    channel.acknowledge(6000, 1, 1)  # the rest of its flush and the second flush may still be queued
     channel.update_overdue(6000, 50_000)
     assert channel.overdue == channel.unproven_entries() == 51
     channel.acknowledge(6000, 1, 2)
@@ -63,7 +63,7 @@
 
 
 def test_queue_estimate_counts_unproven_entries_except_those_on_their_way() -> None:
-    """Guards against a full queue while the channel stalls, which the stated rate does not tell."""
+    """Guards against overfilling the queue of a stalled channel, which the stated rate does not show."""
     channel = joined_channel(50)
     channel.charge([*range(50)], 33)
     channel.flush(0)
@@ -88,7 +88,7 @@
         channel.acknowledge(0, 0, number)
     channel.charge([0, 1], 1)
     channel.flush(0)
-    assert channel.unresponsive_proxies() == []  # the flush of its last message may still wait
+    assert channel.unresponsive_proxies() == []  # its last message may still be queued
     channel.acknowledge(0, 0, channel.last_marker)
     assert channel.unresponsive_proxies() == [1]
     waiting = channel.unproven_entries()
@@ -96,7 +96,7 @@
     assert len(channel.unacknowledged[1]) == 1 and channel.unproven_entries() == waiting
 
 
-def test_nobody_is_unresponsive_while_nothing_is_acknowledged() -> None:
+def test_no_proxy_is_unresponsive_while_nothing_is_acknowledged() -> None:
     channel = joined_channel(2)
     for _ in range(3 * MAX_UNACKNOWLEDGED_MESSAGES):
         channel.charge([0, 1], 1)
--- a/tests/decisions/test_message_cap.py
+++ b/tests/decisions/test_message_cap.py
@@ -1,4 +1,4 @@
-"""Tests of the rules beside the message cap: what keeps a rule does not wait for the spacing of messages."""
+"""Tests of the rules under a message cap: updates that keep a rule do not wait for the message spacing."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def start_capped_fleet(message_cap: int, endpoints: int = 8, proxies: int = 4) -> ControllerHarness:
-    """A fleet whose proxies were bound, and so sent a message, just now."""
+    """Returns a fleet whose proxies were just bound, and thereby sent a message."""
     return start_fleet(settings_with(channel__message_cap=message_cap), endpoints, proxies)
 
 
@@ -53,7 +53,7 @@
 
 @CAPS
 def test_restarted_endpoint_is_not_out_of_use_until_the_next_spacing(message_cap: int) -> None:
-    """Guards against an exclusion whose readmission has to wait for a window of the cap."""
+    """Guards against an exclusion whose readmission has to wait until the window of the cap has passed."""
     harness = start_capped_fleet(message_cap, endpoints=1)
     harness.advance(10)
     harness.receive_endpoint_list({"h0": (IN_SERVICE, harness.now)}, is_complete=False)
@@ -92,7 +92,7 @@
 
 @CAPS
 def test_table_that_loses_its_last_endpoint_just_after_a_message_is_filled(message_cap: int) -> None:
-    harness = start_capped_fleet(message_cap, endpoints=2)  # h1 alone may serve the route of fast endpoints
+    harness = start_capped_fleet(message_cap, endpoints=2)  # only h1 is allowed for the fast-only route
     harness.advance(10)
     harness.receive_endpoint_list({"h1": (REMOVED, 0), "h3": WARM}, is_complete=False)
     emptied_at = harness.now
@@ -105,8 +105,8 @@
 
 
 @CAPS
-def test_urgent_messages_carry_what_waits_for_the_spacing(message_cap: int) -> None:
-    """Guards against weights and readmissions that never leave while endpoints drain in series."""
+def test_urgent_messages_include_updates_that_wait_for_the_spacing(message_cap: int) -> None:
+    """Guards against weights and readmissions that are never sent while endpoints drain one after another."""
     harness = start_capped_fleet(message_cap)
     harness.receive_endpoint_list({"h1": (DRAINING, 0)}, is_complete=False)
     harness.advance(2 * SECOND)
@@ -154,7 +154,7 @@
     assert cap.has_no_recent_messages(10, 7)
 
 
-def test_message_cap_keeps_one_message_back_from_what_keeps_no_rule() -> None:
+def test_message_cap_reserves_one_message_for_updates_that_keep_a_rule() -> None:
     cap = MessageCap(settings_with(channel__message_cap=3).channel)
     cap.add_proxy(7)
     cap.record_messages(0, [7])
--- a/tests/decisions/test_pacing.py
+++ b/tests/decisions/test_pacing.py
@@ -1,4 +1,4 @@
-"""Tests of pacing: the message cap, and the pauses between table updates."""
+"""Tests of pacing: message spacing under a cap, and pauses between table updates."""
 
 from __future__ import annotations
 
@@ -29,21 +29,21 @@
     assert not pacer.can_send(10_000) and pacer.can_send(10_001)
 
 
-def test_pacer_pauses_table_updates_until_half_the_rate_has_paid_for_the_last() -> None:
+def test_pacer_pauses_table_updates_to_keep_them_within_half_the_channel_rate() -> None:
     pacer = UpdatePacer(make_context())
     assert pacer.are_table_updates_due(0)
     pacer.record_table_updates(0, entries=1600.0, has_changes=False)  # at half of 0.16 entries a tick
     assert not pacer.are_table_updates_due(19_999) and pacer.are_table_updates_due(20_000)
 
 
-def test_pacer_pauses_one_evaluation_while_changes_are_left_or_little_was_sent() -> None:
+def test_pacer_pauses_table_updates_for_one_evaluation_if_changes_are_left_or_few_were_sent() -> None:
     pacer = UpdatePacer(make_context())
     for entries, has_changes in ((1600.0, True), (1.0, False)):
         pacer.record_table_updates(0, entries, has_changes)
         assert not pacer.are_table_updates_due(4999) and pacer.are_table_updates_due(5000)
 
 
-def test_pacer_hastens_table_updates_after_an_ejection() -> None:
+def test_pacer_allows_table_updates_at_once_after_an_ejection() -> None:
     pacer = UpdatePacer(make_context())
     pacer.record_table_updates(0, entries=1600.0, has_changes=False)
     pacer.expedite_table_updates(100)
--- a/tests/decisions/test_pending_binds.py
+++ b/tests/decisions/test_pending_binds.py
@@ -1,4 +1,4 @@
-"""Tests of the order in which proxies wait to be bound."""
+"""Tests of the proxies that wait to be bound, and of their order."""
 
 from __future__ import annotations
 
@@ -19,12 +19,13 @@
     pending = PendingBinds()
     pending.add(4 * SECOND, 0, rate_per_second=90.0, is_fresh=False)
     pending.add(5 * SECOND, 1, rate_per_second=1.0, is_fresh=True)
-    pending.add(6 * SECOND, 2, rate_per_second=90.0, is_fresh=True)  # as old as proxy 0 then, without a table
+    # counts as joined in the same second as proxy 0, but without an earlier table
+    pending.add(6 * SECOND, 2, rate_per_second=90.0, is_fresh=True)
     assert pending.in_order(with_earlier_table=True) == [1, 2, 0]
     assert pending.in_order(with_earlier_table=False) == [1, 2]
 
 
-def test_rebind_all_replaces_who_waits() -> None:
+def test_rebind_all_replaces_the_waiting_proxies() -> None:
     pending = PendingBinds()
     pending.add(0, 0, rate_per_second=1.0, is_fresh=False)
     pending.rebind_all(SECOND, [3, 2])
@@ -32,7 +33,7 @@
     assert pending.in_order(with_earlier_table=False) == [3, 2]
 
 
-def test_removed_proxy_does_not_wait_any_more() -> None:
+def test_removed_proxy_no_longer_waits() -> None:
     pending = PendingBinds()
     pending.add(0, 0, rate_per_second=1.0, is_fresh=True)
     pending.remove(0)
--- a/tests/decisions/test_reminders.py
+++ b/tests/decisions/test_reminders.py
@@ -30,7 +30,7 @@
         harness.receive_endpoint_list({f"h{k}": (DRAINING, 0)}, is_complete=False)
         harness.flush()
         harness.advance(4 * SECOND)
-    for proxy in range(60, 160):  # a fresh one holds a default table of the list at its start
+    for proxy in range(60, 160):  # a fresh proxy has a bootstrap table from the initial list
         harness.join_proxy(proxy, is_fresh=proxy % 2 == 0)
     harness.flush()
     harness.advance(SECOND)
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -1,4 +1,4 @@
-"""Seeded random runs that check the rules after every step."""
+"""Seeded random scenarios that check the rules after every step."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from willowhook.decisions.events import EndpointListLost, EndpointState
 from willowhook.decisions.settings import AdmissionUnit
 
-# The draws of 06ecd3e, whatever the text of the tests: hypothesis derives its own from a test's source.
+# Seeds that reproduce the draws of revision 06ecd3e: by default hypothesis derives them from a test's source.
 SMALL_SEED = int(
     "18507589675156629836438903636574051552834477246760412887221168569894667526402147725351398500605282794"
     "233989809136222"
@@ -31,7 +31,7 @@
 )
 STEP = st.tuples(st.integers(0, 7), st.integers(0, 9), st.integers(0, 1000), st.sampled_from([0.3, 1.0]))
 
-# What a step does; other numbers only let time pass.
+# Actions of a step; other numbers only advance the time.
 CHANGE_STATE, JOIN, LEAVE, REPORT_ENDPOINT, REPORT_ALL_ENDPOINTS, REPORT_REQUESTS, LOSE_LIST = range(7)
 
 
@@ -62,22 +62,21 @@
 
 
 def test_endpoint_that_restarts_under_a_message_cap_has_its_slow_start_share() -> None:
-    """Found by hypothesis once the draws had changed; in KNOWN-RED.txt."""
+    """Guards against a failure that hypothesis found with other draws; see KNOWN-RED.txt."""
     steps = [(0, 0, 0, 0.3), (0, 0, 0, 0.3), (0, 0, 0, 0.3), (1, 0, 1, 0.3), (0, 0, 0, 0.3)]
     RuleRun(ControllerHarness(settings_with(channel__message_cap=12)), 1).play(steps)
 
 
 @dataclass
 class RuleRun:
-    """Plays steps and checks the rules after each.
+    """Runs steps and checks the rules after each.
 
     Attributes:
-        harness: of the controller.
-        proxies_per_step: each step is about one endpoint and one proxy of ten, or in a large fleet about
-            several.
-        listed: by endpoint, its state and start as last listed.
+        harness: the harness of the controller.
+        proxies_per_step: number of proxies that a step affects: one of ten, or several in a large fleet.
+        listed: by endpoint, its state and start time as last listed.
         in_service_at: by endpoint, when it was last seen in service.
-        served_at: by proxy, when it last lacked no table that it could have.
+        served_at: by proxy, when it last had every table that it could have.
     """
 
     harness: ControllerHarness
@@ -88,7 +87,7 @@
 
     @property
     def is_small(self) -> bool:
-        """Whether a step is about a single proxy."""
+        """Whether a step affects a single proxy."""
         return self.proxies_per_step == 1
 
     def play(self, steps: list[tuple[int, int, int, float]]) -> None:
@@ -149,7 +148,7 @@
                 sent_at for sent_at in times if sent_at > runtime.now - channel.message_cap_window_ticks
             ]
             assert not channel.message_cap or len(recent) <= channel.message_cap
-        assert all(retries <= 1 for retries in runtime.max_retries.values())  # no attempt after any failure
+        assert all(retries <= 1 for retries in runtime.max_retries.values())  # at most IF_NOT_EXECUTED
 
     def _check_drain_rule(self, name: str, state: EndpointState) -> None:
         runtime = self.harness.runtime
@@ -159,7 +158,7 @@
             assert runtime.excluded.get(name), f"{name} is not excluded"
 
     def _check_slow_start(self, name: str, started_at: int) -> None:
-        """A warming endpoint's share of the mean weight stays under what it can serve."""
+        """Checks that the relative weight of an endpoint that is warming up fits its capacity."""
         rules, age = self.harness.runtime.settings.rules, self.harness.now - started_at
         first = rules.slow_start_fraction
         capacity = first + (1 - first) * age / rules.slow_start_ticks
@@ -181,7 +180,7 @@
                 allowed = [name for name in warm if not route.allowed_classes or int(name[1:]) % 2]
                 is_served = index in bindings and self.harness.usable_weights(bindings[index])
                 lacks = lacks or bool(allowed and not is_served)
-            lacks = lacks and (self.is_small or bool(bindings))  # its default table serves it until then
+            lacks = lacks and (self.is_small or bool(bindings))  # until then its bootstrap table serves it
             since = self.served_at.get(proxy, runtime.now) if lacks else runtime.now
             self.served_at[proxy] = since
             assert runtime.now - since <= runtime.settings.rules.empty_table_grace_ticks
--- a/tests/decisions/test_subsets.py
+++ b/tests/decisions/test_subsets.py
@@ -9,12 +9,12 @@
 
 
 def test_join_burst_is_bound_to_subsets_first_and_to_default_tables_later() -> None:
-    session = {"exclusions_outlive_sessions": True, "rules__slow_start_ticks": SECOND}
-    settings = settings_with(rules__drain_grace_ticks=4 * SECOND, fleet__proxy_count=100, **session)
+    changes = {"exclusions_outlive_sessions": True, "rules__slow_start_ticks": SECOND}
+    settings = settings_with(rules__drain_grace_ticks=4 * SECOND, fleet__proxy_count=100, **changes)
     harness = start_fleet(settings, endpoints=80, proxies=0)
     harness.advance(5 * SECOND)
     default_tables = {table.number for table in harness.controller.fleet.default_tables}
-    for k in range(40):  # more exclusions than can be sent to each
+    for k in range(40):  # more exclusions than can be sent to each proxy
         harness.receive_endpoint_list({f"h{k}": (DRAINING, 0)}, is_complete=False)
     harness.advance(4 * SECOND)
     for proxy in range(100):
@@ -37,7 +37,7 @@
 
 
 def test_join_burst_during_drains_is_bound_to_subsets_before_the_exclusions() -> None:
-    session = {
+    changes = {
         "exclusions_outlive_sessions": True,
         "rules__slow_start_ticks": SECOND,
         "channel__entries_per_second": 3000.0,
@@ -47,7 +47,7 @@
         "channel__queue_limit_entries": 28_000.0,
         "rules__drain_grace_ticks": 10 * SECOND,
     }
-    harness = start_fleet(settings_with(**session, **sizes), endpoints=80, proxies=60)
+    harness = start_fleet(settings_with(**changes, **sizes), endpoints=80, proxies=60)
     harness.advance(30 * SECOND)
     harness.receive_endpoint_list({f"h{k}": (DRAINING, 0) for k in range(25)}, is_complete=False)
     harness.flush()
@@ -58,7 +58,7 @@
     harness.flush()
     harness.advance(2 * SECOND)
     assert not harness.controller.pending_binds
-    assert harness.runtime.queued_entries < 7 * 3000  # so all have their tables within the drain grace
+    assert harness.runtime.queued_entries < 7 * 3000  # so all proxies get their tables within the drain grace
     harness.advance(7 * SECOND)
     draining = {f"h{k}" for k in range(45)}
     assert all(
@@ -70,8 +70,8 @@
 
 
 @pytest.mark.parametrize("joins_at_once", [5, 60])
-def test_subset_tables_are_sized_by_the_time_that_whole_tables_have_left(joins_at_once: int) -> None:
-    """Guards against binds of a join burst that take the time of the exclusions that come next."""
+def test_join_burst_binds_fill_less_than_half_of_the_drain_grace(joins_at_once: int) -> None:
+    """Guards against binds of a join burst that delay later exclusions beyond the drain grace."""
     rate, grace_seconds, proxies = 3000, 4, 240
     settings = settings_with(
         exclusions_outlive_sessions=True,
@@ -112,9 +112,9 @@
 
 
 def test_connection_limit_long_after_another_is_as_short_as_the_first() -> None:
-    """Guards against limits that get longer over the life of the controller."""
+    """Guards against connection limits that get longer with the age of the controller."""
     harness = start_fleet(endpoints=40, proxies=40)
-    limited = []
+    limited_seconds = []
     for second in range(300):
         refuses = 9 < second < 13 or 209 < second < 213
         for k in range(40):
@@ -123,7 +123,7 @@
             harness.report_requests(proxy, "read", 10)
         harness.advance(SECOND)
         if harness.controller.subsets.mode is SubsetMode.CONNECTION_LIMIT:
-            limited.append(second)
-    first = [second for second in limited if second < 200]
-    second_time = [second for second in limited if second >= 200]
-    assert len(first) == len(second_time) == FIRST_CONNECTION_LIMIT_TICKS // SECOND
+            limited_seconds.append(second)
+    first_limit = [second for second in limited_seconds if second < 200]
+    second_limit = [second for second in limited_seconds if second >= 200]
+    assert len(first_limit) == len(second_limit) == FIRST_CONNECTION_LIMIT_TICKS // SECOND
--- a/tests/decisions/test_table_updates.py
+++ b/tests/decisions/test_table_updates.py
@@ -1,4 +1,4 @@
-"""Tests of table updates: what is sent of the tables, in which order, and when."""
+"""Tests of table updates: which changes are sent, in which order, and when."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def test_proxy_bound_to_an_empty_table_gets_the_first_listed_endpoints_at_once() -> None:
-    """Guards against empty tables where the first question for the endpoint list failed."""
+    """Guards against tables that stay empty after the first request for the endpoint list failed."""
     harness = start_fleet(endpoints=0)
     harness.advance(SECOND)
     harness.receive_endpoint_list({f"h{k}": WARM for k in range(2)})
@@ -18,7 +18,7 @@
     assert set(harness.usable_weights()) == {"h4", "h5"}
 
 
-def test_changed_weights_of_all_tables_go_by_how_far_they_moved() -> None:
+def test_changed_weights_of_all_tables_are_sent_by_magnitude() -> None:
     settings = settings_with(fleet__cross_zone_price=0.08, channel__entry_price=0.01)
     harness = start_fleet(settings, endpoints=80, proxies=60)
     harness.advance(20 * SECOND)
@@ -31,28 +31,28 @@
     assert all(max(harness.usable_weights(table).values()) < 0.6 for table in used)
 
 
-def test_changed_weights_wait_for_the_solver_and_leave_as_one_batch() -> None:
+def test_changed_weights_wait_for_the_solver_and_are_sent_as_one_batch() -> None:
     settings = settings_with(channel__entry_price=0.001)
     harness = start_fleet(settings, endpoints=20, proxies=40)
     harness.advance(20 * SECOND)
     before = {proxy: len(times) for proxy, times in harness.runtime.message_times.items()}
     for endpoint in harness.controller.endpoints.values():
         endpoint.latency_factor = 0.5
-    harness.advance(SECOND)  # weights may have drifted: no message for that alone
+    harness.advance(SECOND)  # drifting weights alone cause no message
     assert {proxy: len(times) for proxy, times in harness.runtime.message_times.items()} == before
     harness.controller.updater.has_changes = True
     harness.advance(SECOND // 2)
     changed = sum(weight == 0.5 for weight in harness.usable_weights().values())
-    assert changed > 15  # not three entries a message, as its overhead is seven
+    assert changed > 15  # not a few entries per message, as its overhead is seven
     assert {len(times) - before[proxy] for proxy, times in harness.runtime.message_times.items()} == {1}
     grace_ticks = settings.rules.drain_grace_ticks
     left_ticks = grace_ticks - settings.channel.max_delay_ticks - grace_ticks // 8
     in_time = left_ticks * settings.channel.entries_per_second / SECOND
-    assert harness.controller.channel.queued + 40 * 8 <= in_time + 40  # an exclusion can follow in time
+    assert harness.controller.channel.queued + 40 * 8 <= in_time + 40  # an exclusion still arrives in time
 
 
-def test_update_batches_into_a_stalled_channel_wait_for_acknowledgements() -> None:
-    """Guards against a full queue: several batches may leave before an acknowledgement is missed."""
+def test_update_batches_to_a_stalled_channel_wait_for_acknowledgements() -> None:
+    """Guards against a full queue: several batches may be sent before an acknowledgement is overdue."""
     settings = settings_with(channel__entry_price=0.001, channel__max_delay_ticks=15_000)
     harness = start_fleet(settings, endpoints=40, proxies=40)
     harness.advance(20 * SECOND)
@@ -66,7 +66,7 @@
     assert 0.2 < highest / settings.channel.queue_limit_entries < 0.85
 
 
-def test_resends_take_a_twentieth_of_the_channel_rate() -> None:
+def test_resends_take_at_most_a_twentieth_of_the_channel_rate() -> None:
     harness = start_fleet(endpoints=40, proxies=40)
     harness.advance(15 * SECOND)
     first = harness.controller.channel.last_marker
--- a/tests/test_settings_codec.py
+++ b/tests/test_settings_codec.py
@@ -1,4 +1,4 @@
-"""Tests of the settings document: where each key goes, and what is refused."""
+"""Tests of the settings document: the setting that each key sets, and the documents that are rejected."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def document_with(path: Path, value: object) -> dict[str, Any]:
-    """The smallest document with one value set."""
+    """Returns the smallest document with one value set."""
     document = copy.deepcopy(SMALLEST)
     part: Any = document
     for key in path[:-1]:
@@ -33,7 +33,7 @@
 
 
 def document_without(path: Path) -> dict[str, Any]:
-    """The smallest document without one of its keys."""
+    """Returns the smallest document without one of its keys."""
     document = copy.deepcopy(SMALLEST)
     part: Any = document
     for key in path[:-1]:
@@ -43,7 +43,7 @@
 
 
 def setting(document: dict[str, Any], name: str) -> object:
-    """A decoded setting; `routes.` names that of the first route."""
+    """Returns a decoded setting; names that start with `routes.` refer to the first route."""
     settings: DeploymentSettings = decode_settings(document)
     source = settings.routes[0] if name.startswith("routes.") else settings
     return attrgetter(name.removeprefix("routes."))(source)
@@ -100,7 +100,7 @@
         ((*ROUTE, "deadline"), "routes.deadline_ticks", 40_000),
     ],
 )
-def test_required_key_sets_its_setting_and_is_named_when_it_is_missing(
+def test_required_key_sets_its_setting_and_is_named_if_missing(
     path: Path, name: str, decoded: object
 ) -> None:
     assert setting(SMALLEST, name) == decoded
@@ -108,7 +108,7 @@
         decode_settings(document_without(path))
 
 
-def test_document_without_routes_is_refused() -> None:
+def test_document_without_routes_is_rejected() -> None:
     with pytest.raises(SettingsError, match=r"^request-classes is missing$"):
         decode_settings(document_without(("request-classes",)))
 
@@ -141,7 +141,7 @@
         (("weights",), "lists_capacity", {"nominal": True, "rough": True, "none": False}, False, False),
     ],
 )
-def test_word_has_its_meaning_and_unknown_and_missing_ones_their_defaults(
+def test_keyword_is_decoded_and_unknown_or_missing_ones_get_defaults(
     path: Path, name: str, words: dict[str, object], unknown: object, missing: object
 ) -> None:
     for word, meaning in words.items():
@@ -165,32 +165,32 @@
 
 
 @pytest.mark.parametrize("path", NUMBERS, ids=lambda path: str(path[-1]))
-def test_malformed_number_is_refused_with_its_text(path: Path) -> None:
+def test_malformed_number_is_rejected_with_its_text(path: Path) -> None:
     with pytest.raises(SettingsError, match="many"):
         decode_settings(document_with(path, "many"))
 
 
 @pytest.mark.parametrize("path", NUMBERS, ids=lambda path: str(path[-1]))
-def test_list_in_place_of_a_number_is_refused_with_its_type(path: Path) -> None:
+def test_list_in_place_of_a_number_is_rejected_with_its_type(path: Path) -> None:
     with pytest.raises(SettingsError, match="'list'"):
         decode_settings(document_with(path, [1]))
 
 
 @pytest.mark.parametrize("path", [("extra",), ("contract",), ("zones",), ("request-classes",), ROUTE])
-def test_number_in_place_of_an_object_or_a_list_is_refused_with_its_type(path: Path) -> None:
+def test_number_in_place_of_an_object_or_a_list_is_rejected_with_its_type(path: Path) -> None:
     with pytest.raises(SettingsError, match="'int' object"):
         decode_settings(document_with(path, 5))
 
 
 @pytest.mark.parametrize("path", NUMBERS, ids=lambda path: str(path[-1]))
 @pytest.mark.parametrize("value", [float("inf"), float("nan"), -1, True, "2", 10**400])
-def test_value_that_is_no_finite_number_from_0_on_is_refused_by_name(path: Path, value: object) -> None:
+def test_value_that_is_not_a_finite_nonnegative_number_is_rejected_by_key(path: Path, value: object) -> None:
     with pytest.raises(SettingsError, match=f"^{path[-1]}: expected a number"):
         decode_settings(document_with(path, value))
 
 
 @pytest.mark.parametrize("path", [*((*ROUTE, key) for key in ("aim", "deadline")), ("extra", "egress-per-s")])
-def test_rate_or_objective_of_0_is_refused_by_name(path: Path) -> None:
+def test_rate_or_objective_of_0_is_rejected_by_key(path: Path) -> None:
     with pytest.raises(SettingsError, match=f"^{path[-1]}: expected a number over 0, got 0 "):
         decode_settings(document_with(path, 0))
 
@@ -199,8 +199,8 @@
     "path", [("zones",), (*ROUTE, "only-zones"), (*ROUTE, "only-kinds"), ("load-info", "fields")]
 )
 @pytest.mark.parametrize("value", ["north", [1], {"north": 1}])
-def test_value_that_is_no_list_of_texts_is_refused_by_name(path: Path, value: object) -> None:
-    """Guards against a text that becomes a list of its letters."""
+def test_value_that_is_not_a_list_of_strings_is_rejected_by_key(path: Path, value: object) -> None:
+    """Guards against a string that is decoded as a list of its characters."""
     with pytest.raises(SettingsError, match=f"^{path[-1]}: expected a list of strings, got "):
         decode_settings(document_with(path, value))
 
@@ -208,22 +208,22 @@
 @pytest.mark.parametrize(
     ("path", "value"), [(("allowed", "probes"), "false"), (("extra", "class-own-zone"), ["false"])]
 )
-def test_word_in_place_of_true_or_false_is_refused_by_name(path: Path, value: object) -> None:
+def test_string_in_place_of_a_boolean_is_rejected_by_key(path: Path, value: object) -> None:
     with pytest.raises(SettingsError, match=f"^{path[-1]}: expected a (list of booleans|boolean), got "):
         decode_settings(document_with(path, value))
 
 
-def test_fraction_in_place_of_a_whole_number_is_refused_by_name() -> None:
+def test_fraction_in_place_of_an_integer_is_rejected_by_key() -> None:
     with pytest.raises(SettingsError, match=r"^proxies: expected an integer, got 2.5 "):
         decode_settings(document_with(("extra", "proxies"), 2.5))
 
 
 @pytest.mark.parametrize("text", ["", "{", "[]", "null", "7"])
-def test_text_that_is_no_json_object_is_refused(text: str) -> None:
+def test_text_that_is_not_a_json_object_is_rejected(text: str) -> None:
     with pytest.raises(SettingsError):
         parse_settings(text)
 
 
-def test_parsed_text_gives_the_decoded_document_and_unknown_keys_are_left_alone() -> None:
+def test_parsed_text_equals_the_decoded_document_and_unknown_keys_are_ignored() -> None:
     document = SMALLEST | {"a-key-of-later": 1}
     assert parse_settings(json.dumps(document)) == decode_settings(SMALLEST)
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -1,4 +1,4 @@
-"""The adapter to the simulator, with lines as the page of the wire shows them."""
+"""Tests of the adapter to the simulator, with example lines of the wire format."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
 
 
 def run_adapter(lines: Iterable[str]) -> tuple[int, str, str]:
-    """The exit code, the replies and the messages on errors."""
+    """Runs the adapter on these lines. Returns the exit code, the replies and the error messages."""
     sink = io.StringIO()
     errors = io.StringIO()
     code = SimulatorAdapter((line + "\n" for line in lines), sink, errors).run()
@@ -71,7 +71,7 @@
 
 
 def decode(*lines: str) -> list[object]:
-    """The events on these lines."""
+    """Returns the events decoded from these lines."""
     messages = MessageReader(line + "\n" for line in lines).messages()
     return [message.decode() for message in messages if isinstance(message, InstanceEvent)]
 
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize("text", ["x", "", "inf", "nan"])
-def test_a_time_that_is_no_number_raises_an_error_that_names_field_and_value(text: str) -> None:
+def test_a_time_that_is_not_a_number_raises_an_error_that_names_field_and_value(text: str) -> None:
     with pytest.raises(FieldError, match=f"elapsed is '{text}', not a time in seconds"):
         parse_ticks("elapsed", text)
 
@@ -113,7 +113,7 @@
     assert [entry.started_at for entry in first.entries] == [0, 61_000]
 
 
-def test_a_list_number_that_is_registered_again_stands_for_the_new_list() -> None:
+def test_a_list_number_that_is_registered_again_refers_to_the_new_list() -> None:
     again = ["REGISTER\t0\t1", "ENTRY\thost-c\tterminating\t-\t0\t-\tfast\tnorth", START[5]]
     _, second = decode(*START[2:6], *again)
     assert isinstance(second, EndpointListReceived)
@@ -131,7 +131,7 @@
         (5, HealthCheckOutcome.ABORTED),
     ],
 )
-def test_the_end_of_a_health_check_is_decoded(code: int, outcome: HealthCheckOutcome) -> None:
+def test_a_health_check_result_is_decoded(code: int, outcome: HealthCheckOutcome) -> None:
     events = decode(f"PROBE_DONE\t3\thost-a\t{code}\t0.0014\t-")
     assert events == [HealthCheckCompleted("host-a", outcome, None)]
 
@@ -158,7 +158,7 @@
     assert replies.endswith("READY\t1\n")
 
 
-def test_an_instance_stopped_and_started_in_one_batch_starts_afresh() -> None:
+def test_an_instance_stopped_and_started_in_one_batch_loses_its_state() -> None:
     again = ["CLOCK\t9.5\t2", "TEARDOWN\t3", *START[1:6], "COMMIT"]
     code, replies, errors = run_adapter([*START, *again])
     assert (code, errors) == (0, "")
@@ -185,7 +185,7 @@
 
 
 @pytest.mark.parametrize("line", MALFORMED_LINES)
-def test_a_malformed_line_ends_the_process_with_one_plain_message(line: str) -> None:
+def test_a_malformed_line_ends_the_process_with_one_error_line(line: str) -> None:
     code, _, errors = run_adapter([*START, "CLOCK\t9.0\t2", line])
     assert code == 1
     assert errors.count("\n") == 1
@@ -202,14 +202,14 @@
         "COMMIT",
     ],
 )
-def test_a_malformed_entry_of_a_list_ends_the_process_with_one_plain_message(entry: str) -> None:
+def test_a_malformed_list_entry_ends_the_process_with_one_error_line(entry: str) -> None:
     lines = ["CLOCK\t9.0\t2", "REGISTER\t1\t1", entry, "ROSTER_CHANGE\t3\t42\t1\ttotal"]
     code, _, errors = run_adapter([*START, *lines])
     assert code == 1
     assert errors.count("\n") == 1
 
 
-def test_a_batch_that_ends_before_it_starts_ends_the_process_with_one_plain_message() -> None:
+def test_a_batch_end_without_a_start_ends_the_process_with_one_error_line() -> None:
     code, replies, errors = run_adapter(["COMMIT"])
     assert (code, replies) == (1, "")
     assert errors.count("\n") == 1
@@ -227,7 +227,7 @@
 def test_a_controller_that_raises_fails_its_instance_alone(
     monkeypatch: pytest.MonkeyPatch, method: str
 ) -> None:
-    """What comes for the failed instance later is not even decoded; another instance goes on."""
+    """Later events of the failed instance are not decoded, and another instance continues."""
 
     def lines() -> Iterator[str]:
         with monkeypatch.context() as patched:
