--- a/willowhook/decisions/subsets.py
+++ b/willowhook/decisions/subsets.py
@@ -77,7 +77,7 @@
     # Join bursts.
 
     def is_burst(self, waiting: list[int]) -> bool:
-        """Whether complete tables would reach these proxies too late to exclude endpoints in time."""
+        """Whether complete tables, with their exclusions, would reach these proxies too late."""
         if self.mode is SubsetMode.CONNECTION_LIMIT or not waiting:
             return False
         entries = sum(
@@ -94,7 +94,7 @@
                 return []  # the table numbers in use would be assigned again
             self._endpoints_per_subset = self._burst_table_size(len(waiting))
             self._make_tables(now, self._endpoints_per_subset)
-            self._runtime.log(f"join burst started waiting={len(waiting)} subsets={self._subset_count}")
+            self._runtime.log(f"join burst began waiting={len(waiting)} subsets={self._subset_count}")
         assignments = {proxy: self._draw_subset() for proxy in waiting}
         self._assigned = assignments | self._assigned
         routes = len(self._fleet.settings.routes)
@@ -136,10 +136,10 @@
     def limit_connections(self, now: int, sample: LoadSample) -> None:
         """Limits each proxy to a few endpoints for a time, with about equal traffic to each subset."""
         self._runtime.log(
-            f"connection limit started success_fraction={sample.median_success_fraction:.2f} "
+            f"connection limit began success_fraction={sample.median_success_fraction:.2f} "
             f"utilization={sample.utilization:.2f}"
         )
-        if now - self._limit_ended_at > self._next_limit_ticks:  # a new incident
+        if now - self._limit_ended_at > self._next_limit_ticks:  # the previous incident is over
             self._next_limit_ticks = FIRST_CONNECTION_LIMIT_TICKS
         self._limited_until = now + self._next_limit_ticks
         self._next_limit_ticks *= 2
--- a/willowhook/decisions/table_updates.py
+++ b/willowhook/decisions/table_updates.py
@@ -58,7 +58,7 @@
     """A weight change with its table and its place in the sending order of all tables.
 
     Attributes:
-        order: sort key: urgency, then the total change of the table, then that of the entry, largest first.
+        sort_key: urgency, then the magnitude of all changes of the table, then of this one, largest first.
         table: the table to change.
         users: the proxies that use the table.
         change: the weight change.
