--- a/willowhook/decisions/table_updates.py
+++ b/willowhook/decisions/table_updates.py
@@ -121,7 +121,7 @@
         """Fills tables without a usable endpoint: new tables, and tables that lost all their endpoints."""
         for table in self._fleet.tables:
             may_send = self._channel.can_message(now, self._fleet.users(table))
-            if may_send and self._fleet.is_without_open_entry(table):
+            if may_send and self._fleet.has_only_excluded_entries(table):
                 if table.entries:
                     table.members = []  # a subset table that lost all its endpoints may use any
                 self._locality.rebalance(now, table)
@@ -174,7 +174,7 @@
         traffic = self._traffic_fraction(table, users)
         threshold = self._change_threshold(len(users), len(weights), traffic)
         # new entries are urgent in a table without a usable endpoint, and while load is shed
-        is_needed = self._fleet.is_without_open_entry(table) or self._admission.is_shedding
+        is_needed = self._fleet.has_only_excluded_entries(table) or self._admission.is_shedding
         changes: list[WeightChange] = []
         for name, weight in weights.items():
             old_weight = table.entries.get(name, 0.0)
