--- a/willowhook/simulator/codec.py
+++ b/willowhook/simulator/codec.py
@@ -1,4 +1,4 @@
-"""Reads the lines of the simulator as typed messages; a message is one line of fields split by tabs."""
+"""Parses the lines of the simulator into typed messages. A message is one line of tab-separated fields."""
 
 from __future__ import annotations
 
@@ -25,20 +25,20 @@
 
 
 class MessageReader:
-    """Turns lines into messages.
+    """Parses lines into messages.
 
     Attributes:
-        line: the last one that was read, without its end.
+        line: the last line that was parsed, without its line ending.
     """
 
     def __init__(self, lines: Iterable[str]) -> None:
-        """Reads from these lines."""
+        """Parses these lines."""
         self.line = ""
         self._lines = iter(lines)
         self._lists = EndpointListRegistry()
         list_change = EventFormat(LIST_CHANGE_FIELDS, self._lists.parse_change)
-        self._events = {**EVENT_FORMATS, "ROSTER_CHANGE": list_change}
-        self._controls: dict[str, Callable[[list[str]], Message | None]] = {
+        self._event_formats = {**EVENT_FORMATS, "ROSTER_CHANGE": list_change}
+        self._control_parsers: dict[str, Callable[[list[str]], Message | None]] = {
             "CLOCK": self._parse_clock,
             "COMMIT": self._parse_commit,
             "REGISTER": self._register_list,
@@ -47,7 +47,7 @@
         }
 
     def messages(self) -> Iterator[Message]:
-        """The messages to the end of the input. Raises MalformedMessageError, SettingsError."""
+        """Yields messages until the input ends. Raises MalformedMessageError, SettingsError."""
         for line in self._lines:
             self.line = line.rstrip("\r\n")
             message = self._parse(self.line)
@@ -55,15 +55,15 @@
                 yield message
 
     def _parse(self, line: str) -> Message | None:
-        """The message on a line; None if it has none, or only registers an endpoint list."""
+        """Returns the message of a line; None for an empty line or the registration of an endpoint list."""
         fields = line.split("\t")
         name = fields[0]
-        event_format = self._events.get(name)
+        event_format = self._event_formats.get(name)
         if event_format is not None:
             if len(fields) != event_format.field_count:
-                raise _wrong_count(fields, event_format.field_count)
+                raise _wrong_field_count(fields, event_format.field_count)
             return InstanceEvent(fields[1], fields, event_format.parse)
-        parse_control = self._controls.get(name)
+        parse_control = self._control_parsers.get(name)
         if parse_control is not None:
             try:
                 return parse_control(fields)
@@ -75,7 +75,7 @@
 
     def _parse_clock(self, fields: list[str]) -> BatchStarted:
         if len(fields) < CLOCK_FIELDS:
-            raise _wrong_count(fields, CLOCK_FIELDS)
+            raise _wrong_field_count(fields, CLOCK_FIELDS)
         return BatchStarted(parse_ticks("clock", fields[1]), fields[2])
 
     def _parse_commit(self, _: list[str]) -> BatchEnded:
@@ -85,17 +85,17 @@
         self._lists.register(fields, self._lines)
 
     def _parse_hello(self, _: list[str]) -> InstanceStarted:
-        fields = self.line.split("\t", HELLO_FIELDS - 1)  # the settings run to the end of the line
+        fields = self.line.split("\t", HELLO_FIELDS - 1)  # the settings take the rest of the line
         if len(fields) < HELLO_FIELDS:
-            raise _wrong_count(fields, HELLO_FIELDS)
+            raise _wrong_field_count(fields, HELLO_FIELDS)
         instance, seed, settings = fields[1:]
         return InstanceStarted(instance, parse_integer("entropy", seed), parse_settings(settings))
 
     def _parse_teardown(self, fields: list[str]) -> InstanceStopped:
         if len(fields) < TEARDOWN_FIELDS:
-            raise _wrong_count(fields, TEARDOWN_FIELDS)
+            raise _wrong_field_count(fields, TEARDOWN_FIELDS)
         return InstanceStopped(fields[1])
 
 
-def _wrong_count(fields: list[str], expected: int) -> MalformedMessageError:
-    return MalformedMessageError(f"{fields[0]} has {len(fields) - 1} values, not {expected - 1}")
+def _wrong_field_count(fields: list[str], expected: int) -> MalformedMessageError:
+    return MalformedMessageError(f"{fields[0]} has {len(fields) - 1} values, expected {expected - 1}")
