--- a/tests/process_signals.py
+++ b/tests/process_signals.py
@@ -6,7 +6,7 @@
 import signal
 from pathlib import Path
 
-HELD_BACK = "SigBlk"
+BLOCKED = "SigBlk"
 HANDLED = "SigCgt"
 
 
--- a/tests/test_platform_configuration.py
+++ b/tests/test_platform_configuration.py
@@ -31,7 +31,7 @@
 @pytest.mark.parametrize(
     ("text", "why"),
     [
-        ("{", "no JSON"),
+        ("{", "invalid JSON"),
         ('{"name": "n"}', "settings is missing"),
         ('{"settings": {}}', "is missing"),
         (json.dumps({"settings": SETTINGS, "listen": "here"}), "listen"),
--- a/tests/test_platform_discovery_watch.py
+++ b/tests/test_platform_discovery_watch.py
@@ -127,7 +127,7 @@
             new = FakeDiscovery()
             await nursery.start(new.serve)
             _, stream = await discovery.next_request()
-            recorder.while_handling = lambda: recorder.watch.move_to(
+            recorder.while_handling = lambda: recorder.watch.set_address(
                 Address("127.0.0.1", new.port)
             )  # the old answer was complete before
             await answer(stream, 8)
@@ -149,7 +149,7 @@
             with trio.fail_after(5):
                 while not recorder.losses:
                     await trio.sleep(0.01)
-            recorder.watch.move_to(Address("127.0.0.1", new.port))  # the controller's backoff is not over
+            recorder.watch.set_address(Address("127.0.0.1", new.port))  # the controller's backoff is not over
             target, _ = await new.next_request()
             assert "after=7" in target
             nursery.cancel_scope.cancel()
@@ -200,9 +200,9 @@
 @pytest.mark.parametrize(
     ("status", "body", "reason"),
     [
-        (b"503 Service Unavailable", b"", "status 503"),
+        (b"503 Service Unavailable", b"", "unexpected status 503"),
         (b"200 OK", b"[]", "expected a JSON object, got list"),
-        (b"200 OK", b"{", "no JSON: "),
+        (b"200 OK", b"{", "invalid JSON: "),
     ],
 )
 def test_answer_without_a_list_is_a_loss_and_pauses_the_watch(
--- a/tests/test_platform_messages.py
+++ b/tests/test_platform_messages.py
@@ -47,7 +47,7 @@
 
 def test_request_report_for_another_proxy_is_refused_unless_a_collector_passes_it_on() -> None:
     """Guards against a proxy that speaks for others."""
-    with pytest.raises(MalformedFieldError, match=r"^proxy: expected 5, whose connection it is, got 4$"):
+    with pytest.raises(MalformedFieldError, match=r"^proxy: expected 5, the proxy of the connection, got 4$"):
         DECODER.decode(CLIENT_STATS, 5)
     assert DECODER.decode(CLIENT_STATS, None) == RequestReport(4, "read", 19, 5000)
 
--- a/tests/test_platform_server.py
+++ b/tests/test_platform_server.py
@@ -19,7 +19,7 @@
     reserve_port,
     weights_in,
 )
-from process_signals import HELD_BACK, has_signal
+from process_signals import BLOCKED, has_signal
 
 from willowhook.decisions.channel import MAX_UNACKNOWLEDGED_MESSAGES
 from willowhook.platform.framing import encode_frame
@@ -176,7 +176,7 @@
         controller.log_path.open("wb") as log,
         subprocess.Popen(**controller.command(), stderr=log) as process,
     ):
-        while not has_signal(process.pid, HELD_BACK, signal.SIGHUP):
+        while not has_signal(process.pid, BLOCKED, signal.SIGHUP):
             assert not _answers(controller.port), "it serves and never held signals back"
         process.send_signal(signal.SIGHUP)
         trio.run(controller.wait_until_ready)
--- a/willowhook/clock.py
+++ b/willowhook/clock.py
@@ -1,4 +1,4 @@
-"""Reads the machine's monotonic clock in ticks, for all that works on sockets and files."""
+"""The machine's monotonic clock in ticks, for code that works with sockets and files."""
 
 from __future__ import annotations
 
@@ -8,5 +8,5 @@
 
 
 def monotonic_ticks() -> int:
-    """The present time in ticks, from an arbitrary start; the same in every process of the machine."""
+    """The current time in ticks since an arbitrary origin that all processes of the machine share."""
     return time.monotonic_ns() // NANOSECONDS_PER_TICK
--- a/willowhook/errors.py
+++ b/willowhook/errors.py
@@ -4,4 +4,4 @@
 
 
 class WillowhookError(Exception):
-    """Any error raised by willowhook on purpose."""
+    """Base class of the errors that willowhook raises deliberately."""
--- a/willowhook/platform/__main__.py
+++ b/willowhook/platform/__main__.py
@@ -1,4 +1,4 @@
-"""Runs one controller as the platform starts it: `python -m willowhook.platform`.
+"""Entry point with which the platform starts one controller: `python -m willowhook.platform`.
 
 The exit code is 0 after SIGTERM or SIGINT.
 """
@@ -7,13 +7,13 @@
 
 import sys
 
-from .held_signals import hold_signals
+from .held_signals import block_signals
 
 
 def main() -> int:
-    """Runs a server until a signal ends it. Returns an `ExitCode`."""
-    hold_signals()
-    from .process import run_process  # only now: importing it is the longest part of the start
+    """Runs a server until a signal terminates it. Returns an `ExitCode`."""
+    block_signals()
+    from .process import run_process  # deferred: this import takes most of the startup time
 
     return run_process()
 
--- a/willowhook/platform/clock.py
+++ b/willowhook/platform/clock.py
@@ -1,4 +1,4 @@
-"""The clock of the controller: Unix time in ticks, in which endpoint lists state the start of an endpoint."""
+"""The clock of the controller: Unix time in ticks, the time scale of start times in endpoint lists."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class Clock:
-    """A clock that never goes back. Steps of the system's Unix clock after its creation do not affect it."""
+    """A clock that never goes back. Steps of the system clock after its creation do not affect it."""
 
     def __init__(self) -> None:
         self._monotonic_epoch_s = time.time() - time.monotonic()
 
     def now(self) -> int:
-        """The present time in ticks."""
+        """The current time in ticks."""
         return int((self._monotonic_epoch_s + time.monotonic()) * TICKS_PER_SECOND)
--- a/willowhook/platform/configuration.py
+++ b/willowhook/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration of a controller: one JSON file, whose path is in the environment.
+"""The configuration of a controller: one JSON file, whose path is in an environment variable.
 
 The keys of the file are used only here; `willowhook.settings_codec` reads those of its settings document.
 """
@@ -25,13 +25,13 @@
 MAX_FILE_BYTES = 64 << 20
 DEFAULT_MAX_DESCRIPTORS = 1024
 MAX_PORT = 65535
-MAX_SHOWN_CHARACTERS = 60  # length limit of a value that is quoted in an error
+MAX_QUOTED_CHARACTERS = 60  # longer values are truncated in error messages
 
 Value = TypeVar("Value")
 
 
 class ConfigurationError(WillowhookError):
-    """The configuration is unusable; the text states in one line what is wrong, and where."""
+    """The configuration is invalid; the message says in one line what is wrong, and where."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,10 +41,10 @@
     Attributes:
         name: the name of the controller.
         listen: the address at which it listens for proxies and collectors.
-        discovery: the address of discovery, which serves the endpoint list.
+        discovery: the address of the discovery server, which serves the endpoint list.
         seed: the seed of the controller's random numbers.
         max_descriptors: the number of file descriptors that the process may have open.
-        endpoint_list: the last endpoint list of this controller, in the form of discovery's answers.
+        endpoint_list: the last endpoint list of this controller, in the format of a discovery answer.
         settings: the settings of the deployment.
     """
 
@@ -58,7 +58,7 @@
 
 
 def read_configuration(environment: Mapping[str, str]) -> ControllerConfiguration:
-    """Reads the file whose path is in the environment. Raises ConfigurationError."""
+    """Reads the file that PATH_VARIABLE names in `environment`. Raises ConfigurationError."""
     document = _load_document(environment.get(PATH_VARIABLE, ""))
     try:
         settings = decode_settings(_read_field(document, "settings", dict))
@@ -82,7 +82,7 @@
     try:
         size = os.stat(path).st_size
         if size > MAX_FILE_BYTES:
-            raise ConfigurationError(f"{PATH_VARIABLE}: {size} bytes, over {MAX_FILE_BYTES}")
+            raise ConfigurationError(f"{PATH_VARIABLE}: a file of {size} bytes exceeds {MAX_FILE_BYTES}")
         return decode_object(Path(path).read_bytes())
     except OSError as error:
         raise ConfigurationError(f"{PATH_VARIABLE} cannot be read: {error.strerror}") from error
@@ -106,5 +106,5 @@
     text = _read_field(document, key, str)
     host, _, port = text.rpartition(":")
     if not host or not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
-        raise ConfigurationError(f"{key}: expected host:port, got {text[:MAX_SHOWN_CHARACTERS]!r}")
+        raise ConfigurationError(f"{key}: expected host:port, got {text[:MAX_QUOTED_CHARACTERS]!r}")
     return Address(host, int(port))
--- a/willowhook/platform/configuration_reload.py
+++ b/willowhook/platform/configuration_reload.py
@@ -1,4 +1,4 @@
-"""Reads the configuration again while the server runs."""
+"""Reloads the configuration while the server runs."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from .configuration import ConfigurationError, ControllerConfiguration
 from .runtime import WriteLog
 
-RETRY_DELAYS_S = (0.1, 0.2, 0.4, 0.8, 1.6)  # backoff: the file may be half written
+RETRY_DELAYS_S = (0.1, 0.2, 0.4, 0.8, 1.6)  # backoff: the file may be partially written
 
 ReadConfiguration = Callable[[], ControllerConfiguration]
 ApplyConfiguration = Callable[[ControllerConfiguration], None]
 
 
 class ConfigurationReloader:
-    """Reads the configuration and applies it. If it stays unusable, the present one stays in force.
+    """Reads the configuration and applies it. If it remains invalid, the current one stays in effect.
 
     Args:
-        read: reads the present content of the configuration file. Raises ConfigurationError.
+        read: reads the current content of the configuration file. Raises ConfigurationError.
         apply: applies the values that may change while the server runs.
         write_log: writes one line to the log.
     """
@@ -30,13 +30,13 @@
         self._write_log = write_log
 
     async def reload(self) -> None:
-        """Reads the configuration at once, and again with backoff while it is unusable."""
-        configuration = self._try_read(logs_failure=True)
+        """Reads the configuration immediately, and retries with backoff while it is invalid."""
+        configuration = self._read_or_none(logs_failure=True)
         for delay_s in RETRY_DELAYS_S:
             if configuration is not None:
                 break
             await trio.sleep(delay_s)
-            configuration = self._try_read(logs_failure=False)
+            configuration = self._read_or_none(logs_failure=False)
         if configuration is not None:
             self._apply(configuration)
             self._write_log(
@@ -44,7 +44,7 @@
                 f"max_descriptors={configuration.max_descriptors}"
             )
 
-    def _try_read(self, *, logs_failure: bool) -> ControllerConfiguration | None:
+    def _read_or_none(self, *, logs_failure: bool) -> ControllerConfiguration | None:
         try:
             return self._read()
         except ConfigurationError as error:
--- a/willowhook/platform/connection.py
+++ b/willowhook/platform/connection.py
@@ -1,7 +1,8 @@
 """One TCP connection of a proxy or a collector: its identity, its decoder and its queue of unsent bytes.
 
-Sockets do not block and are written to where a message is encoded: no message waits for a slow proxy. Bytes
-that the kernel does not accept at once are queued here, and a separate task of the connection sends them.
+Sockets are non-blocking and are written to as soon as a message is encoded, so no message waits for a slow
+proxy. Bytes that the kernel does not accept immediately are queued here and sent by a separate task of the
+connection.
 """
 
 from __future__ import annotations
@@ -14,22 +15,22 @@
 
 from .framing import MAX_MESSAGE_BYTES, FrameDecoder
 
-MAX_FIRST_MESSAGE_BYTES = 4 << 10  # until the peer is identified: the messages by which peers join are short
-MAX_QUEUED_BYTES = 256 << 10  # for a peer that reads nothing; the kernel has a buffer of its own in front
+MAX_FIRST_MESSAGE_BYTES = 4 << 10  # until the peer is identified; join messages are short
+MAX_QUEUED_BYTES = 256 << 10  # for a peer that does not read, in addition to the kernel's send buffer
 
 
 class PeerRole(Enum):
-    """As what a peer has identified itself."""
+    """The role with which a peer has identified itself."""
 
     PROXY = "proxy"
     COLLECTOR = "collector"
 
 
 class Connection:
-    """A connection, from its acceptance to its close.
+    """A connection, from when it is accepted until it is closed.
 
     Args:
-        sock: the accepted socket, which does not block; the connection closes it.
+        sock: the accepted socket, which is non-blocking; the connection closes it.
         accepted_at: the time of acceptance, in seconds of trio's clock.
         sequence_number: the number of connections accepted so far; a later connection has a higher number.
 
@@ -37,9 +38,9 @@
         socket: the argument `sock`.
         accepted_at: as given.
         sequence_number: as given.
-        role: as what the peer has identified itself; None if it has not.
+        role: the role with which the peer has identified itself; None if it has not.
         proxy: the number of the proxy, if `role` is PROXY; else None.
-        is_open: whether this side has not closed the connection.
+        is_open: whether the connection has not been closed with `close`.
         is_sending_queue: whether a task is running `send_queue`.
         decoder: decodes the bytes that the peer sends.
     """
@@ -58,20 +59,20 @@
 
     @property
     def is_identified(self) -> bool:
-        """Whether the peer has said who it is."""
+        """Whether the peer has identified itself."""
         return self.role is not None
 
     @property
     def has_queued_bytes(self) -> bool:
-        """Whether bytes wait until the kernel accepts them."""
+        """Whether bytes are queued until the kernel accepts them."""
         return bool(self._queue)
 
     def allow_long_messages(self) -> None:
-        """Removes the length limit for peers that are not identified."""
+        """Replaces the message size limit for unidentified peers by that of the protocol."""
         self.decoder.max_message_bytes = MAX_MESSAGE_BYTES
 
     def send(self, data: bytes) -> bool:
-        """Sends the bytes that the kernel accepts now and queues the rest.
+        """Sends the bytes that the kernel accepts immediately, and queues the rest.
 
         Returns whether the connection can still be used; False if it has failed or too many bytes are queued.
         """
@@ -95,10 +96,10 @@
             while self._queue and self.is_open:
                 await trio.lowlevel.wait_writable(self.socket)
                 if not self._queue:
-                    break  # closed between the wake-up of this task and its turn
+                    break  # the connection was closed after this task was woken and before it ran
                 self._send_queue_head()
         except (OSError, trio.ClosedResourceError):
-            pass  # the task that reads the connection detects the fault as well, and closes the connection
+            pass  # the task that reads from the connection detects the failure too, and closes it
         finally:
             self.is_sending_queue = False
 
--- a/willowhook/platform/connection_server.py
+++ b/willowhook/platform/connection_server.py
@@ -1,7 +1,7 @@
-"""Accepts the connections of proxies and collectors, and reads from them.
+"""Accepts connections of proxies and collectors, and reads their messages.
 
 A connection is unidentified until its first message identifies the peer. Unidentified connections have a time
-limit, and are closed first when the process runs out of file descriptors.
+limit, and are the first to be closed when the process runs out of file descriptors.
 """
 
 from __future__ import annotations
@@ -23,18 +23,19 @@
 IDENTIFICATION_TIMEOUT_S = 2.0
 OVERDUE_CHECK_INTERVAL_S = 0.25
 OUT_OF_DESCRIPTORS_PAUSE_S = 0.25  # before the next connection is accepted
-SEND_BUFFER_BYTES = 64 << 10  # the kernel's, per socket: peers that read nothing must cost little memory
+SEND_BUFFER_BYTES = 64 << 10  # of the kernel, per socket; limits the memory for a peer that does not read
 LISTEN_BACKLOG = 1024
-MAX_ACCEPTED_PER_TURN = 64  # so that other tasks can run in between
+MAX_ACCEPTED_PER_TURN = 64  # so that other tasks can run between batches
 RESERVED_DESCRIPTORS = 24  # listener, discovery (two while its address changes), event loop, log, spare
 OUT_OF_RESOURCES = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 
 
 class IdentificationError(WillowhookError):
-    """The first message of a connection does not identify the peer. The peer's fault; it is rejected."""
+    """The first message of a connection does not identify the peer, which is then rejected."""
 
 
-MessageHandler = Callable[[Connection, Fields], None]  # FramingError, IdentificationError: reject the peer
+# A handler rejects the peer by raising FramingError or IdentificationError.
+MessageHandler = Callable[[Connection, Fields], None]
 CloseHandler = Callable[[Connection], None]  # for identified connections only
 
 
@@ -70,11 +71,11 @@
         self.rejected_count = 0
 
     def set_max_descriptors(self, max_descriptors: int) -> None:
-        """Changes the limit, which is checked at each new connection."""
+        """Changes the limit, which is checked when a connection is accepted."""
         self._max_descriptors = max_descriptors
 
     async def serve(self) -> None:
-        """Listens until cancelled. Raises OSError if the address cannot be listened on."""
+        """Listens until cancelled. Raises OSError if it cannot listen at the address."""
         with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as listener:
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
@@ -89,7 +90,7 @@
                         await trio.sleep(OUT_OF_DESCRIPTORS_PAUSE_S)
 
     def add_connection(self, sock: socket.socket) -> Connection:
-        """Adds the connection of an accepted socket; its peer is unidentified."""
+        """Adds the connection of an accepted socket. Its peer is unidentified."""
         self._accepted_count += 1
         connection = Connection(sock, trio.current_time(), self._accepted_count)
         self.open_count += 1
@@ -97,7 +98,7 @@
         return connection
 
     def send(self, connection: Connection, data: bytes) -> None:
-        """Sends without waiting; closes a connection that has failed or reads too slowly."""
+        """Sends without blocking. Closes a connection that has failed or whose peer reads too slowly."""
         if not connection.send(data):
             self.close(connection)
         elif connection.has_queued_bytes and not connection.is_sending_queue:
@@ -116,12 +117,12 @@
             self.reject(connection)
 
     def confirm_identity(self, connection: Connection) -> None:
-        """Removes the limits for unidentified peers, on time and message length, from a connection."""
+        """Removes the time limit and the message size limit for unidentified peers from a connection."""
         self._unidentified.pop(connection, None)
         connection.allow_long_messages()
 
     def reject(self, connection: Connection) -> None:
-        """Sends the peer a rejection, if it can be sent, and closes the connection."""
+        """Closes a connection, after sending the peer a rejection if possible."""
         if connection.is_open:
             self.rejected_count += 1
             connection.send(REJECTION)
@@ -141,7 +142,7 @@
             self._handle_close(connection)
 
     def _accept_pending(self, listener: socket.socket) -> bool:
-        """Accepts the waiting connections. Returns False if file descriptors have run out."""
+        """Accepts pending connections. Returns False if file descriptors or memory have run out."""
         for _ in range(MAX_ACCEPTED_PER_TURN):
             try:
                 sock, _ = listener.accept()
@@ -193,6 +194,6 @@
         while True:
             await trio.sleep(OVERDUE_CHECK_INTERVAL_S)
             deadline = trio.current_time() - IDENTIFICATION_TIMEOUT_S
-            overdue = [each for each in self._unidentified if each.accepted_at < deadline]
+            overdue = [connection for connection in self._unidentified if connection.accepted_at < deadline]
             for connection in overdue:
                 self.reject(connection)
--- a/willowhook/platform/control_loop.py
+++ b/willowhook/platform/control_loop.py
@@ -1,4 +1,4 @@
-"""The loop that runs the controller: events are batched, and each batch ends with a flush."""
+"""The loop that runs the controller: events are batched, and a flush ends each batch."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from .proxy_updates import ProxyUpdates
 
 MIN_FLUSH_INTERVAL_S = 0.004  # events within this interval form one batch
-PAUSE_PER_FLUSH_TIME = 3.0  # ratio of the pause to the last flush: connections are read in the pause
+PAUSE_PER_FLUSH_TIME = 3.0  # pause after a flush, per duration of the flush; connections are read in it
 MAX_WAIT_S = 10.0  # for an event, when no evaluation is scheduled
 
 
@@ -26,7 +26,7 @@
         clock: the clock for the times of events and flushes.
 
     Attributes:
-        longest_flush_ticks: the longest duration of a flush with its evaluations, since it was last reset.
+        longest_flush_ticks: the longest duration of a flush, evaluations included, since the last reset.
     """
 
     def __init__(
@@ -49,7 +49,7 @@
         self._woken.set()
 
     async def run(self) -> None:
-        """Flushes after events and evaluations until cancelled. Errors of the controller are raised."""
+        """Flushes after events and evaluations until cancelled. Errors of the controller propagate."""
         while True:
             await self._wait_for_work()
             duration_ticks = self._flush()
@@ -67,7 +67,7 @@
         self._woken = trio.Event()
 
     def _flush(self) -> int:
-        """Runs due evaluations and ends the batch. Returns the duration in ticks."""
+        """Runs the evaluations that are due and ends the batch. Returns the duration in ticks."""
         started_at = self._clock.now()
         while self._evaluations.pop_due(started_at):
             self._controller.handle(started_at, EvaluationDue())
--- a/willowhook/platform/discovery_events.py
+++ b/willowhook/platform/discovery_events.py
@@ -1,4 +1,4 @@
-"""Turns answers from discovery, and their absence, into events."""
+"""Converts answers from the discovery server, and losses of it, into events."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 class DiscoveryEvents:
     """Submits the changes of the endpoint list, and logs when discovery is lost and when it recovers.
 
-    It logs one line when discovery is lost and one when it recovers. The decisions log a line of their own,
-    `endpoint list lost`, at each retry, with its backoff.
+    It logs one line per loss and one per recovery. The controller's decisions also log a line, `endpoint list
+    lost`, at each retry, with its backoff.
 
     Args:
         submit: handles the events.
@@ -27,14 +27,14 @@
         self._is_lost = False
 
     def load(self, answer: Fields) -> int | None:
-        """Handles the list in the configuration and returns its version. Raises MalformedFieldError."""
+        """Handles the list of the configuration and returns its version. Raises MalformedFieldError."""
         received = self._decoder.decode(answer)
         if received.is_complete or received.entries:
             self._submit(received)
         return self._decoder.version
 
     def handle_answer(self, answer: Fields) -> int | None:
-        """Handles an answer from discovery and returns the version of the list after it.
+        """Handles an answer from the discovery server and returns the list version that it results in.
 
         Raises MalformedFieldError.
         """
@@ -45,7 +45,7 @@
         return version
 
     def handle_loss(self, reason: str) -> None:
-        """Handles an answer that did not arrive or was unusable; only the first of several is logged."""
+        """Handles an answer that did not arrive or was invalid; only the first failure in a row is logged."""
         if not self._is_lost:
             self._is_lost = True
             self._write_log(f"discovery lost error={reason!r}")
--- a/willowhook/platform/discovery_watch.py
+++ b/willowhook/platform/discovery_watch.py
@@ -1,4 +1,4 @@
-"""Follows the endpoint list by long polling: a request waits at discovery for the next change."""
+"""Follows the endpoint list by long polling: the discovery server holds a request until the next change."""
 
 from __future__ import annotations
 
@@ -12,13 +12,14 @@
 from .fields import Fields, MalformedFieldError
 from .framing import FramingError, decode_object
 
-# How long a request waits for a change, and how much later its answer may arrive. A silent discovery is
-# detected within the sum of both. The rules allow for it, and for one more connection and request.
+# How long a request waits for a change, and how much later its answer may arrive. A discovery server that
+# does not answer is detected within the sum of both. The platform's rules allow for that delay, and for one
+# more connection and request.
 CHANGE_WAIT_MS = 2000
 ANSWER_TIMEOUT_S = 1.2
 CONNECT_TIMEOUT_S = 1.0
-MIN_REQUEST_INTERVAL_S = 0.1  # after an answer without changes; the rules require a request within 0.2 s
-IDLE_CLOSE_S = 0.1  # a request on a connection that the peer has just closed fails within this time
+MIN_REQUEST_INTERVAL_S = 0.1  # after an answer without changes; the platform requires one within 0.2 s
+IDLE_CLOSE_S = 0.1  # a request on a connection that the peer has just closed fails within it
 MAX_ANSWER_BYTES = 16 << 20
 STATUS_OK = 200
 
@@ -27,16 +28,16 @@
 
 
 class DiscoveryWatch:
-    """Requests the endpoint list from `resume` on, until cancelled; a loss of discovery pauses it.
+    """Requests the endpoint list from `resume` until cancelled; a loss of discovery pauses the requests.
 
     Args:
-        address: the address of discovery.
-        handle_answer: handles an answer and returns the version of the list after it. Raises
+        address: the address of the discovery server.
+        handle_answer: handles an answer and returns the resulting version of the list. Raises
             MalformedFieldError.
-        handle_loss: handles the reason why there was no answer, or no usable one.
+        handle_loss: handles the reason why there was no valid answer.
 
     Attributes:
-        version: the version after which changes are requested; None: the complete list is requested.
+        version: changes after this version are requested; None if the complete list is requested.
     """
 
     def __init__(self, address: Address, handle_answer: AnswerHandler, handle_loss: LossHandler) -> None:
@@ -45,35 +46,35 @@
         self._handle_answer = handle_answer
         self._handle_loss = handle_loss
         self._resumed = trio.Event()
-        self._exchange = trio.CancelScope()  # the request in flight, and the handling of its answer
+        self._exchange_scope = trio.CancelScope()  # the request in flight, and the handling of its answer
         self._wants_complete_list = False
         self._caller: Caller | None = None
         self._connected_to = address
 
     def resume(self) -> None:
-        """Starts or continues requesting the list, until discovery is lost."""
+        """Starts or resumes requesting the list, until discovery is lost."""
         self._resumed.set()
 
     def fetch_complete_list(self) -> None:
-        """Requests the complete list at once, in place of the request in flight."""
+        """Requests the complete list immediately, in place of the request in flight."""
         self._wants_complete_list = True
         self._resumed.set()
-        self._exchange.cancel()
+        self._exchange_scope.cancel()
 
-    def move_to(self, address: Address) -> None:
-        """Requests the list at another address from now on, at once."""
+    def set_address(self, address: Address) -> None:
+        """Requests the list at another address from now on, starting immediately."""
         if address != self._address:
             self._address = address
-            self._resumed.set()  # only the old address was lost
-            self._exchange.cancel()
+            self._resumed.set()  # a loss concerned the old address only
+            self._exchange_scope.cancel()
 
     async def run(self) -> None:
         """Requests the list until cancelled."""
         while True:
             await self._resumed.wait()
-            with trio.CancelScope() as self._exchange:
+            with trio.CancelScope() as self._exchange_scope:
                 await self._exchange_once()
-            if self._exchange.cancelled_caught:
+            if self._exchange_scope.cancelled_caught:
                 await self._disconnect()
 
     def _pause(self) -> None:
@@ -96,18 +97,18 @@
             return
         is_unchanged = self.version == version_before
         if is_unchanged and trio.current_time() - started_at < MIN_REQUEST_INTERVAL_S:
-            await trio.sleep(MIN_REQUEST_INTERVAL_S)  # discovery answered at once, without changes
+            await trio.sleep(MIN_REQUEST_INTERVAL_S)  # the server answered immediately, without changes
 
     async def _request_answer(self) -> Fields | None:
         """Returns the answer to one request; None if there was none, and the loss has been handled."""
         is_complete = self._wants_complete_list or self.version is None
-        self._wants_complete_list = False  # if set from here on, it applies to the next request
+        self._wants_complete_list = False  # if set during this request, it applies to the next one
         address = self._address
         answer = None
         try:
             answer = await self._request(is_complete)
         except (Broken, trio.TooSlowError, FramingError) as error:
-            with trio.CancelScope(shield=True):  # a change of address at this point must not hide the loss
+            with trio.CancelScope(shield=True):  # a change of the address here must not hide the loss
                 await self._disconnect()
             if address == self._address:
                 self._pause()
@@ -118,7 +119,7 @@
         return answer
 
     async def _request(self, is_complete: bool) -> Fields:
-        """Raises Broken, TooSlowError or FramingError if no answer arrives, or one that is no JSON object."""
+        """Raises Broken, TooSlowError or FramingError if no answer arrives or it is not a JSON object."""
         if is_complete or self.version is None:
             target = list_request_target()
             timeout_s = ANSWER_TIMEOUT_S
@@ -128,11 +129,11 @@
         with trio.fail_after(timeout_s):
             reply = await self._call(target.encode())
         if reply.status != STATUS_OK:
-            raise Broken(f"status {reply.status}", True)
+            raise Broken(f"unexpected status {reply.status}", True)
         return decode_object(reply.body)
 
     async def _call(self, target: bytes) -> Reply:
-        """Sends the request on the existing connection, or else on a new one. Raises Broken."""
+        """Sends the request on the existing connection if it is usable, else on a new one. Raises Broken."""
         caller = self._caller
         if caller is not None and caller.usable and self._connected_to == self._address:
             started_at = trio.current_time()
@@ -141,7 +142,7 @@
             except Broken:
                 if trio.current_time() - started_at > IDLE_CLOSE_S:
                     raise
-                # the peer closed an idle connection while the request was sent: retried on a new one
+                # the peer closed the idle connection while the request was being sent: retry on a new one
         caller = await self._connect()
         return await caller.call(b"GET", target, most=MAX_ANSWER_BYTES)
 
@@ -159,4 +160,4 @@
 
 
 def _describe_loss(error: Exception) -> str:
-    return "no answer in time" if isinstance(error, trio.TooSlowError) else str(error)
+    return "timed out waiting for an answer" if isinstance(error, trio.TooSlowError) else str(error)
--- a/willowhook/platform/endpoint_list.py
+++ b/willowhook/platform/endpoint_list.py
@@ -1,6 +1,6 @@
-"""The platform's endpoint list: how it is requested, and how an answer from discovery is decoded.
+"""The platform's endpoint list: request targets, and decoding of the discovery server's answers.
 
-A controller's configuration contains a copy of the list, in the form of an answer.
+A controller's configuration contains a copy of the list, in the format of an answer.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 
 
 def list_request_target() -> str:
-    """The request target for the complete list, which discovery answers at once."""
+    """The request target for the complete list, which the server answers immediately."""
     return LIST_PATH
 
 
 def change_request_target(version: int, wait_ms: int) -> str:
-    """The request target for the changes after a version; discovery waits `wait_ms` milliseconds for them."""
+    """The request target for the changes after a version; the server waits `wait_ms` milliseconds for one."""
     return f"{LIST_PATH}?after={version}&wait_ms={wait_ms}"
 
 
@@ -41,11 +41,11 @@
 
 
 class EndpointListDecoder:
-    """Decodes answers from discovery, one after the other, and refuses implausible ones.
+    """Decodes successive answers of the discovery server, and refuses implausible ones.
 
-    A malformed entry is replaced by the last valid entry of its endpoint: a malformed field is no reason to
-    remove an endpoint. A complete list is refused if it is older than the last one or has entries that name
-    no known endpoint, unless the previous answer was such a list as well.
+    A malformed entry is replaced by the last valid entry of its endpoint, because a malformed field is no
+    reason to remove an endpoint. A complete list is refused if it is older than the last one or has entries
+    that name no known endpoint, unless the previous answer was such a list as well.
 
     Attributes:
         version: the version of the last list that was accepted; None if there is none yet.
@@ -55,8 +55,8 @@
     def __init__(self) -> None:
         self.version: int | None = None
         self.malformed_entries = 0
-        self._is_doubtful = False  # the last answer was a complete list that is older or lacks endpoints
-        self._known: dict[str, EndpointEntry] = {}
+        self._was_last_implausible = False  # last answer: a complete list, older or perhaps lacking endpoints
+        self._last_valid_entries: dict[str, EndpointEntry] = {}
 
     def decode(self, answer: Fields) -> EndpointListReceived:
         """Decodes an answer. Raises MalformedFieldError if it is malformed or implausible as a whole."""
@@ -66,11 +66,11 @@
         if type(listed) is not list:
             raise MalformedFieldError(f"hosts: expected a list, got {describe(listed)}")
         if self._is_older(version) and not is_complete and not listed:
-            return EndpointListReceived(False, ())  # no changes, from a replica with an older list
+            return EndpointListReceived(False, ())  # no changes, from a discovery replica with an older list
         entries = self._decode_entries(listed)
         self._check_plausibility(version, is_complete, entries.unidentified_count, len(listed))
         self.version = version
-        self._remember(is_complete, entries.by_name)
+        self._record_entries(is_complete, entries.by_name)
         return EndpointListReceived(is_complete, tuple(entries.by_name.values()))
 
     def _is_older(self, version: int) -> bool:
@@ -84,7 +84,7 @@
                 entry = _decode_entry(fields)
             except MalformedFieldError:
                 self.malformed_entries += 1
-                known = self._find_known(fields)
+                known = self._find_last_valid_entry(fields)
                 if known is None:
                     unidentified_count += 1
                     continue
@@ -92,32 +92,32 @@
             entries[entry.name] = entry
         return _DecodedEntries(entries, unidentified_count)
 
-    def _find_known(self, fields: Any) -> EndpointEntry | None:
+    def _find_last_valid_entry(self, fields: Any) -> EndpointEntry | None:
         name = fields.get("host") if type(fields) is dict else None
-        return self._known.get(name) if type(name) is str else None
+        return self._last_valid_entries.get(name) if type(name) is str else None
 
     def _check_plausibility(
         self, version: int, is_complete: bool, unidentified_count: int, entry_count: int
     ) -> None:
-        """Raises MalformedFieldError if the list is older, or is complete but may lack endpoints."""
+        """Raises MalformedFieldError if the list is older, or is complete and may lack endpoints."""
         is_older = self._is_older(version)
-        is_repeated = self._is_doubtful
-        self._is_doubtful = is_complete and (is_older or unidentified_count > 0)
+        is_repeated = self._was_last_implausible
+        self._was_last_implausible = is_complete and (is_older or unidentified_count > 0)
         if is_older and not (is_complete and is_repeated):
-            raise MalformedFieldError(f"seq: {version} after {self.version}")
+            raise MalformedFieldError(f"seq: {version} is older than {self.version}")
         if is_complete and unidentified_count and (not is_repeated or 2 * unidentified_count >= entry_count):
             raise MalformedFieldError(
                 f"hosts: {unidentified_count} of {entry_count} entries name no known endpoint"
             )
 
-    def _remember(self, is_complete: bool, entries: dict[str, EndpointEntry]) -> None:
+    def _record_entries(self, is_complete: bool, entries: dict[str, EndpointEntry]) -> None:
         if is_complete:
-            self._known = {}
+            self._last_valid_entries = {}
         for name, entry in entries.items():
             if entry.state is EndpointState.REMOVED:
-                self._known.pop(name, None)
+                self._last_valid_entries.pop(name, None)
             else:
-                self._known[name] = entry
+                self._last_valid_entries[name] = entry
 
 
 def _decode_entry(fields: Any) -> EndpointEntry:
--- a/willowhook/platform/fields.py
+++ b/willowhook/platform/fields.py
@@ -1,4 +1,4 @@
-"""Checks of single fields of decoded JSON objects that were received from peers.
+"""Checks of individual fields of JSON objects received from peers.
 
 Every check raises MalformedFieldError on a value that is missing, of another type or out of range.
 """
@@ -10,7 +10,7 @@
 from ..errors import WillowhookError
 
 MAX_TEXT_CHARACTERS = 200
-MAX_SHOWN_FIGURE = 1e18  # a larger figure is described by its type: an integer may have thousands of digits
+MAX_QUOTED_NUMBER = 1e18  # larger ones are described by type: an integer may have thousands of digits
 
 Fields = dict[str, Any]  # a decoded JSON object whose fields have not been checked
 
@@ -18,7 +18,7 @@
 class MalformedFieldError(WillowhookError):
     """A message, or one entry of a message, is malformed; other messages and entries are not affected.
 
-    The peer's fault. The text names the field and the expected value.
+    The peer caused the error. The message names the field and the expected value.
     """
 
 
@@ -41,7 +41,7 @@
 
 
 def read_text(fields: Fields, key: str) -> str:
-    """Returns the value of a field, a text of 1 to MAX_TEXT_CHARACTERS. Raises MalformedFieldError."""
+    """Returns the value of a field, a string of 1 to MAX_TEXT_CHARACTERS. Raises MalformedFieldError."""
     value = fields.get(key)
     if type(value) is not str or not 0 < len(value) <= MAX_TEXT_CHARACTERS:
         raise MalformedFieldError(
@@ -59,11 +59,11 @@
 
 
 def describe(value: object) -> str:
-    """Describes a value for the text of an error, which stays short whatever a peer has sent."""
+    """Describes a value for an error message, in a few characters whatever the peer has sent."""
     if value is None:
-        return "nothing"
+        return "no value"
     if isinstance(value, str):
-        return f"text of {len(value)} characters"
-    if isinstance(value, int | float) and abs(value) < MAX_SHOWN_FIGURE:
+        return f"a string of {len(value)} characters"
+    if isinstance(value, int | float) and abs(value) < MAX_QUOTED_NUMBER:
         return f"{type(value).__name__} {value}"
     return type(value).__name__
--- a/willowhook/platform/framing.py
+++ b/willowhook/platform/framing.py
@@ -1,4 +1,4 @@
-"""Frames of the platform protocol: a length prefix, then a body of that length, which is one JSON object.
+"""Frames of the platform protocol: a length prefix, and a body of that length that is one JSON object.
 
 The prefix is an unsigned little-endian integer of four bytes.
 """
@@ -22,17 +22,17 @@
 class FramingError(WillowhookError):
     """The bytes that a peer sent cannot be decoded, nor can the bytes that follow them on the connection.
 
-    The peer's fault. The connection cannot be used any more.
+    The peer caused the error, and the connection can no longer be used.
     """
 
 
 class FrameDecoder:
-    """Decodes the byte stream of one connection into messages, independent of how the network splits it.
+    """Decodes the byte stream of one connection into messages, regardless of how the network splits it.
 
     It buffers less than one message of `max_message_bytes`. The limit may be changed between two messages.
 
     Args:
-        max_message_bytes: a longer message raises FramingError.
+        max_message_bytes: the limit; a longer message raises FramingError.
     """
 
     def __init__(self, max_message_bytes: int = MAX_MESSAGE_BYTES) -> None:
@@ -52,7 +52,7 @@
                 start = position + LENGTH_BYTES
                 size = int.from_bytes(buffer[position:start], "little")
                 if size > self.max_message_bytes:
-                    raise FramingError(f"a message of {size} bytes, over {self.max_message_bytes}")
+                    raise FramingError(f"a message of {size} bytes exceeds {self.max_message_bytes}")
                 if len(buffer) - start < size:
                     return
                 body = bytes(buffer[start : start + size])
@@ -67,7 +67,7 @@
     try:
         document = _decode_json(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise FramingError(f"no JSON: {error}") from error
+        raise FramingError(f"invalid JSON: {error}") from error
     if not isinstance(document, dict):
         raise FramingError(f"expected a JSON object, got {type(document).__name__}")
     return document
--- a/willowhook/platform/held_signals.py
+++ b/willowhook/platform/held_signals.py
@@ -1,6 +1,7 @@
-"""Holds signals back while the process starts. It imports nothing that takes time.
+"""Blocks signals while the process starts.
 
-By default each of these signals ends the process; most of the start is spent on imports.
+By default each of these signals terminates the process, and most of the startup time is spent on imports.
+This module therefore imports nothing that takes time.
 """
 
 from __future__ import annotations
@@ -11,11 +12,11 @@
 SERVER_SIGNALS = (signal.SIGTERM, signal.SIGINT, RELOAD_SIGNAL)
 
 
-def hold_signals() -> None:
-    """Holds the server's signals back until `release_signals`; none that comes until then is lost."""
+def block_signals() -> None:
+    """Blocks the server's signals. Those that arrive stay pending until `unblock_signals`."""
     signal.pthread_sigmask(signal.SIG_BLOCK, SERVER_SIGNALS)
 
 
-def release_signals() -> None:
-    """Delivers the signals that were held back, and all later ones at once."""
+def unblock_signals() -> None:
+    """Delivers pending signals now, and later ones as they arrive."""
     signal.pthread_sigmask(signal.SIG_UNBLOCK, SERVER_SIGNALS)
--- a/willowhook/platform/messages.py
+++ b/willowhook/platform/messages.py
@@ -1,6 +1,6 @@
 """Decodes the messages of proxies and collectors into typed events, and defines the replies to them.
 
-The names of the protocol's fields are used only here, in `endpoint_list` and in `update_encoder`.
+The field names of the protocol are used only here, in `endpoint_list` and in `update_encoder`.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 from .fields import Fields, MalformedFieldError, describe, read_boolean, read_integer, read_number, read_text
 from .framing import encode_frame
 
-# Bounds, so that a malformed figure does not pass as a measurement.
+# Upper bounds, so that a malformed value is not accepted as a measurement.
 MAX_SYNC_MARKER = MARKERS - 1
 MAX_REQUESTS = 100_000  # in one report, which covers about a second
 MAX_DURATION_MS = 600_000.0
 MAX_REQUESTS_PER_SECOND = 1e6
-LATENCY_TOLERANCE = 2.0  # factor over the longest deadline: a mean latency lies below it, apart from noise
+LATENCY_TOLERANCE = 2.0  # relative to the longest deadline, which a mean latency exceeds by noise only
 
 # Load figures and their upper bounds. The settings document and the protocol's specification name them
 # differently, and peers use either name. Only the CPU utilization is used. The other figures are checked too:
-# one that is out of range shows that the report is malformed, and no other field of it is then used.
-# The CPU utilization is a share of cores, so 1 is full use. Its bound is higher because a measured share can
-# exceed 1 (its CPU time and its window are measured separately), which does not make the report malformed.
+# one that is out of range shows that the report is malformed, and none of its fields is used then.
+# The CPU utilization is a fraction of the cores, so 1 is full use. Its bound is higher because a measured
+# fraction can exceed 1 (CPU time and window are measured separately); such a report is not malformed.
 CPU_UTILIZATION_KEYS = ("busy", "util")
 MAX_LOAD_FIGURES = {
     "busy": 4.0,
@@ -48,7 +48,7 @@
 
 
 class Heartbeat(NamedTuple):
-    """A peer checks whether the connection is alive; the answer is HEARTBEAT_REPLY."""
+    """A peer checks whether the connection is alive; the reply is HEARTBEAT_REPLY."""
 
 
 class CollectorJoined(NamedTuple):
@@ -139,16 +139,18 @@
             endpoint, attempts, failures, ticks_from_milliseconds(mean_latency_ms), cpu_utilization
         )
 
-    def _decode_request_report(self, fields: Fields, carrier: int | None) -> RequestReport:
+    def _decode_request_report(self, fields: Fields, connection_proxy: int | None) -> RequestReport:
         proxy = read_integer(fields, "proxy", self._last_proxy)
-        # a collector passes on the reports of any proxy, a proxy speaks for itself alone
-        if carrier is not None and proxy != carrier:
-            raise MalformedFieldError(f"proxy: expected {carrier}, whose connection it is, got {proxy}")
+        # a collector forwards the reports of any proxy; a proxy may only send its own
+        if connection_proxy is not None and proxy != connection_proxy:
+            raise MalformedFieldError(
+                f"proxy: expected {connection_proxy}, the proxy of the connection, got {proxy}"
+            )
         route = read_text(fields, "class")
         if route not in self._routes:
             raise MalformedFieldError("class: unknown route")
         requests = read_integer(fields, "tries", MAX_REQUESTS)
-        # not bounded by the number of requests: a failed one may have been received in an earlier window
+        # may exceed the number of requests: a request of an earlier window may fail in this one
         read_integer(fields, "failed", MAX_REQUESTS)
         return RequestReport(proxy, route, requests, _read_window_ticks(fields))
 
@@ -162,12 +164,12 @@
 def _read_window_ticks(fields: Fields) -> int:
     window_ms = read_number(fields, "span_ms", MAX_DURATION_MS)
     if window_ms <= 0:
-        raise MalformedFieldError("span_ms: expected a number over 0")
+        raise MalformedFieldError("span_ms: expected a number greater than 0")
     return ticks_from_milliseconds(window_ms)
 
 
 def _read_cpu_utilization(fields: Fields) -> float | None:
-    """The CPU utilization, or None if the report has none; if it has several, the last one.
+    """Returns the CPU utilization, the last one if the report has several, or None if it has none.
 
     All known load figures are checked.
     """
--- a/willowhook/platform/process.py
+++ b/willowhook/platform/process.py
@@ -15,7 +15,7 @@
 
 
 class ExitCode(IntEnum):
-    """How the process ended."""
+    """The exit codes of the process."""
 
     TERMINATED = 0
     CANNOT_START = 2
@@ -28,24 +28,24 @@
         sys.stderr.write(f"{time.time():.3f} {text}\n")
         sys.stderr.flush()
     except (OSError, ValueError):
-        pass  # a log that cannot be written to must not end the controller
+        pass  # a failed write to the log must not stop the controller
 
 
 def run_process() -> ExitCode:
-    """Runs a server until a signal ends it. Returns an `ExitCode`."""
-    read_again = partial(read_configuration, dict(os.environ))
+    """Runs a server until a signal terminates it. Returns an `ExitCode`."""
+    read_current_configuration = partial(read_configuration, dict(os.environ))
     try:
-        configuration = read_again()
+        configuration = read_current_configuration()
     except ConfigurationError as error:
         write_log(f"cannot start error={str(error)!r}")
         return ExitCode.CANNOT_START
-    return _serve(configuration, read_again)
+    return _serve(configuration, read_current_configuration)
 
 
-def _serve(configuration: ControllerConfiguration, read_again: ReadConfiguration) -> ExitCode:
+def _serve(configuration: ControllerConfiguration, read_current_configuration: ReadConfiguration) -> ExitCode:
     exit_code = ExitCode.TERMINATED
     try:
-        run_server(configuration, read_again, write_log)
+        run_server(configuration, read_current_configuration, write_log)
     except* OSError as errors:
         write_log(f"cannot listen address={configuration.listen} error={str(errors.exceptions[0])!r}")
         exit_code = ExitCode.CANNOT_START
--- a/willowhook/platform/proxy_sessions.py
+++ b/willowhook/platform/proxy_sessions.py
@@ -1,4 +1,4 @@
-"""The sessions of proxies and collectors: their messages become events, and updates are sent to proxies."""
+"""Sessions of proxies and collectors: converts their messages into events and sends updates to proxies."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from .runtime import WriteLog
 from .update_encoder import EncodedParts
 
-MAX_LOGGED_MALFORMED_MESSAGES = 20  # since the start; later ones are only counted
+MAX_LOGGED_MALFORMED_MESSAGES = 20  # since the process started; later ones are only counted
 MAX_LOGGED_TYPE_CHARACTERS = 40
 JOIN_MESSAGES = (ProxyJoined, CollectorJoined)
 
@@ -22,12 +22,12 @@
 
 
 class ProxySessions:
-    """Records which connection belongs to which proxy.
+    """Handles the messages of all peers, and tracks which connection belongs to which proxy.
 
     Args:
         configuration: the configuration of the controller.
-        submit: handles the events that the messages are decoded to.
-        wake: is called when a collector joins, for which there is no event.
+        submit: handles the events that messages are decoded into.
+        wake: called when a collector joins, which has no event.
         write_log: writes one line to the log.
 
     Attributes:
@@ -60,7 +60,7 @@
         return len(self._connection_by_proxy)
 
     def end_session(self, proxy: int) -> None:
-        """Closes the connection of a proxy, if it has one; its `ProxyLeft` is submitted at once."""
+        """Closes the connection of a proxy, if it has one, and submits its `ProxyLeft` immediately."""
         connection = self._connection_by_proxy.get(proxy)
         if connection is not None:
             self.connections.close(connection)
@@ -74,7 +74,7 @@
             elif not connection.is_identified:
                 self._identify(connection, message)
             elif isinstance(message, JOIN_MESSAGES):
-                raise MalformedFieldError("t: the peer has joined already")
+                raise MalformedFieldError("t: the peer has already joined")
             else:
                 self._submit(message)
         except MalformedFieldError as error:
@@ -93,14 +93,14 @@
         self.connections.confirm_identity(connection)
 
     def _open_session(self, connection: Connection, joined: ProxyJoined) -> None:
-        """Opens the session of a proxy; of two connections, the one that was accepted last is used."""
+        """Opens the session of a proxy. Of two connections, the one that was accepted last is used."""
         proxy = joined.proxy
         previous = self._connection_by_proxy.get(proxy)
         if previous is not None:
             if previous.sequence_number > connection.sequence_number:
-                # both became readable in the same turn, and the order in which they are read is not defined
-                raise MalformedFieldError("proxy: it has joined on a newer connection")
-            # the proxy reconnected before the end of its old connection was seen
+                # both became readable in one pass of the event loop, which reads them in no defined order
+                raise MalformedFieldError("proxy: the proxy has joined on a newer connection")
+            # the proxy reconnected before the end of its old connection was detected
             self.connections.close(previous)
         connection.role = PeerRole.PROXY
         connection.proxy = proxy
--- a/willowhook/platform/proxy_updates.py
+++ b/willowhook/platform/proxy_updates.py
@@ -1,8 +1,8 @@
-"""Turns the controller's commands on tables and proxies into one message per proxy and flush.
+"""Converts the controller's commands on tables and proxies into one message per proxy and flush.
 
 The decisions determine the content of each table and which proxy is bound to which table. This module records
-what each session has been sent, and so what is pending for it: complete tables for newly bound proxies,
-changes for the others. It has no I/O and no clock.
+what each session has been sent, and thereby what is pending for it: complete tables for newly bound proxies,
+changes for the others. It does no I/O and has no clock.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
     Attributes:
         weights: weight by endpoint, without weights of 0, in the order of the commands.
         admission: admission limit by route.
-        routes_by_proxy: the proxies that are bound to the table, and the routes for which each uses it.
+        routes_by_proxy: the routes for which each bound proxy uses the table.
         changed_weights: changed weight by endpoint; 0 if the entry was removed.
-        changed_routes: routes with a new limit; a dict because it keeps the order.
+        changed_routes: routes with a new limit, as a dict to keep the order.
     """
 
     weights: dict[str, float] = field(default_factory=dict)
@@ -36,7 +36,7 @@
     def holds(self, endpoint: str) -> bool:
         """Whether a proxy that uses the table may hold an entry for an endpoint.
 
-        An entry whose removal is still to be sent counts.
+        This includes an entry whose removal has not been sent yet.
         """
         return endpoint in self.weights or endpoint in self.changed_weights
 
@@ -53,8 +53,8 @@
     Attributes:
         may_hold_exclusions: whether other controllers may have excluded endpoints at this proxy.
         table_by_route: the table that the proxy is bound to, by route.
-        excluded: endpoints whose exclusion has been sent to the proxy; a dict because it keeps the order.
-        tables_to_replace: tables that have to be sent completely; a dict because it keeps the order.
+        excluded: endpoints whose exclusion has been sent to the proxy, as a dict to keep the order.
+        tables_to_replace: tables that must be sent completely, as a dict to keep the order.
         pending_exclusions: by endpoint: True excludes it, False readmits it.
     """
 
@@ -69,7 +69,7 @@
         return list(dict.fromkeys(self.table_by_route.values()))
 
     def mark_sent(self) -> None:
-        """Records that everything pending has been sent; it may not have been acknowledged."""
+        """Records that all pending updates have been sent; they may not have been acknowledged."""
         for endpoint, is_excluded in self.pending_exclusions.items():
             self.excluded.pop(endpoint, None)
             if is_excluded:
@@ -80,11 +80,11 @@
 
 @dataclass(slots=True)
 class FlushCache:
-    """The parts encoded in one flush: parts that several proxies are sent are encoded once.
+    """The parts encoded in one flush, so that parts sent to several proxies are encoded once.
 
     Attributes:
-        tables: parts of tables, by table, the routes that use it, and whether it is sent completely.
-        last_parts: last parts, by the exclusions in them.
+        tables: parts by table, the routes that use it, and whether it is sent completely.
+        last_parts: last parts of messages by the exclusions in them.
     """
 
     tables: dict[tuple[int, tuple[int, ...], bool], EncodedParts] = field(default_factory=dict)
@@ -109,14 +109,14 @@
         self._send = send
         self._tables: dict[int, CommandedTable] = {}
         self._sessions: dict[int, SessionUpdates] = {}
-        self._excluded: dict[str, None] = {}  # at all proxies; a dict because it keeps the order
-        self._pending: dict[int, None] = {}  # proxies with pending updates; a dict because it keeps the order
+        self._excluded: dict[str, None] = {}  # at all proxies, as a dict to keep the order
+        self._pending: dict[int, None] = {}  # proxies with pending updates, as a dict to keep the order
         self._sync_marker: int | None = None
 
     # Sessions.
 
     def open_session(self, proxy: int, is_fresh: bool) -> None:
-        """Starts a session that has been sent nothing.
+        """Starts a session, to which nothing has been sent yet.
 
         Args:
             proxy: the number of the proxy.
@@ -137,7 +137,7 @@
 
     def set_weight(self, table: int, endpoint: str, weight: float) -> None:
         """Sets the weight of an endpoint in a table; 0 removes its entry."""
-        commanded = self._table(table)
+        commanded = self._get_or_create_table(table)
         commanded.weights.pop(endpoint, None)  # an endpoint that is set again moves to the end of the table
         if weight > 0:
             commanded.weights[endpoint] = weight
@@ -146,7 +146,7 @@
 
     def clear_table(self, table: int) -> None:
         """Removes all entries and limits of a table."""
-        commanded = self._table(table)
+        commanded = self._get_or_create_table(table)
         commanded.weights.clear()
         commanded.admission.clear()
         for proxy in commanded.routes_by_proxy:
@@ -154,22 +154,22 @@
         self._mark_users_pending(commanded)
 
     def bind(self, proxy: int, table: int, routes: Sequence[int]) -> None:
-        """Makes a proxy use a table for these routes, in place of the table that it used."""
+        """Makes a proxy use a table for these routes, in place of the table that it used before."""
         session = self._sessions.get(proxy)
         if session is None:
             return
-        self._table(table)
+        self._get_or_create_table(table)
         affected_tables = [*session.bound_tables(), table]
         for route in routes:
             session.table_by_route[route] = table
         for affected in affected_tables:
-            self._update_users(affected, proxy, session)
+            self._update_table_users(affected, proxy, session)
         session.tables_to_replace[table] = None
         self._pending[proxy] = None
 
     def set_admission(self, table: int, route: int, admission: AdmissionLimit) -> None:
         """Sets the admission limit of a route for the proxies that use a table."""
-        commanded = self._table(table)
+        commanded = self._get_or_create_table(table)
         commanded.admission[route] = admission
         commanded.changed_routes[route] = None
         self._mark_users_pending(commanded)
@@ -179,7 +179,7 @@
         self._excluded[endpoint] = None
         holding_tables = [table for table in self._tables.values() if table.holds(endpoint)]
         for proxy, session in self._sessions.items():
-            has_default_table = not session.table_by_route  # its content is unknown
+            has_default_table = not session.table_by_route  # the content of that table is unknown
             if has_default_table or any(proxy in table.routes_by_proxy for table in holding_tables):
                 session.pending_exclusions[endpoint] = True
                 self._pending[proxy] = None
@@ -219,7 +219,7 @@
         for proxy in list(self._pending):
             session = self._sessions.get(proxy)
             if session is None:
-                continue  # closed while a message was sent to another proxy
+                continue  # the session was closed while a message was sent to another proxy
             self._send_pending(proxy, session, cache)
         for table in self._tables.values():
             table.forget_changes()
@@ -242,7 +242,10 @@
     def _encode_table(
         self, table: int, proxy: int, session: SessionUpdates, cache: FlushCache
     ) -> EncodedParts:
-        """Encodes what is pending of a table; for a complete table, the exclusions of its entries follow."""
+        """Encodes the pending changes of a table, or all of it.
+
+        With a complete table, the exclusions of its endpoints become pending as well.
+        """
         commanded = self._tables[table]
         routes = commanded.routes_by_proxy[proxy]
         is_complete = table in session.tables_to_replace
@@ -272,9 +275,9 @@
             cache.last_parts[key] = part
         return part
 
-    # Private helpers of the commands.
+    # Helpers of the commands.
 
-    def _table(self, table: int) -> CommandedTable:
+    def _get_or_create_table(self, table: int) -> CommandedTable:
         commanded = self._tables.get(table)
         if commanded is None:
             commanded = self._tables[table] = CommandedTable()
@@ -283,9 +286,11 @@
     def _mark_users_pending(self, commanded: CommandedTable) -> None:
         self._pending.update(dict.fromkeys(commanded.routes_by_proxy))
 
-    def _update_users(self, table: int, proxy: int, session: SessionUpdates) -> None:
-        """Records which routes of a proxy use a table now; if none does, the table need not be sent to it."""
-        routes = tuple(route for route, used in sorted(session.table_by_route.items()) if used == table)
+    def _update_table_users(self, table: int, proxy: int, session: SessionUpdates) -> None:
+        """Records which routes of a proxy use a table. If none does, it is no longer sent to the proxy."""
+        routes = tuple(
+            route for route, used_table in sorted(session.table_by_route.items()) if used_table == table
+        )
         if routes:
             self._tables[table].routes_by_proxy[proxy] = routes
         else:
--- a/willowhook/platform/runtime.py
+++ b/willowhook/platform/runtime.py
@@ -13,7 +13,7 @@
 
 
 class PlatformRuntime:
-    """Hands each command to the component that executes it; `ControllerRuntime` documents the commands.
+    """Delegates each command to the component that executes it; `ControllerRuntime` documents the commands.
 
     Args:
         updates: executes the commands on tables and proxies.
@@ -54,7 +54,7 @@
         self._discovery.fetch_complete_list()
 
     def check_health(self, endpoint: str) -> None:
-        """Never commanded: the protocol has no health checks, and `PlatformServer` disables them."""
+        """Never called: the protocol has no health checks, and `PlatformServer` disables them."""
 
     def set_weight(self, table: int, endpoint: str, weight: float) -> None:
         """Executed by `ProxyUpdates`."""
--- a/willowhook/platform/server.py
+++ b/willowhook/platform/server.py
@@ -1,7 +1,7 @@
-"""A controller as a server on the platform: connects its connections, discovery and decisions.
+"""The server that runs a controller on the platform: connects sessions, service discovery and decisions.
 
 The task that reads a message or an answer submits its event to the controller, and a separate task ends each
-batch of events. An error of the controller ends the process.
+batch of events. An error of the controller terminates the process.
 """
 
 from __future__ import annotations
@@ -28,16 +28,19 @@
 
 
 class PlatformServer:
-    """Builds the components of a server and connects them; nothing listens before it runs.
+    """Creates the components of a server and connects them. It does not listen before `run`.
 
     Args:
         configuration: the configuration of the controller.
-        read_again: reads the present content of the configuration file. Raises ConfigurationError.
+        read_configuration: reads the current content of the configuration file. Raises ConfigurationError.
         write_log: writes one line to the log.
     """
 
     def __init__(
-        self, configuration: ControllerConfiguration, read_again: ReadConfiguration, write_log: WriteLog
+        self,
+        configuration: ControllerConfiguration,
+        read_configuration: ReadConfiguration,
+        write_log: WriteLog,
     ) -> None:
         # the protocol has no health checks, and its proxies keep exclusions when they join another controller
         settings = configuration.settings._replace(health_checks=False, exclusions_outlive_sessions=True)
@@ -50,7 +53,7 @@
         self._discovery = DiscoveryWatch(
             configuration.discovery, self._discovery_events.handle_answer, self._discovery_events.handle_loss
         )
-        self._reloader = ConfigurationReloader(read_again, self._apply_configuration, write_log)
+        self._reloader = ConfigurationReloader(read_configuration, self._apply_configuration, write_log)
         updates = self._sessions.updates
         evaluations = EvaluationTimer(self._clock)
         runtime = PlatformRuntime(
@@ -61,7 +64,7 @@
         self._load_endpoint_list(configuration.endpoint_list)
 
     async def run(self) -> None:
-        """Serves until SIGTERM or SIGINT. Raises OSError, in a group, if it cannot listen."""
+        """Serves until SIGTERM or SIGINT. Raises OSError, in an exception group, if it cannot listen."""
         tasks = (self._sessions.connections.serve, self._discovery.run, self._decide, self._log_status)
         await run_until_terminated(tasks, self._reloader.reload)
 
@@ -88,7 +91,7 @@
 
     def _apply_configuration(self, configuration: ControllerConfiguration) -> None:
         """Applies the values that may change while the server runs."""
-        self._discovery.move_to(configuration.discovery)
+        self._discovery.set_address(configuration.discovery)
         self._sessions.connections.set_max_descriptors(configuration.max_descriptors)
 
     def _collect_status(self) -> ServerStatus:
@@ -105,13 +108,13 @@
 
 
 def run_server(
-    configuration: ControllerConfiguration, read_again: ReadConfiguration, write_log: WriteLog
+    configuration: ControllerConfiguration, read_configuration: ReadConfiguration, write_log: WriteLog
 ) -> None:
-    """Runs a server until SIGTERM or SIGINT. An error that ends it earlier is raised, in a group."""
-    trio.run(partial(_run, configuration, read_again, write_log))
+    """Runs a server until SIGTERM or SIGINT. Errors that stop it earlier are raised in an exception group."""
+    trio.run(partial(_run, configuration, read_configuration, write_log))
 
 
 async def _run(
-    configuration: ControllerConfiguration, read_again: ReadConfiguration, write_log: WriteLog
+    configuration: ControllerConfiguration, read_configuration: ReadConfiguration, write_log: WriteLog
 ) -> None:
-    await PlatformServer(configuration, read_again, write_log).run()
+    await PlatformServer(configuration, read_configuration, write_log).run()
--- a/willowhook/platform/status_log.py
+++ b/willowhook/platform/status_log.py
@@ -23,7 +23,7 @@
         proxies: number of proxies that have a session.
         controller: the controller's own figures.
         connections: number of open connections.
-        longest_flush_ticks: the longest duration of a flush since the last status line.
+        longest_flush_ticks: the longest duration of a flush since the previous status line.
         malformed_messages: number of messages refused since the start.
         rejected_connections: number of connections rejected since the start.
     """
--- a/willowhook/platform/update_encoder.py
+++ b/willowhook/platform/update_encoder.py
@@ -1,7 +1,7 @@
 """Encodes the parts of one `assign` message, which updates a proxy.
 
 The protocol allows a message in several parts, one frame each. A proxy applies all parts together when it has
-received the last one, which is the only one not marked as a part.
+received the last one, which is the only one not marked `part`.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 
     Attributes:
         frames: the encoded parts, in the order in which they are sent.
-        entry_count: the number of entries that the platform charges for the parts. It is not sent: the tests
-            compare it with the entries that the controller charged for its commands.
+        entry_count: the number of entries that the platform charges for the parts. It is not sent; tests
+            compare it with the number of entries that the controller charged for its commands.
     """
 
     frames: list[bytes]
@@ -29,7 +29,7 @@
 
 
 class UpdateEncoder:
-    """Encodes parts of messages; it has no state of its own.
+    """Encodes parts of messages. It has no mutable state.
 
     Args:
         settings: the settings of the deployment, which define the names of the routes.
--- a/willowhook/signals.py
+++ b/willowhook/signals.py
@@ -1,4 +1,4 @@
-"""Receives the signals that reload or end a process, and outlasts those that follow."""
+"""Receives the signals that reload or terminate a process, and ignores those that arrive after that."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 def receive_signals(*numbers: signal.Signals) -> Iterator[AsyncIterator[int]]:
     """Receives signals as `trio.open_signal_receiver` does, and ignores them once it is closed.
 
-    That receiver restores the action before it and delivers again what nobody has received: by the default
-    action, a second SIGTERM would turn a regular exit into a death by signal.
+    When trio's receiver closes, it restores the previous action and redelivers the signals that were not
+    consumed. With the default action, a second SIGTERM would kill a process that is exiting regularly.
     """
     for number in numbers:
-        # not SIG_IGN: it would discard signals that the process has held back until now
+        # not SIG_IGN, which would discard pending signals that the process has blocked until now
         signal.signal(number, _do_nothing)
     try:
         with trio.open_signal_receiver(*numbers) as received:
             yield received
     finally:
         for number in numbers:
-            signal.signal(number, signal.SIG_IGN)  # unlike a handler, it lasts through the interpreter's end
+            signal.signal(number, signal.SIG_IGN)  # unlike a handler, stays set while Python shuts down
 
 
 def _do_nothing(_number: int, _frame: FrameType | None) -> None:
-    """Takes the place of the default action."""
+    """Replaces the default action of a signal."""
