--- a/tests/platform_fixtures.py
+++ b/tests/platform_fixtures.py
@@ -1,4 +1,4 @@
-"""Builders for the tests of the platform protocol: messages, list entries, and a plain proxy."""
+"""Builders for the tests of the platform protocol: messages, list entries, and a reference proxy."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 CLIENT_STATS = {"t": "client_stats", "proxy": 4, "class": "read", "tries": 19, "failed": 0, "span_ms": 500.0}
 
 
-def list_entry(host: str, health: str = "active", **replaced: object) -> Fields:
-    """An entry of the endpoint list, as discovery sends it."""
+def list_entry(endpoint: str, health: str = "active", **replaced: object) -> Fields:
+    """An entry of the endpoint list, as the discovery server sends it."""
     entry = {
-        "host": host,
+        "host": endpoint,
         "dial": "10.1.0.1:7",
         "site": "north",
         "class": "fast",
@@ -38,7 +38,7 @@
 
 
 class ReferenceProxy:
-    """A proxy that applies updates exactly as the protocol's specification says."""
+    """A proxy that applies updates exactly as the protocol's specification states."""
 
     def __init__(self, route_names: list[str]) -> None:
         self.route_names = route_names
@@ -61,10 +61,10 @@
             if part.get("replace"):
                 self.tables[name] = {}
                 self.admission.pop(name, None)
-            for host, weight in part.get("rows", ()):
-                self.tables[name].pop(host, None)
+            for endpoint, weight in part.get("rows", ()):
+                self.tables[name].pop(endpoint, None)
                 if weight:
-                    self.tables[name][host] = weight
+                    self.tables[name][endpoint] = weight
             if "gate" in part:
                 self.admission[name] = (part["again"], part["gate"])
         self.excluded |= set(part.get("drop", ()))
--- a/tests/platform_process.py
+++ b/tests/platform_process.py
@@ -1,4 +1,4 @@
-"""A controller process as the platform starts it, with a fake discovery, and peers that connect to it."""
+"""A controller process as the platform starts it, a fake discovery server, and peers that connect to it."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class FakeDiscovery:
-    """The list and its version; a request for what is newer waits for a change."""
+    """A discovery server whose requests for changes wait up to 1 s for one."""
 
     def __init__(self) -> None:
         self.version = 1
@@ -37,23 +37,23 @@
         self.changed = trio.Event()
         self.request_count = 0
 
-    def list(self, host: str, health: str = "active") -> None:
+    def set_entry(self, endpoint: str, health: str = "active") -> None:
         entry = {
-            "host": host,
+            "host": endpoint,
             "dial": "127.0.0.1:1",
             "site": "north",
             "class": "fast",
             "block": 0,
             "share": 1.0,
         }
-        self.entries[host] = {**entry, "health": health, "born_ms": 0}
+        self.entries[endpoint] = {**entry, "health": health, "born_ms": 0}
         self.version += 1
         self.changed.set()
         self.changed = trio.Event()
 
-    async def answer(self, call: Call) -> Reply:
+    async def answer(self, request: Call) -> Reply:
         self.request_count += 1
-        if f"after={self.version}&" in call.target.decode():
+        if f"after={self.version}&" in request.target.decode():
             with trio.move_on_after(1.0):
                 await self.changed.wait()
         answer = {"seq": self.version, "whole": True, "hosts": list(self.entries.values())}
@@ -65,7 +65,7 @@
 
 
 class Peer:
-    """A peer of the controller, which acknowledges as proxy 0 the updates that it receives."""
+    """A peer of the controller; it acknowledges the updates that it receives as proxy 0."""
 
     def __init__(self, stream: trio.SocketStream) -> None:
         self.stream = stream
@@ -75,9 +75,9 @@
     async def send(self, *messages: Fields) -> None:
         await self.stream.send_all(b"".join(map(encode_frame, messages)))
 
-    async def receive_until(self, is_enough: Callable[[list[Fields]], bool]) -> None:
+    async def receive_until(self, is_complete: Callable[[list[Fields]], bool]) -> None:
         with trio.fail_after(8):
-            while not is_enough(self.received):
+            while not is_complete(self.received):
                 data = await self.stream.receive_some(65536)
                 assert data, "closed"
                 for message in self.decoder.feed(data):
@@ -156,7 +156,7 @@
                     nursery.cancel_scope.cancel()
 
     def run(self, scenario: Callable[[subprocess.Popen[bytes]], Awaitable[None]]) -> str:
-        """Runs the process through a scenario; returns its log."""
+        """Starts the process, runs a scenario against it, and returns its log."""
 
         async def main() -> None:
             async with self.running() as process:
@@ -166,9 +166,9 @@
         return self.read_log()
 
 
-def weights_in(received: list[Fields]) -> dict[str, float]:
-    return {host: weight for part in received for host, weight in part.get("rows", ())}
+def received_weights(received: list[Fields]) -> dict[str, float]:
+    return {endpoint: weight for part in received for endpoint, weight in part.get("rows", ())}
 
 
-def excluded_in(received: list[Fields]) -> list[str]:
-    return [host for part in received for host in part.get("drop", ())]
+def received_exclusions(received: list[Fields]) -> list[str]:
+    return [endpoint for part in received for endpoint in part.get("drop", ())]
--- a/tests/test_evaluation_timer.py
+++ b/tests/test_evaluation_timer.py
@@ -1,4 +1,4 @@
-"""The evaluation timer that all servers share."""
+"""The evaluation timer, which every server that runs a controller uses."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     assert timer.next_due() == 1000
     assert timer.pop_due(1000) and not timer.pop_due(1000)
     clock.ticks = 1150
-    assert timer.next_due() == 1100  # it has passed
+    assert timer.next_due() == 1100  # although that time has passed
     assert timer.pop_due(1150) and not timer.pop_due(1150)
     assert timer.pop_due(1300) and timer.next_due() is None
 
--- a/tests/test_platform_bytes.py
+++ b/tests/test_platform_bytes.py
@@ -1,9 +1,9 @@
 """Characterization of the bytes that the controller sends to proxies, recorded from commit 06ecd3e.
 
-A seeded script plays discovery, proxies and telemetry against the controller on a simulated clock, without
-sockets.  The digests of the bytes sent must equal those in `data/platform_bytes.json`: a change of names or
-structure leaves them as they are.  To record them anew, after a change that is meant to alter the bytes, run
-this file as a program; the commit that does so explains why.
+A seeded script plays discovery, proxies and collectors against the controller on a simulated clock, without
+sockets. The digests of the bytes sent must equal those in `data/platform_bytes.json`: a change of names or
+structure must not alter them. After a change that is meant to alter the bytes, run this file as a program to
+record them again; the commit that does so explains why.
 """
 
 from __future__ import annotations
@@ -52,23 +52,25 @@
 
 
 class ControllerDriver:
-    """Adapter: every use of the project's internals is in this class, its connection and the imports above.
+    """Adapter: all uses of the project's internals are in this class, its connection and the imports above.
 
-    It stands in for the clock and for the client of discovery, and puts recording sockets under the
-    controller's own connections.  The controller's own loop runs, on trio's mock clock.
+    It replaces the clock and the client of discovery, and gives the controller's own connections recording
+    sockets. The controller's own loop runs, on trio's mock clock.
     """
 
     def __init__(self, settings: Message, seed: int, known: Message) -> None:
-        self.sent: list[tuple[int, bytes]] = []  # connection and bytes, in order; closes as b"<closed>"
-        self.watching, self.full_list_wanted = False, 0
+        self.sent: list[tuple[int, bytes]] = []  # connection and bytes, in order; b"<closed>" for a close
+        self.is_watching, self.complete_list_requests = False, 0
         self._connections: list[Connection] = []
-        nowhere = Address("127.0.0.1", 1)
-        start = ControllerConfiguration("n0", nowhere, nowhere, seed, 1024, known, decode_settings(settings))
+        unused_address = Address("127.0.0.1", 1)
+        configuration = ControllerConfiguration(
+            "n0", unused_address, unused_address, seed, 1024, known, decode_settings(settings)
+        )
         with (
             mock.patch.object(server, "Clock", lambda: self),
             mock.patch.object(server, "DiscoveryWatch", self._discovery_client),
         ):
-            self._server = server.PlatformServer(start, lambda: start, lambda line: None)
+            self._server = server.PlatformServer(configuration, lambda: configuration, lambda line: None)
         self._connection_server = self._server._sessions.connections
 
     def _discovery_client(
@@ -77,18 +79,18 @@
         self._handle_answer, self._handle_loss = handle_answer, handle_loss
         return self
 
-    # What the controller calls: its clock, and its client of discovery.
+    # Called by the controller: its clock, and its client of discovery.
 
     def now(self) -> int:
         return START_MS * 10 + round(trio.current_time() * 10_000)
 
     def resume(self) -> None:
-        self.watching = True
+        self.is_watching = True
 
     def fetch_complete_list(self) -> None:
-        self.full_list_wanted += 1
+        self.complete_list_requests += 1
 
-    # What the script calls.
+    # Called by the script.
 
     @staticmethod
     def run(
@@ -104,18 +106,18 @@
         trio.run(main, clock=MockClock())
 
     async def advance(self, seconds: float) -> None:
-        """Lets simulated time pass; the controller wakes at each of its own deadlines in between."""
+        """Advances the simulated time, and wakes the controller at each of its deadlines on the way."""
         clock = trio.lowlevel.current_clock()
         assert isinstance(clock, MockClock)
-        end = trio.current_time() + seconds
+        end_time = trio.current_time() + seconds
         while True:
             await wait_all_tasks_blocked()
-            left = end - trio.current_time()
-            due = trio.lowlevel.current_statistics().seconds_to_next_deadline
-            if due >= left:
-                clock.jump(max(left, 0.0))
+            remaining_s = end_time - trio.current_time()
+            next_deadline_s = trio.lowlevel.current_statistics().seconds_to_next_deadline
+            if next_deadline_s >= remaining_s:
+                clock.jump(max(remaining_s, 0.0))
                 return
-            clock.jump(max(due, 0.0))
+            clock.jump(max(next_deadline_s, 0.0))
 
     def connect(self) -> int:
         number = len(self._connections)
@@ -128,31 +130,31 @@
         return self._connections[connection].is_open
 
     def deliver_bytes(self, connection: int, data: bytes) -> None:
-        """As the reader of a socket does with what it received."""
+        """Delivers bytes as the task that reads from the socket does."""
         self._connection_server.receive(self._connections[connection], data)
 
     def close(self, connection: int) -> None:
         self._connection_server.close(self._connections[connection])
 
-    def discovery_answer(self, answer: Message) -> bool:
-        """Whether it was accepted; one that is of no use counts as discovery lost."""
+    def deliver_answer(self, answer: Message) -> bool:
+        """Returns whether the answer was accepted; a malformed one counts as a loss of discovery."""
         try:
             self._handle_answer(answer)
         except MalformedFieldError as error:
-            self.discovery_lost(str(error))
+            self.report_discovery_loss(str(error))
             return False
         return True
 
-    def discovery_lost(self, why: str) -> None:
-        self.watching = False
-        self._handle_loss(why)
+    def report_discovery_loss(self, reason: str) -> None:
+        self.is_watching = False
+        self._handle_loss(reason)
 
-    def endpoints(self) -> dict[str, bool]:
-        """The endpoints that the controller holds, and whether each is ejected for its failures."""
+    def ejected_by_endpoint(self) -> dict[str, bool]:
+        """The endpoints that the controller knows, and whether each is ejected for its failures."""
         return {name: endpoint.is_ejected for name, endpoint in self._server._controller.endpoints.items()}
 
 
-# Nothing below uses names of the project.
+# Nothing below uses internals of the project.
 
 
 def encode(message: Message) -> bytes:
@@ -161,23 +163,23 @@
 
 
 def decode(data: bytes) -> list[Message]:
-    found, at = [], 0
-    while at < len(data):
-        size = int.from_bytes(data[at : at + 4], "little")
-        found.append(json.loads(data[at + 4 : at + 4 + size]))
-        at += 4 + size
-    return found
+    messages, position = [], 0
+    while position < len(data):
+        size = int.from_bytes(data[position : position + 4], "little")
+        messages.append(json.loads(data[position + 4 : position + 4 + size]))
+        position += 4 + size
+    return messages
 
 
-def plain_settings() -> Message:
+def default_settings() -> Message:
     settings: Message = json.loads((Path(__file__).parent / "options.json").read_text())
     settings["extra"] |= {"proxies": 24}
     return settings
 
 
-def zonal_settings() -> Message:
-    """Zone tables, listed weights, a cap on messages, levels as calls a second, a small channel."""
-    settings = copy.deepcopy(plain_settings())
+def zone_table_settings() -> Message:
+    """Zone tables, listed weights, a message cap, limits in requests per second, a small channel."""
+    settings = copy.deepcopy(default_settings())
     settings |= {
         "zones": ["north", "south", "east"],
         "weights": "nominal",
@@ -191,87 +193,91 @@
 
 
 VARIANTS = {
-    "plain": (plain_settings, 200, 11),
-    "zonal": (zonal_settings, 100, 29),
+    "plain": (default_settings, 200, 11),
+    "zonal": (zone_table_settings, 100, 29),
 }  # settings, endpoints, seed
 
 
-class Roster:
-    """Discovery: the endpoints, their health and the version of the list."""
+class ServiceDiscovery:
+    """The stand-in for discovery: the endpoints, their health and the version of the list."""
 
-    def __init__(self, zones: list[str], size: int, chance: random.Random) -> None:
-        self.version, self.chance = 10, chance
+    def __init__(self, zones: list[str], size: int, random_source: random.Random) -> None:
+        self.version, self.random_source = 10, random_source
         self.entries: dict[str, Message] = {}
-        for k in range(size):
-            entry = {"host": f"e{k:03}", "health": "active", "site": zones[k % len(zones)]}
-            entry |= {"class": "std" if k % 3 else "fast", "block": k % 7, "share": 1.0 + k % 4 / 2}
-            self.entries[entry["host"]] = {**entry, "dial": f"10.0.0.{k}:80", "born_ms": START_MS - 9e6}
-        self.leaving: dict[str, int] = {}  # step at which each began to drain
+        for number in range(size):
+            entry = {"host": f"e{number:03}", "health": "active", "site": zones[number % len(zones)]}
+            entry |= {
+                "class": "std" if number % 3 else "fast",
+                "block": number % 7,
+                "share": 1.0 + number % 4 / 2,
+            }
+            self.entries[entry["host"]] = {**entry, "dial": f"10.0.0.{number}:80", "born_ms": START_MS - 9e6}
+        self.draining_since: dict[str, int] = {}  # by endpoint: the step at which it began to drain
         self.removed: dict[str, int] = {}
 
-    def active(self) -> list[str]:
+    def active_endpoints(self) -> list[str]:
         return [name for name, entry in self.entries.items() if entry["health"] == "active"]
 
-    def full(self, share: float = 1.0) -> Message:
-        rows = [entry for entry in self.entries.values() if self.chance.random() < share]
-        return {"seq": self.version, "whole": True, "hosts": rows}
+    def complete_list(self, share: float = 1.0) -> Message:
+        entries = [entry for entry in self.entries.values() if self.random_source.random() < share]
+        return {"seq": self.version, "whole": True, "hosts": entries}
 
-    def increment(self, changed: list[Message]) -> Message:
+    def changes(self, changed: list[Message]) -> Message:
         self.version += 1
         return {"seq": self.version, "whole": False, "hosts": changed}
 
     def drain(self, count: int, step: int) -> list[Message]:
-        names = self.chance.sample(self.active(), count)
+        names = self.random_source.sample(self.active_endpoints(), count)
         for name in names:
-            self.entries[name]["health"], self.leaving[name] = "leaving", step
+            self.entries[name]["health"], self.draining_since[name] = "leaving", step
         return [dict(self.entries[name]) for name in names]
 
-    def settle(self, step: int) -> list[Message]:
-        """Of those that have drained: every second one restarts and comes back, the others are removed."""
-        due = [name for name, since in self.leaving.items() if step - since >= 35]
+    def finish_draining(self, step: int) -> list[Message]:
+        """Of the drained endpoints, restarts and lists every second one again and removes the others."""
+        due = [name for name, since in self.draining_since.items() if step - since >= 35]
         for name in due:
-            del self.leaving[name]
+            del self.draining_since[name]
             if int(name[1:]) % 2:
                 self.entries[name] |= {"health": "active", "born_ms": START_MS + step * 100}
             else:
                 self.entries[name]["health"], self.removed[name] = "left", step
-        rows = [dict(self.entries[name]) for name in due]
+        entries = [dict(self.entries[name]) for name in due]
         for name in due:
             if self.entries[name]["health"] == "left":
                 del self.entries[name]
-        return rows
+        return entries
 
     def restart(self, count: int, step: int) -> list[Message]:
-        """Endpoints that start anew without draining."""
-        names = self.chance.sample(self.active(), count)
+        """Restarts endpoints without draining them."""
+        names = self.random_source.sample(self.active_endpoints(), count)
         for name in names:
             self.entries[name]["born_ms"] = START_MS + step * 100
         return [dict(self.entries[name]) for name in names]
 
 
-class Client:
-    """One connection to the controller, whose bytes arrive cut in odd pieces."""
+class ScriptedPeer:
+    """One connection to the controller, whose bytes arrive split at arbitrary positions."""
 
-    def __init__(self, driver: ControllerDriver, chance: random.Random) -> None:
-        self.driver, self.chance = driver, chance
-        self.connection, self.waiting = driver.connect(), b""
+    def __init__(self, driver: ControllerDriver, random_source: random.Random) -> None:
+        self.driver, self.random_source = driver, random_source
+        self.connection, self.unsent = driver.connect(), b""
 
-    def say(self, *messages: Message) -> None:
-        self.waiting += b"".join(map(encode, messages))
+    def enqueue(self, *messages: Message) -> None:
+        self.unsent += b"".join(map(encode, messages))
 
     def flush(self) -> None:
-        """Now and then a part is left for the next time."""
-        end = len(self.waiting)
-        if self.chance.random() < 0.15:
-            end = self.chance.randint(0, end)
-        middle = self.chance.randint(0, end)
-        for piece in (self.waiting[:middle], self.waiting[middle:end]):
+        """Delivers the enqueued bytes in two pieces; at times it leaves some of them for the next flush."""
+        end = len(self.unsent)
+        if self.random_source.random() < 0.15:
+            end = self.random_source.randint(0, end)
+        middle = self.random_source.randint(0, end)
+        for piece in (self.unsent[:middle], self.unsent[middle:end]):
             if piece and self.driver.is_open(self.connection):
                 self.driver.deliver_bytes(self.connection, piece)
-        self.waiting = self.waiting[end:]
+        self.unsent = self.unsent[end:]
 
 
-MALFORMED: list[Message] = [
+MALFORMED_MESSAGES: list[Message] = [
     {"t": "odd"}, {}, {"t": 5}, {"t": "done"}, {"t": "done", "mark": "x", "took_ms": 1.0},
     {"t": "done", "mark": 70_000, "took_ms": 1.0}, {"t": "done", "mark": 1, "took_ms": -1.0},
     {"t": "done", "mark": True, "took_ms": 1.0}, {"t": "client_stats", "proxy": 99},
@@ -291,13 +297,13 @@
      "span_ms": 1000.0, "load": {"busy": "full"}},
     {"t": "attach", "proxy": 3, "zone": "north", "weight": 1.0, "fresh": True},
 ]  # fmt: skip
-NOT_READABLE = [b"\3\0\0\0[1]", b"\4\0\0\0nope", b"\xff\xff\xff\x7f", b"GET / HTTP/1.1\r\n\r\n"]
-BAD_FIRST = [
+UNDECODABLE_BYTES = [b"\3\0\0\0[1]", b"\4\0\0\0nope", b"\xff\xff\xff\x7f", b"GET / HTTP/1.1\r\n\r\n"]
+INVALID_FIRST_MESSAGES = [
     {"t": "done", "mark": 1, "took_ms": 1.0}, {"t": "attach", "proxy": 24, "zone": "north"},
     {"t": "attach", "proxy": 2, "zone": "mars", "weight": 1.0, "fresh": True},
     {"t": "attach", "proxy": 2, "zone": "north", "weight": 1.0, "fresh": 1}, {"t": "telemetry", "zone": 4},
 ]  # fmt: skip
-BAD_ENTRIES: list[Any] = [
+MALFORMED_ENTRIES: list[Any] = [
     {"host": "e001", "health": "odd"}, {"host": "e002", "health": "active", "born_ms": "x"}, None, 7,
     {"host": "e003", "health": "active", "born_ms": 0, "share": -1.0, "class": "std", "site": "north"},
     {"health": "active"}, {"host": "", "health": "left"},
@@ -305,123 +311,132 @@
 
 
 class Script:
-    """Ninety-five seconds; `step` is the time in tenths of a second, and goes on by two."""
+    """A script of 95 s; `step` is the time in tenths of a second and advances by two."""
 
     def __init__(self, driver: ControllerDriver, zones: list[str], size: int, seed: int) -> None:
         self.driver, self.zones, self.step = driver, zones, 0
-        self.chance = random.Random(seed)
-        self.roster = Roster(zones, size, self.chance)
-        self.clients: list[Client] = []
-        self.telemetry: list[Client] = []
-        self.proxies: dict[int, Client] = {}  # by proxy: its newest connection
-        self.owner: dict[int, str] = {}  # by connection: whose bytes they are
-        self.due: list[tuple[int, Client, Message]] = []  # acknowledgements: step, connection, message
+        self.random_source = random.Random(seed)
+        self.service_discovery = ServiceDiscovery(zones, size, self.random_source)
+        self.peers: list[ScriptedPeer] = []
+        self.collectors: list[ScriptedPeer] = []
+        self.proxies: dict[int, ScriptedPeer] = {}  # by proxy: its newest connection
+        self.owner_by_connection: dict[int, str] = {}  # whose bytes a connection carries
+        # step at which it is due, connection and message of each
+        self.pending_acknowledgements: list[tuple[int, ScriptedPeer, Message]] = []
         self.digests: dict[str, Any] = {}
-        self.total = hashlib.sha256()
+        self.total_digest = hashlib.sha256()
         self.counts: Counter[str] = Counter()
-        self.low_gates: list[float] = []
-        self.table_sizes: list[int] = []  # rows of tables sent whole
-        self.weights: dict[tuple[str, ...], list[float]] = {}  # by proxy, routes and endpoint: in turn
-        self.ejected: dict[str, None] = {}
-        self.forgotten: dict[str, None] = {}
-        self.taken = 0
+        self.low_admission_limits: list[float] = []
+        self.complete_table_sizes: list[int] = []  # number of entries of tables sent completely
+        self.sent_weights: dict[tuple[str, ...], list[float]] = {}  # by proxy, routes and endpoint: in order
+        self.ejected_endpoints: dict[str, None] = {}
+        self.forgotten_endpoints: dict[str, None] = {}
+        self.processed_count = 0
 
     async def run(self) -> None:
         for self.step in range(0, 950, 2):
-            self.discovery()
-            self.membership()
-            self.reports()
-            self.noise()
-            for client in list(self.clients):
-                client.flush()
+            self.play_discovery()
+            self.play_joins_and_leaves()
+            self.send_reports()
+            self.send_malformed_messages()
+            for peer in list(self.peers):
+                peer.flush()
             await self.driver.advance(0.2)
-            self.hear()
-            self.observe()
+            self.process_sent_bytes()
+            self.record_endpoint_states()
 
     # Discovery.
 
-    def discovery(self) -> None:
-        step, roster = self.step, self.roster
+    def play_discovery(self) -> None:
+        step, service_discovery = self.step, self.service_discovery
         if 300 <= step < 400:  # discovery does not answer
-            if self.driver.watching:
-                self.driver.discovery_lost("timeout")
+            if self.driver.is_watching:
+                self.driver.report_discovery_loss("timeout")
                 self.counts["lost"] += 1
             return
         if step == 2:
-            self.answer(roster.full())
+            self.deliver_answer(service_discovery.complete_list())
         if step == 200:  # a list that lacks most entries
-            self.answer(roster.full(0.3))
+            self.deliver_answer(service_discovery.complete_list(0.3))
         elif step == 250:  # an older version, once
-            self.answer({**roster.full(), "seq": roster.version - 5})
+            self.deliver_answer({**service_discovery.complete_list(), "seq": service_discovery.version - 5})
         elif step == 280:
-            self.answer({"seq": roster.version, "whole": False, "hosts": BAD_ENTRIES})
+            self.deliver_answer(
+                {"seq": service_discovery.version, "whole": False, "hosts": MALFORMED_ENTRIES}
+            )
         elif step in (284, 286):  # entries without a name: accepted the second time
-            self.answer({**roster.full(), "hosts": [*roster.full()["hosts"], *BAD_ENTRIES]})
+            self.deliver_answer(
+                {
+                    **service_discovery.complete_list(),
+                    "hosts": [*service_discovery.complete_list()["hosts"], *MALFORMED_ENTRIES],
+                }
+            )
         elif step == 290:
-            self.answer({"seq": "x", "whole": True, "hosts": []})
-            self.answer({"seq": 5, "whole": None, "hosts": []})
-            self.answer({"seq": roster.version + 1, "whole": True})
-            self.answer({"seq": 5, "whole": False, "hosts": []})  # one that is behind, and empty
-        elif step % 16 == 10 and self.driver.watching:
-            self.answer(roster.increment(self.changes()))
-        elif step % 10 == 6 and self.driver.full_list_wanted:
-            self.driver.full_list_wanted = 0
+            self.deliver_answer({"seq": "x", "whole": True, "hosts": []})
+            self.deliver_answer({"seq": 5, "whole": None, "hosts": []})
+            self.deliver_answer({"seq": service_discovery.version + 1, "whole": True})
+            self.deliver_answer({"seq": 5, "whole": False, "hosts": []})  # an older version without changes
+        elif step % 16 == 10 and self.driver.is_watching:
+            self.deliver_answer(service_discovery.changes(self.list_changes()))
+        elif step % 10 == 6 and self.driver.complete_list_requests:
+            self.driver.complete_list_requests = 0
             self.counts["full list wanted"] += 1
-            self.answer(roster.full())
+            self.deliver_answer(service_discovery.complete_list())
 
-    def changes(self) -> list[Message]:
-        step, roster = self.step, self.roster
-        rows = roster.settle(step)
+    def list_changes(self) -> list[Message]:
+        step, service_discovery = self.step, self.service_discovery
+        entries = service_discovery.finish_draining(step)
         if step % 32 == 10:
-            rows += roster.drain(60 if step == 714 else 4, step)
+            entries += service_discovery.drain(60 if step == 714 else 4, step)
         elif step % 64 == 26:
-            rows += roster.restart(3, step)
-        return rows
+            entries += service_discovery.restart(3, step)
+        return entries
 
-    def answer(self, answer: Message) -> None:
-        accepted = self.driver.discovery_answer(json.loads(json.dumps(answer)))
+    def deliver_answer(self, answer: Message) -> None:
+        accepted = self.driver.deliver_answer(json.loads(json.dumps(answer)))
         self.counts["answer accepted" if accepted else "answer refused"] += 1
 
-    # Proxies and telemetry.
+    # Proxies and collectors.
 
-    def membership(self) -> None:
+    def play_joins_and_leaves(self) -> None:
         step = self.step
         if step == 4:
             for zone in self.zones:
-                client = self.connect("telemetry")
-                client.say({"t": "telemetry", "zone": zone})
-                self.telemetry.append(client)
-        if step == 6:  # a crowd that joins at once
+                peer = self.connect_peer("telemetry")
+                peer.enqueue({"t": "telemetry", "zone": zone})
+                self.collectors.append(peer)
+        if step == 6:  # a join burst
             for proxy in range(16):
                 self.join(proxy, fresh=proxy % 3 > 0)
         if step in (120, 140, 160, 180):
             for proxy in range(16 + (step - 120) // 10, 18 + (step - 120) // 10):
                 self.join(proxy, fresh=True)
         if step in (400, 410, 430):  # a second connection while the first is open
-            stale = self.connect("strangers")
+            older_peer = self.connect_peer("strangers")
             self.join(step // 10 - 40, fresh=False)
             self.proxies[step // 10 - 40].flush()
-            stale.say(self.attach(step // 10 - 40, fresh=False))  # it dialled before the one that joined
+            # it connected before the peer that has joined
+            older_peer.enqueue(self.attach(step // 10 - 40, fresh=False))
         if step == 540:
             for proxy in range(2, 14):
                 self.driver.close(self.proxies[proxy].connection)
-        if step == 552:  # and back, all at once
+        if step == 552:  # the same proxies reconnect in a burst
             for proxy in range(2, 14):
                 self.join(proxy, fresh=proxy % 2 == 0)
         if step % 96 == 50 and step > 200:
-            proxy = self.chance.randrange(1, 24)
+            proxy = self.random_source.randrange(1, 24)
             self.driver.close(self.proxies[proxy].connection)
-            self.join(proxy, fresh=self.chance.random() < 0.5)
+            self.join(proxy, fresh=self.random_source.random() < 0.5)
 
-    def connect(self, owner: str) -> Client:
-        client = Client(self.driver, self.chance)
-        self.owner[client.connection] = owner
-        self.clients.append(client)
-        return client
+    def connect_peer(self, owner: str) -> ScriptedPeer:
+        peer = ScriptedPeer(self.driver, self.random_source)
+        self.owner_by_connection[peer.connection] = owner
+        self.peers.append(peer)
+        return peer
 
     def join(self, proxy: int, fresh: bool) -> None:
-        client = self.proxies[proxy] = self.connect(str(proxy))
-        client.say(self.attach(proxy, fresh))
+        peer = self.proxies[proxy] = self.connect_peer(str(proxy))
+        peer.enqueue(self.attach(proxy, fresh))
 
     def attach(self, proxy: int, fresh: bool) -> Message:
         zone = self.zones[proxy * 7 % len(self.zones)]
@@ -429,153 +444,174 @@
 
     # Reports.
 
-    def reports(self) -> None:
+    def send_reports(self) -> None:
         if self.step < 15:
             return
-        for k, name in enumerate(self.roster.entries):
-            if (k + self.step // 2) % 5 == 0:
-                client = self.telemetry[k // 5 % len(self.telemetry)]
-                client.say(self.endpoint_report(name, self.zones[self.telemetry.index(client)]))
-        for proxy, client in self.proxies.items():
+        for index, name in enumerate(self.service_discovery.entries):
+            if (index + self.step // 2) % 5 == 0:
+                peer = self.collectors[index // 5 % len(self.collectors)]
+                peer.enqueue(self.endpoint_report(name, self.zones[self.collectors.index(peer)]))
+        for proxy, peer in self.proxies.items():
             if (proxy + self.step // 2) % 5 == 0:
-                client.say(*(self.proxy_report(proxy, route) for route in ("read", "save", "book")))
+                peer.enqueue(*(self.proxy_report(proxy, route) for route in ("read", "save", "book")))
 
     def endpoint_report(self, name: str, zone: str) -> Message:
-        k, chance = int(name[1:]), self.chance
-        busy, mean, failing = 0.5, 60.0 + k % 5 * 8, 0.01
-        if k % 11 == 3:  # slow ones
-            mean *= 3
-        if k % 40 == 7 and 120 <= self.step < 260:  # failing ones
-            failing = 0.97
+        number, random_source = int(name[1:]), self.random_source
+        utilization, mean_latency_ms, failure_rate = 0.5, 60.0 + number % 5 * 8, 0.01
+        if number % 11 == 3:  # slow endpoints
+            mean_latency_ms *= 3
+        if number % 40 == 7 and 120 <= self.step < 260:  # failing endpoints
+            failure_rate = 0.97
         if 420 <= self.step < 540:  # overload
-            busy, mean, failing = 1.05, mean * 12, 0.25
+            utilization, mean_latency_ms, failure_rate = 1.05, mean_latency_ms * 12, 0.25
         if 600 <= self.step < 640:  # idle endpoints refuse connections
-            busy, failing = 0.2, 0.85
-        tries = chance.randint(8, 30)
-        failed = sum(chance.random() < failing for _ in range(tries))
-        load = {"busy": round(busy * chance.uniform(0.9, 1.1), 3), "q": chance.randint(0, 9)}
+            utilization, failure_rate = 0.2, 0.85
+        tries = random_source.randint(8, 30)
+        failed = sum(random_source.random() < failure_rate for _ in range(tries))
+        load = {
+            "busy": round(utilization * random_source.uniform(0.9, 1.1), 3),
+            "q": random_source.randint(0, 9),
+        }
         report = {"t": "upstream_stats", "zone": zone, "server": name, "tries": tries, "failed": failed}
-        report |= {"mean_ms": round(mean * chance.uniform(0.8, 1.2), 2), "span_ms": 1000.0}
-        return report if k % 17 == 5 else {**report, "load": load}
+        report |= {"mean_ms": round(mean_latency_ms * random_source.uniform(0.8, 1.2), 2), "span_ms": 1000.0}
+        return report if number % 17 == 5 else {**report, "load": load}
 
     def proxy_report(self, proxy: int, route: str) -> Message:
-        tries = self.chance.randint(3, 12) * (2 if 420 <= self.step < 540 else 1)
+        tries = self.random_source.randint(3, 12) * (2 if 420 <= self.step < 540 else 1)
         report = {"t": "client_stats", "proxy": proxy, "class": route, "tries": tries, "failed": tries // 9}
         return {**report, "span_ms": 1000.0}
 
     # Malformed messages and heartbeats.
 
-    def noise(self) -> None:
-        chance, step = self.chance, self.step
+    def send_malformed_messages(self) -> None:
+        random_source, step = self.random_source, self.step
         if step % 20 == 12:
-            for client in [*self.proxies.values(), *self.telemetry]:
-                client.say({"t": "hb"})
+            for peer in [*self.proxies.values(), *self.collectors]:
+                peer.enqueue({"t": "hb"})
         if step % 6 == 4 and step > 20:
-            speaker = chance.choice([*self.telemetry, *(self.proxies[p] for p in list(self.proxies)[1:])])
-            speaker.say(MALFORMED[step // 6 % (len(MALFORMED) - 1)])
+            sender = random_source.choice(
+                [*self.collectors, *(self.proxies[p] for p in list(self.proxies)[1:])]
+            )
+            sender.enqueue(MALFORMED_MESSAGES[step // 6 % (len(MALFORMED_MESSAGES) - 1)])
             self.counts["malformed"] += 1
         if step % 50 == 40:
-            self.connect("strangers").say(BAD_FIRST[step // 50 % len(BAD_FIRST)])
+            self.connect_peer("strangers").enqueue(
+                INVALID_FIRST_MESSAGES[step // 50 % len(INVALID_FIRST_MESSAGES)]
+            )
         if step % 50 == 46:
-            stranger = self.connect("strangers")
-            stranger.say({"t": "hb"})
-            stranger.waiting += NOT_READABLE[step // 50 % len(NOT_READABLE)]
-        for proxy, at in ((3, 332), (7, 776)):  # bytes that cannot be read, on a connection that is known
-            if step == at:
-                self.proxies[proxy].waiting += NOT_READABLE[proxy % 4]
-            elif step == at + 8:
+            unidentified_peer = self.connect_peer("strangers")
+            unidentified_peer.enqueue({"t": "hb"})
+            unidentified_peer.unsent += UNDECODABLE_BYTES[step // 50 % len(UNDECODABLE_BYTES)]
+        # undecodable bytes on the connection of an identified proxy
+        for proxy, failure_step in ((3, 332), (7, 776)):
+            if step == failure_step:
+                self.proxies[proxy].unsent += UNDECODABLE_BYTES[proxy % 4]
+            elif step == failure_step + 8:
                 self.join(proxy, fresh=True)
         if step == 500:
-            self.proxies[3].say(MALFORMED[-1])  # it joins once more on its own connection
+            self.proxies[3].enqueue(MALFORMED_MESSAGES[-1])  # it joins again on the same connection
 
-    # What the controller sent.
+    # Bytes sent by the controller.
 
-    def hear(self) -> None:
-        news, self.taken = self.driver.sent[self.taken :], len(self.driver.sent)
-        by_connection = {client.connection: client for client in self.clients}
-        for connection, data in news:
-            owner = self.owner[connection]
+    def process_sent_bytes(self) -> None:
+        new_messages, self.processed_count = self.driver.sent[self.processed_count :], len(self.driver.sent)
+        peer_by_connection = {peer.connection: peer for peer in self.peers}
+        for connection, data in new_messages:
+            owner = self.owner_by_connection[connection]
             self.digests.setdefault(owner, hashlib.sha256()).update(data)
-            self.total.update(f"{self.step} {owner} {len(data)} ".encode() + data)
+            self.total_digest.update(f"{self.step} {owner} {len(data)} ".encode() + data)
             self.counts["messages sent"] += 1
             if data == b"<closed>":
                 self.counts["closed"] += 1
-                self.clients.remove(by_connection[connection])
+                self.peers.remove(peer_by_connection[connection])
                 continue
             for part in decode(data):
-                self.read(owner, part, by_connection[connection])
-        self.acknowledge()
+                self.process_part(owner, part, peer_by_connection[connection])
+        self.send_acknowledgements()
 
-    def read(self, owner: str, part: Message, client: Client) -> None:
+    def process_part(self, owner: str, part: Message, peer: ScriptedPeer) -> None:
         self.counts.update(key for key in part if key != "t")
         self.counts[part["t"]] += 1
         if "gate" in part and part["gate"] < 0.99:
-            self.low_gates.append(part["gate"])
+            self.low_admission_limits.append(part["gate"])
         if part.get("replace"):
-            self.table_sizes.append(len(part["rows"]))
+            self.complete_table_sizes.append(len(part["rows"]))
         if "rows" in part:
-            self.follow(owner, part)
+            self.record_weights(owner, part)
         if "stamp" in part:
-            self.schedule(owner, part["stamp"], client)
+            self.schedule_acknowledgement(owner, part["stamp"], peer)
 
-    def follow(self, owner: str, part: Message) -> None:
-        """The weights that each proxy is told, by the routes they are for."""
+    def record_weights(self, owner: str, part: Message) -> None:
+        """Records the weights sent to each proxy, by the routes they apply to."""
         for name, weight in part["rows"]:
-            told = self.weights.setdefault((owner, *part["for"], name), [])
-            self.counts["resent"] += not part.get("replace") and told[-1:] == [weight]
-            told.append(weight)
-
-    def schedule(self, owner: str, mark: int, client: Client) -> None:
-        """Acknowledgements: most soon, some late, some never; all are late while the channel is slow."""
-        way = self.chance.random()
-        delay = self.chance.randint(1, 4) if way < 0.8 else self.chance.randint(10, 40)
+            weights = self.sent_weights.setdefault((owner, *part["for"], name), [])
+            self.counts["resent"] += not part.get("replace") and weights[-1:] == [weight]
+            weights.append(weight)
+
+    def schedule_acknowledgement(self, owner: str, marker: int, peer: ScriptedPeer) -> None:
+        """Schedules most acknowledgements soon, some late, some never; all late while the channel is slow."""
+        draw = self.random_source.random()
+        delay = self.random_source.randint(1, 4) if draw < 0.8 else self.random_source.randint(10, 40)
         delay += 30 * (450 <= self.step < 500)
-        if way < 0.93:
-            done = {"t": "done", "proxy": int(owner), "mark": mark, "took_ms": delay * 100.0}
-            self.due.append((self.step + delay, client, done))
+        if draw < 0.93:
+            done = {"t": "done", "proxy": int(owner), "mark": marker, "took_ms": delay * 100.0}
+            self.pending_acknowledgements.append((self.step + delay, peer, done))
         else:
             self.counts["never acknowledged"] += 1
 
-    def acknowledge(self) -> None:
-        for _, client, message in (row for row in self.due if row[0] <= self.step):
-            client.say(message)
+    def send_acknowledgements(self) -> None:
+        for _, peer, message in (
+            pending for pending in self.pending_acknowledgements if pending[0] <= self.step
+        ):
+            peer.enqueue(message)
             self.counts["acknowledged"] += 1
-        self.due = [row for row in self.due if row[0] > self.step]
+        self.pending_acknowledgements = [
+            pending for pending in self.pending_acknowledgements if pending[0] > self.step
+        ]
 
-    def observe(self) -> None:
+    def record_endpoint_states(self) -> None:
         if self.step % 10 == 0:
-            held = self.driver.endpoints()
-            self.ejected.update((name, None) for name, ejected in held.items() if ejected)
-            self.forgotten.update((name, None) for name in self.roster.removed if name not in held)
-
-    def result(self) -> dict[str, Any]:
+            known_endpoints = self.driver.ejected_by_endpoint()
+            self.ejected_endpoints.update(
+                (name, None) for name, is_ejected in known_endpoints.items() if is_ejected
+            )
+            self.forgotten_endpoints.update(
+                (name, None) for name in self.service_discovery.removed if name not in known_endpoints
+            )
+
+    def recorded_result(self) -> dict[str, Any]:
         receivers = {owner: self.digests[owner].hexdigest() for owner in sorted(self.digests)}
-        return {"total": self.total.hexdigest(), "counts": dict(sorted(self.counts.items())), **receivers}
+        return {
+            "total": self.total_digest.hexdigest(),
+            "counts": dict(sorted(self.counts.items())),
+            **receivers,
+        }
 
 
 @cache
-def played(name: str) -> Script:
-    make, size, seed = VARIANTS[name]
-    settings = make()
+def run_variant(name: str) -> Script:
+    """Runs the script with the settings of a variant, once per process."""
+    make_settings, size, seed = VARIANTS[name]
+    settings = make_settings()
     scripts: list[Script] = []
 
     async def script(driver: ControllerDriver) -> None:
         scripts.append(Script(driver, settings["zones"], size, seed))
         await scripts[0].run()
 
-    hosts = Roster(settings["zones"], size, random.Random(0)).full()["hosts"]
-    ControllerDriver.run(settings, seed, {"seq": 4, "whole": True, "hosts": hosts[: size * 3 // 4]}, script)
+    entries = ServiceDiscovery(settings["zones"], size, random.Random(0)).complete_list()["hosts"]
+    ControllerDriver.run(settings, seed, {"seq": 4, "whole": True, "hosts": entries[: size * 3 // 4]}, script)
     return scripts[0]
 
 
 @pytest.mark.parametrize("name", VARIANTS)
 def test_bytes_sent_are_those_recorded(name: str) -> None:
-    assert played(name).result() == json.loads(DATA.read_text())[name]
+    assert run_variant(name).recorded_result() == json.loads(DATA.read_text())[name]
 
 
 @pytest.mark.parametrize("name", VARIANTS)
-def test_script_makes_the_controller_send_every_kind_of_order(name: str) -> None:
-    script = played(name)
+def test_script_makes_the_controller_send_every_kind_of_command(name: str) -> None:
+    script = run_variant(name)
     counts = script.counts
     assert {str(proxy) for proxy in range(24)} | {"telemetry", "strangers"} == set(script.digests)
     assert counts["messages sent"] > 2000 and counts["acknowledged"] > 1000
@@ -585,26 +621,30 @@
 
 
 @pytest.mark.parametrize("name", VARIANTS)
-def test_script_makes_the_controller_take_every_kind_of_decision(name: str) -> None:
-    script, active = played(name), len(played(name).roster.active())
+def test_script_makes_the_controller_make_every_kind_of_decision(name: str) -> None:
+    script, active = run_variant(name), len(run_variant(name).service_discovery.active_endpoints())
     assert script.counts["answer refused"] >= 4 and script.counts["answer accepted"] > 40
     assert script.counts["lost"] > 1 and script.counts["full list wanted"] > 0
-    assert script.low_gates and script.ejected and script.forgotten
-    assert script.ejected.keys() <= {key[-1] for key, weights in script.weights.items() if 0.0 in weights}
-    assert any(slow_start(weights) for weights in script.weights.values())
-    # parts of tables for those who join at once, and whole ones
-    assert min(script.table_sizes) < active / 4 and max(script.table_sizes) > active * 0.8
+    assert script.low_admission_limits and script.ejected_endpoints and script.forgotten_endpoints
+    assert script.ejected_endpoints.keys() <= {
+        key[-1] for key, weights in script.sent_weights.items() if 0.0 in weights
+    }
+    assert any(has_slow_start(weights) for weights in script.sent_weights.values())
+    # subsets for proxies that join in a burst, and complete tables
+    assert min(script.complete_table_sizes) < active / 4 and max(script.complete_table_sizes) > active * 0.8
 
 
-def slow_start(weights: list[float]) -> bool:
-    """Whether the weight was 0, then grew three times."""
-    rows = zip(weights, weights[1:], weights[2:], weights[3:], strict=False)
-    return any(a == 0 < b < c < d for a, b, c, d in rows)
+def has_slow_start(weights: list[float]) -> bool:
+    """Whether a weight of 0 is followed by three increases."""
+    windows = zip(weights, weights[1:], weights[2:], weights[3:], strict=False)
+    return any(a == 0 < b < c < d for a, b, c, d in windows)
 
 
 def test_two_variants_differ() -> None:
-    assert played("plain").result()["total"] != played("zonal").result()["total"]
+    assert run_variant("plain").recorded_result()["total"] != run_variant("zonal").recorded_result()["total"]
 
 
 if __name__ == "__main__":
-    DATA.write_text(json.dumps({name: played(name).result() for name in VARIANTS}, indent=1) + "\n")
+    DATA.write_text(
+        json.dumps({name: run_variant(name).recorded_result() for name in VARIANTS}, indent=1) + "\n"
+    )
--- a/tests/test_platform_configuration.py
+++ b/tests/test_platform_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration file of the platform server, at the start and on a reload."""
+"""The configuration file of the platform server, at startup and at a reload."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 MINIMAL = {"settings": SETTINGS, "listen": "127.0.0.1:7001", "discovery": "127.0.0.1:7002"}
 
 
-def write(folder: Path, text: str) -> dict[str, str]:
+def write_configuration(folder: Path, text: str) -> dict[str, str]:
     (folder / "c.json").write_text(text)
     return {PATH_VARIABLE: str(folder / "c.json")}
 
@@ -40,16 +40,16 @@
         (json.dumps({**MINIMAL, "limits": {"sockets": True}}), "sockets: expected int, got bool"),
     ],
 )
-def test_unusable_configuration_is_refused_in_one_line(tmp_path: Path, text: str, why: str) -> None:
+def test_invalid_configuration_is_refused_with_a_one_line_error(tmp_path: Path, text: str, why: str) -> None:
     with pytest.raises(ConfigurationError, match=why) as caught:
-        read_configuration(write(tmp_path, text))
+        read_configuration(write_configuration(tmp_path, text))
     assert "\n" not in str(caught.value)
     with pytest.raises(ConfigurationError, match="not set"):
         read_configuration({})
 
 
-def test_keys_that_are_left_out_have_defaults(tmp_path: Path) -> None:
-    environment = {**write(tmp_path, json.dumps(MINIMAL)), "ROUTER_NAME": "n3"}
+def test_omitted_keys_have_defaults(tmp_path: Path) -> None:
+    environment = {**write_configuration(tmp_path, json.dumps(MINIMAL)), "ROUTER_NAME": "n3"}
     configuration = read_configuration(environment)
     assert configuration.name == "n3" and configuration.max_descriptors == 1024
     assert configuration.listen == Address("127.0.0.1", 7001)
@@ -58,8 +58,10 @@
     assert configuration.endpoint_list == {"seq": 0, "whole": True, "hosts": []}
 
 
-def reload_after(failures: int, configuration: ControllerConfiguration) -> tuple[int, float, list[str]]:
-    """Reloads a file that cannot be read at first: what was applied, after how many seconds, and the log."""
+def reload_after_failures(
+    failures: int, configuration: ControllerConfiguration
+) -> tuple[int, float, list[str]]:
+    """Reloads a file whose first reads fail; returns the number of applications, the duration and the log."""
     log: list[str] = []
     applied: list[ControllerConfiguration] = []
     outcomes = iter([None] * failures)
@@ -79,12 +81,12 @@
 
 
 def test_reload_retries_with_backoff_and_logs_the_first_failure_only(tmp_path: Path) -> None:
-    configuration = read_configuration(write(tmp_path, json.dumps(MINIMAL)))
+    configuration = read_configuration(write_configuration(tmp_path, json.dumps(MINIMAL)))
     configuration = replace(configuration, max_descriptors=99)
     reloaded = "configuration reloaded discovery=127.0.0.1:7002 max_descriptors=99"
     failed = "configuration reload failed error='half written'"
-    assert reload_after(0, configuration) == (1, 0.0, [reloaded])
-    applied, duration_s, log = reload_after(3, configuration)
+    assert reload_after_failures(0, configuration) == (1, 0.0, [reloaded])
+    applied, duration_s, log = reload_after_failures(3, configuration)
     assert (applied, log) == (1, [failed, reloaded]) and duration_s == pytest.approx(0.7)
-    applied, duration_s, log = reload_after(6, configuration)
+    applied, duration_s, log = reload_after_failures(6, configuration)
     assert (applied, log) == (0, [failed]) and duration_s == pytest.approx(sum(RETRY_DELAYS_S))
--- a/tests/test_platform_connections.py
+++ b/tests/test_platform_connections.py
@@ -14,8 +14,8 @@
 from willowhook.platform.messages import REJECTION
 
 
-def test_connection_reset_before_it_is_accepted_ends_nothing_else() -> None:
-    """As some kernels do: options cannot be set on a connection that was reset in the backlog."""
+def test_connection_reset_before_it_is_accepted_is_skipped() -> None:
+    """Some kernels report only at setsockopt that a connection was reset in the backlog."""
     accepted, peer = socket.socketpair()
 
     class ResetSocket(socket.socket):
--- a/tests/test_platform_discovery_watch.py
+++ b/tests/test_platform_discovery_watch.py
@@ -1,4 +1,4 @@
-"""The discovery watch where two things happen at once, against a discovery on a real socket."""
+"""Concurrent events in the discovery watch, tested against a discovery server on a real socket."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class FakeDiscovery:
-    """A discovery whose answers the scenario sends, one by one."""
+    """A discovery server that leaves each answer to the scenario."""
 
     def __init__(self) -> None:
         channels = trio.open_memory_channel[tuple[str, trio.SocketStream]](99)
@@ -36,8 +36,8 @@
             while data := await stream.receive_some(4096):
                 received += data
                 while b"\r\n\r\n" in received:
-                    head, received = received.split(b"\r\n\r\n", 1)
-                    await self._requests_in.send((head.split()[1].decode(), stream))
+                    header, received = received.split(b"\r\n\r\n", 1)
+                    await self._requests_in.send((header.split()[1].decode(), stream))
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             pass
 
@@ -46,37 +46,39 @@
             return await self._requests.receive()
 
 
-async def answer(stream: trio.SocketStream, version: int) -> None:
+async def send_answer(stream: trio.SocketStream, version: int) -> None:
     body = json.dumps({"seq": version, "whole": False, "hosts": []}).encode()
-    await respond(stream, b"200 OK", body)
+    await send_response(stream, b"200 OK", body)
 
 
-async def respond(stream: trio.SocketStream, status: bytes, body: bytes) -> None:
-    head = b"HTTP/1.1 %s\r\ncontent-length: %d\r\n\r\n" % (status, len(body))
-    await stream.send_all(head + body)
+async def send_response(stream: trio.SocketStream, status: bytes, body: bytes) -> None:
+    header = b"HTTP/1.1 %s\r\ncontent-length: %d\r\n\r\n" % (status, len(body))
+    await stream.send_all(header + body)
 
 
 class WatchRecorder:
-    """A discovery watch, and what its handlers were given."""
+    """A discovery watch, and a record of the calls of its handlers."""
 
     def __init__(self, port: int) -> None:
         self.versions: list[int] = []
         self.losses: list[str] = []
-        self.while_handling: Callable[[], None] = lambda: None  # runs once, in the next answer's handler
+        self.while_handling: Callable[[], None] = (
+            lambda: None
+        )  # called once, while the next answer is handled
         self.watch = DiscoveryWatch(Address("127.0.0.1", port), self.handle_answer, self.losses.append)
         self.watch.version = 7
 
     def handle_answer(self, fields: Fields) -> int:
         self.versions.append(fields["seq"])
-        act = self.while_handling
+        callback = self.while_handling
         self.while_handling = lambda: None
-        act()
+        callback()
         if fields["seq"] < 0:
             raise MalformedFieldError("seq")
         return int(fields["seq"])
 
 
-def play(scenario: Scenario) -> None:
+def run_scenario(scenario: Scenario) -> None:
     async def main() -> None:
         async with trio.open_nursery() as nursery:
             discovery = FakeDiscovery()
@@ -90,18 +92,18 @@
     trio.run(main)
 
 
-def test_fetch_from_the_answer_handler_is_not_lost() -> None:
+def test_fetch_from_the_answer_handler_is_requested_next() -> None:
     async def scenario(discovery: FakeDiscovery, recorder: WatchRecorder) -> None:
         target, stream = await discovery.next_request()
         assert "after=7" in target
         recorder.while_handling = (
             recorder.watch.fetch_complete_list
-        )  # the controller does so as it handles the list
-        await answer(stream, 8)
+        )  # as the controller does while it handles the list
+        await send_answer(stream, 8)
         target, _ = await discovery.next_request()
         assert target == "/v1/servers"
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_fetch_survives_the_loss_of_its_request() -> None:
@@ -110,7 +112,7 @@
         recorder.watch.fetch_complete_list()
         target, stream = await discovery.next_request()
         assert target == "/v1/servers"
-        await stream.aclose()  # before an answer; the connection was new, so it counts as a loss
+        await stream.aclose()  # before an answer; on a new connection this is a loss
         with trio.fail_after(5):
             while not recorder.losses:
                 await trio.sleep(0.01)
@@ -118,10 +120,10 @@
         target, _ = await discovery.next_request()
         assert target == "/v1/servers"
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_move_from_the_answer_handler_requests_at_the_new_address() -> None:
+def test_address_change_from_the_answer_handler_requests_at_the_new_address() -> None:
     async def scenario(discovery: FakeDiscovery, recorder: WatchRecorder) -> None:
         async with trio.open_nursery() as nursery:
             new = FakeDiscovery()
@@ -129,64 +131,64 @@
             _, stream = await discovery.next_request()
             recorder.while_handling = lambda: recorder.watch.set_address(
                 Address("127.0.0.1", new.port)
-            )  # the old answer was complete before
-            await answer(stream, 8)
+            )  # the answer from the old address has been received by then
+            await send_answer(stream, 8)
             target, stream = await new.next_request()
             assert "after=8" in target and not recorder.losses
             nursery.cancel_scope.cancel()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_move_after_a_loss_requests_at_the_new_address_at_once() -> None:
+def test_address_change_after_a_loss_requests_at_the_new_address_immediately() -> None:
     async def scenario(discovery: FakeDiscovery, recorder: WatchRecorder) -> None:
         async with trio.open_nursery() as nursery:
             new = FakeDiscovery()
             await nursery.start(new.serve)
             _, stream = await discovery.next_request()
-            await trio.sleep(0.15)  # later than the close of an idle connection shows
+            await trio.sleep(0.15)  # longer than IDLE_CLOSE_S, so the close is a loss
             await stream.aclose()
             with trio.fail_after(5):
                 while not recorder.losses:
                     await trio.sleep(0.01)
-            recorder.watch.set_address(Address("127.0.0.1", new.port))  # the controller's backoff is not over
+            recorder.watch.set_address(Address("127.0.0.1", new.port))  # during the controller's backoff
             target, _ = await new.next_request()
             assert "after=7" in target
             nursery.cancel_scope.cancel()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_idle_connection_closed_as_the_request_is_written_is_retried_without_a_loss() -> None:
     async def scenario(discovery: FakeDiscovery, recorder: WatchRecorder) -> None:
         _, stream = await discovery.next_request()
-        await answer(stream, 8)
+        await send_answer(stream, 8)
         target, stream = await discovery.next_request()
-        await stream.aclose()  # closed with the request read and not answered
+        await stream.aclose()  # closed after the request was read, without an answer
         target, stream = await discovery.next_request()
         assert "after=8" in target and discovery.connection_count == 2 and not recorder.losses
-        await answer(stream, 9)
+        await send_answer(stream, 9)
         await discovery.next_request()
         assert recorder.versions == [8, 9]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_discovery_that_answers_at_once_without_news_gets_ten_requests_a_second() -> None:
+def test_immediate_answers_without_changes_limit_requests_to_ten_per_second() -> None:
     async def scenario(discovery: FakeDiscovery, recorder: WatchRecorder) -> None:
         with trio.move_on_after(1.05):
             while True:
                 _, stream = await discovery.next_request()
-                await answer(stream, 7)
+                await send_answer(stream, 7)
         assert 5 <= len(recorder.versions) <= 11
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_malformed_answer_is_followed_by_a_request_for_the_complete_list() -> None:
     async def scenario(discovery: FakeDiscovery, recorder: WatchRecorder) -> None:
         _, stream = await discovery.next_request()
-        await answer(stream, -1)
+        await send_answer(stream, -1)
         with trio.fail_after(5):
             while not recorder.losses:
                 await trio.sleep(0.01)
@@ -194,7 +196,7 @@
         target, _ = await discovery.next_request()
         assert target == "/v1/servers"
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -210,7 +212,7 @@
 ) -> None:
     async def scenario(discovery: FakeDiscovery, recorder: WatchRecorder) -> None:
         _, stream = await discovery.next_request()
-        await respond(stream, status, body)
+        await send_response(stream, status, body)
         with trio.fail_after(5):
             while not recorder.losses:
                 await trio.sleep(0.01)
@@ -221,4 +223,4 @@
         target, _ = await discovery.next_request()
         assert "after=7" in target and discovery.connection_count == 2
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/test_platform_framing.py
+++ b/tests/test_platform_framing.py
@@ -1,4 +1,4 @@
-"""Frames of the platform protocol: encoding, and decoding of bytes that come in any pieces."""
+"""Frames of the platform protocol: encoding, and decoding of bytes that are split anywhere."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from willowhook.platform.fields import Fields
 from willowhook.platform.framing import MAX_MESSAGE_BYTES, FrameDecoder, FramingError, encode_frame
 
-# Of the examples. A derandomized test draws them by its source: these are the draws of its text on 06ecd3e.
+# Keeps the examples of 06ecd3e: a derandomized test would otherwise derive its seed from its source.
 FRAMES_SEED = int(
     "1035353274498939959984552972292467765230976678748866926952"
     "0902704655941131432925682292450944292664453877800212089889"
@@ -51,7 +51,7 @@
         b"\1\0\0\0{",
     ],
 )
-def test_malformed_frame_raises_framing_error_after_the_good_ones(malformed: bytes) -> None:
+def test_malformed_frame_raises_framing_error_after_the_valid_ones(malformed: bytes) -> None:
     decoded = []
     with pytest.raises(FramingError):
         for message in FrameDecoder().feed(encode_frame(DONE) + malformed):
@@ -59,7 +59,7 @@
     assert decoded == [DONE]
 
 
-def test_limit_on_message_size_can_be_lifted_between_two_messages_of_one_read() -> None:
+def test_message_size_limit_can_be_raised_between_two_messages_of_one_read() -> None:
     first = encode_frame({"t": "a"})
     second = encode_frame({"t": "b" * 100})
     decoder = FrameDecoder(max_message_bytes=20)
--- a/tests/test_platform_messages.py
+++ b/tests/test_platform_messages.py
@@ -1,4 +1,4 @@
-"""Messages of proxies and collectors: decoded into typed events, or refused for a field."""
+"""Messages of proxies and collectors are decoded into typed events, or refused for a malformed field."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from willowhook.platform.messages import CollectorJoined, Heartbeat, MessageDecoder
 
 DECODER = MessageDecoder(SETTINGS)
-# Of the examples. A derandomized test draws them by its source: these are the draws of its text on 06ecd3e.
+# Keeps the examples of 06ecd3e: a derandomized test would otherwise derive its seed from its source.
 FIELDS_SEED = int(
     "2175043009933715140586272002597691188580024527174903565668"
     "4190788435737719533185003874063150542284913072437019269859"
 )
 
-UNREAD_FIELDS = {("done", "proxy")}  # the connection says whose acknowledgement it is
+UNREAD_FIELDS = {("done", "proxy")}  # the connection identifies the proxy
 
 
 def test_messages_decode_to_events() -> None:
@@ -33,20 +33,20 @@
     assert DECODER.decode(CLIENT_STATS, 4) == RequestReport(4, "read", 19, 5000)
 
 
-def test_endpoint_report_accepts_load_under_either_name() -> None:
+def test_endpoint_report_accepts_either_name_of_a_load_figure() -> None:
     report = EndpointReport("s-1", 212, 3, 417, 0.61)
     assert DECODER.decode(UPSTREAM_STATS, None) == report
     assert DECODER.decode({**UPSTREAM_STATS, "load": {"busy": 0.61, "q": 2}}, None) == report
 
 
-def test_request_report_may_hold_more_failures_than_requests() -> None:
-    """Requests of an earlier window may fail in one without requests."""
+def test_request_report_may_have_more_failures_than_requests() -> None:
+    """Requests of an earlier window may fail in a window that has none."""
     fields = {**CLIENT_STATS, "tries": 0, "failed": 1}
     assert DECODER.decode(fields, 4) == RequestReport(4, "read", 0, 5000)
 
 
-def test_request_report_for_another_proxy_is_refused_unless_a_collector_passes_it_on() -> None:
-    """Guards against a proxy that speaks for others."""
+def test_request_report_for_another_proxy_is_refused_unless_a_collector_forwards_it() -> None:
+    """Guards against a proxy that sends reports in the name of others."""
     with pytest.raises(MalformedFieldError, match=r"^proxy: expected 5, the proxy of the connection, got 4$"):
         DECODER.decode(CLIENT_STATS, 5)
     assert DECODER.decode(CLIENT_STATS, None) == RequestReport(4, "read", 19, 5000)
@@ -63,7 +63,7 @@
         DECODER.decode(DONE, None)
 
 
-def test_field_error_names_the_field_and_what_came_in_few_characters() -> None:
+def test_field_error_names_the_field_and_describes_the_value_briefly() -> None:
     for value in ("x" * 10_000, 10**300, [0] * 10_000, None, -1, 1.5, True):
         with pytest.raises(
             MalformedFieldError, match="^mark: expected an integer from 0 to 65535, got "
--- a/tests/test_platform_proxy_updates.py
+++ b/tests/test_platform_proxy_updates.py
@@ -1,4 +1,4 @@
-"""Updates to proxies: a plain proxy holds what was commanded, and pays for what the controller charged."""
+"""Updates to proxies: their effect on a reference proxy, and their cost as the controller charged it."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from willowhook.platform.proxy_updates import ProxyUpdates
 from willowhook.platform.update_encoder import EncodedParts
 
-# Of the examples. A derandomized test draws them by its source: these are the draws of its text on 06ecd3e.
+# Keeps the examples of 06ecd3e: a derandomized test would otherwise derive its seed from its source.
 COMMANDS_SEED = int(
     "2605604781672522612501177897840866760238009657961113518655"
     "2893522698502010544580808063485146990270976708229783239649"
@@ -54,7 +54,7 @@
 
 
 class CommandedState:
-    """What the proxies should hold after a script of commands."""
+    """The state that the proxies should have after a sequence of commands."""
 
     def __init__(self) -> None:
         self.proxies = {number: ReferenceProxy(ROUTE_NAMES) for number in range(3)}
@@ -127,12 +127,12 @@
             assert [endpoint for endpoint in held if endpoint not in proxy.excluded] == usable
 
 
-def test_session_closed_by_a_send_costs_the_others_none_of_their_updates() -> None:
+def test_session_closed_during_a_send_does_not_affect_updates_of_others() -> None:
     sent: dict[int, list[list[bytes]]] = {}
 
     def send(proxy: int, update: EncodedParts) -> None:
         sent.setdefault(proxy, []).append(update.frames)
-        if proxy == 1:  # its connection fails as it is written to
+        if proxy == 1:  # as when its connection fails during the write
             updates.close_session(1)
 
     updates = ProxyUpdates(SETTINGS, send)
@@ -148,7 +148,7 @@
     updates.readmit_endpoint("b")  # another controller may have excluded it at proxies that are not fresh
     updates.flush()
     assert len(sent[0]) == 2 and len(sent[1]) == 1
-    updates.exclude_for_proxy(2, ["b", "c"])  # they were excluded before it joined: the others know
+    updates.exclude_for_proxy(2, ["b", "c"])  # excluded before it joined; the others have been sent this
     updates.exclude_for_proxy(1, ["b"])  # it has left
     updates.flush()
     assert len(sent[0]) == 2 and len(sent[1]) == 1
@@ -156,7 +156,7 @@
 
 
 class CountingRuntime(ProxyUpdates):
-    """A runtime that counts the entries that leave, and carries out the commands on proxies only."""
+    """A runtime that counts the entries sent, and executes only the commands on proxies and tables."""
 
     def __init__(self, deployment: DeploymentSettings) -> None:
         route_names = [route.name for route in deployment.routes]
@@ -214,9 +214,11 @@
         controller.handle(now, EvaluationDue())
         controller.flush(now)
         runtime.flush()
-        # an entry set twice in a batch, or at a session that was closed, is sent once or not at all
+        # an entry set twice in a batch is sent once; one of a closed session is not sent
         assert runtime.sent_entries <= charged_entries
         for number, proxy in runtime.proxies.items():
             for marker in proxy.sync_markers[-1:]:
                 controller.handle(now, MessageAcknowledged(number, marker))
-    assert runtime.sent_entries > 0.8 * charged_entries  # the rest is what a bind repeats in its batch
+    assert (
+        runtime.sent_entries > 0.8 * charged_entries
+    )  # the rest are entries that a bind in the same batch sends again
--- a/tests/test_platform_server.py
+++ b/tests/test_platform_server.py
@@ -1,4 +1,4 @@
-"""The controller process on the platform, against a fake discovery, proxies and unidentified peers."""
+"""The controller process on the platform, with a fake discovery server, proxies and unidentified peers."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
     ATTACH,
     ControllerProcess,
     FakeDiscovery,
-    excluded_in,
+    received_exclusions,
+    received_weights,
     reserve_port,
-    weights_in,
 )
 from process_signals import BLOCKED, has_signal
 
@@ -40,22 +40,22 @@
 def test_proxy_is_served_through_draining_reconnection_reload_and_termination(tmp_path: Path) -> None:
     controller = ControllerProcess(tmp_path)
     new_discovery = FakeDiscovery()
-    for host in ("h0", "h1"):
-        controller.discovery.list(host)
+    for endpoint in ("h0", "h1"):
+        controller.discovery.set_entry(endpoint)
 
     async def scenario(process: subprocess.Popen[bytes]) -> None:
         proxy = await controller.connect()
-        for byte in encode_frame(ATTACH):  # its bytes come one by one
+        for byte in encode_frame(ATTACH):  # sent byte by byte
             await proxy.stream.send_all(bytes([byte]))
-        await proxy.receive_until(lambda received: set(weights_in(received)) == {"h0", "h1"})
-        controller.discovery.list("h1", "leaving")
-        await proxy.receive_until(lambda received: excluded_in(received) == ["h1"])
-        # malformed messages cost nothing but themselves
+        await proxy.receive_until(lambda received: set(received_weights(received)) == {"h0", "h1"})
+        controller.discovery.set_entry("h1", "leaving")
+        await proxy.receive_until(lambda received: received_exclusions(received) == ["h1"])
+        # malformed messages are ignored, and the connection stays open
         await proxy.send({"t": "done", "mark": "x"}, {"t": "odd"}, {"t": "client_stats"}, {"t": "hb"})
         await proxy.receive_until(lambda received: {"t": "hb_ok"} in received)
-        reconnected = await controller.connect()  # before its old connection was seen to end
+        reconnected = await controller.connect()  # before the old connection is closed
         await reconnected.send({**ATTACH, "fresh": False})
-        await reconnected.receive_until(lambda received: "h0" in weights_in(received))
+        await reconnected.receive_until(lambda received: "h0" in received_weights(received))
         with trio.fail_after(5):
             await proxy.receive_until_closed()
         new_discovery.version = controller.discovery.version
@@ -71,8 +71,8 @@
             with trio.fail_after(5):
                 while not new_discovery.request_count:
                     await trio.sleep(0.02)
-            new_discovery.list("h2")
-            await reconnected.receive_until(lambda received: "h2" in weights_in(received))
+            new_discovery.set_entry("h2")
+            await reconnected.receive_until(lambda received: "h2" in received_weights(received))
             nursery.cancel_scope.cancel()
         process.send_signal(signal.SIGTERM)
         with trio.fail_after(5):
@@ -87,7 +87,7 @@
 
 
 def test_proxy_is_sent_no_empty_table_while_discovery_lists_nothing(tmp_path: Path) -> None:
-    """Guards against a start without a list that takes away the tables that proxies hold."""
+    """Guards against a controller that starts without a list and clears the tables of its proxies."""
     controller = ControllerProcess(tmp_path)
 
     async def scenario(_process: subprocess.Popen[bytes]) -> None:
@@ -96,13 +96,13 @@
         with trio.move_on_after(2.0):
             await proxy.receive_until(lambda received: bool(received))
         assert not proxy.received
-        controller.discovery.list("h0")
-        await proxy.receive_until(lambda received: set(weights_in(received)) == {"h0"})
+        controller.discovery.set_entry("h0")
+        await proxy.receive_until(lambda received: set(received_weights(received)) == {"h0"})
 
     controller.run(scenario)
 
 
-def test_half_written_configuration_is_read_again_without_another_signal(tmp_path: Path) -> None:
+def test_partially_written_configuration_is_reread_without_another_signal(tmp_path: Path) -> None:
     controller = ControllerProcess(tmp_path)
     new_discovery = FakeDiscovery()
 
@@ -129,10 +129,10 @@
 @pytest.mark.parametrize(
     "value", [10**400, 0, "4.0", float("inf")], ids=["large", "zero", "text", "infinite"]
 )
-def test_malformed_setting_at_sighup_leaves_the_configuration_in_force(tmp_path: Path, value: object) -> None:
-    """Guards against a number that ends the program."""
+def test_malformed_setting_at_sighup_keeps_the_current_configuration(tmp_path: Path, value: object) -> None:
+    """Guards against a number in the file that terminates the process."""
     controller = ControllerProcess(tmp_path)
-    controller.discovery.list("h0")
+    controller.discovery.set_entry("h0")
     controller.settings = {
         **controller.settings,
         "extra": {**controller.settings["extra"], "egress-per-s": value},
@@ -146,7 +146,7 @@
                 await trio.sleep(0.02)
         proxy = await controller.connect()
         await proxy.send(ATTACH)
-        await proxy.receive_until(lambda received: set(weights_in(received)) == {"h0"})
+        await proxy.receive_until(lambda received: set(received_weights(received)) == {"h0"})
         process.send_signal(signal.SIGTERM)
         assert await trio.to_thread.run_sync(process.wait) == 0
 
@@ -155,9 +155,9 @@
 
 @pytest.mark.parametrize("second", [signal.SIGTERM, signal.SIGHUP, signal.SIGINT])
 def test_signals_in_series_end_the_process_with_code_0(tmp_path: Path, second: signal.Signals) -> None:
-    """Guards against a second signal that meets the default action while the process ends."""
+    """Guards against a second signal that has its default action while the process exits."""
     controller = ControllerProcess(tmp_path)
-    controller.discovery.list("h0")
+    controller.discovery.set_entry("h0")
 
     async def scenario(process: subprocess.Popen[bytes]) -> None:
         process.send_signal(signal.SIGTERM)
@@ -169,15 +169,15 @@
     assert "error" not in controller.run(scenario)
 
 
-def test_signals_during_the_start_are_held_back(tmp_path: Path) -> None:
-    """Guards against a SIGHUP that ends a process which has no receiver yet."""
+def test_signals_during_startup_are_blocked_until_the_server_runs(tmp_path: Path) -> None:
+    """Guards against a SIGHUP that terminates a process before it has installed its receiver."""
     controller = ControllerProcess(tmp_path)
     with (
         controller.log_path.open("wb") as log,
         subprocess.Popen(**controller.command(), stderr=log) as process,
     ):
         while not has_signal(process.pid, BLOCKED, signal.SIGHUP):
-            assert not _answers(controller.port), "it serves and never held signals back"
+            assert not _is_listening(controller.port), "the controller serves without having blocked signals"
         process.send_signal(signal.SIGHUP)
         trio.run(controller.wait_until_ready)
         assert "configuration reloaded" in controller.read_log()
@@ -185,27 +185,27 @@
         assert process.wait(5) == 0
 
 
-def _answers(port: int) -> bool:
+def _is_listening(port: int) -> bool:
     with socket.socket() as probe:
         return probe.connect_ex(("127.0.0.1", port)) == 0
 
 
-def test_proxy_that_joins_on_two_connections_in_one_turn_keeps_the_newer(tmp_path: Path) -> None:
+def test_proxy_that_joins_on_two_connections_in_one_event_loop_pass_keeps_the_newer(tmp_path: Path) -> None:
     controller = ControllerProcess(tmp_path)
-    controller.discovery.list("h0")
+    controller.discovery.set_entry("h0")
 
     async def scenario(process: subprocess.Popen[bytes]) -> None:
-        process.send_signal(signal.SIGSTOP)  # so that all of it is read in one turn
+        process.send_signal(signal.SIGSTOP)  # so that all messages are read in one pass of the event loop
         older = await controller.connect()
         newer = await controller.connect()
-        await older.send(ATTACH, ATTACH, {"t": "hb"})  # twice on one connection, too
+        await older.send(ATTACH, ATTACH, {"t": "hb"})  # also joins twice on one connection
         await newer.send({**ATTACH, "fresh": False})
         process.send_signal(signal.SIGCONT)
-        await newer.receive_until(lambda received: "h0" in weights_in(received))
+        await newer.receive_until(lambda received: "h0" in received_weights(received))
         with trio.fail_after(5):
             await older.receive_until_closed()
-        controller.discovery.list("h0", "leaving")
-        await newer.receive_until(lambda received: excluded_in(received) == ["h0"])
+        controller.discovery.set_entry("h0", "leaving")
+        await newer.receive_until(lambda received: received_exclusions(received) == ["h0"])
         assert process.poll() is None
 
     assert "Traceback" not in controller.run(scenario)
@@ -213,7 +213,7 @@
 
 def test_unidentified_peers_are_rejected_in_time_and_leave_descriptors_for_proxies(tmp_path: Path) -> None:
     controller = ControllerProcess(tmp_path, sockets=64)
-    controller.discovery.list("h0")
+    controller.discovery.set_entry("h0")
 
     async def expect_close(first_bytes: bytes) -> None:
         peer = await controller.connect()
@@ -229,29 +229,31 @@
         async with trio.open_nursery() as nursery:
             for first_bytes in FIRST_BYTES_OF_UNIDENTIFIED.values():
                 nursery.start_soon(expect_close, first_bytes)
-        crowd = [await controller.connect() for _ in range(150)]  # more than it may have descriptors
+        unidentified_peers = [
+            await controller.connect() for _ in range(150)
+        ]  # more than its limit of descriptors
         proxy = await controller.connect()
         await proxy.send(ATTACH)
-        await proxy.receive_until(lambda received: "h0" in weights_in(received))
+        await proxy.receive_until(lambda received: "h0" in received_weights(received))
         assert len(os.listdir(f"/proc/{process.pid}/fd")) <= 64
-        for peer in crowd:
+        for peer in unidentified_peers:
             await peer.stream.aclose()
         assert process.poll() is None
 
     controller.run(scenario)
 
 
-def test_peer_that_reads_nothing_is_closed_and_delays_nobody(tmp_path: Path) -> None:
+def test_peer_that_does_not_read_is_closed_and_delays_no_other(tmp_path: Path) -> None:
     controller = ControllerProcess(tmp_path)
-    for k in range(40):
-        controller.discovery.list(f"h{k}-{'x' * 150}")
+    for number in range(40):
+        controller.discovery.set_entry(f"h{number}-{'x' * 150}")
 
     async def scenario(process: subprocess.Popen[bytes]) -> None:
         slow = await controller.connect()
         good = await controller.connect()
         await slow.send(ATTACH)
         await good.send({**ATTACH, "proxy": 1})
-        await good.receive_until(lambda received: len(weights_in(received)) == 40)
+        await good.receive_until(lambda received: len(received_weights(received)) == 40)
         with pytest.raises(trio.BrokenResourceError):
             for _ in range(100):
                 await slow.send(*[{"t": "hb"}] * 10_000)
@@ -262,22 +264,22 @@
     controller.run(scenario)
 
 
-def test_proxy_that_acknowledges_nothing_while_others_do_is_closed(tmp_path: Path) -> None:
-    """Guards against messages that are kept without bound, and without a line in the log."""
+def test_proxy_that_never_acknowledges_while_others_do_is_closed_and_logged(tmp_path: Path) -> None:
+    """Guards against unbounded unacknowledged messages, and against a close without a log line."""
     controller = ControllerProcess(tmp_path)
-    for host in ("h0", "h1"):
-        controller.discovery.list(host)
+    for endpoint in ("h0", "h1"):
+        controller.discovery.set_entry(endpoint)
 
     async def scenario(process: subprocess.Popen[bytes]) -> None:
         proxy = await controller.connect()
         await proxy.send(ATTACH)
         silent = await controller.connect()
         await silent.send({**ATTACH, "proxy": 1})
-        await proxy.receive_until(lambda received: set(weights_in(received)) == {"h0", "h1"})
+        await proxy.receive_until(lambda received: set(received_weights(received)) == {"h0", "h1"})
         for _ in range(MAX_UNACKNOWLEDGED_MESSAGES):
             for health, field in (("leaving", "drop"), ("active", "undrop")):
                 proxy.received.clear()
-                controller.discovery.list("h1", health)
+                controller.discovery.set_entry("h1", health)
                 await proxy.receive_until(
                     lambda received, field=field: any(field in part for part in received)
                 )
@@ -295,15 +297,15 @@
         other.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)  # the port is reserved
         other.bind(("127.0.0.1", controller.port))
         other.listen()
-        ended = subprocess.run(**controller.command(), stderr=subprocess.PIPE, text=True, timeout=20)
-    assert ended.returncode == 2
-    assert f"cannot listen address=127.0.0.1:{controller.port} error=" in ended.stderr
+        completed = subprocess.run(**controller.command(), stderr=subprocess.PIPE, text=True, timeout=20)
+    assert completed.returncode == 2
+    assert f"cannot listen address=127.0.0.1:{controller.port} error=" in completed.stderr
 
 
 def test_missing_configuration_ends_the_process_with_code_2(tmp_path: Path) -> None:
     controller = ControllerProcess(tmp_path)
     controller.configuration_path.unlink()
-    ended = subprocess.run(**controller.command(), stderr=subprocess.PIPE, text=True, timeout=20)
-    assert ended.returncode == 2
-    assert len(ended.stderr.splitlines()) == 1
-    assert "cannot start error='ROUTER_CONFIG cannot be read: No such file or directory'" in ended.stderr
+    completed = subprocess.run(**controller.command(), stderr=subprocess.PIPE, text=True, timeout=20)
+    assert completed.returncode == 2
+    assert len(completed.stderr.splitlines()) == 1
+    assert "cannot start error='ROUTER_CONFIG cannot be read: No such file or directory'" in completed.stderr
--- a/tests/test_platform_status_log.py
+++ b/tests/test_platform_status_log.py
@@ -1,4 +1,4 @@
-"""The status line of the platform server, and the events that come from discovery."""
+"""The status line of the platform server, and the events submitted for discovery answers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from willowhook.platform.status_log import ServerStatus, format_status
 
 
-def test_status_line_holds_figures_as_key_and_value() -> None:
+def test_status_line_has_figures_as_key_value_pairs() -> None:
     controller = ControllerStatus(
         endpoints_in_service=190,
         endpoint_count=200,
@@ -42,15 +42,17 @@
 def test_discovery_events_logs_a_loss_once_and_its_recovery() -> None:
     events: list[Event] = []
     log: list[str] = []
-    feed = DiscoveryEvents(events.append, log.append)
-    assert feed.load({"seq": 3, "whole": True, "hosts": [list_entry("a")]}) == 3
+    discovery_events = DiscoveryEvents(events.append, log.append)
+    assert discovery_events.load({"seq": 3, "whole": True, "hosts": [list_entry("a")]}) == 3
     assert isinstance(events[0], EndpointListReceived)
-    feed.handle_loss("timeout")
-    feed.handle_loss("timeout")
+    discovery_events.handle_loss("timeout")
+    discovery_events.handle_loss("timeout")
     assert events[1:] == [EndpointListLost(), EndpointListLost()]
     assert log == ["discovery lost error='timeout'"]
     with pytest.raises(MalformedFieldError):
-        feed.handle_answer({"seq": "x"})
+        discovery_events.handle_answer({"seq": "x"})
     assert len(log) == 1
-    assert feed.handle_answer({"seq": 3, "whole": False, "hosts": []}) == 3  # no change, and no event
+    assert (
+        discovery_events.handle_answer({"seq": 3, "whole": False, "hosts": []}) == 3
+    )  # no changes, so no event
     assert len(events) == 3 and log[1:] == ["discovery recovered"]
