--- a/willowhook/roster/reader.py
+++ b/willowhook/roster/reader.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from ..web.wire import Broken, Caller, dial
+from ..web.wire import ClientConnection, ConnectionLostError, open_connection
 from .forms import BlockingQueryIndex, DiscoveredEndpoint, DiscoveryError, parse_endpoints
 
 SLACK = 1.0 / 16  # the form lets a server answer a wait late by this share
@@ -25,7 +25,7 @@
         self._agent = f"willowhook/{client_name}".encode()
         self._cursor = BlockingQueryIndex()
         self.last_body = b"[]"  # of the last list, as it came
-        self._caller: Caller | None = None
+        self._caller: ClientConnection | None = None
 
     async def fetch(self, is_immediate: bool) -> list[DiscoveredEndpoint] | None:
         """The list: at once if `whole`, else when it has changed; None if the wait passed without news."""
@@ -35,10 +35,10 @@
         try:
             with trio.fail_after(wait + self._patience):
                 if self._caller is None or not self._caller.usable:
-                    self._caller = await dial(self._address, self._port, self._patience)
+                    self._caller = await open_connection(self._address, self._port, self._patience)
                 head = [(b"user-agent", self._agent)]
-                reply = await self._caller.call(b"GET", (self._path + query).encode(), head)
-        except (Broken, trio.TooSlowError) as fault:
+                reply = await self._caller.request(b"GET", (self._path + query).encode(), head)
+        except (ConnectionLostError, trio.TooSlowError) as fault:
             await self.close()
             raise DiscoveryError(f"no answer: {type(fault).__name__}: {fault}".rstrip(": ")) from fault
         if reply.status != 200:
