--- a/willowhook/config/__init__.py
+++ b/willowhook/config/__init__.py
@@ -1,1 +1,1 @@
-"""What an operator gives a director: its JSON, the schema of that, and the checks of its values."""
+"""The configuration of a controller: its JSON form, its JSON Schema, and the validation of its values."""
--- a/willowhook/config/deployment.py
+++ b/willowhook/config/deployment.py
@@ -1,6 +1,6 @@
-"""The settings of a deployment and the order of its paths, from the configuration file of the control plane.
+"""Translates the control plane's configuration into a deployment's settings and the order of its paths.
 
-The configuration's keys give times in milliseconds; past this module they are ticks.
+The configuration states times in milliseconds; behind this module they are ticks.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from ..ticks import ticks_from_milliseconds
 from .terms import ChannelTerms, FleetTerms, PathTerms, RouteTerms, RuleTerms, Terms
 
-SEMANTICS = {  # by the word of the configuration
+SEMANTICS = {  # by their names in the configuration
     "repeatable": RequestSemantics.IDEMPOTENT,
     "keyed": RequestSemantics.DEDUPLICATED,
     "mutating": RequestSemantics.AT_MOST_ONCE,
@@ -28,39 +28,39 @@
 
 
 class PathEntry(NamedTuple):
-    """One path and where it leads.
+    """A path and the route that it belongs to.
 
     Attributes:
-        route: the index of its route; None: the path is closed.
-        terms: of the path; of a route itself where it is the route's own.
+        route: the index of the route; None: the path is closed.
+        config: the configuration of the path; for the route's main path, that of the route itself.
     """
 
     route: int | None
     config: PathTerms | RouteTerms
 
 
-def ordered_paths(terms: Terms) -> list[PathEntry]:
-    """All paths in the order in which a request is matched with them: by `order`, the longer first."""
+def ordered_paths(config: Terms) -> list[PathEntry]:
+    """Returns all paths in matching order: by `order`, and of the same order the longest first."""
     paths: list[PathEntry] = []
-    for index, route in enumerate(terms.routes):
+    for index, route in enumerate(config.routes):
         paths.append(PathEntry(index, route))
         paths += [PathEntry(index, path) for path in route.more]
-    paths += [PathEntry(None, path) for path in terms.closed]
+    paths += [PathEntry(None, path) for path in config.closed]
     return sorted(paths, key=lambda path: (path.config.order, -len(path.config.path)))
 
 
-def deployment_settings(terms: Terms) -> DeploymentSettings:
-    """The settings that the decisions read."""
+def deployment_settings(config: Terms) -> DeploymentSettings:
+    """Returns the settings that the decisions use."""
     return DeploymentSettings(
-        local_zone=terms.zone,
-        zones=terms.zones,
-        list_on_request=terms.roster.subscribe,
-        health_checks=terms.fleet.load_reports == "probe",
-        lists_capacity=terms.fleet.weights in CAPACITY_WEIGHTS,
-        routes=tuple(_route(route) for route in terms.routes),
-        channel=_channel_settings(terms.channel),
-        rules=_rule_settings(terms.rules),
-        fleet=_fleet_settings(terms.fleet),
+        local_zone=config.zone,
+        zones=config.zones,
+        list_on_request=config.roster.subscribe,
+        health_checks=config.fleet.load_reports == "probe",
+        lists_capacity=config.fleet.weights in CAPACITY_WEIGHTS,
+        routes=tuple(_route(route) for route in config.routes),
+        channel=_channel_settings(config.channel),
+        rules=_rule_settings(config.rules),
+        fleet=_fleet_settings(config.fleet),
     )
 
 
--- a/willowhook/config/example.py
+++ b/willowhook/config/example.py
@@ -1,4 +1,4 @@
-"""An example configuration: one of two directors of a fleet of a dozen hosts in two zones."""
+"""An example configuration: one of two controllers of a fleet with a dozen endpoints in two zones."""
 
 from __future__ import annotations
 
--- a/willowhook/config/terms.py
+++ b/willowhook/config/terms.py
@@ -1,6 +1,6 @@
-"""The configuration of one director, as typed structs; its JSON Schema is made from them.
+"""The configuration of one controller as typed structs, from which its JSON Schema is generated.
 
-Units stand in the names.  Every struct refuses unknown keys.
+The names of fields state their units. Every struct rejects unknown keys.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class ConfigSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A part of the configuration."""
+    """The base class of all sections of the configuration."""
 
 
 class FileTerms(ConfigSection, frozen=True, kw_only=True):
@@ -59,7 +59,7 @@
     path: RoutePath
     match: Match = "below"
     order: Order = 100_000
-    rewrite: Annotated[str, Meta(max_length=200)] = ""  # what hosts are asked for in the place of `path`
+    rewrite: Annotated[str, Meta(max_length=200)] = ""  # sent to endpoints in place of `path`
 
 
 class ClosedTerms(PathTerms, frozen=True, kw_only=True):
@@ -80,9 +80,10 @@
     order: Order = 100_000
     rewrite: Annotated[str, Meta(max_length=200)] = ""
     more: tuple[PathTerms, ...] = ()
-    hash_by: Annotated[str, Meta(pattern=r"^$|^source_ip$|^(header|cookie|query):[!-~]+$")] = ""  # a ring
-    tries: Annotated[int, Meta(ge=0, le=3)] = 3  # no more are ordered, whatever is decided
-    most_per_s: NonNegative = 0  # calls at one proxy, as a cap on what is let in; 0: none
+    # What consistent hashing uses.
+    hash_by: Annotated[str, Meta(pattern=r"^$|^source_ip$|^(header|cookie|query):[!-~]+$")] = ""
+    tries: Annotated[int, Meta(ge=0, le=3)] = 3  # upper bound on the published retry mode
+    most_per_s: NonNegative = 0  # cap on the requests that one proxy admits; 0: none
     slo_time_ms: Positive
     time_limit_ms: Positive
     importance: Positive = 1
@@ -152,22 +153,22 @@
 class GuardTerms(ConfigSection, frozen=True, kw_only=True):
     """The table guard, on the only way out."""
 
-    mode: Literal["on", "shadow", "off"] = "on"  # shadow: what would be refused passes, and is told of
-    cold_part: Annotated[float, Meta(gt=0, le=1)] = 0.8  # of a cold host's budget
-    swing: Annotated[float, Meta(ge=1)] = 6.0  # times its fair part of all calls, for one host
-    capacity_calls_per_s: dict[str, Positive] = {}  # by kind of host, where it is known
+    mode: Literal["on", "shadow", "off"] = "on"  # shadow: invalid updates are reported, but pass
+    cold_part: Annotated[float, Meta(gt=0, le=1)] = 0.8  # of the budget of an endpoint that is warming up
+    swing: Annotated[float, Meta(ge=1)] = 6.0  # one endpoint's requests, as a multiple of its fair share
+    capacity_calls_per_s: dict[str, Positive] = {}  # by endpoint class, where it is known
 
 
 class RolloutTerms(ConfigSection, frozen=True, kw_only=True):
     """When a content of a table stops going out, and who gets the next one first."""
 
     mode: Literal["after_refusal", "always", "never"] = "after_refusal"
-    refuse_share: Share = 0.03  # of those who answered: a larger share that refuses stops it
+    refuse_share: Share = 0.03  # of the proxies that answered: more rejections stop the rollout
     refuse_least: Annotated[int, Meta(ge=1, le=1_000_000)] = 2
     canary_share: Share = 0.05
     settle_ms: Positive = 2000
     patience_ms: Positive = 15_000
-    worse_share: Share = 0.05  # by which more of the canaries' calls may fail than of others
+    worse_share: Share = 0.05  # by which the canaries' failure rate may exceed that of other proxies
 
 
 class FrontTerms(ConfigSection, frozen=True, kw_only=True):
@@ -176,7 +177,7 @@
     listen: Annotated[str, Meta(pattern=r"^$|^[^: ]+:[0-9]+$")] = ""  # ADDRESS:PORT
     identity: Literal["bearer", "none"] = "bearer"
     credentials: str = ""  # a file: {"proxies": {NAME: SHA-256 of its token, in hex}}
-    wait_ms: Positive = 10_000  # a call without news is answered then
+    wait_ms: Positive = 10_000  # a request is answered after this time if nothing has changed
     come_back_ms: Positive = 1000
     connections_most: Annotated[int, Meta(ge=1, le=65_000)] = 4000
     proxy_connections_most: Annotated[int, Meta(ge=4, le=1000)] = 12
@@ -193,16 +194,16 @@
 class IntakeTerms(ConfigSection, frozen=True, kw_only=True):
     """How reports of proxies are taken in; the rate is `fleet.reports_per_s`."""
 
-    half_life_ms: Positive = 2000  # what comes so much too late counts half
-    slice_ms: Positive = 4  # looked at on end, before decisions have their turn
-    share: Annotated[float, Meta(gt=0, le=0.9)] = 0.3  # of all time that may go to looking at reports
+    half_life_ms: Positive = 2000  # a report that is late by this time has half the weight
+    slice_ms: Positive = 4  # of uninterrupted report processing before decisions have their turn
+    share: Annotated[float, Meta(gt=0, le=0.9)] = 0.3  # of all time that may be spent on processing reports
 
 
 class StoreTerms(ConfigSection, frozen=True, kw_only=True):
     """What a director keeps for its next life; without a folder nothing."""
 
     folder: str = ""
-    lasts_ms: Positive = 10_000  # for so long what was met is of use after a restart
+    lasts_ms: Positive = 10_000  # how long stored evidence is used after a restart
 
 
 class LinkTerms(ConfigSection, frozen=True, kw_only=True):
@@ -211,7 +212,7 @@
     listen: Annotated[str, Meta(pattern=r"^$|^[^: ]+:[0-9]+$")] = ""  # ADDRESS:PORT
     peers: tuple[Annotated[str, Meta(pattern=r"^http://[^/ ]+$")], ...] = ()
     timeout_ms: Positive = 500
-    lasts_ms: Positive = 10_000  # a hint is of use for so long
+    lasts_ms: Positive = 10_000  # how long a hint is used
 
 
 class Terms(ConfigSection, frozen=True, kw_only=True):
