--- a/tests/test_config_and_roster.py
+++ b/tests/test_config_and_roster.py
@@ -1,4 +1,4 @@
-"""Configurations with faults, and a roster that lies, stalls, goes back, or stops."""
+"""Invalid configurations, and a service registry that sends invalid lists, stalls, goes back or stops."""
 
 from __future__ import annotations
 
@@ -19,34 +19,34 @@
 from willowhook.roster.reader import DiscoveryClient
 from willowhook.web.wire import Call, Reply, answer_calls
 
-GOOD = json.loads(msgspec.json.encode(EXAMPLE))
+EXAMPLE_DOCUMENT = json.loads(msgspec.json.encode(EXAMPLE))
 
 
-def changed(place: str, value: Any) -> bytes:
-    """The example with one value put in, or taken out where it is None."""
-    top = json.loads(json.dumps(GOOD))
+def example_with(place: str, value: Any) -> bytes:
+    """Returns the example with one value replaced, or removed if it is None."""
+    document = json.loads(json.dumps(EXAMPLE_DOCUMENT))
     if place.startswith("front."):
-        top["front"] = {"listen": "10.0.0.1:80"}
+        document["front"] = {"listen": "10.0.0.1:80"}
     *path, last = [int(part) if part.isdigit() else part for part in place.split(".")]
-    inner = top
+    inner = document
     for part in path:
         inner = inner[part]
     if value is None:
         del inner[last]
     else:
         inner[last] = value
-    return json.dumps(top).encode()
+    return json.dumps(document).encode()
 
 
-def test_the_example_is_good_by_the_check_and_by_the_schema() -> None:
-    assert parse_config(json.dumps(GOOD).encode()) == EXAMPLE
-    jsonschema.validate(GOOD, schema())
+def test_example_passes_validation_and_schema() -> None:
+    assert parse_config(json.dumps(EXAMPLE_DOCUMENT).encode()) == EXAMPLE
+    jsonschema.validate(EXAMPLE_DOCUMENT, schema())
     with pytest.raises(jsonschema.ValidationError):
-        jsonschema.validate(json.loads(changed("channel.lines_per_s", 0)), schema())
+        jsonschema.validate(json.loads(example_with("channel.lines_per_s", 0)), schema())
 
 
 @pytest.mark.parametrize(
-    ("place", "value", "told"),
+    ("place", "value", "expected"),
     [
         ("front.listen", "10.0.0.1:80", ("$.front.credentials", "missing")),
         ("front.identity", "none", ("$.front.identity", "is allowed on loopback only")),
@@ -79,29 +79,35 @@
         ),
     ],
 )
-def test_each_fault_is_told_with_its_place_and_cause(place: str, value: Any, told: tuple[str, str]) -> None:
+def test_parse_config_reports_each_error_with_place_and_cause(
+    place: str, value: Any, expected: tuple[str, str]
+) -> None:
     with pytest.raises(ConfigError) as caught:
-        parse_config(changed(place, value))
-    assert any(at == told[0] and told[1] in cause for at, cause in caught.value.errors), caught.value.errors
+        parse_config(example_with(place, value))
+    assert any(
+        found == expected[0] and expected[1] in cause for found, cause in caught.value.errors
+    ), caught.value.errors
 
 
 @pytest.mark.parametrize("data", [b"", b"{", b"\xff", b'{"name": 1, "name": 2}', b"[" * 100_000, b"3"])
-def test_what_is_no_configuration_is_told(data: bytes) -> None:
+def test_parse_config_rejects_malformed_documents(data: bytes) -> None:
     with pytest.raises(ConfigError, match=r"\$"):
         parse_config(data)
 
 
-def test_the_command_names_file_place_and_cause(tmp_path: Any) -> None:
-    run, path = CliRunner(mix_stderr=False), tmp_path / "d.json"
-    path.write_bytes(changed("rules.bare", 1))
-    got = run.invoke(main, ["config", "check", str(path)])
-    assert got.exit_code == 2 and f"{path}: $.rules.bare: unknown key; is 'bare_ms' meant?" in got.stderr
-    assert run.invoke(main, ["config", "check", str(tmp_path / "none")]).exit_code == 2
-    example = run.invoke(main, ["config", "example"])
+def test_config_check_command_prints_file_place_and_cause(tmp_path: Any) -> None:
+    runner, path = CliRunner(mix_stderr=False), tmp_path / "d.json"
+    path.write_bytes(example_with("rules.bare", 1))
+    result = runner.invoke(main, ["config", "check", str(path)])
+    assert (
+        result.exit_code == 2 and f"{path}: $.rules.bare: unknown key; is 'bare_ms' meant?" in result.stderr
+    )
+    assert runner.invoke(main, ["config", "check", str(tmp_path / "none")]).exit_code == 2
+    example = runner.invoke(main, ["config", "example"])
     path.write_text(example.stdout)
-    assert run.invoke(main, ["config", "check", str(path)]).exit_code == 0
-    assert json.loads(run.invoke(main, ["config", "schema"]).stdout)["$defs"]
-    assert run.invoke(main, ["tables", "show", str(tmp_path / "none")]).exit_code == 2
+    assert runner.invoke(main, ["config", "check", str(path)]).exit_code == 0
+    assert json.loads(runner.invoke(main, ["config", "schema"]).stdout)["$defs"]
+    assert runner.invoke(main, ["tables", "show", str(tmp_path / "none")]).exit_code == 2
 
 
 def entry(**service: Any) -> dict[str, Any]:
@@ -110,79 +116,86 @@
     return {"Node": {"Datacenter": "north"}, "Service": {**base, **service}, "Checks": []}
 
 
-def test_entries_become_hosts() -> None:
+def test_parse_endpoints_reads_entries() -> None:
     draining = {**entry(ID="b"), "Checks": [{"CheckID": "_service_maintenance:b", "Status": "critical"}]}
-    sick = {**entry(ID="c"), "Checks": [{"CheckID": "http", "Status": "critical"}]}
-    hosts = parse_endpoints(json.dumps([entry(), draining, sick]).encode())
-    shown = [(h.id, h.draining, h.started, h.zone, h.endpoint_class) for h in hosts]
-    assert shown == [(name, name == "b", 3.5, "north", "wide") for name in "abc"]
+    failing = {**entry(ID="c"), "Checks": [{"CheckID": "http", "Status": "critical"}]}
+    endpoints = parse_endpoints(json.dumps([entry(), draining, failing]).encode())
+    properties = [
+        (endpoint.id, endpoint.draining, endpoint.started, endpoint.zone, endpoint.endpoint_class)
+        for endpoint in endpoints
+    ]
+    assert properties == [(name, name == "b", 3.5, "north", "wide") for name in "abc"]
 
 
 @pytest.mark.parametrize(
-    ("rows", "cause"),
+    ("response", "cause"),
     [
         ([entry(Port=0)], r"\[0\].Service.Port of a is 0"),
         ([entry(), entry()], r"\[1\].Service.ID a is listed twice"),
-        ([entry(ID="")], "no name of a host"),
-        ([entry(ID="x\n")], "no name of a host"),
+        ([entry(ID="")], "is not a valid endpoint name"),
+        ([entry(ID="x\n")], "is not a valid endpoint name"),
         ([entry(Address="")], "is empty, and so is its node's"),
-        ([entry(Meta={"started": "soon"})], "Meta.started of a is no number"),
+        ([entry(Meta={"started": "soon"})], "Meta.started of a is not a number"),
         ([entry(Meta={"started": "-1"})], "Meta.started of a is -1"),
         ({"a": 1}, "not a list of entries"),
         ([{}], "not a list of entries"),
     ],
 )
-def test_a_list_that_lies_is_refused_whole(rows: Any, cause: str) -> None:
+def test_parse_endpoints_rejects_invalid_lists(response: Any, cause: str) -> None:
     with pytest.raises(DiscoveryError, match=cause):
-        parse_endpoints(json.dumps(rows).encode())
+        parse_endpoints(json.dumps(response).encode())
 
 
-def test_an_index_that_goes_back_starts_again() -> None:
-    cursor = BlockingQueryIndex()
-    assert cursor.record_index(b"7") and not cursor.record_index(b"7") and cursor.record_index(b"9")
-    assert cursor.record_index(b"3") and cursor.index == 0
+def test_query_index_that_decreases_starts_again() -> None:
+    query_index = BlockingQueryIndex()
+    assert (
+        query_index.record_index(b"7")
+        and not query_index.record_index(b"7")
+        and query_index.record_index(b"9")
+    )
+    assert query_index.record_index(b"3") and query_index.index == 0
     with pytest.raises(DiscoveryError):
-        cursor.record_index(None)
+        query_index.record_index(None)
 
 
-def test_the_reader_waits_for_news_and_tells_of_every_failure() -> None:
-    bodies = {"index": 5, "how": "good"}
-    asked: list[bytes] = []
+def test_discovery_client_waits_for_changes_and_reports_every_failure() -> None:
+    registry = {"index": 5, "mode": "good"}
+    targets: list[bytes] = []
 
-    async def answer(call: Call) -> Reply | None:
-        asked.append(call.target)
-        if bodies["how"] == "stall":
+    async def answer(request: Call) -> Reply | None:
+        targets.append(request.target)
+        if registry["mode"] == "stall":
             await trio.sleep_forever()
-        if bodies["how"] == "break":
+        if registry["mode"] == "break":
             return None
-        if bodies["how"] == "error":
+        if registry["mode"] == "error":
             return Reply(500)
-        head = [(b"x-consul-index", b"%d" % bodies["index"])] if bodies["how"] != "bare" else []
-        body = json.dumps([entry()]).encode() if bodies["how"] == "good" else b"<html>"
-        return Reply(200, head, body)
+        headers = [(b"x-consul-index", b"%d" % registry["index"])] if registry["mode"] != "no index" else []
+        body = json.dumps([entry()]).encode() if registry["mode"] == "good" else b"<html>"
+        return Reply(200, headers, body)
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with trio.open_nursery() as nursery:
             listeners = await nursery.start(partial(trio.serve_tcp, partial(answer_calls, answer=answer), 0))
             port = listeners[0].socket.getsockname()[1]
-            roster = DiscoveryClient(f"http://127.0.0.1:{port}/x", "tasks", 0.1, 0.15)
-            first = await roster.fetch(True)
-            assert first is not None and first[0].id == "a" and asked[0] == b"/x/v1/health/service/tasks"
-            assert await roster.fetch(False) is None and b"index=5&wait=0.1s" in asked[-1]
-            bodies["index"] = 6
-            assert await roster.fetch(False) is not None
-            for how, cause in (("stall", "no answer"), ("break", "no answer"), ("error", "status 500"),
-                               ("bare", "X-Consul-Index")):  # fmt: skip
-                bodies["how"] = how
+            client = DiscoveryClient(f"http://127.0.0.1:{port}/x", "tasks", 0.1, 0.15)
+            first = await client.fetch(True)
+            assert first is not None and first[0].id == "a" and targets[0] == b"/x/v1/health/service/tasks"
+            assert await client.fetch(False) is None and b"index=5&wait=0.1s" in targets[-1]
+            registry["index"] = 6
+            assert await client.fetch(False) is not None
+            for mode, cause in (("stall", "no response"), ("break", "no response"), ("error", "status 500"),
+                               ("no index", "X-Consul-Index")):  # fmt: skip
+                registry["mode"] = mode
                 with pytest.raises(DiscoveryError, match=cause):
-                    await roster.fetch(False)
-            bodies.update(how="html", index=8)
+                    await client.fetch(False)
+            registry.update(mode="html", index=8)
             with pytest.raises(DiscoveryError, match="not a list"):
-                await roster.fetch(False)
-            bodies["how"] = "good"
-            assert await roster.fetch(True) is not None
+                await client.fetch(False)
+            registry["mode"] = "good"
+            assert await client.fetch(True) is not None
             nursery.cancel_scope.cancel()
-        with pytest.raises(DiscoveryError, match="no answer"):
-            await roster.fetch(True)
+        with pytest.raises(DiscoveryError, match="no response"):
+            await client.fetch(True)
 
-    trio.run(play)
+    trio.run(scenario)
--- a/willowhook/roster/__init__.py
+++ b/willowhook/roster/__init__.py
@@ -1,1 +1,1 @@
-"""The roster of hosts: its published HTTP form, and a reader that follows it by blocking queries."""
+"""Service discovery: the response format of the service registry, and a client that uses blocking queries."""
--- a/willowhook/roster/reader.py
+++ b/willowhook/roster/reader.py
@@ -1,4 +1,4 @@
-"""Follows the roster by blocking queries; every answer that brings news is the whole list."""
+"""A client of the service registry that uses blocking queries; each list that it returns is complete."""
 
 from __future__ import annotations
 
@@ -9,50 +9,51 @@
 from ..web.wire import Broken, Caller, dial
 from .forms import BlockingQueryIndex, DiscoveredEndpoint, DiscoveryError, parse_endpoints
 
-SLACK = 1.0 / 16  # the form lets a server answer a wait late by this share
+WAIT_SLACK = 1.0 / 16  # the registry may delay its response by up to this fraction of the wait
 
 
 class DiscoveryClient:
-    """Asks one roster.  A question that fails raises RosterError; the next one dials anew."""
+    """Queries one service registry. A failed request raises DiscoveryError; the next one connects again."""
 
     def __init__(
         self, url: str, service: str, wait_seconds: float, timeout_seconds: float, client_name: str = ""
     ) -> None:
-        parts = urlsplit(url)
-        self._address, self._port = parts.hostname or "", parts.port or 80
-        self._path = f"{parts.path.rstrip('/')}/v1/health/service/{quote(service, safe='')}"
-        self._wait, self._patience = wait_seconds, timeout_seconds
-        self._agent = f"willowhook/{client_name}".encode()
-        self._cursor = BlockingQueryIndex()
-        self.last_body = b"[]"  # of the last list, as it came
+        url_parts = urlsplit(url)
+        self._address, self._port = url_parts.hostname or "", url_parts.port or 80
+        self._path = f"{url_parts.path.rstrip('/')}/v1/health/service/{quote(service, safe='')}"
+        self._wait_seconds, self._timeout_seconds = wait_seconds, timeout_seconds
+        self._user_agent = f"willowhook/{client_name}".encode()
+        self._query_index = BlockingQueryIndex()
+        self.last_body = b"[]"  # of the last endpoint list, as received
         self._caller: Caller | None = None
 
     async def fetch(self, is_immediate: bool) -> list[DiscoveredEndpoint] | None:
-        """The list: at once if `whole`, else when it has changed; None if the wait passed without news."""
-        cursor = BlockingQueryIndex() if is_immediate else self._cursor
-        query = f"?index={cursor.index}&wait={self._wait:g}s" if cursor.index else ""
-        wait = self._wait * (1 + SLACK) if cursor.index else 0.0
+        """Returns the endpoint list: at once if `is_immediate`, else when it changes; None: no change."""
+        query_index = BlockingQueryIndex() if is_immediate else self._query_index
+        query = f"?index={query_index.index}&wait={self._wait_seconds:g}s" if query_index.index else ""
+        wait_seconds = self._wait_seconds * (1 + WAIT_SLACK) if query_index.index else 0.0
         try:
-            with trio.fail_after(wait + self._patience):
+            with trio.fail_after(wait_seconds + self._timeout_seconds):
                 if self._caller is None or not self._caller.usable:
-                    self._caller = await dial(self._address, self._port, self._patience)
-                head = [(b"user-agent", self._agent)]
-                reply = await self._caller.call(b"GET", (self._path + query).encode(), head)
-        except (Broken, trio.TooSlowError) as fault:
+                    self._caller = await dial(self._address, self._port, self._timeout_seconds)
+                headers = [(b"user-agent", self._user_agent)]
+                response = await self._caller.call(b"GET", (self._path + query).encode(), headers)
+        except (Broken, trio.TooSlowError) as error:
             await self.close()
-            raise DiscoveryError(f"no answer: {type(fault).__name__}: {fault}".rstrip(": ")) from fault
-        if reply.status != 200:
-            raise DiscoveryError(f"answered with status {reply.status}")
-        news = cursor.record_index(reply.header(b"x-consul-index"))
-        if cursor is not self._cursor:
-            self._cursor.index = cursor.index
-        if not news:
+            raise DiscoveryError(f"no response: {type(error).__name__}: {error}".rstrip(": ")) from error
+        if response.status != 200:
+            raise DiscoveryError(f"response status {response.status}")
+        is_new = query_index.record_index(response.header(b"x-consul-index"))
+        if query_index is not self._query_index:
+            self._query_index.index = query_index.index
+        if not is_new:
             return None
-        hosts = parse_endpoints(reply.body)
-        self.last_body = reply.body
-        return hosts
+        endpoints = parse_endpoints(response.body)
+        self.last_body = response.body
+        return endpoints
 
     async def close(self) -> None:
+        """Closes the connection, if there is one."""
         if self._caller is not None:
             caller, self._caller = self._caller, None
             await caller.close()
