--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -94,7 +94,7 @@
 @pytest.mark.parametrize("without", NEEDED_SAFEGUARDS)
 def test_without_a_safeguard_an_invariant_fails(without: Safeguards) -> None:
     found = explore(Bounds(1, 2, 3, 2, 1), without)
-    expected = "forward" if without == {Safeguard.ORDER} else "this stay"
+    expected = "forward only" if without == {Safeguard.ORDER} else "current term"
     assert found.violation.startswith(expected) and len(found.path) > 3
     assert found.path[-1] == found.violation
 
--- a/willowhook/membership/__init__.py
+++ b/willowhook/membership/__init__.py
@@ -1,7 +1,8 @@
 """Which controller owns a proxy, which peers count as dead, which endpoints are on standby; no I/O, no clock.
 
-One module a concern: the controller that a proxy prefers (`assignment`), the fencing of updates by terms
-(`ownership`, `version`), when a proxy reconnects (`reconnect`), silence (`failure_detector`, `timing_wheel`),
-handoff between controllers (`handoff`), priority tiers of endpoints (`priority_tiers`), retries that are safe
-(`retries`), and a model checker of the ownership protocol (`takeover_model`, `model_checker`).
+The modules cover the controller that a proxy prefers (`assignment`), the fencing of updates by terms
+(`ownership`, `version`), the time at which a proxy reconnects (`reconnect`), the detection of silent peers
+(`failure_detector`, `timing_wheel`), hinted handoff between controllers (`handoff`), priority tiers of
+endpoints (`priority_tiers`), safe retries (`retries`), and a model checker of the ownership protocol
+(`takeover_model`, `model_checker`).
 """
--- a/willowhook/membership/assignment.py
+++ b/willowhook/membership/assignment.py
@@ -1,8 +1,8 @@
-"""Which controller a proxy prefers: the same order everywhere, without coordination.
+"""Which controller a proxy prefers: every process computes the same order without coordination.
 
-The program uses rendezvous hashing: the order of one proxy depends on no other, and when a controller goes,
-its proxies spread over all that are left. The hash ring, plain and with bounded loads, is there to be
-measured beside it.
+The program uses rendezvous hashing: the order of a proxy does not depend on other proxies, and when a
+controller fails, its proxies spread over all remaining controllers. The hash ring, with and without bounded
+loads, serves as a comparison in benchmarks.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 import xxhash
 
-RING_POINTS = 100  # a controller; more even out its share
+RING_POINTS = 100  # per controller; more points make the shares more even
 
 
 def _hash(*parts: str) -> int:
@@ -23,12 +23,12 @@
 def preference_order(
     proxy: str, controllers: Sequence[str], preferred: frozenset[str] = frozenset()
 ) -> list[str]:
-    """All controllers in the order in which a proxy tries them: those in `preferred`, then the others."""
+    """Returns all controllers in the order in which a proxy tries them: those in `preferred` first."""
     return sorted(controllers, key=lambda name: (name not in preferred, _hash(proxy, name)))
 
 
 def assign_by_rendezvous(proxies: Sequence[str], controllers: Sequence[str]) -> dict[str, str]:
-    """The first controller in the order of each proxy."""
+    """Returns the first controller in the preference order of each proxy."""
     return {proxy: min(controllers, key=lambda name: _hash(proxy, name)) for proxy in proxies}
 
 
@@ -36,20 +36,20 @@
     """Consistent hashing with several points on the ring for each controller."""
 
     def __init__(self, controllers: Sequence[str], points: int = RING_POINTS) -> None:
-        """Places `points` points for each controller."""
+        """Creates a ring with `points` points for each controller."""
         ring = sorted((_hash(name, str(point)), name) for name in controllers for point in range(points))
         self._positions = [position for position, _ in ring]
         self._names = [name for _, name in ring]
 
     def owner(self, proxy: str) -> str:
-        """The controller of the first point after the proxy's own."""
+        """Returns the controller of the first point after the hash of the proxy."""
         return self._names[self._position_after(proxy) % len(self._names)]
 
     def assign_with_bounded_load(self, proxies: Sequence[str], slack: float = 0.1) -> dict[str, str]:
-        """Assigns all proxies; no controller gets more than its even share and `slack` of it.
+        """Assigns all proxies; no controller gets more than its even share plus the fraction `slack` of it.
 
-        A proxy that does not fit goes to the next point of the ring. The result depends on all proxies, so no
-        proxy could compute it alone.
+        A proxy whose controller is full goes to the next point of the ring. The result depends on all
+        proxies, so no proxy can compute it alone.
         """
         limit = math.ceil(len(proxies) / len(set(self._names)) * (1 + slack))
         loads = dict.fromkeys(self._names, 0)
--- a/willowhook/membership/handoff.py
+++ b/willowhook/membership/handoff.py
@@ -1,8 +1,8 @@
-"""Hinted handoff between linked controllers: evidence of a proxy, sent to those that it may join next.
+"""Hinted handoff between linked controllers: sends evidence about a proxy to those that it may join next.
 
-A hint is evidence and nothing else. It makes no controller the owner of a proxy, which only the proxy does. A
-controller that gets a proxy without a hint does the same, only with less known. So the link may lose, double
-and reorder packets: a packet is sent again until it is acknowledged or too old, and taken once.
+A hint is only evidence. It does not make a controller the owner of a proxy; only the proxy decides that. A
+controller that a proxy joins without a hint does the same with less evidence. So the link may lose, duplicate
+and reorder packets: a packet is resent until it is acknowledged or too old, and is accepted once.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class EndpointSums(NamedTuple):
-    """The attempts of a proxy at one endpoint.
+    """Sums over the attempts of a proxy at one endpoint.
 
     Attributes:
         attempts: the number of attempts that have ended.
@@ -31,13 +31,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Hint:
-    """The evidence of a proxy from one session.
+    """The evidence about a proxy from one session.
 
     Attributes:
         proxy: its name.
         term: its fencing term in that session.
         window: the time that the evidence covers, in ticks.
-        endpoints: the sums by name of the endpoint.
+        endpoints: the sums by the endpoint's name.
     """
 
     proxy: str
@@ -53,7 +53,7 @@
     Attributes:
         sender: the name of the controller that sends it.
         epoch: the epoch of the sender; the numbers of packets start again with each epoch.
-        number: the number of the packet.
+        number: the number of the packet within the epoch.
         hint: the hint that it carries.
     """
 
@@ -66,7 +66,7 @@
 @dataclass(slots=True)
 class _PendingPacket:
     packet: Packet
-    sent_at: int  # for the first time
+    sent_at: int  # when it was first sent
     backoff: int
     resend_at: int
 
@@ -77,7 +77,7 @@
     def __init__(
         self, sender: str, epoch: int, send: Callable[[Packet], None], first_backoff: int, lifetime: int
     ) -> None:
-        """Sends as this controller; a hint that is older than `lifetime` is dropped."""
+        """Creates a sender for this controller; a packet that is older than `lifetime` is dropped."""
         self._sender = sender
         self._epoch = epoch
         self._send = send
@@ -87,11 +87,11 @@
         self._count = 0
 
     def __len__(self) -> int:
-        """The packets that are not acknowledged yet."""
+        """Returns the number of unacknowledged packets."""
         return len(self._pending)
 
     def send(self, now: int, hint: Hint) -> None:
-        """Sends a hint, in place of an older one of the same proxy."""
+        """Sends a hint, which replaces an older one of the same proxy."""
         for number, pending in list(self._pending.items()):
             if pending.packet.hint.proxy == hint.proxy:
                 del self._pending[number]
@@ -103,12 +103,12 @@
         self._send(packet)
 
     def acknowledge(self, epoch: int, number: int) -> None:
-        """Ends the sending of a packet; an acknowledgement of an earlier epoch counts for nothing."""
+        """Stops resending a packet; an acknowledgement of another epoch is ignored."""
         if epoch == self._epoch:
             self._pending.pop(number, None)
 
     def resend_due(self, now: int) -> None:
-        """Sends packets again that are due, and drops those that are too old."""
+        """Resends the packets that are due, and drops those that are too old."""
         for number, pending in list(self._pending.items()):
             if now - pending.sent_at >= self._lifetime:
                 del self._pending[number]
@@ -125,25 +125,25 @@
         """Keeps at most the newest `max_kept` hints, for `lifetime` ticks each."""
         self._lifetime = lifetime
         self._max_kept = max_kept
-        self._hints: dict[str, tuple[int, Hint]] = {}  # by proxy: when it came, and the hint
-        self._claimed_terms: dict[str, int] = {}  # by proxy: of the hint that was claimed last
+        self._hints: dict[str, tuple[int, Hint]] = {}  # by proxy: when it was received, and the hint
+        self._claimed_terms: dict[str, int] = {}  # by proxy: the term of the hint claimed last
 
     def take(self, now: int, packet: Packet) -> None:
-        """Accepts any packet, in any order and any number of times; all are to be acknowledged."""
+        """Accepts any packet, in any order and any number of times; the caller acknowledges all of them."""
         hint = packet.hint
         if self._knows_newer(hint):
             return
-        self._hints.pop(hint.proxy, None)  # the newest comes last
+        self._hints.pop(hint.proxy, None)  # reinserted at the end: the newest hint comes last
         self._hints[hint.proxy] = (now, hint)
         while len(self._hints) > self._max_kept:
             del self._hints[next(iter(self._hints))]
 
     def claim(self, now: int, proxy: str, term: int) -> Hint | None:
-        """Returns, once, the evidence of a proxy from before this term; None if there is none of use."""
-        found = self._hints.pop(proxy, None)
-        if found is None:
+        """Returns, once, the evidence about a proxy from before this term; None: there is none of use."""
+        entry = self._hints.pop(proxy, None)
+        if entry is None:
             return None
-        received_at, hint = found
+        received_at, hint = entry
         self._claimed_terms[proxy] = hint.term
         if len(self._claimed_terms) > self._max_kept:
             del self._claimed_terms[next(iter(self._claimed_terms))]
--- a/willowhook/membership/model_checker.py
+++ b/willowhook/membership/model_checker.py
@@ -1,4 +1,4 @@
-"""An explicit-state model checker: every world of the takeover model that can be reached, breadth first."""
+"""An explicit-state model checker: breadth-first search of all reachable worlds of the takeover model."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 @dataclass(frozen=True)
 class Exploration:
-    """What an exploration found.
+    """The result of an exploration.
 
     Attributes:
         world_count: the number of different worlds that were reached.
         step_count: the number of steps that were examined.
-        violation: the invariant that does not hold; '': all hold.
-        path: the shortest way there, a step each, and the violation.
+        violation: the invariant that was violated; '': none.
+        path: the steps of the shortest path to the violation, and the violation itself.
     """
 
     world_count: int
@@ -42,17 +42,18 @@
     Raises RuntimeError if there are more worlds than `max_worlds`.
     """
     start = initial_world(bounds)
-    predecessors: dict[World, Step | None] = {start: None}  # the text of the step here, and the world before
-    waiting = deque([start])
+    # By world: the step that led to it, with the world before that step.
+    predecessors: dict[World, Step | None] = {start: None}
+    frontier = deque([start])
     step_count = 0
-    while waiting:
-        world = waiting.popleft()
+    while frontier:
+        world = frontier.popleft()
         try:
-            for text, following in next_steps(world, bounds, without):
+            for text, successor in next_steps(world, bounds, without):
                 step_count += 1
-                if following not in predecessors:
-                    predecessors[following] = Step(text, world)
-                    waiting.append(following)
+                if successor not in predecessors:
+                    predecessors[successor] = Step(text, world)
+                    frontier.append(successor)
         except InvariantError as error:
             path = [*_path_to(world, predecessors), str(error)]
             return Exploration(len(predecessors), step_count, str(error), path)
--- a/willowhook/membership/priority_tiers.py
+++ b/willowhook/membership/priority_tiers.py
@@ -1,13 +1,14 @@
-"""Priority tiers: endpoints that serve only when none before them does.
+"""Priority tiers: endpoints of a later tier serve only when no endpoint of the earlier tiers does.
 
-A group is the endpoints that one route may use. An endpoint may be in several groups, with one tier, and is
-active if one of them wants it. The first tier is always active. A later tier becomes active when no endpoint
-of the tiers before it is in service and answers, and stands by again some time after one of them is back that
-has warmed up: a lone endpoint in slow start must not get at once what a whole tier served. What stands by is
-shown to the decisions as draining, so that nothing is sent there after the grace.
+A group consists of the endpoints that one route may use. An endpoint may be in several groups, with the same
+tier in all, and is active if one of them needs it. The first tier is always active. A later tier becomes
+active when no endpoint of the earlier tiers is in service and responds. It returns to standby some time after
+one of them has returned and warmed up: a single endpoint in slow start must not get at once all requests of a
+whole tier. Endpoints on standby are shown to the decisions as draining, so that they get no requests after
+the drain grace.
 
-Times are ticks. The model is the priority of locality endpoints in xDS: of the priorities, one acts when
-those before it have no healthy endpoint.
+Times are in ticks. The model is the priority of locality endpoints in xDS: a priority is used when all
+earlier ones have no healthy endpoint.
 """
 
 from __future__ import annotations
@@ -21,9 +22,9 @@
 
 FAILURE_BUCKET_TICKS = TICKS_PER_SECOND // 2
 FAILURE_BUCKETS = 6
-UNRESPONSIVE_FAILURES = 8  # within the buckets, and no success between
+UNRESPONSIVE_FAILURES = 8  # within all buckets, without a success between them
 DEACTIVATION_DELAY_TICKS = 5 * TICKS_PER_SECOND  # against flapping between tiers
-LONG_AGO = 0  # the start of an endpoint that needs no slow start
+LONG_AGO = 0  # the start tick of an endpoint that needs no slow start
 
 
 class TierListener(Protocol):
@@ -57,14 +58,14 @@
     failures: WindowedSums = field(
         default_factory=lambda: WindowedSums(FAILURE_BUCKET_TICKS, FAILURE_BUCKETS, 1)
     )
-    is_unresponsive: bool = False  # until it answers
+    is_unresponsive: bool = False  # until a request succeeds
 
     def is_available(self, tier: int) -> bool:
-        """Whether it can serve for this tier."""
+        """Returns whether it can serve for this tier."""
         return self.listed.tier == tier and not self.listed.is_draining and not self.is_unresponsive
 
     def has_warmed_up(self, now: int, slow_start_ticks: int) -> bool:
-        """Whether its slow start is over."""
+        """Returns whether its slow start is over."""
         started_at = self.listed.started_at
         return started_at == LONG_AGO or now - started_at >= slow_start_ticks
 
@@ -72,7 +73,7 @@
 @dataclass(slots=True)
 class _Group:
     last_active_tier: int = 0
-    earlier_ready_since: int | None = None  # since when an earlier tier would do
+    earlier_ready_since: int | None = None  # since when an earlier tier could serve instead
     endpoints: list[str] = field(default_factory=list)
     tiers: tuple[int, ...] = ()
 
@@ -86,10 +87,10 @@
         self._slow_start_ticks = slow_start_ticks
         self._endpoints: dict[str, _EndpointHealth] = {}
         self._groups: dict[str, _Group] = {}
-        self._active: dict[str, bool] = {}  # of endpoints that have ever stood by
+        self._active: dict[str, bool] = {}  # only endpoints that were ever on standby
 
     def is_standby(self, endpoint: str) -> bool:
-        """Whether an endpoint must not be used now, though it is listed."""
+        """Returns whether a listed endpoint is on standby and must not be used now."""
         return not self._active.get(endpoint, True)
 
     def update_list(self, now: int, endpoints: Iterable[TieredEndpoint]) -> None:
@@ -113,7 +114,7 @@
         health = self._endpoints.get(endpoint)
         if health is None or all(len(self._groups[group].tiers) < 2 for group in health.listed.groups):
             return
-        if failures < attempts:  # a success outweighs all failures before it
+        if failures < attempts:  # a success cancels all failures before it
             health.failures.clear()
             health.is_unresponsive = False
             return
@@ -122,7 +123,7 @@
             health.is_unresponsive = True
 
     def evaluate(self, now: int) -> None:
-        """Activates endpoints that must serve, and puts those on standby that need not serve."""
+        """Activates endpoints that must serve, and puts those on standby that need not."""
         reasons: dict[str, str] = {}
         for group in self._groups.values():
             if len(group.tiers) > 1 or any(name in self._active for name in group.endpoints):
@@ -136,7 +137,7 @@
         self, listed: TieredEndpoint, known: _EndpointHealth | None, previous: dict[str, _Group]
     ) -> None:
         health = _EndpointHealth(listed)
-        if known is not None and known.listed.started_at == listed.started_at:  # else it is another process
+        if known is not None and known.listed.started_at == listed.started_at:  # else it is a new process
             health.failures = known.failures
             health.is_unresponsive = known.is_unresponsive
         self._endpoints[listed.name] = health
@@ -149,23 +150,23 @@
     def _set_active(self, name: str, reason: str) -> None:
         listed = self._endpoints[name].listed
         is_active = any(listed.tier <= self._groups[group].last_active_tier for group in listed.groups)
-        has_stood_by = name in self._active
-        if (has_stood_by or not is_active) and self._active.get(name) is not is_active:
+        was_on_standby = name in self._active
+        if (was_on_standby or not is_active) and self._active.get(name) is not is_active:
             self._active[name] = is_active
             self._listener.set_active(name, is_active, reason)
 
     def _evaluate_group(self, now: int, group: _Group) -> None:
         """Updates the last active tier."""
         available = (tier for tier in group.tiers if self._is_tier_available(group, tier))
-        wanted = next(available, group.last_active_tier)
-        if wanted > group.last_active_tier:
-            group.last_active_tier = wanted
+        needed_tier = next(available, group.last_active_tier)
+        if needed_tier > group.last_active_tier:
+            group.last_active_tier = needed_tier
             group.earlier_ready_since = None
-        elif wanted < group.last_active_tier and self._has_earlier_warmed_up(now, group):
+        elif needed_tier < group.last_active_tier and self._has_earlier_warmed_up(now, group):
             if group.earlier_ready_since is None:
                 group.earlier_ready_since = now
             if now - group.earlier_ready_since >= DEACTIVATION_DELAY_TICKS:
-                group.last_active_tier = wanted
+                group.last_active_tier = needed_tier
                 group.earlier_ready_since = None
         else:
             group.earlier_ready_since = None
--- a/willowhook/membership/reconnect.py
+++ b/willowhook/membership/reconnect.py
@@ -1,8 +1,9 @@
-"""When a proxy reconnects and when it fails back: spread without coordination, at a pace that binds allow.
+"""When a proxy reconnects and when it fails back: spread without coordination, at a rate that binds allow.
 
-Every proxy draws its own delay from the same settings, so that together they come at about the stated pace,
-in place of a thundering herd. Busy proxies draw from the early part of the time; nobody is without a table in
-the meantime, as a proxy continues with the tables that it holds. Times are in any one unit.
+Every proxy draws its own delay from the same settings, so that together they reconnect at about the
+configured pace, which prevents a thundering herd. Busy proxies draw from the early part of the window. No
+proxy is without a table in the meantime, because it continues with the tables that it has. Times are in any
+one unit.
 """
 
 from __future__ import annotations
@@ -13,13 +14,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ReconnectPace:
-    """How fast proxies may come to a controller.
+    """How fast proxies may join controllers.
 
     Attributes:
-        proxy_count: the number of proxies that may come at one time.
-        joins_per_time: the number of joins in a unit of time, at all controllers together.
+        proxy_count: the number of proxies that may reconnect at the same time.
+        joins_per_time: the number of joins per unit of time at all controllers together.
         settling_time: how long a controller must have been alive before any proxy fails back to it.
-        minimum_stay: the minimum time that a proxy stays with one controller.
+        minimum_stay: the minimum duration of a proxy's session with one controller.
     """
 
     proxy_count: int
@@ -28,21 +29,22 @@
     minimum_stay: float
 
     def window(self) -> float:
-        """The time that all proxies together take."""
+        """Returns the time that it takes all proxies to join."""
         return self.proxy_count / self.joins_per_time
 
 
 def reconnect_delay(pace: ReconnectPace, relative_load: float, draw: Callable[[], float]) -> float:
-    """How long a proxy waits that has lost its controller.
+    """Returns how long a proxy that has lost its controller waits before it reconnects.
 
-    `relative_load` is its share of all requests times the number of proxies, 1 for a usual proxy: one with
-    twice the usual requests waits in the first half of the time. `draw` returns a random number from 0 to 1.
+    `relative_load` is its share of all requests times the number of proxies, 1 for an average proxy: one with
+    twice the average requests reconnects in the first half of the window. `draw` returns a random number from
+    0 to 1.
     """
     return pace.window() * draw() / max(relative_load, 1.0)
 
 
 class FailbackPolicy:
-    """Whether a proxy should go back to a controller that it prefers. One for each proxy."""
+    """Decides whether a proxy fails back to a controller that it prefers. One for each proxy."""
 
     def __init__(self, pace: ReconnectPace, preference: Sequence[str], draw: Callable[[], float]) -> None:
         """`preference` is the proxy's order of controllers, `draw` returns a random number from 0 to 1."""
@@ -52,24 +54,24 @@
         self._alive_since: dict[str, float] = {}
         self._joined_at = 0.0
         self._target = ""
-        self._due_at = 0.0  # of the move to the target
+        self._due_at = 0.0  # when to fail back to the target
 
     def record_join(self, now: float) -> None:
-        """Notes that the proxy has joined a controller."""
+        """Records that the proxy has joined a controller."""
         self._joined_at = now
         self._target = ""
 
     def record_liveness(self, controller: str, is_alive: bool, now: float) -> None:
-        """Notes whether the proxy sees a controller alive."""
+        """Records whether the proxy sees a controller as alive."""
         if is_alive:
             self._alive_since.setdefault(controller, now)
         else:
             self._alive_since.pop(controller, None)
 
     def target(self, current: str, now: float) -> str:
-        """The controller to go to now, or '' to stay. One that flaps never settles."""
+        """Returns the controller to fail back to now, or '' to stay. One that flaps never settles."""
         target = self._settled_controller(current, now)
-        if target != self._target:  # a new target, a new delay
+        if target != self._target:  # a new target gets a new delay
             self._target = target
             self._due_at = now + self._pace.window() * self._draw() if target else 0.0
         return target if target and now >= self._due_at else ""
--- a/willowhook/membership/takeover_model.py
+++ b/willowhook/membership/takeover_model.py
@@ -1,9 +1,9 @@
-"""A model of the ownership protocol: few proxies, few controllers, and all that can happen to them.
+"""A model of the ownership protocol: few proxies, few controllers, and all events that can happen to them.
 
-A proxy has its term and what it applied. A controller is up, hangs or is dead, and believes of each proxy
-that it owns it in a term, or that it does not. Between an update and its file lies a rename that can be late
-by any time, also beyond the controller's death. A step is one thing that happens; the checks of versions and
-claims are those of the program itself.
+A proxy has its term and its applied updates. A controller is up, hung or dead, and holds for each proxy a
+belief: that it owns the proxy in a term, or that it does not. An update becomes visible by a rename, which
+can be delayed by any time, even beyond the death of the controller. A step is one event; versions and claims
+are checked by the program's own functions.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 from .version import Version
 
 T = TypeVar("T")
-NO_TERM = -1  # in place of a term: the controller does not own the proxy, or the proxy has no file there
-NOBODY = -1  # in place of a controller's index
+NO_TERM = -1  # instead of a term: the controller does not own the proxy, or the proxy has no file there
+NOBODY = -1  # instead of a controller's index
 
 
 class Safeguard(Enum):
-    """What keeps the invariants; the model can run without some, to show that they are needed."""
+    """What preserves the invariants; the model can run without some of them, to show that they are needed."""
 
     TERM = "term"  # the term of an update is checked
     ORDER = "order"  # updates are applied forward only
-    NAME = "name"  # a controller stamps no term but the one that the proxy's own file told it
-    FOLDER = "folder"  # a proxy reads the folder of the controller that it follows, and no other
+    NAME = "name"  # a controller writes only the term that it read from the proxy's file
+    FOLDER = "folder"  # a proxy reads only the folder of the controller that it follows
 
 
 Safeguards = frozenset[Safeguard]
@@ -42,7 +42,7 @@
 
 
 def safeguards_in(text: str) -> Safeguards:
-    """The safeguards that a text such as `folder+name` names."""
+    """Returns the safeguards that are named in a text such as `folder+name`."""
     return frozenset(safeguard for safeguard in Safeguard if safeguard.value in text)
 
 
@@ -87,7 +87,7 @@
 
 
 class PendingRename(NamedTuple):
-    """An update whose file is not in its place yet."""
+    """An update whose file has not been renamed into place yet."""
 
     proxy: int
     update: Update
@@ -99,10 +99,10 @@
 
     Attributes:
         state: the state of its process.
-        epoch: the number of its starts.
-        update_count: the number of updates in this epoch.
+        epoch: how often its process has started.
+        update_count: the number of updates issued in this epoch.
         believed_terms: by proxy: the term in which it owns the proxy.
-        pending: renames that may happen at any time.
+        pending: the renames that have not happened yet; each may happen at any time.
     """
 
     state: ControllerState = ControllerState.UP
@@ -119,9 +119,9 @@
     Attributes:
         proxies: the proxies by index.
         controllers: the controllers by index.
-        claimed_terms: by controller and proxy: the term in the proxy's file there.
+        claimed_terms: by controller and proxy: the term in the proxy's file in that folder.
         updates: by controller and proxy: the update in that folder.
-        failures: the number of failures of controllers so far.
+        failures: the number of controller failures so far.
     """
 
     proxies: tuple[Proxy, ...]
@@ -133,7 +133,7 @@
 
 @dataclass(frozen=True)
 class Bounds:
-    """The limits of the model: a number each; `updates` is the limit for one epoch of a controller."""
+    """The maximum number of each item in the model; `updates` applies to one epoch of a controller."""
 
     proxies: int = 2
     controllers: int = 2
@@ -143,18 +143,18 @@
 
 
 class Step(NamedTuple):
-    """Something that can happen, in words, and the world after it."""
+    """An event that can happen: its description, and the world after it."""
 
     text: str
     world: World
 
 
 class InvariantError(WillowhookError):
-    """An invariant does not hold; the message says which."""
+    """An invariant is violated; the message says which."""
 
 
 def initial_world(bounds: Bounds) -> World:
-    """The world before anything has happened."""
+    """Returns the world before the first step."""
     no_terms = (NO_TERM,) * bounds.proxies
     return World(
         proxies=(Proxy(),) * bounds.proxies,
@@ -165,7 +165,7 @@
 
 
 def next_steps(world: World, bounds: Bounds, without: Safeguards = ALL_PRESENT) -> Iterator[Step]:
-    """Everything that can happen next. Raises InvariantError if it must not."""
+    """Yields all possible next steps. Raises InvariantError if one of them violates an invariant."""
     for proxy in range(bounds.proxies):
         for controller in range(bounds.controllers):
             yield from _joins(world, bounds, proxy, controller)
@@ -179,8 +179,8 @@
                 yield from _new_updates(world, bounds, controller, proxy, without)
 
 
-def _replaced(row: tuple[T, ...], index: int, value: T) -> tuple[T, ...]:
-    return (*row[:index], value, *row[index + 1 :])
+def _replaced(values: tuple[T, ...], index: int, value: T) -> tuple[T, ...]:
+    return (*values[:index], value, *values[index + 1 :])
 
 
 def _with_proxy(world: World, index: int, proxy: Proxy) -> World:
@@ -192,19 +192,19 @@
 
 
 def _with_claim(world: World, controller: int, proxy: int, term: int) -> World:
-    row = _replaced(world.claimed_terms[controller], proxy, term)
-    return replace(world, claimed_terms=_replaced(world.claimed_terms, controller, row))
+    terms = _replaced(world.claimed_terms[controller], proxy, term)
+    return replace(world, claimed_terms=_replaced(world.claimed_terms, controller, terms))
 
 
 def _joins(world: World, bounds: Bounds, index: int, controller: int) -> Iterator[Step]:
-    """A proxy cannot tell a hung controller from one that is up, so it may change at any time."""
+    """A proxy may join at any time, as it cannot distinguish a hung controller from a live one."""
     proxy = world.proxies[index]
     if controller == proxy.follows or proxy.term >= bounds.terms:
         return
     joined = Proxy(proxy.term + 1, controller)
     moved = _with_claim(_with_proxy(world, index, joined), controller, index, joined.term)
-    text = f"p{index} joins d{controller}"
-    if proxy.follows != NOBODY:  # it removes its old file if it can reach it
+    text = f"p{index} joins c{controller}"
+    if proxy.follows != NOBODY:  # it removes its old file if it can access it
         yield Step(text, _with_claim(moved, proxy.follows, index, NO_TERM))
     yield Step(f"{text}, its old file stays", moved)
 
@@ -220,30 +220,30 @@
         return
     _check_invariants(proxy, update)
     after = replace(proxy, applied=update, history=(*proxy.history, update))
-    yield Step(f"p{index} applies {update.version} of d{controller}", _with_proxy(world, index, after))
+    yield Step(f"p{index} applies {update.version} of c{controller}", _with_proxy(world, index, after))
 
 
 def _check_invariants(proxy: Proxy, update: Update) -> None:
-    """Checks the invariants at the instant at which an update takes effect."""
+    """Checks the invariants when an update takes effect."""
     if any(earlier.controller != update.controller for earlier in proxy.history):
-        raise InvariantError("one ruler: orders of two directors took effect in one term")
+        raise InvariantError("single owner: updates of two controllers took effect in one term")
     if update.intended_term != proxy.term:
-        raise InvariantError("this stay: an order took effect that was given for another stay")
-    place = (update.version.epoch, update.version.number)
-    if any((earlier.version.epoch, earlier.version.number) > place for earlier in proxy.history):
-        raise InvariantError("forward: an older order took effect after a newer one")
+        raise InvariantError("current term: an update took effect that was issued for another term")
+    position = (update.version.epoch, update.version.number)
+    if any((earlier.version.epoch, earlier.version.number) > position for earlier in proxy.history):
+        raise InvariantError("forward only: an older update took effect after a newer one")
 
 
 def _renames(world: World, index: int) -> Iterator[Step]:
-    """A rename can happen whatever the state of the controller is."""
+    """A rename can happen in any state of the controller."""
     controller = world.controllers[index]
     for position, (proxy, update) in enumerate(controller.pending):
         pending = (*controller.pending[:position], *controller.pending[position + 1 :])
         after = _with_controller(world, index, replace(controller, pending=pending))
-        row = _replaced(world.updates[index], proxy, update)
+        updates = _replaced(world.updates[index], proxy, update)
         yield Step(
-            f"{update.version} lands in d{index}'s folder of p{proxy}",
-            replace(after, updates=_replaced(world.updates, index, row)),
+            f"{update.version} is renamed into c{index}'s folder of p{proxy}",
+            replace(after, updates=_replaced(world.updates, index, updates)),
         )
 
 
@@ -255,22 +255,22 @@
             believed_terms=(NO_TERM,) * bounds.proxies,
             pending=controller.pending,
         )
-        yield Step(f"d{index} starts again", _with_controller(world, index, restarted))
+        yield Step(f"c{index} restarts", _with_controller(world, index, restarted))
         return
     if world.failures < bounds.failures:
         failed = replace(world, failures=world.failures + 1)
         dead = replace(controller, state=ControllerState.DEAD)
-        yield Step(f"d{index} is killed", _with_controller(failed, index, dead))
+        yield Step(f"c{index} is killed", _with_controller(failed, index, dead))
         if controller.state is ControllerState.UP:
             hung = replace(controller, state=ControllerState.HUNG)
-            yield Step(f"d{index} hangs", _with_controller(failed, index, hung))
+            yield Step(f"c{index} hangs", _with_controller(failed, index, hung))
     if controller.state is ControllerState.HUNG:
         resumed = replace(controller, state=ControllerState.UP)
-        yield Step(f"d{index} goes on", _with_controller(world, index, resumed))
+        yield Step(f"c{index} resumes", _with_controller(world, index, resumed))
 
 
 def _reads(world: World, index: int, proxy: int) -> Iterator[Step]:
-    """The controller reads a proxy's file, or sees that it has none."""
+    """The controller reads a proxy's file, or finds none."""
     controller = world.controllers[index]
     claimed = world.claimed_terms[index][proxy]
     believed = controller.believed_terms[proxy]
@@ -280,7 +280,7 @@
     if read != believed:
         believed_terms = _replaced(controller.believed_terms, proxy, read)
         after = replace(controller, believed_terms=believed_terms)
-        yield Step(f"d{index} reads p{proxy}", _with_controller(world, index, after))
+        yield Step(f"c{index} reads p{proxy}", _with_controller(world, index, after))
 
 
 def _new_updates(world: World, bounds: Bounds, index: int, proxy: int, without: Safeguards) -> Iterator[Step]:
@@ -296,4 +296,4 @@
         update_count=controller.update_count + 1,
         pending=(*controller.pending, rename),
     )
-    yield Step(f"d{index} orders {version} for p{proxy}", _with_controller(world, index, after))
+    yield Step(f"c{index} issues {version} for p{proxy}", _with_controller(world, index, after))
--- a/willowhook/membership/version.py
+++ b/willowhook/membership/version.py
@@ -1,4 +1,4 @@
-"""The version of an update, by which a proxy recognizes newer updates and the session that they are for."""
+"""The version of an update, by which a proxy recognizes newer updates and the session that they belong to."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 from ..errors import WillowhookError
 
-NUMBERS = 3
+NUMBER_COUNT = 3  # in a version
 MAX_TEXT_LENGTH = 60  # characters
-SHOWN_CHARACTERS = 60  # of a malformed version
+SHOWN_CHARACTERS = 60  # of an invalid version, in the error message
 
 
 class VersionError(WillowhookError):
-    """A text that is no version."""
+    """The text is not a valid version."""
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -30,15 +30,15 @@
     number: int
 
     def __str__(self) -> str:
-        """Its text, as it is published."""
+        """Returns the version as it is published."""
         return f"{self.term}.{self.epoch}.{self.number}"
 
 
 def parse_version(text: str) -> Version:
-    """Reads a version. Raises VersionError."""
+    """Parses a version. Raises VersionError."""
     parts = text.split(".")
     are_numbers = all(part.isascii() and part.isdigit() for part in parts)
-    if len(parts) != NUMBERS or not are_numbers or len(text) > MAX_TEXT_LENGTH:
+    if len(parts) != NUMBER_COUNT or not are_numbers or len(text) > MAX_TEXT_LENGTH:
         raise VersionError(f"version {text[:SHOWN_CHARACTERS]!r} is no TERM.EPOCH.NUMBER")
     term, epoch, number = parts
     return Version(int(term), int(epoch), int(number))
