--- a/tests/test_handoff.py
+++ b/tests/test_handoff.py
@@ -1,4 +1,4 @@
-"""Hints between controllers: sent until acknowledged, kept once, whatever the link does."""
+"""Hints between controllers: sent until acknowledged, and kept once even if the link loses or repeats packets."""
 
 from __future__ import annotations
 
@@ -38,18 +38,18 @@
             assert receiver.claim(10, proxy, 100) is None  # once
 
 
-def test_a_hint_of_a_later_session_or_of_long_ago_is_not_given_out() -> None:
+def test_claim_ignores_hints_of_a_later_session_and_expired_hints() -> None:
     receiver = HintReceiver(1000)
     packet = Packet("a", 1, 1, Hint("p", 7, 10, {}))
     receiver.take(0, packet)
-    assert receiver.claim(10, "p", 7) is None  # not before its session
+    assert receiver.claim(10, "p", 7) is None  # a hint is only for later terms
     receiver.take(0, Packet("a", 1, 2, Hint("p", 8, 10, {})))
     assert receiver.claim(1001, "p", 9) is None
-    receiver.take(2000, packet)  # doubled, after it was given out
+    receiver.take(2000, packet)  # a duplicate, after the hint was claimed
     assert receiver.claim(2001, "p", 10) is None
 
 
-def test_a_receiver_that_is_full_keeps_the_newest_hints() -> None:
+def test_full_receiver_keeps_the_newest_hints() -> None:
     receiver = HintReceiver(1000, max_kept=2)
     for name in "abc":
         receiver.take(0, Packet("a", 1, 1, Hint(name, 1, 10, {})))
@@ -79,7 +79,7 @@
     assert len(sender) == 1  # the newer replaces the older
 
 
-def test_an_acknowledgement_of_an_earlier_epoch_counts_for_nothing() -> None:
+def test_acknowledgement_of_an_earlier_epoch_is_ignored() -> None:
     sender = HintSender("a", 3, lambda packet: None, 100, 3000)
     sender.send(0, Hint("p", 1, 10, {}))
     sender.acknowledge(2, 1)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Assignment, reconnection and the detection of silence, beside plain ways to do the same."""
+"""Assignment, reconnection and failure detection, compared with simple implementations."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 class Scan:
-    """The plain way to find deadlines that have passed: look at all."""
+    """The simple way to find passed deadlines: check all of them."""
 
     def __init__(self) -> None:
         self.deadlines: dict[str, int] = {}
@@ -133,7 +133,7 @@
     draw = random.Random(2)
     policy = FailbackPolicy(PACE, ["a", "b"], draw.random)
     policy.record_join(0.0)
-    for tenth in range(400):  # `a` is there for two seconds of each four
+    for tenth in range(400):  # `a` is alive for two of every four seconds
         now = tenth / 10
         policy.record_liveness("a", now % 4 < 2, now)
         policy.record_liveness("b", True, now)
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "1.2", "1.2.3.4", "a.b.c", "1.2.-3", "1.2.\u0663", "9" * 70 + ".1.1"])
-def test_a_text_that_is_no_version_is_rejected(text: str) -> None:
+def test_parse_version_rejects_invalid_text(text: str) -> None:
     with pytest.raises(VersionError):
         parse_version(text)
 
@@ -48,7 +48,7 @@
     ownership.record_applied(Version(5, 1, 2))
     assert ownership.check(Version(5, 1, 2)) is UpdateVerdict.OLD
     assert ownership.check(Version(5, 1, 1)) is UpdateVerdict.OLD
-    assert ownership.check(Version(5, 2, 1)) is UpdateVerdict.APPLY  # the same controller, started again
+    assert ownership.check(Version(5, 2, 1)) is UpdateVerdict.APPLY  # the same controller after a restart
     with pytest.raises(ValueError, match="not above"):
         ownership.join("b", 5)
     ownership.join("b", 6)
@@ -75,7 +75,7 @@
 
 def test_only_idempotent_requests_are_retried_after_any_failure() -> None:
     semantics = (RequestSemantics.IDEMPOTENT, RequestSemantics.DEDUPLICATED, RequestSemantics.AT_MOST_ONCE)
-    assert [publishable_retries(each, 3) for each in semantics] == [3, 1, 1]
+    assert [publishable_retries(kind, 3) for kind in semantics] == [3, 1, 1]
     assert publishable_retries(RequestSemantics.AT_MOST_ONCE, 0) == 0
     assert stricter_retries(2, 1) == stricter_retries(1, 3) == 1
 
@@ -86,7 +86,7 @@
     assert not found.violation and found.world_count > 4000
 
 
-def test_an_exploration_that_grows_too_large_is_given_up() -> None:
+def test_explore_raises_an_error_above_its_limit_of_worlds() -> None:
     with pytest.raises(RuntimeError, match="more than 100 worlds"):
         explore(Bounds(1, 2, 3, 1, 1), max_worlds=100)
 
--- a/tests/test_priority_tiers.py
+++ b/tests/test_priority_tiers.py
@@ -1,4 +1,4 @@
-"""Later tiers are active when no endpoint before them serves, and no sooner; else they stand by."""
+"""A later tier is active only when no endpoint of the earlier tiers serves; otherwise it is on standby."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
     return tiers, listener
 
 
-def test_a_backup_stands_by_until_the_last_primary_drains_and_after_a_warm_one_is_back() -> None:
+def test_backup_is_standby_until_the_last_primary_drains_and_after_one_has_warmed_up() -> None:
     tiers, listener = tiers_of(listed("a", 0), listed("b", 1))
     assert tiers.is_standby("b") and not tiers.is_standby("a")
     assert listener.changes == [("b", False)]
@@ -50,7 +50,7 @@
     started_at = START + TICKS_PER_SECOND
     tiers.update_list(started_at, [listed("a", 0, started_at=started_at), listed("b", 1)])
     tiers.evaluate(started_at + SLOW_START - 1)
-    assert not tiers.is_standby("b")  # the primary is in slow start: what served stays
+    assert not tiers.is_standby("b")  # the primary is in slow start: the backup stays active
     warm_at = started_at + SLOW_START
     tiers.evaluate(warm_at)
     tiers.evaluate(warm_at + DEACTIVATION_DELAY_TICKS - 1)
@@ -59,7 +59,7 @@
     assert tiers.is_standby("b") and not tiers.is_standby("a")
 
 
-def test_unresponsive_primaries_count_as_none_until_one_answers() -> None:
+def test_unresponsive_primaries_are_ignored_until_one_responds() -> None:
     tiers, _ = tiers_of(listed("a", 0), listed("b", 1), listed("c", 2))
     tiers.record_attempts(START, "a", UNRESPONSIVE_FAILURES - 1, UNRESPONSIVE_FAILURES - 1)
     tiers.evaluate(START)
@@ -77,7 +77,7 @@
     assert tiers.is_standby("b") and tiers.is_standby("c")
 
 
-def test_an_endpoint_of_two_groups_is_active_where_one_of_them_wants_it() -> None:
+def test_endpoint_of_two_groups_is_active_if_one_of_them_needs_it() -> None:
     listener = RecordingListener()
     tiers = PriorityTiers(listener, SLOW_START)
     first = listed("a", 0)
@@ -89,13 +89,13 @@
     assert tiers.is_standby("b") and listener.changes == [("b", False)]
 
 
-def test_groups_of_one_tier_are_left_alone() -> None:
+def test_groups_with_one_tier_are_not_changed() -> None:
     tiers, listener = tiers_of(listed("a", 0), listed("b", 0, is_draining=True))
     assert listener.changes == []
     assert not tiers.is_standby("a") and not tiers.is_standby("never listed")
 
 
-def test_a_backup_that_is_listed_alone_serves() -> None:
+def test_backup_without_a_primary_is_active() -> None:
     tiers, _ = tiers_of(listed("b", 1))
     assert not tiers.is_standby("b")
 
