--- a/tests/test_handoff.py
+++ b/tests/test_handoff.py
@@ -1,4 +1,4 @@
-"""Hints between controllers: sent until acknowledged, and kept once even if the link loses or repeats packets."""
+"""Hints between controllers: sent until acknowledged, kept once even if the link loses or repeats packets."""
 
 from __future__ import annotations
 
