--- a/tests/test_config_and_roster.py
+++ b/tests/test_config_and_roster.py
@@ -17,7 +17,7 @@
 from willowhook.config.example import EXAMPLE
 from willowhook.roster.forms import BlockingQueryIndex, DiscoveryError, parse_endpoints
 from willowhook.roster.reader import DiscoveryClient
-from willowhook.web.wire import Call, Reply, answer_calls
+from willowhook.web.wire import Call, Reply, serve_connection
 
 EXAMPLE_DOCUMENT = json.loads(msgspec.json.encode(EXAMPLE))
 
@@ -176,7 +176,9 @@
 
     async def scenario() -> None:
         async with trio.open_nursery() as nursery:
-            listeners = await nursery.start(partial(trio.serve_tcp, partial(answer_calls, answer=answer), 0))
+            listeners = await nursery.start(
+                partial(trio.serve_tcp, partial(serve_connection, answer=answer), 0)
+            )
             port = listeners[0].socket.getsockname()[1]
             client = DiscoveryClient(f"http://127.0.0.1:{port}/x", "tasks", 0.1, 0.15)
             first = await client.fetch(True)
--- a/willowhook/roster/reader.py
+++ b/willowhook/roster/reader.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from ..web.wire import Broken, Caller, dial
+from ..web.wire import ClientConnection, ConnectionLostError, open_connection
 from .forms import BlockingQueryIndex, DiscoveredEndpoint, DiscoveryError, parse_endpoints
 
 WAIT_SLACK = 1.0 / 16  # the registry may delay its response by up to this fraction of the wait
@@ -25,7 +25,7 @@
         self._user_agent = f"willowhook/{client_name}".encode()
         self._query_index = BlockingQueryIndex()
         self.last_body = b"[]"  # of the last endpoint list, as received
-        self._caller: Caller | None = None
+        self._caller: ClientConnection | None = None
 
     async def fetch(self, is_immediate: bool) -> list[DiscoveredEndpoint] | None:
         """Returns the endpoint list: at once if `is_immediate`, else when it changes; None: no change."""
@@ -35,10 +35,10 @@
         try:
             with trio.fail_after(wait_seconds + self._timeout_seconds):
                 if self._caller is None or not self._caller.usable:
-                    self._caller = await dial(self._address, self._port, self._timeout_seconds)
+                    self._caller = await open_connection(self._address, self._port, self._timeout_seconds)
                 headers = [(b"user-agent", self._user_agent)]
-                response = await self._caller.call(b"GET", (self._path + query).encode(), headers)
-        except (Broken, trio.TooSlowError) as error:
+                response = await self._caller.request(b"GET", (self._path + query).encode(), headers)
+        except (ConnectionLostError, trio.TooSlowError) as error:
             await self.close()
             raise DiscoveryError(f"no response: {type(error).__name__}: {error}".rstrip(": ")) from error
         if response.status != 200:
