--- a/benchmarks/files.py
+++ b/benchmarks/files.py
@@ -15,7 +15,7 @@
 from willowhook.files.ops import DiskOps
 from willowhook.files.swap import Shelf, swap_file
 from willowhook.xds import forms, tables
-from willowhook.xds.codec import encode, response
+from willowhook.xds.codec import encode, encode_response
 
 HOSTS = 86
 
@@ -53,7 +53,7 @@
 
 
 def durability(folder: str) -> None:
-    body = response("1.1", forms.ASSIGNMENT, "1.1", [encode(table())])
+    body = encode_response("1.1", forms.ASSIGNMENT, "1.1", [encode(table())])
     rows = {}
     for how in ("none", "file", "file_and_folder"):
         rows[how] = median_us(lambda how=how: swap_file(DiskOps(), folder, "a", body, how), 200)  # type: ignore[misc]
@@ -67,7 +67,7 @@
 
 def shared_or_whole(folder: str, proxies: int = 200) -> None:
     """One shared table file for all who are bound, or a file a proxy: bytes and time of one change."""
-    body = response("1.1", forms.ASSIGNMENT, "1.1", [encode(table())])
+    body = encode_response("1.1", forms.ASSIGNMENT, "1.1", [encode(table())])
     shelves = [Shelf(f"{folder}/p{k}", series="1-") for k in range(proxies)]
     count = [0]
 
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -18,7 +18,7 @@
 
 from willowhook.versions.resources import ResourceSet, ResourceStore, first_era
 from willowhook.xds import forms, tables
-from willowhook.xds.codec import encode, response
+from willowhook.xds.codec import encode, encode_response
 
 RUNS = 7
 SIZES = ((86, 245, 4), (1000, 1000, 8))  # hosts, proxies, tables
@@ -39,7 +39,7 @@
 
 
 def whole(part: ResourceSet) -> bytes:
-    return response(
+    return encode_response(
         part.version, forms.ASSIGNMENT, part.version, [row.body for row in part.resources.values()]
     )
 
--- a/tests/platform_process.py
+++ b/tests/platform_process.py
@@ -18,7 +18,7 @@
 from willowhook.platform.fields import Fields
 from willowhook.platform.framing import FrameDecoder, encode_frame
 from willowhook.trial.ports import PortReservations
-from willowhook.web.wire import Call, Reply, answer_calls
+from willowhook.web.wire import Call, Reply, serve_connection
 
 REPOSITORY = Path(__file__).parent.parent
 SETTINGS = json.loads((Path(__file__).parent / "options.json").read_text())
@@ -60,7 +60,7 @@
         return Reply(200, body=json.dumps(answer).encode())
 
     async def serve(self, port: int, task_status: trio.TaskStatus[Any] = trio.TASK_STATUS_IGNORED) -> None:
-        handler = partial(answer_calls, answer=self.answer)
+        handler = partial(serve_connection, answer=self.answer)
         await trio.serve_tcp(handler, port, host="127.0.0.1", task_status=task_status)
 
 
--- a/tests/service_harness.py
+++ b/tests/service_harness.py
@@ -16,7 +16,7 @@
 from willowhook.decisions.controller import Controller
 from willowhook.files.ops import DiskOps
 from willowhook.files.swap import read_group, swap_file
-from willowhook.web.wire import Call, Reply, answer_calls
+from willowhook.web.wire import Call, Reply, serve_connection
 from willowhook.xds import forms, tables
 from willowhook.xds.codec import encode, read_response
 
@@ -66,7 +66,7 @@
 
     def answer(self) -> None:
         for name, data in read_group(str(self.down))[1].items():
-            got = read_response(data, forms.FILES[name[:-5]])
+            got = read_response(data, forms.TYPE_URLS[name[:-5]])
             said = forms.DiscoveryRequest(got.version_info, self.node, [], got.type_url, got.nonce)
             self.put(name, encode(said))
 
@@ -146,7 +146,7 @@
         discovery = FakeDiscovery()
 
         async def handler(stream: trio.SocketStream) -> None:
-            await answer_calls(stream, discovery.answer)
+            await serve_connection(stream, discovery.answer)
 
         async with trio.open_nursery() as nursery:
             listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
--- a/tests/test_config_and_roster.py
+++ b/tests/test_config_and_roster.py
@@ -17,7 +17,7 @@
 from willowhook.config.example import EXAMPLE
 from willowhook.roster.forms import Cursor, RosterError, read_hosts
 from willowhook.roster.reader import Roster
-from willowhook.web.wire import Call, Reply, answer_calls
+from willowhook.web.wire import Call, Reply, serve_connection
 
 GOOD = json.loads(msgspec.json.encode(EXAMPLE))
 
@@ -155,7 +155,9 @@
 
     async def play() -> None:
         async with trio.open_nursery() as nursery:
-            listeners = await nursery.start(partial(trio.serve_tcp, partial(answer_calls, answer=answer), 0))
+            listeners = await nursery.start(
+                partial(trio.serve_tcp, partial(serve_connection, answer=answer), 0)
+            )
             port = listeners[0].socket.getsockname()[1]
             roster = Roster(f"http://127.0.0.1:{port}/x", "tasks", 0.1, 0.15)
             first = await roster.ask(True)
--- a/tests/test_export.py
+++ b/tests/test_export.py
@@ -23,7 +23,7 @@
 from willowhook.nginx.setup import Setup
 from willowhook.nginx.syntax import parse
 from willowhook.xds import forms, tables
-from willowhook.xds.codec import FormError, encode, response
+from willowhook.xds.codec import MessageFormatError, encode, encode_response
 
 Route = tuple[str, str, str, int, float, str]  # match, path, table or status, ms, level, rewrite
 PATHS = ["/", "/a", "/ab", "/a/b", "/a/b/", "/x.gif", "/load-task"]
@@ -43,14 +43,16 @@
     for match, path, to, ms, level, rewrite in routes:
         how = tables.match(match, path)
         if to.isdigit():
-            rds.append(tables.closed(how, int(to)))
+            rds.append(tables.direct_response_route(how, int(to)))
             continue
         by = picks[to].partition(" ")[2]
         filters = tables.level("rps", level, 1)
         rds.append(tables.route("r", how, f"r@{to}", ms * 10, tables.retry(0, 0), filters, rewrite, by))
-    sets = encode(tables.in_order("calls", rds))
+    sets = encode(tables.route_configuration("calls", rds))
     bodies = {"eds": eds, "cds": cds, "rds": [sets]}
-    return {f"{k}.json": response("1.1.1", forms.FILES[k], "1.1.1", rows) for k, rows in bodies.items()}
+    return {
+        f"{k}.json": encode_response("1.1.1", forms.TYPE_URLS[k], "1.1.1", rows) for k, rows in bodies.items()
+    }
 
 
 def again(files: dict[str, bytes]) -> dict[str, bytes]:
@@ -68,7 +70,7 @@
     assignments = {row.cluster_name: row for row in tables.read_tables(files["eds.json"])[1]}
     clusters = {row.name: row for row in tables.read_clusters(files["cds.json"])[1]}
     routes = tables.read_routes(files["rds.json"])[1][0].virtual_hosts[0].routes
-    row = tables.first(routes, path)
+    row = tables.first_match(routes, path)
     if row is None:
         return None
     if row.direct_response is not None:
@@ -82,7 +84,14 @@
         line[1]: (weights[line[0]] // divisor, line[5], tiers[line[0]]) for line in tables.lines(table)
     }  # fmt: skip
     rate = round(tables.level_of(row.typed_per_filter_config)[1], 6)
-    return hosts, cluster.lb_policy, row.route.hash_policy, row.route.timeout, rate, tables.target(row, path)
+    return (
+        hosts,
+        cluster.lb_policy,
+        row.route.hash_policy,
+        row.route.timeout,
+        rate,
+        tables.upstream_path(row, path),
+    )
 
 
 hosts = st.dictionaries(
@@ -140,8 +149,8 @@
         files = group({"t": rows}, {"t": pick}, [("below", "/", "t", 1000, math.inf, "")])
         if tries:
             row = tables.route("r", tables.match("below", "/"), "r@t", 1000, tables.retry(tries, 100), {})
-            sets = encode(tables.in_order("calls", [row]))
-            files["rds.json"] = response("1.1.1", forms.ROUTES, "1.1.1", [sets])
+            sets = encode(tables.route_configuration("calls", [row]))
+            files["rds.json"] = encode_response("1.1.1", forms.ROUTES, "1.1.1", [sets])
         return " ".join(export(files).remarks)
 
     assert remarks("wheel", {"a": (1, False, 0)}) == ""
@@ -149,7 +158,7 @@
     assert "of one rank" in remarks("wheel", {"a": (1, False, 0), "b": (1, False, 1), "c": (1, False, 2)})
     assert "is empty" in remarks("wheel", {})
     assert "after proof" in remarks("wheel", {"a": (1, False, 0)}, 1)
-    with pytest.raises(FormError, match="eds.json is missing"):
+    with pytest.raises(MessageFormatError, match="eds.json is missing"):
         export({"cds.json": b"", "rds.json": b""})
     assert anchored("(?s)a|b") == "(?s)^(?:a|b)$"
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -28,15 +28,15 @@
 from willowhook.decisions.controller import Controller
 from willowhook.decisions.runtime import AdmissionLimit
 from willowhook.files.swap import read_group
-from willowhook.front.bodies import Bodies, chosen
-from willowhook.front.identity import Bearer, CredentialError
+from willowhook.front.bodies import ResponseCache, chosen
+from willowhook.front.identity import BearerIdentity, CredentialError
 from willowhook.front.limits import Bucket, Gate
-from willowhook.front.serve import Line, Server, Times, Waiting
+from willowhook.front.serve import Line, Server, Timeouts, Waiting
 from willowhook.front.turns import Turns
 from willowhook.records.writer import read_records
 from willowhook.ticks import TICKS_PER_SECOND
 from willowhook.trial.swaps import Churn
-from willowhook.web.wire import Call, Caller, Reply, answer_calls, dial
+from willowhook.web.wire import Call, ClientConnection, Reply, open_connection, serve_connection
 from willowhook.xds import forms, tables
 from willowhook.xds.codec import decode, encode
 
@@ -89,7 +89,7 @@
 
 
 def test_bodies_are_made_once_and_kept_within_bounds() -> None:
-    bodies, made = Bodies(10_000, 100), list[int]()
+    bodies, made = ResponseCache(10_000, 100), list[int]()
 
     def make(k: int) -> bytes:
         made.append(k)
@@ -99,7 +99,7 @@
         for _ in range(3):
             body, told = bodies.get("k", lambda: make(1), encoding)
             assert told == encoding and unpack(body) == b"1" * 1000
-    assert made == [1] and bodies.packed == 2
+    assert made == [1] and bodies.compressed == 2
     for k in range(10, 40):
         bodies.get(k, lambda k=k: make(k), b"")  # type: ignore[misc]
     assert bodies.size <= 10_000 and len(made) == 31
@@ -116,11 +116,13 @@
 )  # fmt: skip
 def test_a_bad_file_of_credentials_names_place_and_cause(text: str, cause: str) -> None:
     with pytest.raises(CredentialError, match=cause.replace("$", r"\$")):
-        Bearer(text.encode())
+        BearerIdentity(text.encode())
 
 
 def test_a_token_tells_one_proxy() -> None:
-    who = Bearer(json.dumps({"proxies": {"p1": hashlib.sha256(b"secret").hexdigest()}}).encode()).who
+    who = BearerIdentity(
+        json.dumps({"proxies": {"p1": hashlib.sha256(b"secret").hexdigest()}}).encode()
+    ).authenticate
     assert who({b"authorization": b"Bearer secret"}, None) == "p1"
     for bad in (b"", b"Bearer", b"Bearer Secret", b"Basic secret", b"bearer secret2"):
         assert who({b"authorization": bad}, None) is None
@@ -128,11 +130,14 @@
 
 # Connections.
 
-QUICK = Times(header=0.3, write=0.3, idle=0.5, wait=0.3)
+QUICK = Timeouts(header=0.3, write=0.3, idle=0.5, wait=0.3)
 
 
 def serving(
-    play: Callable[[int, Server], Awaitable[None]], handler: Any = None, most: int = 20, times: Times = QUICK
+    play: Callable[[int, Server], Awaitable[None]],
+    handler: Any = None,
+    most: int = 20,
+    times: Timeouts = QUICK,
 ) -> Server:
     """Runs a server on loopback while `play(port, server)` goes on."""
     held: list[Server] = []
@@ -197,8 +202,8 @@
         for stream in streams:
             await trio.aclose_forcefully(stream)
         await wait_until(lambda: server.gate.open == 0)
-        caller = await dial("127.0.0.1", port)
-        assert (await caller.call(b"POST", b"/x", [], b"abc")).body == b"cba"
+        caller = await open_connection("127.0.0.1", port)
+        assert (await caller.request(b"POST", b"/x", [], b"abc")).body == b"cba"
         await caller.close()
 
     serving(play)
@@ -218,8 +223,8 @@
     said: dict[str, Reply] = {}
 
     async def play(port: int, server: Server) -> None:
-        caller = await dial("127.0.0.1", port)
-        assert (await caller.call(b"POST", b"/x", [], b"a")).status == 304
+        caller = await open_connection("127.0.0.1", port)
+        assert (await caller.request(b"POST", b"/x", [], b"a")).status == 304
         async with trio.open_nursery() as nursery:
 
             async def news() -> None:
@@ -230,7 +235,7 @@
                 waits[-1].wake.set()
 
             nursery.start_soon(news)
-            assert (await caller.call(b"POST", b"/x", [], b"b")).body == b"news"
+            assert (await caller.request(b"POST", b"/x", [], b"b")).body == b"news"
         # two calls at once on one connection: the second is answered after the first
         del said["it"]
         two = HEAD + b"content-length: 1\r\n\r\nc" + HEAD + b"content-length: 3\r\n\r\nnow"
@@ -253,9 +258,9 @@
     async def play(port: int, server: Server) -> None:
         slow = await trio.open_tcp_stream("127.0.0.1", port)
         await slow.send_all(HEAD + b"content-length: 3\r\n\r\nbig")
-        caller = await dial("127.0.0.1", port)
-        assert (await caller.call(b"POST", b"/x", [], b"small")).body == b"ok"
-        await wait_until(lambda: server.slow == 1)
+        caller = await open_connection("127.0.0.1", port)
+        assert (await caller.request(b"POST", b"/x", [], b"small")).body == b"ok"
+        await wait_until(lambda: server.slow_readers == 1)
         await trio.aclose_forcefully(slow)
         await caller.close()
 
@@ -312,20 +317,20 @@
             name, "calls", forms.Locality(zone="north"),
             {"usual_calls_per_s": 4, "term": term, "director": service.terms.name},
         )  # fmt: skip
-        self.callers: dict[str, Caller] = {}
+        self.callers: dict[str, ClientConnection] = {}
         self.headers = [(b"authorization", b"Bearer token of " + name.encode())]
 
     async def post(self, path: bytes, body: bytes, key: str = "", headers: Any = None) -> Reply:
         key = key or path.decode()
         caller = self.callers.get(key)
         if caller is None or not caller.usable:
-            caller = self.callers[key] = await dial("127.0.0.1", self.service.discovery_port)
-        return await caller.call(b"POST", path, self.headers if headers is None else headers, body)
+            caller = self.callers[key] = await open_connection("127.0.0.1", self.service.discovery_port)
+        return await caller.request(b"POST", path, self.headers if headers is None else headers, body)
 
     async def whole(self, kind: str, version: str = "", nonce: str = "", error: str = "") -> Reply:
         word = {"cds": "clusters", "eds": "endpoints", "rds": "routes"}[kind]
         detail = forms.Status(3, error) if error else None
-        asked = forms.DiscoveryRequest(version, self.node, [], forms.FILES[kind], nonce, detail)
+        asked = forms.DiscoveryRequest(version, self.node, [], forms.TYPE_URLS[kind], nonce, detail)
         return await self.post(f"/v3/discovery:{word}".encode(), encode(asked))
 
     async def settle(self, rounds: int = 3) -> dict[str, forms.DiscoveryResponse]:
@@ -395,7 +400,7 @@
         discovery = FakeDiscovery()
 
         async def handler(stream: trio.SocketStream) -> None:
-            await answer_calls(stream, discovery.answer)
+            await serve_connection(stream, discovery.answer)
 
         async with trio.open_nursery() as nursery:
             listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
@@ -536,7 +541,9 @@
             path = f"/envoy.service.{word.lower()}.v3.{word}DiscoveryService/Delta{word}s".encode()
             nonce = ""
             while True:
-                asked = forms.DeltaDiscoveryRequest(by_delta.node, forms.FILES[kind], response_nonce=nonce)
+                asked = forms.DeltaDiscoveryRequest(
+                    by_delta.node, forms.TYPE_URLS[kind], response_nonce=nonce
+                )
                 reply = await by_delta.post(path, encode(asked))
                 nonce = ""
                 if reply.status == 200:
@@ -632,7 +639,7 @@
                 version, nonce = response.version_info, response.nonce
 
         async with trio.open_nursery() as nursery:
-            for kind in forms.FILES:
+            for kind in forms.TYPE_URLS:
                 nursery.start_soon(follow, kind)
             await wait_until(lambda: "p1" in service.intake.sessions)
             await trio.sleep(4 * LOST_AFTER_S)
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -15,7 +15,7 @@
 from willowhook.controlplane.service import Service
 from willowhook.store.store import Op, Store
 from willowhook.ticks import TICKS_PER_SECOND
-from willowhook.web.wire import answer_calls
+from willowhook.web.wire import serve_connection
 
 
 def store_evidence(folder: Path, rows: list[tuple[int, str, str, int, int, int]]) -> None:
@@ -81,7 +81,7 @@
         discovery = FakeDiscovery()
 
         async def handler(stream: trio.SocketStream) -> None:
-            await answer_calls(stream, discovery.answer)
+            await serve_connection(stream, discovery.answer)
 
         async with trio.open_nursery() as nursery:
             listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
--- a/tests/test_nginx.py
+++ b/tests/test_nginx.py
@@ -294,12 +294,12 @@
     clusters = {row.name: row for row in tables.read_clusters(files["cds.json"])[1]}
 
     def goes(path: str) -> tuple[str, str, str]:
-        row = tables.first(routes, path)
+        row = tables.first_match(routes, path)
         assert row is not None
         if row.direct_response is not None:
             return str(row.direct_response.status), "", ""
         cluster = clusters[row.route.cluster]
-        return cluster.eds_cluster_config.service_name, tables.target(row, path), cluster.lb_policy
+        return cluster.eds_cluster_config.service_name, tables.upstream_path(row, path), cluster.lb_policy
 
     assert goes("/x") == ("old", "/x", "ROUND_ROBIN") and goes("/ping") == ("204", "", "")
     assert goes("/static/a.gif") == ("404", "", "") and goes("/b.GIF")[0] == "new"
@@ -308,7 +308,7 @@
         "/api/a.json",
     )
     assert goes("/split")[0] == "new-old"
-    submit = tables.first(routes, "/submit-task/7")
+    submit = tables.first_match(routes, "/submit-task/7")
     assert submit is not None and tables.tries_of(submit.route.retry_policy) == 1
     old = next(row for row in tables.read_tables(files["eds.json"])[1] if row.cluster_name == "old")
     assert tables.priorities(old) == {"127.0.0.1:9001": 0, "127.0.0.1:9002": 0, "127.0.0.1:9003": 1}
--- a/tests/test_proxy_resources.py
+++ b/tests/test_proxy_resources.py
@@ -6,7 +6,7 @@
 
 from willowhook.controlplane.proxy_resources import CONTROLLERS_RESOURCE, read_proxy_resources
 from willowhook.xds import forms, tables
-from willowhook.xds.codec import FormError, encode
+from willowhook.xds.codec import MessageFormatError, encode
 
 TABLE = tables.assignment(
     "standing", [("a", "127.0.0.1", 81, "north", 1.0, False), ("b", "127.0.0.1", 82, "south", 0.5, True)]
@@ -19,7 +19,7 @@
 
 
 def route_set(*entries: forms.Route) -> tuple[str, bytes]:
-    return forms.ROUTES, encode(tables.in_order("calls", list(entries)))
+    return forms.ROUTES, encode(tables.route_configuration("calls", list(entries)))
 
 
 def test_tables_are_found_by_route_and_exclusions_in_all_tables() -> None:
@@ -55,5 +55,5 @@
 
 
 def test_a_route_to_a_missing_cluster_is_malformed() -> None:
-    with pytest.raises(FormError, match="names cluster 'gone@standing', which is not held"):
+    with pytest.raises(MessageFormatError, match="names cluster 'gone@standing', which is not held"):
         read_proxy_resources([(forms.CLUSTER, encode(CLUSTER)), route_set(entry("/load", "gone@standing"))])
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -26,7 +26,7 @@
 from willowhook.reports.windows import CLOCK_RESET_TICKS, RETENTION_TICKS, ReportWindows
 from willowhook.ticks import TICKS_PER_SECOND
 from willowhook.xds import forms
-from willowhook.xds.codec import FormError
+from willowhook.xds.codec import MessageFormatError
 
 HALF = 2 * TICKS_PER_SECOND
 
@@ -349,9 +349,9 @@
     rows = [forms.UpstreamEndpointStats(at, 1)] * (MAX_ROWS + 1)
     zone = forms.UpstreamLocalityStats(upstream_endpoint_stats=rows)
     made = forms.LoadStatsRequest(cluster_stats=[forms.ClusterStats("r@t", "", [zone], 0, [], "1s")])
-    with pytest.raises(FormError, match="more than 5000 endpoints"):
+    with pytest.raises(MessageFormatError, match="more than 5000 endpoints"):
         read(made, frozenset("r"))
     for times, cause in (((5, 4), "load_from is 5"), (("x", 4), "no numbers"), ((0, 1e13), "load_until 1e")):
         node = forms.Node(metadata={"load_from": times[0], "load_until": times[1]})
-        with pytest.raises(FormError, match=cause):
+        with pytest.raises(MessageFormatError, match=cause):
             read(forms.LoadStatsRequest(node), frozenset())
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -30,7 +30,7 @@
 from willowhook.files.swap import read_group
 from willowhook.records.writer import Records, read_records
 from willowhook.xds import forms
-from willowhook.xds.codec import encode, response
+from willowhook.xds.codec import encode, encode_response
 
 
 @pytest.mark.parametrize("durability", ["none", "file_and_folder"])
@@ -354,7 +354,7 @@
         await wait_until(lambda: len(one.hosts()) == 3)
         ops, late = DiskOps(), one.down / "vlate"
         late.mkdir()
-        (late / "eds.json").write_bytes(response("0.1.9", forms.ASSIGNMENT, "0.1.9", []))
+        (late / "eds.json").write_bytes(encode_response("0.1.9", forms.ASSIGNMENT, "0.1.9", []))
         ops.symlink("vlate", str(one.down / ".late"))
         ops.rename(str(one.down / ".late"), str(one.down / "current"))
         assert one.hosts() == set()
--- a/tests/test_xds.py
+++ b/tests/test_xds.py
@@ -11,7 +11,15 @@
 from hypothesis import strategies as st
 
 from willowhook.xds import forms, orca, tables
-from willowhook.xds.codec import FormError, decode, duration, encode, read_response, response, seconds
+from willowhook.xds.codec import (
+    MessageFormatError,
+    decode,
+    encode,
+    encode_response,
+    format_duration,
+    parse_duration,
+    read_response,
+)
 
 LINES = [("a", "127.0.0.1", 81, "north", 0.25, False), ("b", "127.0.0.1", 82, "south", 1.5, True)]
 
@@ -42,17 +50,17 @@
         tables.route(f"r{k}", f"/r{k}", "c", 15_000, tables.retry(tries, 9000), tables.level(admit, value, 1))
         for k, (admit, value) in enumerate(levels)
     ]
-    return response("1.7", forms.ROUTES, "1.7", [encode(tables.route_set("calls", rows))])
+    return encode_response("1.7", forms.ROUTES, "1.7", [encode(tables.route_set("calls", rows))])
 
 
 @pytest.mark.parametrize("tries", [0, 1, 2, 3])
 def test_every_kind_of_file_down_is_what_the_published_types_say(tries: int) -> None:
-    eds = response("1.7", forms.ASSIGNMENT, "1.7", [encode(tables.assignment("t0", LINES))])
+    eds = encode_response("1.7", forms.ASSIGNMENT, "1.7", [encode(tables.assignment("t0", LINES))])
     got = strictly(eds, "DiscoveryResponse")
     assert got.version_info == "1.7" and got.resources[0].type_url == forms.ASSIGNMENT
     for pick, strikes in (("pair", 5), ("lottery", 0), ("wheel", 1)):
         cluster = tables.cluster("c", "t0", "eds.json", pick, 2500, strikes)
-        strictly(response("1.7", forms.CLUSTER, "1.7", [encode(cluster)]), "DiscoveryResponse")
+        strictly(encode_response("1.7", forms.CLUSTER, "1.7", [encode(cluster)]), "DiscoveryResponse")
     rds = route_file([("rps", 12.34), ("ratio", 0.4), ("rps", 0.0), ("none", 0.1), ("rps", 1e6)], tries)
     strictly(rds, "DiscoveryResponse")
 
@@ -101,7 +109,7 @@
 def test_what_a_library_writes_can_be_read() -> None:
     from google.protobuf import json_format
 
-    eds = response("1.7", forms.ASSIGNMENT, "1.7", [encode(tables.assignment("t0", LINES))])
+    eds = encode_response("1.7", forms.ASSIGNMENT, "1.7", [encode(tables.assignment("t0", LINES))])
     again = json_format.MessageToJson(strictly(eds, "DiscoveryResponse"), preserving_proto_field_name=True)
     assert tables.lines(tables.read_tables(again.encode())[1][0]) == LINES
 
@@ -154,29 +162,31 @@
     ],
 )
 def test_a_bad_file_is_refused_with_its_place(body: bytes, cause: str) -> None:
-    with pytest.raises(FormError, match=cause):
+    with pytest.raises(MessageFormatError, match=cause):
         read_response(body, forms.ASSIGNMENT)
 
 
 def test_a_bad_resource_is_named() -> None:
-    bad = response(
+    bad = encode_response(
         "1", forms.ASSIGNMENT, "1", [b'{"@type": "%s", "endpoints": 3}' % forms.ASSIGNMENT.encode()]
     )
-    with pytest.raises(FormError, match=r"resources\[0\].*endpoints"):
+    with pytest.raises(MessageFormatError, match=r"resources\[0\].*endpoints"):
         tables.read_tables(bad)
     row = json.loads(encode(tables.assignment("t0", LINES)))
     row["endpoints"][0]["lb_endpoints"][0]["load_balancing_weight"] = 0
-    with pytest.raises(FormError, match="'a' has no weight"):
+    with pytest.raises(MessageFormatError, match="'a' has no weight"):
         tables.lines(decode(json.dumps(row).encode(), forms.ClusterLoadAssignment))
 
 
 def test_durations_and_load_reports() -> None:
-    assert duration(2500) == "0.25s" and duration(10_000) == "1s" and seconds("1.5s") == 1.5
+    assert (
+        format_duration(2500) == "0.25s" and format_duration(10_000) == "1s" and parse_duration("1.5s") == 1.5
+    )
     for bad in ("1", "xs", "nans", "infs"):
-        with pytest.raises(FormError):
-            seconds(bad)
+        with pytest.raises(MessageFormatError):
+            parse_duration(bad)
     told = orca.read(orca.write({"cpu_utilization": 0.5, "named_metrics.queue": 3}))
-    assert orca.load(told) == {"busy": 0.5, "q": 3.0}
+    assert orca.decision_metrics(told) == {"busy": 0.5, "q": 3.0}
     assert (
         orca.read(b'JSON {"cpu_utilization": 0.25, "named_metrics": {"queue": 2}}')["named_metrics.queue"]
         == 2
--- a/willowhook/cli/commands.py
+++ b/willowhook/cli/commands.py
@@ -143,7 +143,7 @@
 def show(folder: str, only: str) -> None:
     """Show what each proxy of a controller's folder would read now."""
     from ..files.layout import DOWN
-    from ..xds.codec import FormError
+    from ..xds.codec import MessageFormatError
     from .tables import print_proxy
 
     root = Path(folder) / DOWN
@@ -158,7 +158,7 @@
             print_proxy(place)
         except FileNotFoundError:
             click.echo(f"{place.name}: nothing has been sent")
-        except (FormError, OSError, KeyError) as fault:
+        except (MessageFormatError, OSError, KeyError) as fault:
             click.echo(f"{place.name}: cannot be read: {fault}", err=True)
             has_malformed = True
     sys.exit(1 if has_malformed else 0)
--- a/willowhook/cli/exports.py
+++ b/willowhook/cli/exports.py
@@ -28,7 +28,7 @@
     """
     from ..files.swap import Shelf, read_group
     from ..nginx.export import export
-    from ..xds.codec import FormError
+    from ..xds.codec import MessageFormatError
 
     shelf = Shelf(out)
     try:
@@ -38,7 +38,7 @@
             return
         made = export(read_group(group)[1])
         shelf.put(made.files)
-    except FormError as fault:
+    except MessageFormatError as fault:
         click.echo(f"{group}: {fault}", err=True)
         sys.exit(2)
     except OSError as fault:
--- a/willowhook/cli/tables.py
+++ b/willowhook/cli/tables.py
@@ -10,7 +10,15 @@
 from ..controlplane.proxy_resources import CONTROLLERS_RESOURCE
 from ..files.swap import read_group
 from ..xds import forms
-from ..xds.tables import level_of, lines, match_of, read_clusters, read_routes, read_tables, tries_of
+from ..xds.tables import (
+    level_of,
+    lines,
+    match_kind_and_path,
+    read_clusters,
+    read_routes,
+    read_tables,
+    tries_of,
+)
 
 
 def print_proxy(folder: Path) -> None:
@@ -36,7 +44,7 @@
 
 
 def _print_route(route: forms.Route, clusters: dict[str, forms.Cluster]) -> None:
-    path = " ".join(match_of(route.match)).removeprefix("below ")
+    path = " ".join(match_kind_and_path(route.match)).removeprefix("below ")
     if route.direct_response is not None:
         click.echo(f"  {path} -> {route.direct_response.status}")
         return
--- a/willowhook/controlplane/discovery_feed.py
+++ b/willowhook/controlplane/discovery_feed.py
@@ -12,11 +12,11 @@
 
 from ..config.terms import FrontTerms
 from ..files.layout import STATUS
-from ..front.bodies import Bodies
-from ..front.discovery import Discovery
-from ..front.identity import Bearer, CredentialError, Identity, Unproven
+from ..front.bodies import ResponseCache
+from ..front.discovery import DiscoveryServer
+from ..front.identity import BearerIdentity, CredentialError, Identity, UnverifiedIdentity
 from ..front.limits import Gate
-from ..front.serve import Server, Times
+from ..front.serve import Server, Timeouts
 from ..ticks import TICKS_PER_SECOND
 from ..versions.discovery_session import DiscoverySession
 from ..versions.resources import Resource, ResourceSet, ResourceStore
@@ -46,11 +46,11 @@
 def identity_of(settings: FrontTerms) -> Identity:
     """Returns how callers authenticate. Raises CredentialError, or OSError if the file cannot be read."""
     if settings.identity == "none":
-        return Unproven()
+        return UnverifiedIdentity()
     if not settings.credentials:
         raise CredentialError("front.credentials names no file")
     with open(settings.credentials, "rb") as file:
-        return Bearer(file.read())
+        return BearerIdentity(file.read())
 
 
 def _gate(settings: FrontTerms) -> Gate:
@@ -60,8 +60,8 @@
     )
 
 
-def _times(settings: FrontTerms) -> Times:
-    return Times(
+def _times(settings: FrontTerms) -> Timeouts:
+    return Timeouts(
         settings.header_ms / 1000,
         settings.write_ms / 1000,
         settings.idle_ms / 1000,
@@ -109,8 +109,8 @@
         self._pending: list[InboundEvent] = []  # the events of the call that is being served
         settings = self._settings = context.terms.front
         self.gate = _gate(settings)
-        self.bodies = Bodies(settings.cache_bytes, settings.compress_from_bytes)
-        self.front = Discovery(
+        self.bodies = ResponseCache(settings.cache_bytes, settings.compress_from_bytes)
+        self.front = DiscoveryServer(
             context.terms.name,
             self,
             identity_of(settings),
@@ -119,7 +119,7 @@
             settings.come_back_ms / 1000,
             context.terms.fleet.report_every_ms / 1000,
         )
-        handle, ended = self.front.handle, self.front.ended
+        handle, ended = self.front.handle_request, self.front.handle_connection_closed
         self.server = Server(self.gate, _times(settings), settings.largest_ask_bytes, handle, ended)
 
     async def run(self, task_status: trio.TaskStatus[int] = trio.TASK_STATUS_IGNORED) -> None:
@@ -136,7 +136,7 @@
 
     def set_report_interval(self, interval_seconds: float) -> None:
         """Tells proxies how often to send load reports."""
-        self.front.ask_every(interval_seconds)
+        self.front.set_report_interval(interval_seconds)
 
     # Sessions, in the decision task.
 
@@ -146,7 +146,7 @@
             proxy, self._store, self, references, self._publisher.renderer.exclude_from, held.resources()
         )
         self._discovery_sessions[name] = session
-        return HttpUpdateSink(session, self._store, self.front.news)
+        return HttpUpdateSink(session, self._store, self.front.notify_session)
 
     def open_session(self, now: int, request: SessionRequested) -> None:
         """Opens the session of a proxy that calls, unless it has this one already."""
@@ -162,7 +162,7 @@
         """Ends the calls of a proxy that has left."""
         session = self._discovery_sessions.pop(name, None)
         if session is not None:
-            self.front.forget(session)
+            self.front.remove_session(session)
 
     def has_unanswered_call(self, name: str) -> bool:
         """Whether a call of a proxy waits on an open connection; `wait_ms` at the most."""
@@ -171,33 +171,33 @@
 
     # The interface that the discovery server calls, `Hall`.
 
-    def here(self, name: str) -> tuple[int, bool] | None:
+    def session_state(self, name: str) -> tuple[int, bool] | None:
         """The term of a proxy's session, and whether it calls; None if it has none."""
         session = self._intake.sessions.get(name)
         return (session.term, session.uses_discovery) if session is not None else None
 
-    def desk(self, name: str) -> DiscoverySession | None:
+    def discovery_session(self, name: str) -> DiscoverySession | None:
         """The resources as one proxy is offered them; None if it has no session."""
         return self._discovery_sessions.get(name)
 
-    def leaves(self, name: str) -> bool:
+    def is_redirected(self, name: str) -> bool:
         """Whether a proxy is to follow another controller, as this one drains."""
         session = self._intake.sessions.get(name)
         open_session = self._publisher.sessions.get(session.number) if session is not None else None
         sink = open_session.sink if open_session is not None else None
         return isinstance(sink, HttpUpdateSink) and sink.is_sent_away
 
-    def called(self, name: str) -> None:
+    def record_request(self, name: str) -> None:
         """A proxy has made a call, which shows that it is alive."""
         self._pending.append(ProxyCalled(name))
 
-    def delivered(self, name: str) -> None:
+    def record_delivery(self, name: str) -> None:
         """An update has left on a proxy's connection."""
         session = self._intake.sessions.get(name)
         if session is not None:
             self._publisher.handle_delivered(session.number)
 
-    async def arrive(self, name: str, node: forms.Node, holds: list[Any], fresh: bool) -> str:
+    async def join(self, name: str, node: forms.Node, holds: list[Any], fresh: bool) -> str:
         """Opens the session of a proxy that calls; returns what is malformed in the request, or empty."""
         files = {STATUS: encode({"node": node, "generic_xds_configs": holds})}
         if not fresh:
@@ -207,11 +207,11 @@
         await reply.is_ready.wait()
         return reply.fault
 
-    async def report(self, name: str, body: bytes) -> None:
+    async def submit_report(self, name: str, body: bytes) -> None:
         """Queues a load report."""
         self._reports.offer(self._publisher.now(), name, body)
 
-    async def settled(self) -> None:
+    async def flush_events(self) -> None:
         """Sends the events of a call that has been answered to the decision task."""
         pending, self._pending = self._pending, []
         for event in pending:
--- a/willowhook/controlplane/handoff_codec.py
+++ b/willowhook/controlplane/handoff_codec.py
@@ -12,7 +12,7 @@
 from ..reports.read import LATENCY
 from ..ticks import TICKS_PER_SECOND
 from ..xds import forms
-from ..xds.codec import FormError, decode, encode, seconds
+from ..xds.codec import MessageFormatError, decode, encode, parse_duration
 from .resource_renderer import Address
 
 CLUSTER_NAME = "met"
@@ -62,15 +62,15 @@
         sender, epoch, number, term = (metadata[key] for key in ("director", "epoch", "number", "term"))
         is_numbered = all(isinstance(each, int) and each >= 0 for each in (epoch, number, term))
         if not isinstance(sender, str) or not is_numbered:
-            raise FormError("node.metadata has a director, an epoch, a number and a term")
+            raise MessageFormatError("node.metadata has a director, an epoch, a number and a term")
         (stats,) = report.cluster_stats
     except (KeyError, ValueError) as error:
-        raise FormError(f"no handoff: {error}") from error
+        raise MessageFormatError(f"no handoff: {error}") from error
     endpoints: dict[str, EndpointSums] = {}
     for locality in stats.upstream_locality_stats:
         for row in locality.upstream_endpoint_stats:
             _decode_endpoint(row, names_by_address, endpoints)
-    window_ticks = round(seconds(stats.load_report_interval) * TICKS_PER_SECOND)
+    window_ticks = round(parse_duration(stats.load_report_interval) * TICKS_PER_SECOND)
     return Packet(sender, epoch, number, Hint(report.node.id, term, max(window_ticks, 1), endpoints))
 
 
@@ -82,7 +82,7 @@
     failures = row.total_error_requests
     address = row.address.socket_address
     if address is None or not (0 <= successes < MAX_ATTEMPTS and 0 <= failures < MAX_ATTEMPTS):
-        raise FormError(f"{successes} answered and {failures} errors")
+        raise MessageFormatError(f"{successes} answered and {failures} errors")
     name = names_by_address.get(f"{address.address}:{address.port_value}")
     metrics = [each for each in row.load_metric_stats if each.metric_name == LATENCY]
     latency_sum_seconds = sum(each.total_metric_value for each in metrics)
--- a/willowhook/controlplane/handoff_peers.py
+++ b/willowhook/controlplane/handoff_peers.py
@@ -13,7 +13,7 @@
 from ..decisions.windows import WindowedSums
 from ..membership.handoff import EndpointSums, Hint, HintReceiver, HintSender, Packet
 from ..ticks import TICKS_PER_SECOND, ticks_from_milliseconds
-from ..xds.codec import FormError
+from ..xds.codec import MessageFormatError
 from .context import ServiceContext
 from .endpoint_directory import EndpointDirectory
 from .handoff_codec import decode_packet, encode_packet
@@ -73,7 +73,7 @@
         """Receives a packet of a peer; returns whether it could be read."""
         try:
             packet = decode_packet(body, self._directory.names_by_address)
-        except FormError as error:
+        except MessageFormatError as error:
             self._context.conditions.report(
                 "link", True, "handoff packet of a peer rejected", cause=str(error)
             )
--- a/willowhook/controlplane/health_checker.py
+++ b/willowhook/controlplane/health_checker.py
@@ -8,7 +8,7 @@
 
 from ..decisions.events import HealthCheckCompleted, HealthCheckOutcome
 from ..roster.forms import Host
-from ..web.wire import Broken, Caller, dial
+from ..web.wire import ClientConnection, ConnectionLostError, open_connection
 from ..xds import orca
 from .context import ServiceContext
 
@@ -52,14 +52,14 @@
     async def _check(self, endpoint: Host) -> None:
         outcome = HealthCheckOutcome.TIMED_OUT
         load: dict[str, float] = {}
-        caller: Caller | None = None
+        caller: ClientConnection | None = None
         try:
             with trio.move_on_after(self._timeout_seconds):
-                caller = await dial(endpoint.address, endpoint.port)
-                reply = await caller.call(b"GET", self._path, most=MAX_RESPONSE_BYTES)
+                caller = await open_connection(endpoint.address, endpoint.port)
+                reply = await caller.request(b"GET", self._path, max_body_bytes=MAX_RESPONSE_BYTES)
                 outcome = OUTCOME_BY_STATUS.get(reply.status, HealthCheckOutcome.FAILED)
-                load = orca.load(orca.read(reply.header(orca.HEADER) or b""))
-        except Broken as error:
+                load = orca.decision_metrics(orca.read(reply.header(orca.HEADER) or b""))
+        except ConnectionLostError as error:
             outcome = HealthCheckOutcome.ABORTED if error.sent else HealthCheckOutcome.UNREACHABLE
         finally:
             self._running_checks -= 1
--- a/willowhook/controlplane/intake.py
+++ b/willowhook/controlplane/intake.py
@@ -19,7 +19,7 @@
 from ..reports.windows import ReportWindows
 from ..ticks import TICKS_PER_SECOND
 from ..xds import forms
-from ..xds.codec import FormError, decode
+from ..xds.codec import MessageFormatError, decode
 from .malformed_input import MalformedInputReporter
 from .proxy_events import (
     AttemptsReported,
@@ -150,7 +150,7 @@
             number = self._assign_number(name)
             check_controller(self._controller, status.node)
             is_fresh = not has_applied_any(read_requests(files))
-        except FormError as error:
+        except MessageFormatError as error:
             self._malformed.reject(name, STATUS, str(error))
             return False
         self._malformed.accept_all(name)
@@ -165,7 +165,7 @@
         number = self._numbers.setdefault(name, len(self._numbers))
         if number >= MAX_PROXIES:
             del self._numbers[name]
-            raise FormError(f"more than {MAX_PROXIES} proxies have come")
+            raise MessageFormatError(f"more than {MAX_PROXIES} proxies have come")
         return number
 
     def close_session(self, name: str, reason: str) -> None:
@@ -219,8 +219,8 @@
                     return
                 self._process_request(proxy, REQUEST_FILES[file], request)
             elif file != STATUS:
-                raise FormError("no file of this name is known")
-        except FormError as error:
+                raise MessageFormatError("no file of this name is known")
+        except MessageFormatError as error:
             self._malformed.reject(name, file, str(error))
             return
         self._touch(now, proxy)
@@ -250,13 +250,13 @@
             return
         if version.epoch > self._epoch or version.term > proxy.term:
             here = f"term {proxy.term}, epoch {self._epoch}"
-            raise FormError(f"response_nonce is {version}, and this is {here}")
+            raise MessageFormatError(f"response_nonce is {version}, and this is {here}")
         if (version.term, version.epoch) != (proxy.term, self._epoch):
             return  # an answer to what was sent in another session, or before this controller started
         message = version.number
         newest = self._newest_message()
         if message > newest:
-            raise FormError(f"response_nonce is of message {message}, and {newest} is the last")
+            raise MessageFormatError(f"response_nonce is of message {message}, and {newest} is the last")
         if request.error_detail is not None:
             if proxy.rejected.get(kind) != message:
                 proxy.rejected[kind] = message
@@ -295,7 +295,7 @@
                         return malformed
                     continue
                 accepted.append((arrived_at, xxhash.xxh64_intdigest(data), read(report, self._routes)))
-            except FormError as error:
+            except MessageFormatError as error:
                 malformed.append((str(error), data))
                 self._malformed.reject(name, LOAD, str(error))
         if accepted:
--- a/willowhook/controlplane/links.py
+++ b/willowhook/controlplane/links.py
@@ -10,7 +10,7 @@
 
 import trio
 
-from ..web.wire import Broken, Call, Caller, Reply, answer_calls, dial
+from ..web.wire import Call, ClientConnection, ConnectionLostError, Reply, open_connection, serve_connection
 
 HANDOFF_PATH = b"/v3/handoff"
 MAX_PACKET_BYTES = 1 << 20
@@ -30,13 +30,13 @@
 
     async def send(self, packet: bytes) -> bool:
         """Sends a packet; returns whether the peer has accepted it."""
-        caller: Caller | None = None
+        caller: ClientConnection | None = None
         try:
             with trio.move_on_after(self._timeout_seconds):
-                caller = await dial(self._address, self._port, self._timeout_seconds)
-                reply = await caller.call(b"POST", HANDOFF_PATH, [], packet, MAX_RESPONSE_BYTES)
+                caller = await open_connection(self._address, self._port, self._timeout_seconds)
+                reply = await caller.request(b"POST", HANDOFF_PATH, [], packet, MAX_RESPONSE_BYTES)
                 return reply.status == 204
-        except Broken:
+        except ConnectionLostError:
             return False
         finally:
             if caller is not None:
@@ -67,7 +67,7 @@
         return Reply(204 if await accept(call.body) else 400)
 
     async def serve(stream: trio.SocketStream) -> None:
-        await answer_calls(stream, answer, MAX_PACKET_BYTES)
+        await serve_connection(stream, answer, MAX_PACKET_BYTES)
 
     address, _, port = listen.rpartition(":")
     listeners = await trio.open_tcp_listeners(int(port), host=address)
--- a/willowhook/controlplane/proxy_files.py
+++ b/willowhook/controlplane/proxy_files.py
@@ -11,10 +11,10 @@
 from ..files.layout import LOAD, PROXY_NAME, STATUS
 from ..membership.version import Version, VersionError, parse_version
 from ..xds import forms
-from ..xds.codec import FormError, decode, read_response
+from ..xds.codec import MessageFormatError, decode, read_response
 from .proxy_resources import ProxyResources, read_proxy_resources
 
-REQUEST_FILES = {f"{kind}.json": kind for kind in forms.FILES}
+REQUEST_FILES = {f"{kind}.json": kind for kind in forms.TYPE_URLS}
 PROXY_FILES = (STATUS, *REQUEST_FILES, LOAD)
 MAX_USUAL_RATE_PER_SECOND = 1e7
 MAX_TERM = 1e12
@@ -41,20 +41,20 @@
 def check_proxy_name(name: str) -> None:
     """Raises FormError if a proxy's folder may not have this name."""
     if not PROXY_NAME.match(name):
-        raise FormError("the folder's name is no name of a proxy")
+        raise MessageFormatError("the folder's name is no name of a proxy")
 
 
 def check_node(name: str, node: forms.Node) -> None:
     """Raises FormError if a file in the folder of `name` is of another node."""
     if node.id != name:
-        raise FormError(f"node.id is {node.id[:QUOTED_CHARACTERS]!r}, in the folder of {name!r}")
+        raise MessageFormatError(f"node.id is {node.id[:QUOTED_CHARACTERS]!r}, in the folder of {name!r}")
 
 
 def read_term(node: forms.Node) -> int:
     """The session's term as a node states it; 0 from a proxy that keeps none."""
     term = node.metadata.get("term", 0)
     if not isinstance(term, int | float) or not 0 <= term < MAX_TERM or term != int(term):
-        raise FormError(f"node.metadata.term is {str(term)[:40]}, no whole number")
+        raise MessageFormatError(f"node.metadata.term is {str(term)[:40]}, no whole number")
     return int(term)
 
 
@@ -62,7 +62,7 @@
     """Raises FormError if a joining proxy names another controller than this one."""
     named = node.metadata.get("director", controller)
     if named != controller:
-        raise FormError(f"node.metadata.director is {named!r}, and this is {controller!r}")
+        raise MessageFormatError(f"node.metadata.director is {named!r}, and this is {controller!r}")
 
 
 def read_controller(node: forms.Node) -> str:
@@ -74,9 +74,9 @@
     try:
         rate = float(node.metadata.get("usual_calls_per_s", 0))
     except (TypeError, ValueError) as error:
-        raise FormError("node.metadata.usual_calls_per_s is no number") from error
+        raise MessageFormatError("node.metadata.usual_calls_per_s is no number") from error
     if not 0 <= rate < MAX_USUAL_RATE_PER_SECOND:
-        raise FormError(f"node.metadata.usual_calls_per_s is {rate:g}")
+        raise MessageFormatError(f"node.metadata.usual_calls_per_s is {rate:g}")
     return rate
 
 
@@ -102,13 +102,13 @@
 def _read_previous(files: Mapping[str, bytes], term: int) -> ProxyResources | None:
     """The resources of a complete group of files; None if it is of another session or incomplete."""
     try:
-        responses = [read_response(files[f"{kind}.json"], url) for kind, url in forms.FILES.items()]
+        responses = [read_response(files[f"{kind}.json"], url) for kind, url in forms.TYPE_URLS.items()]
         if any(parse_version(response.version_info).term != term for response in responses):
             return None
         return read_proxy_resources(
             [(row.type_url, bytes(raw)) for row in responses for raw in row.resources]
         )
-    except (KeyError, FormError, VersionError):
+    except (KeyError, MessageFormatError, VersionError):
         return None
 
 
@@ -124,12 +124,12 @@
 
 def read_answered_version(kind: str, request: forms.DiscoveryRequest) -> Version | None:
     """The version that a request of this kind answers; None if it answers none."""
-    expected = forms.FILES[kind]
+    expected = forms.TYPE_URLS[kind]
     if request.type_url != expected:
-        raise FormError(f"type_url is {request.type_url[:QUOTED_CHARACTERS]!r}, not {expected!r}")
+        raise MessageFormatError(f"type_url is {request.type_url[:QUOTED_CHARACTERS]!r}, not {expected!r}")
     if not request.response_nonce:
         return None
     try:
         return parse_version(request.response_nonce)
     except VersionError as error:
-        raise FormError(f"response_nonce: {error}") from error
+        raise MessageFormatError(f"response_nonce: {error}") from error
--- a/willowhook/controlplane/proxy_resources.py
+++ b/willowhook/controlplane/proxy_resources.py
@@ -8,7 +8,7 @@
 
 from ..versions.resources import CLUSTERS, ROUTES, TABLES
 from ..xds import forms, tables
-from ..xds.codec import FormError, decode, encode
+from ..xds.codec import MessageFormatError, decode, encode
 
 CONTROLLERS_RESOURCE = "directors"  # a table of controllers, whose only entry is this one, draining
 ROUTE_SET_NAME = "calls"  # the one route configuration of a proxy
@@ -66,14 +66,14 @@
     def resources(self) -> ResourcesByType:
         """Returns all of it as resources again."""
         clusters = {route.cluster_name: route.cluster for route in self.routes.values()}
-        route_set = tables.in_order(ROUTE_SET_NAME, self.entries)
+        route_set = tables.route_configuration(ROUTE_SET_NAME, self.entries)
         return {
             TABLES: [(name, encode(table)) for name, table in self.assignments.items()],
             CLUSTERS: list(clusters.items()),
             ROUTES: [(ROUTE_SET_NAME, encode(route_set))] if self.routes else [],
         }
 
-    def _lines(self, route: str) -> list[tables.Line]:
+    def _lines(self, route: str) -> list[tables.TableEntry]:
         initial = self.routes.get(route)
         table = self.assignments.get(initial.table) if initial is not None else None
         return tables.lines(table) if table is not None else []
@@ -109,10 +109,12 @@
 
 def _group_entries(found: ProxyResources, clusters: dict[str, _Cluster]) -> None:
     """Collects entries by route; where a route's entries change cluster, the later cluster stands."""
-    for entry in tables.leading(found.entries):
+    for entry in tables.cluster_routes(found.entries):
         cluster = clusters.get(entry.route.cluster)
         if cluster is None:
-            raise FormError(f"route {entry.name!r} names cluster {entry.route.cluster!r}, which is not held")
+            raise MessageFormatError(
+                f"route {entry.name!r} names cluster {entry.route.cluster!r}, which is not held"
+            )
         before = found.routes.get(entry.name)
         if before is not None and before.cluster_name == entry.route.cluster:
             before.entries.append(entry)
--- a/willowhook/controlplane/resource_renderer.py
+++ b/willowhook/controlplane/resource_renderer.py
@@ -148,7 +148,7 @@
         key = (excluded, self._addresses_version)
         body = table.encoded.get(key)
         if body is None:
-            lines: list[tables.Line] = []
+            lines: list[tables.TableEntry] = []
             for endpoint, weight in table.weights.items():
                 located = self._addresses.get(endpoint)
                 if located is not None:
@@ -169,7 +169,7 @@
     def _closed_entry(self, path: ClosedTerms) -> bytes:
         body = self._bodies.get(path)
         if body is None:
-            entry = tables.closed(tables.match(path.match, path.path), path.status)
+            entry = tables.direct_response_route(tables.match(path.match, path.path), path.status)
             body = self._bodies[path] = encode(entry)
         return body
 
@@ -226,7 +226,7 @@
 def _find_references(resource: Resource) -> tuple[str, ...]:
     if resource.kind == ROUTES:
         hosts = decode(resource.body, forms.RouteConfiguration).virtual_hosts
-        clusters = [entry.route.cluster for host in hosts for entry in tables.leading(host.routes)]
+        clusters = [entry.route.cluster for host in hosts for entry in tables.cluster_routes(host.routes)]
         return tuple(dict.fromkeys(clusters))
     if resource.kind == CLUSTERS:
         cluster = decode(resource.body, forms.Cluster)
--- a/willowhook/controlplane/update_sinks.py
+++ b/willowhook/controlplane/update_sinks.py
@@ -14,7 +14,7 @@
 from ..versions.discovery_session import DiscoverySession
 from ..versions.resources import TABLES, Resource, ResourceSet, ResourceStore
 from ..xds import forms
-from ..xds.codec import response
+from ..xds.codec import encode_response
 from .proxy_resources import CONTROLLERS_RESOURCE, ResourcesByType
 
 FILE_SUFFIX = ".json"
@@ -75,7 +75,9 @@
             if resource_set is not last:
                 self._sets[kind] = resource_set
                 bodies = [each.body for each in resource_set.resources.values()]
-                self._files[kind + FILE_SUFFIX] = response(version, forms.FILES[kind], version, bodies)
+                self._files[kind + FILE_SUFFIX] = encode_response(
+                    version, forms.TYPE_URLS[kind], version, bodies
+                )
         return {kind + FILE_SUFFIX: self._files[kind + FILE_SUFFIX] for kind in resources}
 
     def prepare(
--- a/willowhook/front/bodies.py
+++ b/willowhook/front/bodies.py
@@ -33,13 +33,13 @@
     return gzip.compress(body, GZIP_LEVEL, mtime=0)
 
 
-class Bodies:
+class ResponseCache:
     """The least used goes first when there are more bytes than may be."""
 
     def __init__(self, most_bytes: int, compress_from: int) -> None:
         self._most, self._from = most_bytes, compress_from
-        self._kept: OrderedDict[tuple[Hashable, bytes], bytes] = OrderedDict()
-        self.size = self.made = self.packed = self.hits = 0
+        self._cache: OrderedDict[tuple[Hashable, bytes], bytes] = OrderedDict()
+        self.size = self.encoded = self.compressed = self.hits = 0
 
     def get(self, key: Hashable, make: Callable[[], bytes], encoding: bytes) -> tuple[bytes, bytes]:
         """The bytes and their encoding.  `key` None: nobody else gets the same."""
@@ -47,27 +47,27 @@
         if not encoding or len(plain) < self._from:
             return plain, b""
         if key is None:
-            self.packed += 1
+            self.compressed += 1
             return pack(plain, encoding), encoding
-        found = self._kept.get((key, encoding))
+        found = self._cache.get((key, encoding))
         if found is None:
             found = pack(plain, encoding)
-            self.packed += 1
+            self.compressed += 1
             self._keep((key, encoding), found)
         else:
-            self._kept.move_to_end((key, encoding))
+            self._cache.move_to_end((key, encoding))
         return found, encoding
 
     def _plain(self, key: Hashable, make: Callable[[], bytes]) -> bytes:
         if key is None:
-            self.made += 1
+            self.encoded += 1
             return make()
-        found = self._kept.get((key, b""))
+        found = self._cache.get((key, b""))
         if found is not None:
             self.hits += 1
-            self._kept.move_to_end((key, b""))
+            self._cache.move_to_end((key, b""))
             return found
-        self.made += 1
+        self.encoded += 1
         body = make()
         self._keep((key, b""), body)
         return body
@@ -75,7 +75,7 @@
     def _keep(self, key: tuple[Hashable, bytes], body: bytes) -> None:
         if len(body) > self._most // 4:
             return
-        self._kept[key] = body
+        self._cache[key] = body
         self.size += len(body)
         while self.size > self._most:
-            self.size -= len(self._kept.popitem(last=False)[1])
+            self.size -= len(self._cache.popitem(last=False)[1])
--- a/willowhook/front/discovery.py
+++ b/willowhook/front/discovery.py
@@ -23,8 +23,8 @@
 from ..versions.resources import KINDS
 from ..web.wire import Call, Reply
 from ..xds import forms
-from ..xds.codec import FormError, decode, encode, response
-from .bodies import Bodies, chosen
+from ..xds.codec import MessageFormatError, decode, encode, encode_response
+from .bodies import ResponseCache, chosen
 from .identity import Identity
 from .limits import Gate
 from .serve import Line, Waiting, refusal
@@ -42,21 +42,21 @@
 JSON = (b"content-type", b"application/json")
 
 
-class Hall(Protocol):
+class DiscoveryBackend(Protocol):
     """The director, as the front needs it."""
 
-    def here(self, name: str) -> tuple[int, bool] | None:
+    def session_state(self, name: str) -> tuple[int, bool] | None:
         """The term of a proxy that has joined, and whether it calls; None if it has not."""
 
-    def desk(self, name: str) -> DiscoverySession | None: ...
-    def leaves(self, name: str) -> bool: ...
-    def called(self, name: str) -> None: ...
-    def delivered(self, name: str) -> None: ...
-    async def arrive(self, name: str, node: forms.Node, holds: list[Any], fresh: bool) -> str:
+    def discovery_session(self, name: str) -> DiscoverySession | None: ...
+    def is_redirected(self, name: str) -> bool: ...
+    def record_request(self, name: str) -> None: ...
+    def record_delivery(self, name: str) -> None: ...
+    async def join(self, name: str, node: forms.Node, holds: list[Any], fresh: bool) -> str:
         """The proxy joins; what is wrong with what it says, or ''."""
 
-    async def report(self, name: str, body: bytes) -> None: ...
-    async def settled(self) -> None:
+    async def submit_report(self, name: str, body: bytes) -> None: ...
+    async def flush_events(self) -> None:
         """What the desks told is handed on."""
 
 
@@ -80,12 +80,12 @@
     over: str = ""  # why it ends without news
 
 
-class Discovery:
+class DiscoveryServer:
     """`handle` and `ended` are a server's; `news` is told by desks; `run` wakes who waits, in turn."""
 
     def __init__(
-        self, director: str, hall: Hall, identity: Identity, gate: Gate, bodies: Bodies, back_s: float,
-        report_s: float,
+        self, director: str, hall: DiscoveryBackend, identity: Identity, gate: Gate, bodies: ResponseCache,
+        back_s: float, report_s: float,
     ) -> None:  # fmt: skip
         self._director, self._hall, self._identity, self._gate = director, hall, identity, gate
         self.bodies, self._back_s, self._report_s = bodies, back_s, report_s
@@ -97,8 +97,8 @@
 
     # Calls.
 
-    async def handle(self, line: Line, call: Call) -> Reply | Waiting:
-        who = self._identity.who(call.headers, line.peer)
+    async def handle_request(self, line: Line, call: Call) -> Reply | Waiting:
+        who = self._identity.authenticate(call.headers, line.peer)
         if who is None:
             return refusal(401, 16, "no credential that is known", 0, True)
         path, said = call.target.split(b"?")[0], line.state
@@ -112,7 +112,7 @@
             return refusal(405, 12, "POST it")
         try:
             return await self._spoken(line, said, call, who, kind, whole)
-        except FormError as fault:
+        except MessageFormatError as fault:
             return refusal(400, 3, str(fault)[:300])
 
     async def _spoken(
@@ -130,21 +130,21 @@
             asked = decode(call.body, forms.DeltaDiscoveryRequest)
         if (wrong := self._node(line, said, asked.node, who)) is not None:
             return wrong
-        if asked.type_url not in ("", forms.FILES[kind]):
-            return refusal(400, 3, f"type_url is {asked.type_url[:80]!r}, not {forms.FILES[kind]!r}")
+        if asked.type_url not in ("", forms.TYPE_URLS[kind]):
+            return refusal(400, 3, f"type_url is {asked.type_url[:80]!r}, not {forms.TYPE_URLS[kind]!r}")
         first = kind not in said.kinds
         if (wrong := await self._present(line.proxy, said, asked, first)) is not None:
             return wrong
         said.kinds[kind] = None
         desk = said.desk
         assert desk is not None
-        self._hall.called(line.proxy)
+        self._hall.record_request(line.proxy)
         answer = desk.handle_request(self._ask(asked, kind, first))
-        await self._hall.settled()
-        self.news(desk)  # what this told may be what a call for another type waits for
+        await self._hall.flush_events()
+        self.notify_session(desk)  # what this told may be what a call for another type waits for
         encoding = chosen(call.headers.get(b"accept-encoding", b""))
         waiter = Waiter(desk, line.proxy, kind, whole, encoding)
-        if self._hall.leaves(line.proxy):
+        if self._hall.is_redirected(line.proxy):
             return self._away()
         if answer is not None:
             self._end(desk, kind, "another call for the same has come")
@@ -176,7 +176,7 @@
         wait = self._gate.asks(monotonic_ticks(), name)
         if wait:
             return refusal(429, 8, "too many calls", wait / TICKS_PER_SECOND)
-        here, node = self._hall.here(name), said.node
+        here, node = self._hall.session_state(name), said.node
         assert node is not None
         term = node.metadata.get("term", 0)
         if here is not None and here[1] and isinstance(term, int | float):
@@ -185,24 +185,24 @@
             if mine is OwnershipClaim.OUTDATED:
                 return refusal(409, 9, f"term {int(term)} is over, {here[0]} is now", 0, True)
             if mine is OwnershipClaim.OWNED and said.desk is not None:
-                if self._hall.desk(name) is said.desk:
+                if self._hall.discovery_session(name) is said.desk:
                     return None
                 return refusal(503, 14, "this stay is over", self._back_s, True)
             if mine is OwnershipClaim.OWNED:
-                said.desk = self._hall.desk(name)
+                said.desk = self._hall.discovery_session(name)
                 if said.desk is not None:
                     return None
         if not first or said.desk is not None:
             return refusal(503, 14, "this stay is over", self._back_s, True)
         holds = node.metadata.pop("holds", [])
         if not isinstance(holds, list):
-            raise FormError("node.metadata.holds is no list")
+            raise MessageFormatError("node.metadata.holds is no list")
         fresh = not (asked.version_info if isinstance(asked, forms.DiscoveryRequest)
                      else asked.initial_resource_versions) and not holds  # fmt: skip
-        fault = await self._hall.arrive(name, node, holds, fresh)
+        fault = await self._hall.join(name, node, holds, fresh)
         if fault:
             return refusal(400, 3, fault)
-        said.desk = self._hall.desk(name)
+        said.desk = self._hall.discovery_session(name)
         if said.desk is None:
             return refusal(503, 14, "this stay is over", self._back_s, True)
         return None
@@ -221,7 +221,7 @@
         add, drop = tuple(asked.resource_names_subscribe), tuple(asked.resource_names_unsubscribe)
         return ResourceRequest(kind, False, first, "", holds, asked.response_nonce, error, add, drop)
 
-    def ask_every(self, interval_s: float) -> None:
+    def set_report_interval(self, interval_s: float) -> None:
         """How often proxies are to report, from their next answer on."""
         self._report_s = interval_s
 
@@ -229,9 +229,9 @@
         wait = self._gate.asks(monotonic_ticks(), line.proxy)
         if wait:
             return refusal(429, 8, "too many calls", wait / TICKS_PER_SECOND)
-        if self._hall.here(line.proxy) is None:
+        if self._hall.session_state(line.proxy) is None:
             return refusal(400, 9, "ask for resources first")
-        await self._hall.report(line.proxy, call.body)
+        await self._hall.submit_report(line.proxy, call.body)
         # who reports far too often gets its answer when a report would have been due: it is asked to wait
         now = monotonic_ticks()
         due = line.reported_at + round(self._report_s * TICKS_PER_SECOND * 0.75)
@@ -260,7 +260,10 @@
         return waiter.call
 
     def _look(self, waiter: Waiter, over: bool) -> Reply | None:
-        if self._hall.leaves(waiter.name) or self._hall.desk(waiter.name) is not waiter.desk:
+        if (
+            self._hall.is_redirected(waiter.name)
+            or self._hall.discovery_session(waiter.name) is not waiter.desk
+        ):
             return self._away()
         if waiter.over:
             return Reply(304)
@@ -269,7 +272,7 @@
             return self._reply(waiter, answer)
         if over:
             self.over += 1
-            self._hall.called(waiter.name)
+            self._hall.record_request(waiter.name)
         return Reply(304) if over else None
 
     def _away(self) -> Reply:
@@ -286,18 +289,18 @@
         """From here on the proxy may run it."""
         waiter.desk.record_sent(waiter.kind, answer)
         self._answered[waiter.desk] = monotonic_ticks()
-        self._hall.delivered(waiter.name)
+        self._hall.record_delivery(waiter.name)
         self.answers += 1
         body, encoding = self.bodies.get(*self._body(waiter, answer), waiter.encoding)
         headers = [JSON, (b"content-encoding", encoding)] if encoding else [JSON]
         return Reply(200, headers, body)
 
     def _body(self, waiter: Waiter, answer: ResourceResponse) -> tuple[Any, Callable[[], bytes]]:
-        part, url = answer.resource_set, forms.FILES[waiter.kind]
+        part, url = answer.resource_set, forms.TYPE_URLS[waiter.kind]
         if answer.delta is None:
             rows = [row.body for row in part.resources.values()]
             key: Any = (waiter.kind, part.version)
-            return key, lambda: response(part.version, url, answer.nonce, rows)
+            return key, lambda: encode_response(part.version, url, answer.nonce, rows)
         delta = answer.delta
         changed = [forms.Resource(r.name, r.version, msgspec.Raw(r.body)) for r in delta.changed]
         key = (waiter.kind, part.version, answer.base.version) if answer.base is not None else None
@@ -310,7 +313,7 @@
 
     # News.
 
-    def news(self, desk: DiscoverySession) -> None:
+    def notify_session(self, desk: DiscoverySession) -> None:
         """What waits at this desk may have its answer."""
         for kind in KINDS:
             if (desk, kind) in self._waiting:
@@ -322,9 +325,9 @@
         """Whether a call for any kind of resources waits for news."""
         return any((desk, kind) in self._waiting for kind in KINDS)
 
-    def forget(self, desk: DiscoverySession) -> None:
+    def remove_session(self, desk: DiscoverySession) -> None:
         """The proxy left; its calls are told."""
-        self.news(desk)
+        self.notify_session(desk)
         self._answered.pop(desk, None)
 
     async def run(self) -> None:
@@ -338,7 +341,7 @@
                         waiter.call.wake.set()
                 await trio.lowlevel.checkpoint()
 
-    def ended(self, line: Line) -> None:
+    def handle_connection_closed(self, line: Line) -> None:
         """A connection is over: what was on its way may have come or not."""
         said: Said | None = line.state
         if said is not None and said.desk is not None:
--- a/willowhook/front/identity.py
+++ b/willowhook/front/identity.py
@@ -19,7 +19,7 @@
 class Identity(Protocol):
     """The seam for other credentials, such as a client's certificate, which the transport has verified."""
 
-    def who(self, headers: dict[bytes, bytes], peer: object) -> str | None:
+    def authenticate(self, headers: dict[bytes, bytes], peer: object) -> str | None:
         """The proxy's name; None if it cannot be told."""
 
 
@@ -27,7 +27,7 @@
     proxies: dict[str, str]
 
 
-class Bearer:
+class BearerIdentity:
     """Tokens, of which only SHA-256 sums are known here; a sum names one proxy."""
 
     def __init__(self, data: bytes) -> None:
@@ -50,7 +50,7 @@
                 raise CredentialError(f"$.proxies.{name}: the same as that of {self._names[sum_]}")
             self._names[sum_] = name
 
-    def who(self, headers: dict[bytes, bytes], peer: object) -> str | None:
+    def authenticate(self, headers: dict[bytes, bytes], peer: object) -> str | None:
         told = headers.get(b"authorization", b"")
         if told[: len(SCHEME)].lower() != SCHEME:
             return None
@@ -58,8 +58,8 @@
         return self._names.get(hashlib.sha256(told[len(SCHEME) :].strip()).digest())
 
 
-class Unproven:
+class UnverifiedIdentity:
     """Whoever calls is taken for whom its node names: on loopback, for trials."""
 
-    def who(self, headers: dict[bytes, bytes], peer: object) -> str | None:
+    def authenticate(self, headers: dict[bytes, bytes], peer: object) -> str | None:
         return ""
--- a/willowhook/front/serve.py
+++ b/willowhook/front/serve.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Times:
+class Timeouts:
     """In seconds."""
 
     header: float
@@ -64,11 +64,13 @@
     """`handler(line, call)` answers, or says that the call waits; `ended(line)` when a connection is over."""
 
     def __init__(
-        self, gate: Gate, times: Times, most_body: int, handler: Handler, ended: Callable[[Line], None]
+        self, gate: Gate, times: Timeouts, most_body: int, handler: Handler, ended: Callable[[Line], None]
     ) -> None:
         self.gate, self.times, self.most_body = gate, times, most_body
         self.handler, self.ended = handler, ended
-        self.slow = self.late = self.bad = 0  # readers cut off, callers cut off, calls that were no HTTP
+        self.slow_readers = self.late = self.bad = (
+            0  # readers cut off, callers cut off, calls that were no HTTP
+        )
 
     async def serve(self, stream: trio.abc.Stream) -> None:
         line = Line(getattr(getattr(stream, "socket", None), "getpeername", lambda: None)())
@@ -203,5 +205,5 @@
         data += wire.send(h11.EndOfMessage()) or b""
         with trio.move_on_after(self.times.write) as scope:
             await stream.send_all(data)
-        self.slow += scope.cancelled_caught
+        self.slow_readers += scope.cancelled_caught
         return not scope.cancelled_caught
--- a/willowhook/nginx/export.py
+++ b/willowhook/nginx/export.py
@@ -14,7 +14,7 @@
 from functools import reduce
 
 from ..xds import forms, tables
-from ..xds.codec import FormError, seconds
+from ..xds.codec import MessageFormatError, parse_duration
 
 UPSTREAMS, LOCATIONS = "upstreams.conf", "locations.conf"  # for the http block and for the server's
 AGAIN = "error timeout http_500 http_502 http_503 http_504 non_idempotent"
@@ -48,7 +48,7 @@
         self._clusters = {row.name: row for row in tables.read_clusters(files["cds.json"])[1]}
         sets = tables.read_routes(files["rds.json"])[1]
         if len(sets) != 1 or not sets[0].virtual_hosts:
-            raise FormError(f"{len(sets)} sets of routes")
+            raise MessageFormatError(f"{len(sets)} sets of routes")
         self._routes = sets[0].virtual_hosts[0].routes
 
     def run(self) -> Exported:
@@ -72,11 +72,11 @@
         """The name of the block for this route's hosts; empty if there is none to name."""
         cluster = self._clusters.get(row.route.cluster)
         if cluster is None:
-            raise FormError(f"route {row.name!r} names no cluster: {row.route.cluster!r}")
+            raise MessageFormatError(f"route {row.name!r} names no cluster: {row.route.cluster!r}")
         name = cluster.eds_cluster_config.service_name
         table = self._tables.get(name)
         if table is None:
-            raise FormError(f"cluster {cluster.name!r} has no table")
+            raise MessageFormatError(f"cluster {cluster.name!r} has no table")
         by = tables.hash_by(row.route.hash_policy) if cluster.lb_policy == "RING_HASH" else ""
         key = (name, cluster.lb_policy, by)
         if key in self._blocks:
@@ -101,7 +101,7 @@
             host, address, port, _, _, draining = line
             shown = f"[{address}]" if ":" in address else address
             if not PLAIN.match(address):
-                raise FormError(f"{name}: {host!r} has the address {address!r}")
+                raise MessageFormatError(f"{name}: {host!r} has the address {address!r}")
             words = [f"server {shown}:{port}", f"weight={weight // divisor}"]
             words += ["backup"] if tiers[host] else []
             words += ["down"] if draining else []
@@ -127,7 +127,7 @@
     # Locations.
 
     def _spots(self, row: forms.Route) -> list[Spot]:
-        kind, path = tables.match_of(row.match)
+        kind, path = tables.match_kind_and_path(row.match)
         if row.direct_response is not None:
             body = [f"return {row.direct_response.status};"]
             return _split(kind, path, body, body)
@@ -143,8 +143,8 @@
     def _body(self, row: forms.Route) -> list[str]:
         tries = tables.tries_of(row.route.retry_policy)
         cluster = self._clusters[row.route.cluster]
-        limit = round(seconds(row.route.timeout) * 1000)
-        dial = round(seconds(cluster.connect_timeout) * 1000)
+        limit = round(parse_duration(row.route.timeout) * 1000)
+        dial = round(parse_duration(cluster.connect_timeout) * 1000)
         rows = [f"proxy_read_timeout {limit}ms;", f"proxy_connect_timeout {dial}ms;"]
         if tries > 1:
             rows += [f"proxy_next_upstream {AGAIN};", f"proxy_next_upstream_tries {tries};"]
@@ -232,5 +232,5 @@
     """`files`: cds.json, eds.json, rds.json.  Raises FormError, also where one is missing."""
     missing = [name for name in ("cds.json", "eds.json", "rds.json") if name not in files]
     if missing:
-        raise FormError(f"{missing[0]} is missing: the group is no whole one yet")
+        raise MessageFormatError(f"{missing[0]} is missing: the group is no whole one yet")
     return Exporter(files).run()
--- a/willowhook/nginx/follow.py
+++ b/willowhook/nginx/follow.py
@@ -9,7 +9,7 @@
 
 from ..files.follow import Followers
 from ..files.swap import Shelf
-from ..xds.codec import FormError
+from ..xds.codec import MessageFormatError
 from .export import export
 
 AGAIN_S = 0.2  # after a swap that failed
@@ -32,7 +32,7 @@
     def _seen(self, _: str, files: dict[str, bytes]) -> None:
         try:
             made = export(files)
-        except (FormError, UnicodeDecodeError) as fault:
+        except (MessageFormatError, UnicodeDecodeError) as fault:
             self._fault(f"the group is no set of tables: {fault}")
             return
         if made.remarks != self._told:
--- a/willowhook/nginx/result.py
+++ b/willowhook/nginx/result.py
@@ -17,12 +17,12 @@
 from ..membership.retries import publishable_retries
 from ..ticks import ticks_from_milliseconds
 from ..xds import forms, tables
-from ..xds.codec import encode, response
+from ..xds.codec import encode, encode_response
 from .plan import Plan
 
 SERVICE = "tasks"
 VERSION = "0.0.1"  # of tables that no director sent
-MOST = tables.MOST
+MOST = tables.MAX_UINT32
 MAINTENANCE = "_service_maintenance:"
 
 
@@ -76,7 +76,7 @@
     assignments, clusters, rows = dict[str, bytes](), dict[str, bytes](), list[bytes]()
     by_name = {group.name: group for group in plan.groups.values()}
     for name, group in by_name.items():
-        lines: list[tables.Line] = []
+        lines: list[tables.TableEntry] = []
         # whole multiples, so that whole weights keep their ratios to the last digit
         top = max((row[1] for row in group.rows), default=1.0)
         factor = min(MOST // 4096 // math.ceil(top), tables.SCALE) or MOST / 4096 / top
@@ -89,7 +89,9 @@
         assignments[name] = encode(tables.assignment(name, lines, later))
     for index, path in ordered_paths(terms):
         if isinstance(path, ClosedTerms):
-            rows.append(encode(tables.closed(tables.match(path.match, path.path), path.status)))
+            rows.append(
+                encode(tables.direct_response_route(tables.match(path.match, path.path), path.status))
+            )
             continue
         assert index is not None  # as every path but a closed one has a route
         route = terms.routes[index]
@@ -120,5 +122,6 @@
     routes = encode({"@type": forms.ROUTES, "name": "calls", "virtual_hosts": [calls]})
     bodies = {"eds": list(assignments.values()), "cds": list(clusters.values()), "rds": [routes]}
     return {
-        f"{kind}.json": response(VERSION, forms.FILES[kind], VERSION, each) for kind, each in bodies.items()
+        f"{kind}.json": encode_response(VERSION, forms.TYPE_URLS[kind], VERSION, each)
+        for kind, each in bodies.items()
     }  # fmt: skip
--- a/willowhook/platform/discovery_watch.py
+++ b/willowhook/platform/discovery_watch.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from ..web.wire import Broken, Caller, Reply, dial
+from ..web.wire import ClientConnection, ConnectionLostError, Reply, open_connection
 from .address import Address
 from .endpoint_list import change_request_target, list_request_target
 from .fields import Fields, MalformedFieldError
@@ -47,7 +47,7 @@
         self._resumed = trio.Event()
         self._exchange = trio.CancelScope()  # the request in flight, and the handling of its answer
         self._wants_complete_list = False
-        self._caller: Caller | None = None
+        self._caller: ClientConnection | None = None
         self._connected_to = address
 
     def resume(self) -> None:
@@ -106,7 +106,7 @@
         answer = None
         try:
             answer = await self._request(is_complete)
-        except (Broken, trio.TooSlowError, FramingError) as error:
+        except (ConnectionLostError, trio.TooSlowError, FramingError) as error:
             with trio.CancelScope(shield=True):  # a change of address at this point must not hide the loss
                 await self._disconnect()
             if address == self._address:
@@ -128,7 +128,7 @@
         with trio.fail_after(timeout_s):
             reply = await self._call(target.encode())
         if reply.status != STATUS_OK:
-            raise Broken(f"status {reply.status}", True)
+            raise ConnectionLostError(f"status {reply.status}", True)
         return decode_object(reply.body)
 
     async def _call(self, target: bytes) -> Reply:
@@ -137,18 +137,18 @@
         if caller is not None and caller.usable and self._connected_to == self._address:
             started_at = trio.current_time()
             try:
-                return await caller.call(b"GET", target, most=MAX_ANSWER_BYTES)
-            except Broken:
+                return await caller.request(b"GET", target, max_body_bytes=MAX_ANSWER_BYTES)
+            except ConnectionLostError:
                 if trio.current_time() - started_at > IDLE_CLOSE_S:
                     raise
                 # the peer closed an idle connection while the request was sent: retried on a new one
         caller = await self._connect()
-        return await caller.call(b"GET", target, most=MAX_ANSWER_BYTES)
+        return await caller.request(b"GET", target, max_body_bytes=MAX_ANSWER_BYTES)
 
-    async def _connect(self) -> Caller:
+    async def _connect(self) -> ClientConnection:
         await self._disconnect()
         self._connected_to = self._address
-        self._caller = await dial(*self._connected_to, CONNECT_TIMEOUT_S)
+        self._caller = await open_connection(*self._connected_to, CONNECT_TIMEOUT_S)
         return self._caller
 
     async def _disconnect(self) -> None:
--- a/willowhook/reports/read.py
+++ b/willowhook/reports/read.py
@@ -6,8 +6,8 @@
 
 from ..ticks import TICKS_PER_SECOND, ticks_from_seconds
 from ..xds import forms
-from ..xds.codec import FormError, seconds
-from ..xds.orca import load
+from ..xds.codec import MessageFormatError, parse_duration
+from ..xds.orca import decision_metrics
 from .sums import ReportCells, ReportedAttempts
 
 LATENCY = "latency_seconds"  # the named metric that sums the latency of the attempts that succeeded
@@ -94,17 +94,17 @@
         if since is None or until is None:
             return
         if not (isinstance(since, int | float) and isinstance(until, int | float)):
-            raise FormError("node.metadata.load_from and load_until are no numbers")
+            raise MessageFormatError("node.metadata.load_from and load_until are no numbers")
         if not (0 <= since < until < LATEST_TIME_S and until - since <= MAX_WINDOW_S):
-            raise FormError(f"node.metadata.load_from is {since:g} and load_until {until:g}")
+            raise MessageFormatError(f"node.metadata.load_from is {since:g} and load_until {until:g}")
         self._report.since = ticks_from_seconds(since)
         self._report.until = max(ticks_from_seconds(until), self._report.since + 1)
         self._report.process = str(node.metadata.get("process", ""))[:MAX_PROCESS_LENGTH]
 
     def _read_cluster(self, cluster: forms.ClusterStats) -> None:
-        self._report.length = ticks_from_seconds(seconds(cluster.load_report_interval))
+        self._report.length = ticks_from_seconds(parse_duration(cluster.load_report_interval))
         if not 0 < self._report.length <= MAX_WINDOW_S * TICKS_PER_SECOND:
-            raise FormError(f"load_report_interval is {cluster.load_report_interval}")
+            raise MessageFormatError(f"load_report_interval is {cluster.load_report_interval}")
         name = cluster.cluster_name.partition("@")[0]
         route = name if name in self._routes else ""
         requests = 0
@@ -116,7 +116,7 @@
                 failures += row.total_error_requests
         dropped = cluster.total_dropped_requests
         if not 0 <= dropped < MAX_REQUESTS:
-            raise FormError(f"{cluster.cluster_name}: {dropped} dropped")
+            raise MessageFormatError(f"{cluster.cluster_name}: {dropped} dropped")
         if route:
             old = self._report.requests.get(route, (0.0, 0.0))
             self._report.requests[route] = (old[0] + requests + dropped, old[1] + failures)
@@ -124,14 +124,14 @@
     def _read_endpoint(self, cluster: str, route: str, row: forms.UpstreamEndpointStats) -> None:
         self._row_count += 1
         if self._row_count > MAX_ROWS:
-            raise FormError(f"more than {MAX_ROWS} endpoints")
+            raise MessageFormatError(f"more than {MAX_ROWS} endpoints")
         successes = row.total_successful_requests
         failures = row.total_error_requests
         if not (0 <= successes < MAX_REQUESTS and 0 <= failures < MAX_REQUESTS):
-            raise FormError(f"{cluster}: {successes} answered and {failures} errors")
+            raise MessageFormatError(f"{cluster}: {successes} answered and {failures} errors")
         socket = row.address.socket_address
         if socket is None:
-            raise FormError(f"{cluster}: an endpoint has no address")
+            raise MessageFormatError(f"{cluster}: an endpoint has no address")
         address = f"{socket.address}:{socket.port_value}"
         cell = self._cells.get((address, route))
         if cell is None:
@@ -148,7 +148,7 @@
             count = metric.num_requests_finished_with_metric
             total = metric.total_metric_value
             if not (0 <= count < MAX_REQUESTS and -MAX_METRIC < total < MAX_METRIC):
-                raise FormError(f"{cluster}: {name} of {total} over {count}")
+                raise MessageFormatError(f"{cluster}: {name} of {total} over {count}")
             if name == LATENCY:
                 cell.latency_s += max(total, 0.0)
                 cell.timed += count
@@ -163,4 +163,4 @@
         means: dict[str, dict[str, float]] = {}
         for (address, name), sums in self._metrics.items():
             means.setdefault(address, {})[name] = sums.total / sums.count
-        return {address: load(metrics) for address, metrics in means.items()}
+        return {address: decision_metrics(metrics) for address, metrics in means.items()}
--- a/willowhook/roster/reader.py
+++ b/willowhook/roster/reader.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from ..web.wire import Broken, Caller, dial
+from ..web.wire import ClientConnection, ConnectionLostError, open_connection
 from .forms import Cursor, Host, RosterError, read_hosts
 
 SLACK = 1.0 / 16  # the form lets a server answer a wait late by this share
@@ -23,7 +23,7 @@
         self._agent = f"willowhook/{agent}".encode()
         self._cursor = Cursor()
         self.body = b"[]"  # of the last list, as it came
-        self._caller: Caller | None = None
+        self._caller: ClientConnection | None = None
 
     async def ask(self, whole: bool) -> list[Host] | None:
         """The list: at once if `whole`, else when it has changed; None if the wait passed without news."""
@@ -33,10 +33,10 @@
         try:
             with trio.fail_after(wait + self._patience):
                 if self._caller is None or not self._caller.usable:
-                    self._caller = await dial(self._address, self._port, self._patience)
+                    self._caller = await open_connection(self._address, self._port, self._patience)
                 head = [(b"user-agent", self._agent)]
-                reply = await self._caller.call(b"GET", (self._path + query).encode(), head)
-        except (Broken, trio.TooSlowError) as fault:
+                reply = await self._caller.request(b"GET", (self._path + query).encode(), head)
+        except (ConnectionLostError, trio.TooSlowError) as fault:
             await self.close()
             raise RosterError(f"no answer: {type(fault).__name__}: {fault}".rstrip(": ")) from fault
         if reply.status != 200:
--- a/willowhook/trial/flood.py
+++ b/willowhook/trial/flood.py
@@ -34,9 +34,9 @@
 from ..files.swap import read_group, swap_file
 from ..records.writer import read_records
 from ..ticks import TICKS_PER_SECOND, ticks_from_seconds
-from ..web.wire import Broken, Caller, dial
+from ..web.wire import ClientConnection, ConnectionLostError, open_connection
 from ..xds import forms, tables
-from ..xds.codec import FormError, decode, encode, seconds
+from ..xds.codec import MessageFormatError, decode, encode, parse_duration
 from .day import HostPlan, draw, terms_of
 from .notes import Notes, read_notes
 from .ports import PortReservations
@@ -139,7 +139,7 @@
 
     def answer_files(self, files: dict[str, bytes]) -> None:
         """What lies there is answered at once, as proxies do."""
-        for kind, url in forms.FILES.items():
+        for kind, url in forms.TYPE_URLS.items():
             data = files.get(f"{kind}.json")
             if data is None or self.versions.get(kind) == data:
                 continue
@@ -148,21 +148,21 @@
                 got = decode(data, forms.DiscoveryResponse)
                 said = forms.DiscoveryRequest(got.version_info, self.node(), [], url, got.nonce)
                 swap_file(DiskOps(), f"{self.o.folder}/{UP}/{self.name}", f"{kind}.json", encode(said))
-            except (OSError, FormError):
+            except (OSError, MessageFormatError):
                 return
 
     def pace(self) -> None:
         try:
             with open(f"{self.o.folder}/{PACE}", "rb") as file:
                 said = decode(file.read(), forms.LoadStatsResponse).load_reporting_interval
-            self.every = max(self.o.period_s, seconds(said))
-        except (OSError, FormError):
+            self.every = max(self.o.period_s, parse_duration(said))
+        except (OSError, MessageFormatError):
             self.every = self.o.period_s
 
     # Both.
 
     async def run(self) -> None:
-        caller: Caller | None = None
+        caller: ClientConnection | None = None
         if not self.web:
             await trio.sleep(self.wait_s)
             self.join()
@@ -193,19 +193,19 @@
             len(PHASES) - 1,
         )
 
-    async def _post(self, caller: Caller | None) -> Caller | None:
+    async def _post(self, caller: ClientConnection | None) -> ClientConnection | None:
         head = [(b"authorization", b"Bearer " + token(self.name))]
         try:
             if caller is None or not caller.usable:
-                caller = await dial("127.0.0.1", self.o.port, 5.0)
+                caller = await open_connection("127.0.0.1", self.o.port, 5.0)
             with trio.fail_after(5.0):
-                reply = await caller.call(b"POST", LOADS, head, self.report())
+                reply = await caller.request(b"POST", LOADS, head, self.report())
             self.sent += 1
             if reply.status == 200:
                 said = decode(reply.body, forms.LoadStatsResponse)
-                self.every = max(self.o.period_s, seconds(said.load_reporting_interval))
+                self.every = max(self.o.period_s, parse_duration(said.load_reporting_interval))
             return caller
-        except (Broken, FormError, trio.TooSlowError):
+        except (ConnectionLostError, MessageFormatError, trio.TooSlowError):
             if caller is not None:
                 await caller.close()
             return None
@@ -213,23 +213,23 @@
     async def follow(self, kind: str) -> None:
         """What it is to hold of one type, by calls that wait."""
         head = [(b"authorization", b"Bearer " + token(self.name))]
-        caller: Caller | None = None
+        caller: ClientConnection | None = None
         nonce = ""
         await trio.sleep(self.wait_s)
         while True:
             try:
                 if caller is None or not caller.usable:
-                    caller, nonce = await dial("127.0.0.1", self.o.port, 5.0), ""
+                    caller, nonce = await open_connection("127.0.0.1", self.o.port, 5.0), ""
                     asked = forms.DeltaDiscoveryRequest(self.node(), kind)
                 else:
                     asked = forms.DeltaDiscoveryRequest(type_url=kind, response_nonce=nonce)
-                reply = await caller.call(b"POST", ASK[kind], head, encode(asked))
+                reply = await caller.request(b"POST", ASK[kind], head, encode(asked))
                 if reply.status == 200:
                     nonce = decode(reply.body, forms.DeltaDiscoveryResponse).nonce
                 elif reply.status != 304:
                     await trio.sleep(0.5)
                     nonce = ""
-            except (Broken, FormError):
+            except (ConnectionLostError, MessageFormatError):
                 caller = None
                 await trio.sleep(0.3)
 
@@ -425,7 +425,7 @@
 def _sends_to(place: Path, name: str, host: str) -> bool:
     try:
         rows = tables.read_tables(read_group(str(place / DOWN / name))[1]["eds.json"])[1]
-    except (OSError, FormError, KeyError):
+    except (OSError, MessageFormatError, KeyError):
         return False
     return any(line[0] == host and not line[5] for table in rows for line in tables.lines(table))
 
@@ -441,7 +441,7 @@
             rows = tables.read_tables(files["eds.json"])[1]
             if not rows or any(not tables.lines(table) for table in rows):
                 found.append(f"{name} has a table without a host")
-        except (OSError, FormError, KeyError) as fault:
+        except (OSError, MessageFormatError, KeyError) as fault:
             found.append(f"{name} has no tables: {fault}")
     return found[:5]
 
--- a/willowhook/trial/fuzz.py
+++ b/willowhook/trial/fuzz.py
@@ -20,7 +20,7 @@
 
 from ..config.terms import FrontTerms
 from ..controlplane.service import Service
-from ..web.wire import dial
+from ..web.wire import open_connection
 from ..xds import forms
 from ..xds.codec import encode
 from .day import draw, terms_of
@@ -141,11 +141,11 @@
         node = forms.Node(
             "sound", "calls", forms.Locality(zone="norte"), {"term": term, "director": "director-0"}
         )
-        caller = await dial("127.0.0.1", service.discovery_port)
+        caller = await open_connection("127.0.0.1", service.discovery_port)
         head = [(b"authorization", b"Bearer " + token("sound"))]
         asked = encode(forms.DeltaDiscoveryRequest(node, forms.ASSIGNMENT))
         with trio.fail_after(10):
-            while (await caller.call(b"POST", TABLES_PATH, head, asked)).status != 200:
+            while (await caller.request(b"POST", TABLES_PATH, head, asked)).status != 200:
                 asked = encode(forms.DeltaDiscoveryRequest(type_url=forms.ASSIGNMENT))
         await caller.close()
         report.checks += 1
--- a/willowhook/trial/herd.py
+++ b/willowhook/trial/herd.py
@@ -25,7 +25,7 @@
 from ..clock import monotonic_ticks
 from ..config.terms import FrontTerms
 from ..controlplane.service import Service
-from ..web.wire import Broken, Caller, dial
+from ..web.wire import ClientConnection, ConnectionLostError, open_connection
 from ..xds import forms
 from ..xds.codec import decode, encode
 from .day import draw, terms_of
@@ -69,12 +69,12 @@
     node = forms.Node(name, "calls", forms.Locality(zone="norte"), {"term": 1, "director": "director-0"})
     head = [(b"authorization", b"Bearer " + token(name)), (b"accept-encoding", orders.encoding.encode())]
     await trio.sleep(chance)
-    caller: Caller | None = None
+    caller: ClientConnection | None = None
     nonce = ""
     while True:
         try:
             if caller is None or not caller.usable:
-                caller = await dial("127.0.0.1", orders.port, 5.0)
+                caller = await open_connection("127.0.0.1", orders.port, 5.0)
                 if name in orders.slow:  # a small window: what is not read is not taken
                     stream: Any = caller._stream
                     stream.socket.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_RCVBUF, 2048)
@@ -85,7 +85,7 @@
                 await _ask_and_not_read(caller, head, encode(asked))
                 caller, nonce = None, ""
                 continue
-            reply = await caller.call(b"POST", TABLES_PATH, head, encode(asked))
+            reply = await caller.request(b"POST", TABLES_PATH, head, encode(asked))
             if reply.status == 200:
                 body = reply.body
                 if reply.header(b"content-encoding"):
@@ -102,12 +102,12 @@
             elif reply.status != 304:
                 nonce = ""
                 await trio.sleep(0.5)
-        except Broken:
+        except ConnectionLostError:
             caller, nonce = None, ""
             await trio.sleep(0.2)
 
 
-async def _ask_and_not_read(caller: Caller, head: list[tuple[bytes, bytes]], body: bytes) -> None:
+async def _ask_and_not_read(caller: ClientConnection, head: list[tuple[bytes, bytes]], body: bytes) -> None:
     """Asks, and lets the answer lie."""
     stream: Any = caller._stream
     lines = b"".join(name + b": " + value + b"\r\n" for name, value in head)
@@ -230,17 +230,17 @@
                 await trio.sleep(0.05)
         report.joined_s = time.perf_counter() - began
         await trio.sleep(1.0)
-        sent_at, made, packed = [], web.bodies.made, web.bodies.packed
+        sent_at, made, packed = [], web.bodies.encoded, web.bodies.compressed
         cpu = time.process_time()
         for change in range(1, CHANGES + 1):
             OnDemand.go = change
             sent_at.append(monotonic_ticks())
             await trio.sleep(3.0 if hosts <= 200 else 8.0)
         report.cpu_ms = (time.process_time() - cpu) / CHANGES * 1000
-        report.encoded, report.packed = web.bodies.made - made, web.bodies.packed - packed
+        report.encoded, report.packed = web.bodies.encoded - made, web.bodies.compressed - packed
         report.rss_mb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
-        report.cut = web.server.slow
-        kept = web.bodies._kept
+        report.cut = web.server.slow_readers
+        kept = web.bodies._cache
         report.body = max(
             (len(body) for (_, coded), body in kept.items() if bool(coded) == bool(encoding)), default=0
         )
--- a/willowhook/trial/nginx_director.py
+++ b/willowhook/trial/nginx_director.py
@@ -23,7 +23,7 @@
 from ..nginx.result import host_list, terms_of
 from ..nginx.syntax import parse
 from ..nginx.verdicts import verdicts
-from ..web.wire import Broken, dial
+from ..web.wire import ConnectionLostError, open_connection
 from .day import ProxyPlan
 from .nginx_same import Hosts
 from .notes import Notes
@@ -156,10 +156,10 @@
         self._count += 1
         head = [(b"x-attempt", b"c%d" % self._count), (b"x-call", b"c%d" % self._count)]
         try:
-            caller = await dial("127.0.0.1", self.port, 1.0)
-            reply = await caller.call(b"GET", path.encode(), head)
+            caller = await open_connection("127.0.0.1", self.port, 1.0)
+            reply = await caller.request(b"GET", path.encode(), head)
             await caller.close()
-        except Broken:
+        except ConnectionLostError:
             return 0, ""
         return reply.status, reply.body.decode("latin-1")
 
--- a/willowhook/trial/nginx_same.py
+++ b/willowhook/trial/nginx_same.py
@@ -23,7 +23,7 @@
 from ..nginx.result import table_files, terms_of
 from ..nginx.syntax import parse
 from ..nginx.verdicts import verdicts
-from ..web.wire import Broken, Call, Caller, Reply, answer_calls, dial
+from ..web.wire import Call, ClientConnection, ConnectionLostError, Reply, open_connection, serve_connection
 from ..xds import forms, tables
 from .corpus import Sample, samples
 from .ports import PortReservations
@@ -44,7 +44,7 @@
         self.how: dict[str, str] = {}  # good, cut (after its effect), failing (500 after its effect)
         self._scopes: dict[str, trio.CancelScope] = {}
         self.met: list[tuple[str, str, str]] = []  # call, host, path
-        self._idle: dict[str, list[Caller]] = {}
+        self._idle: dict[str, list[ClientConnection]] = {}
 
     async def start(self, name: str) -> None:
         async def run(task_status: trio.TaskStatus[None]) -> None:
@@ -52,7 +52,7 @@
                 self._scopes[name] = scope
                 listeners = await trio.open_tcp_listeners(self.ports[name], host="127.0.0.1")
                 task_status.started()
-                serve = partial(answer_calls, answer=partial(self._answer, name))
+                serve = partial(serve_connection, answer=partial(self._answer, name))
                 await trio.serve_listeners(serve, listeners)
 
         self.how[name] = "good"
@@ -73,17 +73,17 @@
     async def ask(self, name: str, call: Call, target: bytes) -> Reply:
         """One try; raises Broken."""
         if name not in self.ports:
-            raise Broken(f"{name}: no such host", False)
+            raise ConnectionLostError(f"{name}: no such host", False)
         idle = self._idle.setdefault(name, [])
-        caller: Caller | None = None
+        caller: ClientConnection | None = None
         while idle and caller is None:
             caller = idle.pop()
-            if not caller.usable or not caller.fresh():
+            if not caller.usable or not caller.is_open():
                 await caller.close()
                 caller = None
         if caller is None:
-            caller = await dial("127.0.0.1", self.ports[name], 1.0)
-        reply = await caller.call(call.method, target, [(b"x-call", call.headers[b"x-call"])], call.body)
+            caller = await open_connection("127.0.0.1", self.ports[name], 1.0)
+        reply = await caller.request(call.method, target, [(b"x-call", call.headers[b"x-call"])], call.body)
         if caller.usable:
             idle.append(caller)
         return reply
@@ -103,13 +103,13 @@
 
     async def answer(self, call: Call) -> Reply:
         asked = call.target.decode("latin-1")
-        row = tables.first(self._routes, asked.partition("?")[0])
+        row = tables.first_match(self._routes, asked.partition("?")[0])
         if row is None or row.direct_response is not None:
             return Reply(row.direct_response.status if row and row.direct_response else 404)
         tries = tables.tries_of(row.route.retry_policy)
         again = 1 if tries == 1 else max(tries - 1, 0)
         by = hash_key(tables.hash_by(row.route.hash_policy), call)
-        target = tables.target(row, asked).encode("latin-1")
+        target = tables.upstream_path(row, asked).encode("latin-1")
         tried: list[str] = []
         reply = Reply(503)
         while True:
@@ -121,7 +121,7 @@
             try:
                 reply = await self._ask(host, call, target)
                 proof, bad = False, reply.status >= 500
-            except Broken as fault:
+            except ConnectionLostError as fault:
                 reply, proof, bad = Reply(503), not fault.sent, True
             finally:
                 self._open[host] -= 1
@@ -221,7 +221,7 @@
         for name, answer in self.ways.items():
             listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
             self.ports[name] = listeners[0].socket.getsockname()[1]
-            nursery.start_soon(trio.serve_listeners, partial(answer_calls, answer=answer), listeners)
+            nursery.start_soon(trio.serve_listeners, partial(serve_connection, answer=answer), listeners)
 
     async def calls(self, way: str, path: str, count: int, method: bytes = b"GET") -> Met:
         made = Met()
@@ -229,17 +229,17 @@
         first = self._count
 
         async def some(part: range) -> None:
-            caller = await dial("127.0.0.1", self.ports[way], 2.0)
+            caller = await open_connection("127.0.0.1", self.ports[way], 2.0)
             for k in part:
                 head = [(b"x-call", str(k).encode()), (b"x-user", str(k).encode()),
                         (b"x-student", str(k).encode()), (b"x-source", f"10.{k % 251}.{k // 251}.1".encode()),
                         (b"cookie", f"session=s{k}; c={k}".encode())]  # fmt: skip
                 target = f"{path}?q={k}&school={k}".encode("latin-1")
-                reply = await caller.call(method, target, head, b"")
+                reply = await caller.request(method, target, head, b"")
                 made.answers[reply.status] += 1
                 if not caller.usable:
                     await caller.close()
-                    caller = await dial("127.0.0.1", self.ports[way], 2.0)
+                    caller = await open_connection("127.0.0.1", self.ports[way], 2.0)
             await caller.close()
 
         self._count += count
--- a/willowhook/trial/standin_blocks.py
+++ b/willowhook/trial/standin_blocks.py
@@ -15,7 +15,7 @@
 
 from ..nginx.locations import Location, read_all
 from ..nginx.syntax import Directive
-from ..web.wire import Broken, Call, Reply
+from ..web.wire import Call, ConnectionLostError, Reply
 from .nginx_check import brute
 
 Ask = Callable[[str, Call, bytes], Awaitable[Reply]]  # host, call, path; raises Broken
@@ -200,7 +200,7 @@
                 reply = await self._ask(peer.name, call, asked.encode("latin-1"))
                 peer.fails = 0
                 failed, sent = f"http_{reply.status}" in after, True
-            except Broken as fault:
+            except ConnectionLostError as fault:
                 reply, failed, sent = Reply(502), "error" in after, fault.sent
                 peer.fails += 1
                 if peer.most_fails and peer.fails >= peer.most_fails:
--- a/willowhook/trial/standin_client.py
+++ b/willowhook/trial/standin_client.py
@@ -15,8 +15,8 @@
 
 from ..clock import monotonic_ticks
 from ..ticks import TICKS_PER_SECOND
-from ..web.wire import Broken, Caller, dial
-from ..xds.tables import PROOF
+from ..web.wire import ClientConnection, ConnectionLostError, open_connection
+from ..xds.tables import NOT_EXECUTED_HEADER
 from .day import Arrival, Day, arrivals
 from .notes import Notes
 
@@ -35,7 +35,7 @@
         self.o, self.day = orders, day
         self.notes = Notes(orders.notes)
         self.routes = {route.name: route for route in day.routes}
-        self.idle: dict[int, list[Caller]] = {}
+        self.idle: dict[int, list[ClientConnection]] = {}
         self.chance = random.Random(day.seed + 11)
 
     async def one(self, arrival: Arrival) -> None:
@@ -70,17 +70,17 @@
 
     async def ask(self, port: int, path: str, head: list[tuple[bytes, bytes]]) -> tuple[int, bool]:
         idle = self.idle.setdefault(port, [])
-        caller: Caller | None = None
+        caller: ClientConnection | None = None
         while idle and caller is None:
             caller = idle.pop()
-            if not caller.usable or not caller.fresh():
+            if not caller.usable or not caller.is_open():
                 await caller.close()
                 caller = None
         try:
             if caller is None:
-                caller = await dial("127.0.0.1", port, 1.0)
-            reply = await caller.call(b"POST", path.encode(), head, b"{}")
-        except Broken as fault:
+                caller = await open_connection("127.0.0.1", port, 1.0)
+            reply = await caller.request(b"POST", path.encode(), head, b"{}")
+        except ConnectionLostError as fault:
             return 0, not fault.sent
         finally:
             if caller is not None:
@@ -89,7 +89,7 @@
                 else:
                     with trio.CancelScope(shield=True):
                         await caller.close()
-        return reply.status, reply.header(PROOF.encode()) is not None
+        return reply.status, reply.header(NOT_EXECUTED_HEADER.encode()) is not None
 
     async def run(self) -> None:
         async with trio.open_nursery() as nursery:
--- a/willowhook/trial/standin_host.py
+++ b/willowhook/trial/standin_host.py
@@ -19,9 +19,9 @@
 
 from ..clock import monotonic_ticks
 from ..ticks import TICKS_PER_SECOND
-from ..web.wire import Call, Reply, answer_calls
+from ..web.wire import Call, Reply, serve_connection
 from ..xds import orca
-from ..xds.tables import PROOF
+from ..xds.tables import NOT_EXECUTED_HEADER
 from .day import HostPlan
 from .notes import Notes, obey
 
@@ -110,7 +110,7 @@
         attempt = call.headers.get(b"x-attempt", b"").decode()
         proxy = call.headers.get(b"x-proxy", b"").decode()
         work = float(call.headers.get(b"x-work-ms", b"1")) / 1000
-        back = [*told, (PROOF.encode(), b"1")]
+        back = [*told, (NOT_EXECUTED_HEADER.encode(), b"1")]
         self.notes.note("got", host=self.plan.id, c=attempt, r=route, p=proxy)
         if self.draining:
             return Reply(503, back, b"draining", close=True)
@@ -169,7 +169,7 @@
         self.open += 1
         self.used += self.plan.handshake_ms * TICKS_PER_SECOND / 1000
         try:
-            await answer_calls(stream, self.answer)
+            await serve_connection(stream, self.answer)
         finally:
             self.open -= 1
 
--- a/willowhook/trial/standin_link.py
+++ b/willowhook/trial/standin_link.py
@@ -19,9 +19,9 @@
 from ..files.ops import DiskOps
 from ..files.swap import swap_file
 from ..ticks import TICKS_PER_SECOND, ticks_from_seconds
-from ..web.wire import Broken, Caller, Reply, dial
+from ..web.wire import ClientConnection, ConnectionLostError, Reply, open_connection
 from ..xds import forms, tables
-from ..xds.codec import FormError, decode, encode, seconds
+from ..xds.codec import MessageFormatError, decode, encode, parse_duration
 
 if TYPE_CHECKING:
     from .standin_proxy import DirectorPlace, StandInProxy
@@ -44,7 +44,7 @@
     try:
         return int(era), int(number)
     except ValueError as fault:
-        raise FormError(f"version {version[:40]!r}") from fault
+        raise MessageFormatError(f"version {version[:40]!r}") from fault
 
 
 def token(name: str) -> bytes:
@@ -133,7 +133,7 @@
 
     async def follow(self, place: DirectorPlace, kind: str, scope: trio.CancelScope) -> None:
         """One type: ask, apply, acknowledge by asking again."""
-        caller: Caller | None = None
+        caller: ClientConnection | None = None
         nonce = fault = ""
         acked = False
         while True:
@@ -149,8 +149,8 @@
                         self.keep(kind)
 
                 with trio.fail_after(PATIENCE_S):
-                    reply = await caller.call(
-                        b"POST", self.target(kind), self.headers(), body, gone_out=gone_out
+                    reply = await caller.request(
+                        b"POST", self.target(kind), self.headers(), body, on_sent=gone_out
                     )
                 if scope.cancel_called:
                     return  # this stay ended while the answer was on its way
@@ -161,7 +161,7 @@
                     acked = not fault
                 elif reply.status != 304:
                     await self.turned_away(reply)
-            except (Broken, trio.TooSlowError):
+            except (ConnectionLostError, trio.TooSlowError):
                 nonce, fault, acked = "", "", False  # what was not acknowledged is not on its disk either
                 await self.closed(caller)
                 caller = None
@@ -180,15 +180,15 @@
             self.over("its stay is over")
         await trio.sleep(wait)
 
-    async def dialled(self, old: Caller | None, place: DirectorPlace) -> Caller:
+    async def dialled(self, old: ClientConnection | None, place: DirectorPlace) -> ClientConnection:
         await self.closed(old)
         if self.proxy.crew.unreachable(self.proxy.plan.zone, place.zone):
             await trio.sleep(0.2)
-            raise Broken("no way there", False)
-        return await dial("127.0.0.1", place.port, 1.0)
+            raise ConnectionLostError("no way there", False)
+        return await open_connection("127.0.0.1", place.port, 1.0)
 
     @staticmethod
-    async def closed(caller: Caller | None) -> None:
+    async def closed(caller: ClientConnection | None) -> None:
         if caller is not None:
             await caller.close()
 
@@ -213,9 +213,9 @@
         detail = forms.Status(3, fault) if fault else None
         if self.whole:
             version = self.versions.get(kind, "")
-            return encode(forms.DiscoveryRequest(version, node, [], forms.FILES[kind], nonce, detail))
+            return encode(forms.DiscoveryRequest(version, node, [], forms.TYPE_URLS[kind], nonce, detail))
         holds = {name: version for name, (version, _) in self.rows[kind].items() if version} if first else {}
-        return encode(forms.DeltaDiscoveryRequest(node, forms.FILES[kind], [], [], holds, nonce, detail))
+        return encode(forms.DeltaDiscoveryRequest(node, forms.TYPE_URLS[kind], [], [], holds, nonce, detail))
 
     # Answers.
 
@@ -240,15 +240,15 @@
                 for row in delta.resources:  # by difference, it is the resources that have versions
                     had = rows.get(row.name, ("", b""))[0]
                     if had and era_and_number(row.version) <= era_and_number(had):
-                        raise FormError(f"{row.name} goes back to {row.version}, {had} is held")
+                        raise MessageFormatError(f"{row.name} goes back to {row.version}, {had} is held")
                     rows[row.name] = (row.version, bytes(row.resource))
                 for name in delta.removed_resources:
                     rows.pop(name, None)
             held = self.versions.get(kind, "")
             if self.whole and held and era_and_number(version) < era_and_number(held):
-                raise FormError(f"{version} goes back, {held} is held")
+                raise MessageFormatError(f"{version} goes back, {held} is held")
             self.check(kind, version, rows)
-        except FormError as fault:
+        except MessageFormatError as fault:
             self.proxy.crew.refused += 1
             cause = str(fault) or "refused"
             self.proxy.notes.note(
@@ -276,7 +276,7 @@
         proxy = self.proxy
         chance = random.Random(f"{self.o.seed} {proxy.plan.id} {kind} {version}")
         if self.o.refuse and chance.random() < self.o.refuse:
-            raise FormError("refused by chance")
+            raise MessageFormatError("refused by chance")
         assignments, clusters, routes = proxy.assignments, proxy.clusters, proxy.routes
         if kind == "eds":
             assignments = {n: decode(body, forms.ClusterLoadAssignment) for n, (_, body) in rows.items()}
@@ -294,19 +294,21 @@
         else:
             sets = [decode(body, forms.RouteConfiguration) for _, body in rows.values()]
             if len(sets) != 1 or not sets[0].virtual_hosts:
-                raise FormError(f"{len(sets)} sets of routes")
+                raise MessageFormatError(f"{len(sets)} sets of routes")
             routes = sets[0].virtual_hosts[0].routes
-        for route in tables.leading(routes):
+        for route in tables.cluster_routes(routes):
             to = clusters.get(route.route.cluster)
             if to is None:
-                raise FormError(f"route {route.name!r} names no cluster: {route.route.cluster!r}")
+                raise MessageFormatError(f"route {route.name!r} names no cluster: {route.route.cluster!r}")
             if to.eds_cluster_config.service_name not in assignments:
-                raise FormError(f"cluster {to.name!r} has no table")
+                raise MessageFormatError(f"cluster {to.name!r} has no table")
             tables.level_of(route.typed_per_filter_config)
         proxy.assignments, proxy.clusters, proxy.routes = assignments, clusters, routes
 
     def in_use(self, table: str) -> bool:
-        clusters = [self.proxy.clusters[route.route.cluster] for route in tables.leading(self.proxy.routes)]
+        clusters = [
+            self.proxy.clusters[route.route.cluster] for route in tables.cluster_routes(self.proxy.routes)
+        ]
         return any(cluster.eds_cluster_config.service_name == table for cluster in clusters)
 
     # Reports.
@@ -315,7 +317,7 @@
         self.loads = data
 
     async def tell_loads(self, place: DirectorPlace) -> None:
-        caller: Caller | None = None
+        caller: ClientConnection | None = None
         while True:
             data, self.loads = self.loads, None
             if data is None:
@@ -325,12 +327,12 @@
                 if caller is None or not caller.usable:
                     caller = await self.dialled(caller, place)
                 with trio.fail_after(3.0):
-                    reply = await caller.call(b"POST", LOADS, self.headers(), data)
+                    reply = await caller.request(b"POST", LOADS, self.headers(), data)
                 if reply.status == 200:
-                    self.report_s = seconds(
+                    self.report_s = parse_duration(
                         decode(reply.body, forms.LoadStatsResponse).load_reporting_interval
                     )
-            except (Broken, trio.TooSlowError):
+            except (ConnectionLostError, trio.TooSlowError):
                 await self.closed(caller)
                 caller = None
                 await trio.sleep(0.1)
--- a/willowhook/trial/standin_proxy.py
+++ b/willowhook/trial/standin_proxy.py
@@ -36,9 +36,9 @@
 from ..membership.retries import stricter_retries
 from ..membership.version import Version, VersionError, parse_version
 from ..ticks import TICKS_PER_SECOND, ticks_from_milliseconds, ticks_from_seconds
-from ..web.wire import Broken, Call, Caller, Reply, answer_calls, dial
+from ..web.wire import Call, ClientConnection, ConnectionLostError, Reply, open_connection, serve_connection
 from ..xds import forms, orca, tables
-from ..xds.codec import FormError, decode, encode, read_response, seconds
+from ..xds.codec import MessageFormatError, decode, encode, parse_duration, read_response
 from .day import ProxyPlan
 from .notes import Notes, obey
 from .standin_link import WebLink
@@ -104,7 +104,7 @@
     address: str
     port: int
     zone: str
-    idle: list[Caller] = field(default_factory=list)
+    idle: list[ClientConnection] = field(default_factory=list)
     out: int = 0
     strikes: int = 0
     shunned_until: int = 0
@@ -184,7 +184,7 @@
     def settle(self) -> None:
         """Looks up what calls will need; by route the lines that may be picked."""
         self.lines = {}
-        for route in tables.leading(self.routes):
+        for route in tables.cluster_routes(self.routes):
             cluster = self.clusters[route.route.cluster]
             table = self.assignments[cluster.eds_cluster_config.service_name]
             usable = []
@@ -214,7 +214,7 @@
         kinds: dict[str, tuple[str, str]] = {}
         try:
             assignments, clusters, routes = dict(self.assignments), dict(self.clusters), self.routes
-            for kind, type_url in forms.FILES.items():
+            for kind, type_url in forms.TYPE_URLS.items():
                 if (data := files.get(kind + ".json")) is None:
                     continue
                 envelope = read_response(data, type_url)
@@ -228,7 +228,7 @@
                     self.notes.note("void", p=self.plan.id, d=place.name, v=str(newest), why=verdict.value)
                 return
             if self.o.refuse and self.chance.random() < self.o.refuse:
-                raise FormError("refused by chance")
+                raise MessageFormatError("refused by chance")
             if "eds" in kinds:
                 for table in tables.read_tables(files["eds.json"])[1]:
                     assignments[table.cluster_name] = table
@@ -237,21 +237,25 @@
             if "rds" in kinds:
                 sets = tables.read_routes(files["rds.json"])[1]
                 routes = sets[0].virtual_hosts[0].routes
-            for route in tables.leading(routes):
-                tables.fits(route.match, "/")
+            for route in tables.cluster_routes(routes):
+                tables.matches(route.match, "/")
                 cluster = clusters.get(route.route.cluster)
                 if cluster is None:
-                    raise FormError(f"route {route.name!r} names no cluster: {route.route.cluster!r}")
+                    raise MessageFormatError(
+                        f"route {route.name!r} names no cluster: {route.route.cluster!r}"
+                    )
                 if cluster.eds_cluster_config.service_name not in assignments:
-                    raise FormError(f"cluster {cluster.name!r} has no table")
+                    raise MessageFormatError(f"cluster {cluster.name!r} has no table")
                 tables.level_of(route.typed_per_filter_config)
             self.look_odd(assignments.values())
-        except (FormError, VersionError, IndexError) as fault:
+        except (MessageFormatError, VersionError, IndexError) as fault:
             self.crew.refused += 1
             self.notes.note("refused", p=self.plan.id, d=place.name, cause=str(fault))
             self.answer_config(kinds, str(fault) or "incomplete")
             return
-        used = {clusters[r.route.cluster].eds_cluster_config.service_name for r in tables.leading(routes)}
+        used = {
+            clusters[r.route.cluster].eds_cluster_config.service_name for r in tables.cluster_routes(routes)
+        }
         self.assignments = {name: table for name, table in assignments.items() if name in used}
         self.clusters, self.routes = clusters, routes
         self.claim.record_applied(newest)
@@ -276,7 +280,7 @@
         if self.o.odd_weight and random.Random(self.plan.id).random() < self.o.odd_share:
             for table in assignments:
                 if any(round(line[4] * 10_000) == self.o.odd_weight for line in tables.lines(table)):
-                    raise FormError(f"{table.cluster_name}: an odd weight")
+                    raise MessageFormatError(f"{table.cluster_name}: an odd weight")
 
     def name_of_director(self) -> str:
         return self.director.name if self.director else ""
@@ -293,7 +297,7 @@
 
     def request(self, kind: str, version: str, nonce: str, fault: str) -> bytes:
         detail = forms.Status(3, fault) if fault else None
-        return encode(forms.DiscoveryRequest(version, self.node(), [], forms.FILES[kind], nonce, detail))
+        return encode(forms.DiscoveryRequest(version, self.node(), [], forms.TYPE_URLS[kind], nonce, detail))
 
     def answer_config(self, kinds: dict[str, tuple[str, str]], fault: str) -> None:
         if self.director is None:
@@ -395,7 +399,7 @@
         files = {STATUS: self.status()}
         if not standing:
             said = str(before) if before else "0.0.0"
-            files |= {f"{kind}.json": self.request(kind, said, "", "") for kind in forms.FILES}
+            files |= {f"{kind}.json": self.request(kind, said, "", "") for kind in forms.TYPE_URLS}
         for name, data in files.items():
             swap_file(DiskOps(), temp, name, data)
         self.versions = {}
@@ -466,8 +470,8 @@
             try:
                 with open(f"{self.director.folder}/{PACE}", "rb") as file:
                     said = decode(file.read(), forms.LoadStatsResponse).load_reporting_interval
-                return max(self.o.report_s, seconds(said))
-            except (OSError, FormError):
+                return max(self.o.report_s, parse_duration(said))
+            except (OSError, MessageFormatError):
                 return self.o.report_s
         return self.o.report_s
 
@@ -475,10 +479,10 @@
 
     async def answer(self, call: Call) -> Reply | None:
         path = call.target.split(b"?")[0].decode("latin-1")
-        row = tables.first(self.routes, path)
+        row = tables.first_match(self.routes, path)
         if row is None or row.direct_response is not None:
             return Reply(row.direct_response.status if row and row.direct_response else 404)
-        call.target = tables.target(row, call.target.decode("latin-1")).encode("latin-1")
+        call.target = tables.upstream_path(row, call.target.decode("latin-1")).encode("latin-1")
         return await self.route(row, call)
 
     def admitted(self, row: forms.Route) -> bool:
@@ -507,11 +511,11 @@
         # what a call is told at its start holds for all of its tries, but not the hosts it may go to
         policy, lb_policy = row.route.retry_policy, self.clusters[cluster].lb_policy
         tries = tables.tries_of(policy)
-        patience = seconds(policy.per_try_timeout) if policy and policy.per_try_timeout else math.inf
+        patience = parse_duration(policy.per_try_timeout) if policy and policy.per_try_timeout else math.inf
         by = hash_key(tables.hash_by(row.route.hash_policy), call)
         tried: list[str] = []
-        reply = Reply(503, [(b"retry-after", b"1"), (tables.PROOF.encode(), b"1")], b"no host")
-        with trio.move_on_after(seconds(row.route.timeout)) as limit:
+        reply = Reply(503, [(b"retry-after", b"1"), (tables.NOT_EXECUTED_HEADER.encode(), b"1")], b"no host")
+        with trio.move_on_after(parse_duration(row.route.timeout)) as limit:
             while True:
                 host = self.pick(row, lb_policy, tried, by)
                 if host is None:
@@ -558,33 +562,35 @@
         ours = [(b"x-proxy", self.plan.id.encode()), (b"x-route", row.name.encode())]
         head = [(k, call.headers[k]) for k in (b"x-attempt", b"x-work-ms", b"x-key") if k in call.headers]
         side.out += 1
-        caller: Caller | None = None
+        caller: ClientConnection | None = None
         sent = 0
         try:
             with trio.move_on_after(patience):
                 if self.crew.lost(self.plan, host, side.zone):
                     out = "unreached"
                     await trio.sleep(self.o.dial_s)
-                    raise Broken("no way there", False)
+                    raise ConnectionLostError("no way there", False)
                 while side.idle and caller is None:
                     caller = side.idle.pop()
-                    if not caller.usable or not caller.fresh():
+                    if not caller.usable or not caller.is_open():
                         self.crew.later(caller.close)
                         caller = None
                 if caller is None:
-                    caller = await dial(side.address, side.port, self.o.dial_s)
+                    caller = await open_connection(side.address, side.port, self.o.dial_s)
                 sent = monotonic_ticks()
                 self.notes.note(
                     "sent", p=self.plan.id, c=attempt, r=row.name, h=host, d=self.name_of_director()
                 )
-                reply = await caller.call(call.method, call.target, [*ours, *head], call.body)
+                reply = await caller.request(call.method, call.target, [*ours, *head], call.body)
                 told = reply.header(orca.HEADER) or b""
-                proof = reply.header(tables.PROOF.encode()) is not None
+                proof = reply.header(tables.NOT_EXECUTED_HEADER.encode()) is not None
                 out = "answered" if reply.status < 500 else "given_back" if proof else "failed"
-        except Broken as fault:
+        except ConnectionLostError as fault:
             proof = not fault.sent
             out = "unreached" if proof else "broke"
-            reply = Reply(503, [(tables.PROOF.encode(), b"1")] if proof else [], b"connection failure")
+            reply = Reply(
+                503, [(tables.NOT_EXECUTED_HEADER.encode(), b"1")] if proof else [], b"connection failure"
+            )
         finally:
             side.out -= 1
             if caller is not None:
@@ -737,7 +743,7 @@
                 if not self.o.fixed:
                     nursery.start_soon(proxy.keep)
                     nursery.start_soon(proxy.tell)
-                serve = partial(answer_calls, answer=proxy.answer)
+                serve = partial(serve_connection, answer=proxy.answer)
                 await trio.serve_tcp(serve, proxy.plan.port, host="127.0.0.1", handler_nursery=nursery)
 
     async def run(self) -> None:
--- a/willowhook/trial/standin_roster.py
+++ b/willowhook/trial/standin_roster.py
@@ -9,7 +9,7 @@
 import msgspec
 import trio
 
-from ..web.wire import Call, Reply, answer_calls
+from ..web.wire import Call, Reply, serve_connection
 from .day import HostPlan
 from .notes import Notes
 
@@ -101,7 +101,7 @@
             self._nursery = nursery
 
             async def serve(stream: trio.SocketStream) -> None:
-                await answer_calls(stream, self.answer)
+                await serve_connection(stream, self.answer)
 
             listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
             self.port = listeners[0].socket.getsockname()[1]
--- a/willowhook/trial/submits.py
+++ b/willowhook/trial/submits.py
@@ -24,8 +24,8 @@
 from ..store.ledger import Ledger
 from ..store.outcomes import AGAIN, ANSWERED, DONE, FAILED, NEVER_RAN
 from ..store.store import OUTCOMES, Store
-from ..web.wire import Broken, Call, Reply, answer_calls, dial
-from ..xds.tables import PROOF
+from ..web.wire import Call, ConnectionLostError, Reply, open_connection, serve_connection
+from ..xds.tables import NOT_EXECUTED_HEADER
 
 AT_ONCE, MOST_TRIES = 8, 3
 
@@ -45,12 +45,12 @@
             number = await ledger.out(call, monotonic_ticks())
             what = FAILED
             try:
-                caller = await dial("127.0.0.1", port, 1.0)
-                reply = await caller.call(b"POST", b"/submit", [(b"x-key", call.encode())], b"task")
-                proof = reply.header(PROOF.encode()) is not None
+                caller = await open_connection("127.0.0.1", port, 1.0)
+                reply = await caller.request(b"POST", b"/submit", [(b"x-key", call.encode())], b"task")
+                proof = reply.header(NOT_EXECUTED_HEADER.encode()) is not None
                 what = ANSWERED if reply.status == 200 else NEVER_RAN if proof else FAILED
                 await caller.close()
-            except Broken as fault:
+            except ConnectionLostError as fault:
                 what = FAILED if fault.sent else NEVER_RAN
             await ledger.ended(call, number, what, monotonic_ticks())
         out.write(f"told {call} {ledger.of(call).state()}\n".encode())
@@ -105,7 +105,7 @@
         key, lot = call.headers.get(b"x-key", b"").decode(), chance.random()
         await trio.sleep(chance.uniform(0, 0.01))
         if lot < 0.1:
-            return Reply(503, [(PROOF.encode(), b"1")])
+            return Reply(503, [(NOT_EXECUTED_HEADER.encode(), b"1")])
         if lot < 0.15:
             return None  # broken off before it had any effect
         effects[key] += 1
@@ -142,7 +142,7 @@
         async with trio.open_nursery() as nursery:
 
             async def serve(stream: trio.SocketStream) -> None:
-                await answer_calls(stream, answer)
+                await serve_connection(stream, answer)
 
             listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
             nursery.start_soon(trio.serve_listeners, serve, listeners)
--- a/willowhook/trial/takeover.py
+++ b/willowhook/trial/takeover.py
@@ -26,7 +26,7 @@
 from ..files.swap import CURRENT, read_group
 from ..ticks import TICKS_PER_SECOND
 from ..xds import forms, tables
-from ..xds.codec import encode, read_response, response
+from ..xds.codec import encode, encode_response, read_response
 from .day import ZONES, Day, Trouble, draw
 from .notes import read_notes
 from .stage import Outcome, Stage
@@ -125,7 +125,7 @@
             route.route.retry_policy.per_try_timeout = "0.3s"
         body = [encode(routes)]
         version = envelope.version_info
-        files["rds.json"] = response(version, forms.ROUTES, envelope.nonce, body)
+        files["rds.json"] = encode_response(version, forms.ROUTES, envelope.nonce, body)
         try:
             ops.mkdir(str(place / name))
             for file, data in files.items():
--- a/willowhook/web/wire.py
+++ b/willowhook/web/wire.py
@@ -18,7 +18,7 @@
 CHUNK = 64 << 10  # bytes per read
 
 
-class Broken(WillowhookError):
+class ConnectionLostError(WillowhookError):
     """The connection ended or spoke no HTTP.
 
     Args:
@@ -65,7 +65,7 @@
         return next((value for key, value in self.headers if key == name), None)
 
 
-class Caller:
+class ClientConnection:
     """Makes calls, one after the other. After `Broken` or a cancelled call it is of no more use.
 
     Args:
@@ -82,14 +82,14 @@
         self._wire = h11.Connection(h11.CLIENT)
         self.usable = True
 
-    async def call(
+    async def request(
         self,
         method: bytes,
         target: bytes,
         headers: Sequence[Header] = (),
         body: bytes = b"",
-        most: int = MOST_BODY,
-        gone_out: Callable[[], None] = lambda: None,
+        max_body_bytes: int = MOST_BODY,
+        on_sent: Callable[[], None] = lambda: None,
     ) -> Reply:
         """Makes a call and returns its response.
 
@@ -110,16 +110,16 @@
             data = self._encode_request(method, target, headers, body)
             sent = True
             await self._stream.send_all(data)
-            gone_out()
-            reply = await self._receive_reply(most)
+            on_sent()
+            reply = await self._receive_reply(max_body_bytes)
             if self._wire.our_state is h11.DONE and self._wire.their_state is h11.DONE:
                 self._wire.start_next_cycle()
                 self.usable = True
             return reply
         except (trio.BrokenResourceError, trio.ClosedResourceError, h11.ProtocolError) as error:
-            raise Broken(f"{type(error).__name__}: {error}", sent) from error
+            raise ConnectionLostError(f"{type(error).__name__}: {error}", sent) from error
 
-    def fresh(self) -> bool:
+    def is_open(self) -> bool:
         """Whether the other side has left the connection open, as far as this side has heard."""
         if not isinstance(self._stream, trio.SocketStream):
             return True
@@ -156,33 +156,33 @@
             elif isinstance(event, h11.Data):
                 size += len(event.data)
                 if size > most:
-                    raise Broken(f"an answer of over {most} bytes", True)
+                    raise ConnectionLostError(f"an answer of over {most} bytes", True)
                 parts.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
                 reply.body = b"".join(parts)
                 return reply
             elif not isinstance(event, h11.InformationalResponse):
-                raise Broken("closed before an answer", True)
+                raise ConnectionLostError("closed before an answer", True)
 
 
-async def dial(address: str, port: int, patience: float = math.inf) -> Caller:
+async def open_connection(address: str, port: int, timeout_seconds: float = math.inf) -> ClientConnection:
     """Connects to `address:port`.
 
     Raises `Broken`, with nothing sent, if there is no connection within `patience` seconds.
     """
     try:
-        with trio.fail_after(patience):
+        with trio.fail_after(timeout_seconds):
             stream = await trio.open_tcp_stream(address, port)
     except (OSError, trio.TooSlowError) as error:
-        raise Broken(f"no connection: {type(error).__name__}: {error}", False) from error
+        raise ConnectionLostError(f"no connection: {type(error).__name__}: {error}", False) from error
     stream.setsockopt(trio.socket.IPPROTO_TCP, trio.socket.TCP_NODELAY, 1)
-    return Caller(stream, f"{address}:{port}".encode())
+    return ClientConnection(stream, f"{address}:{port}".encode())
 
 
 Answer = Callable[[Call], Awaitable[Reply | None]]
 
 
-async def answer_calls(stream: trio.abc.Stream, answer: Answer, most: int = MOST_BODY) -> None:
+async def serve_connection(stream: trio.abc.Stream, answer: Answer, most: int = MOST_BODY) -> None:
     """Answers the calls on a connection until the other side is done, and closes it.
 
     Args:
--- a/willowhook/xds/codec.py
+++ b/willowhook/xds/codec.py
@@ -15,7 +15,7 @@
 _decoders: dict[Any, msgspec.json.Decoder[Any]] = {}
 
 
-class FormError(Exception):
+class MessageFormatError(Exception):
     """A file that is not the form it should be: what, and where in it."""
 
 
@@ -27,11 +27,11 @@
     try:
         result: T = decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
-        raise FormError(f"not a {kind.__name__}: {fault}") from fault
+        raise MessageFormatError(f"not a {kind.__name__}: {fault}") from fault
     return result
 
 
-def response(version: str, type_url: str, nonce: str, resources: list[bytes]) -> bytes:
+def encode_response(version: str, type_url: str, nonce: str, resources: list[bytes]) -> bytes:
     """One `DiscoveryResponse` around resources that are encoded already."""
     raw = [msgspec.Raw(body) for body in resources]
     return encode(forms.DiscoveryResponse(version, type_url, nonce, raw))
@@ -41,11 +41,11 @@
     """The envelope, checked to be of this type."""
     got = decode(data, forms.DiscoveryResponse)
     if got.type_url != type_url:
-        raise FormError(f"type_url is {got.type_url!r}, not {type_url!r}")
+        raise MessageFormatError(f"type_url is {got.type_url!r}, not {type_url!r}")
     return got
 
 
-def duration(ticks: int) -> str:
+def format_duration(ticks: int) -> str:
     """Ticks as a proto3 duration."""
     return nanos(ticks * NANOSECONDS_PER_TICK)
 
@@ -56,7 +56,7 @@
     return text + "s"
 
 
-def seconds(text: str) -> float:
+def parse_duration(text: str) -> float:
     """A proto3 duration in seconds; raises FormError."""
     try:
         if text.endswith("s"):
@@ -65,4 +65,4 @@
                 return value
     except ValueError:
         pass
-    raise FormError(f"not a duration: {text[:40]!r}")
+    raise MessageFormatError(f"not a duration: {text[:40]!r}")
--- a/willowhook/xds/forms.py
+++ b/willowhook/xds/forms.py
@@ -17,10 +17,14 @@
 RATE_LIMIT = TYPES + "envoy.extensions.filters.http.local_ratelimit.v3.LocalRateLimit"
 FAULT = TYPES + "envoy.extensions.filters.http.fault.v3.HTTPFault"
 RATE_LIMIT_FILTER, FAULT_FILTER = "envoy.filters.http.local_ratelimit", "envoy.filters.http.fault"
-HOSTS_TRIED = "envoy.retry_host_predicates.previous_hosts"
-HOSTS_TRIED_TYPE = TYPES + "envoy.extensions.retry.host.previous_hosts.v3.PreviousHostsPredicate"
+PREVIOUS_HOSTS = "envoy.retry_host_predicates.previous_hosts"
+PREVIOUS_HOSTS_TYPE = TYPES + "envoy.extensions.retry.host.previous_hosts.v3.PreviousHostsPredicate"
 DRAINING, HEALTHY = "DRAINING", "HEALTHY"
-FILES = {"cds": CLUSTER, "eds": ASSIGNMENT, "rds": ROUTES}  # by name of file, in the order in which to apply
+TYPE_URLS = {
+    "cds": CLUSTER,
+    "eds": ASSIGNMENT,
+    "rds": ROUTES,
+}  # by name of file, in the order in which to apply
 
 
 class Form(msgspec.Struct, omit_defaults=True):
--- a/willowhook/xds/orca.py
+++ b/willowhook/xds/orca.py
@@ -43,6 +43,6 @@
     return found
 
 
-def load(values: dict[str, float]) -> dict[str, float]:
+def decision_metrics(values: dict[str, float]) -> dict[str, float]:
     """The same by the names that the decisions use."""
     return {NAMES[name]: value for name, value in values.items() if name in NAMES}
--- a/willowhook/xds/tables.py
+++ b/willowhook/xds/tables.py
@@ -12,29 +12,29 @@
 from typing import TypeVar
 
 from . import forms
-from .codec import FormError, decode, duration, nanos, read_response, seconds
+from .codec import MessageFormatError, decode, format_duration, nanos, parse_duration, read_response
 
 SCALE = 10_000  # a weight of 1, as the whole number that the form asks for
-MOST = 2**32 - 1
+MAX_UINT32 = 2**32 - 1
 FILL = 0.05  # the shortest time between fills that the published filter allows, seconds
 MILLION = 1_000_000
 LEAST = 1e-4  # calls a second at one proxy under which none is let in
 UNLIMITED = 100_000.0  # calls a second at one proxy from which no limit is written
-PROOF = "x-never-ran"  # a host that gives a call back unbegun says so with this header
+NOT_EXECUTED_HEADER = "x-never-ran"  # a host that gives a call back unbegun says so with this header
 NEVER_RAN = "connect-failure,refused-stream,retriable-headers"
 ANY_FAILURE = "5xx,reset,connect-failure,refused-stream"
 THROTTLED, DROPPED = 429, 503
 
-Line = tuple[str, str, int, str, float, bool]  # host, address, port, zone, weight, draining
+TableEntry = tuple[str, str, int, str, float, bool]  # host, address, port, zone, weight, draining
 
 
 def whole(weight: float) -> int:
     """A weight as the form's whole number, never 0 for a weight above 0."""
-    return min(max(round(weight * SCALE), 1), MOST // 4096)
+    return min(max(round(weight * SCALE), 1), MAX_UINT32 // 4096)
 
 
 def assignment(
-    name: str, lines: Iterable[Line], later: Mapping[str, int] | None = None
+    name: str, lines: Iterable[TableEntry], later: Mapping[str, int] | None = None
 ) -> forms.ClusterLoadAssignment:
     """A table; hosts are grouped by zone in the order in which zones first appear.
 
@@ -53,16 +53,16 @@
     return forms.ClusterLoadAssignment(name, list(zones.values()))
 
 
-def lines(table: forms.ClusterLoadAssignment) -> list[Line]:
+def lines(table: forms.ClusterLoadAssignment) -> list[TableEntry]:
     """A table's lines; raises FormError at one that no proxy could use."""
     found = []
     for group in table.endpoints:
         for row in group.lb_endpoints:
             at = row.endpoint.address.socket_address
             if at is None or not at.address or not 0 < at.port_value < 65536:
-                raise FormError(f"{table.cluster_name}: {row.endpoint.hostname!r} has no address")
-            if not 0 < row.load_balancing_weight <= MOST:
-                raise FormError(f"{table.cluster_name}: {row.endpoint.hostname!r} has no weight")
+                raise MessageFormatError(f"{table.cluster_name}: {row.endpoint.hostname!r} has no address")
+            if not 0 < row.load_balancing_weight <= MAX_UINT32:
+                raise MessageFormatError(f"{table.cluster_name}: {row.endpoint.hostname!r} has no weight")
             name = row.endpoint.hostname or f"{at.address}:{at.port_value}"
             weight, out = row.load_balancing_weight / SCALE, row.health_status == forms.DRAINING
             found.append((name, at.address, at.port_value, group.locality.zone, weight, out))
@@ -82,7 +82,7 @@
 
 def cluster(name: str, table: str, path: str, pick: str, dial_ticks: int, strikes: int) -> forms.Cluster:
     """One route's cluster: several may name one table, which is what makes it shared."""
-    made = forms.Cluster(name, "EDS", connect_timeout=duration(dial_ticks))
+    made = forms.Cluster(name, "EDS", connect_timeout=format_duration(dial_ticks))
     made.eds_cluster_config = forms.EdsClusterConfig(forms.PathConfigSource(forms.PathSource(path)), table)
     if pick == "pair":
         made.lb_policy, made.least_request_lb_config = "LEAST_REQUEST", forms.LeastRequest(2)
@@ -99,14 +99,14 @@
     """0: none; 1: one, elsewhere, after proof that none ran; 2, 3: one or two after any failure."""
     if tries <= 0:
         return forms.RetryPolicy(num_retries=0)
-    elsewhere = forms.RetryHostPredicate(forms.HOSTS_TRIED, forms.TypedConfig(forms.HOSTS_TRIED_TYPE))
+    elsewhere = forms.RetryHostPredicate(forms.PREVIOUS_HOSTS, forms.TypedConfig(forms.PREVIOUS_HOSTS_TYPE))
     policy = forms.RetryPolicy(NEVER_RAN, 1, retry_host_predicate=[elsewhere])
     policy.host_selection_retry_max_attempts = 5
     if tries == 1:
-        policy.retriable_headers = [forms.HeaderMatcher(PROOF, True)]
+        policy.retriable_headers = [forms.HeaderMatcher(NOT_EXECUTED_HEADER, True)]
     else:
         policy.retry_on, policy.num_retries = ANY_FAILURE, tries - 1
-        policy.per_try_timeout = duration(per_try_ticks)
+        policy.per_try_timeout = format_duration(per_try_ticks)
     return policy
 
 
@@ -146,10 +146,12 @@
             cut = row.abort.percentage if row.abort else forms.Percentage()
             per = {"HUNDRED": 100, "TEN_THOUSAND": 10_000, "MILLION": MILLION}.get(cut.denominator)
             if per is None or cut.numerator < 0:
-                raise FormError(f"abort percentage of {cut.numerator} per {cut.denominator!r}")
+                raise MessageFormatError(f"abort percentage of {cut.numerator} per {cut.denominator!r}")
             share = max(0.0, 1 - cut.numerator / per)
         else:
-            rate = row.token_bucket.tokens_per_fill / max(seconds(row.token_bucket.fill_interval), 1e-9)
+            rate = row.token_bucket.tokens_per_fill / max(
+                parse_duration(row.token_bucket.fill_interval), 1e-9
+            )
     return share, rate
 
 
@@ -162,7 +164,7 @@
     return forms.RouteMatch(prefix=path) if kind == "prefix" else forms.RouteMatch(path)
 
 
-def match_of(made: forms.RouteMatch) -> tuple[str, str]:
+def match_kind_and_path(made: forms.RouteMatch) -> tuple[str, str]:
     """Kind and path, as `match` was given them."""
     if made.safe_regex is not None:
         return "regex", made.safe_regex.regex
@@ -176,12 +178,12 @@
     try:
         return re.compile(text)
     except re.error as fault:
-        raise FormError(f"safe_regex {text[:80]!r}: {fault}") from fault
+        raise MessageFormatError(f"safe_regex {text[:80]!r}: {fault}") from fault
 
 
-def fits(made: forms.RouteMatch, path: str) -> bool:
+def matches(made: forms.RouteMatch, path: str) -> bool:
     """Whether a path, without its arguments, is matched; raises FormError for what is no expression."""
-    kind, told = match_of(made)
+    kind, told = match_kind_and_path(made)
     if kind == "regex":
         return _regex(told).fullmatch(path) is not None
     if kind == "exact":
@@ -192,13 +194,13 @@
     return path == told or path.startswith(told + "/")
 
 
-def first(rows: Iterable[forms.Route], path: str) -> forms.Route | None:
-    return next((row for row in rows if fits(row.match, path)), None)
+def first_match(rows: Iterable[forms.Route], path: str) -> forms.Route | None:
+    return next((row for row in rows if matches(row.match, path)), None)
 
 
-def target(row: forms.Route, asked: str) -> str:
+def upstream_path(row: forms.Route, asked: str) -> str:
     """What a host is asked for: `asked`, its prefix rewritten where the route says so."""
-    kind, told = match_of(row.match)
+    kind, told = match_kind_and_path(row.match)
     if not row.route.prefix_rewrite or kind not in ("prefix", "below", "exact"):
         return asked
     return row.route.prefix_rewrite + asked[len(told.rstrip("/") if kind == "below" else told) :]
@@ -235,27 +237,27 @@
     filters: dict[str, forms.HTTPFault | forms.LocalRateLimit], rewrite: str = "", by: str = "",
 ) -> forms.Route:  # fmt: skip
     """`path`: a text is matched by itself and all below it; `by`: see `hash_policy`."""
-    action = forms.RouteAction(to, duration(limit_ticks), policy, rewrite, hash_policy(by))
+    action = forms.RouteAction(to, format_duration(limit_ticks), policy, rewrite, hash_policy(by))
     how = forms.RouteMatch(path) if isinstance(path, str) else path
     return forms.Route(name, how, action, typed_per_filter_config=filters)
 
 
-def closed(made: forms.RouteMatch, status: int) -> forms.Route:
+def direct_response_route(made: forms.RouteMatch, status: int) -> forms.Route:
     """Calls that no host gets."""
     return forms.Route("closed", made, direct_response=forms.DirectResponse(status))
 
 
 def route_set(name: str, rows: list[forms.Route]) -> forms.RouteConfiguration:
     """All routes of a proxy; the longest path first, as the first match wins."""
-    ordered = sorted(rows, key=lambda row: -len(match_of(row.match)[1]))
-    return in_order(name, ordered)
+    ordered = sorted(rows, key=lambda row: -len(match_kind_and_path(row.match)[1]))
+    return route_configuration(name, ordered)
 
 
-def in_order(name: str, rows: list[forms.Route]) -> forms.RouteConfiguration:
+def route_configuration(name: str, rows: list[forms.Route]) -> forms.RouteConfiguration:
     return forms.RouteConfiguration(name, [forms.VirtualHost("all", ["*"], rows)])
 
 
-def leading(rows: Iterable[forms.Route]) -> list[forms.Route]:
+def cluster_routes(rows: Iterable[forms.Route]) -> list[forms.Route]:
     """Those that lead to hosts."""
     return [row for row in rows if row.direct_response is None]
 
@@ -270,8 +272,8 @@
     for at, raw in enumerate(got.resources):
         try:
             found.append(decode(bytes(raw), kind))
-        except FormError as fault:
-            raise FormError(f"resources[{at}]: {fault}") from fault
+        except MessageFormatError as fault:
+            raise MessageFormatError(f"resources[{at}]: {fault}") from fault
     return got, found
 
 
