--- a/willowhook/web/__init__.py
+++ b/willowhook/web/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 on trio, by h11: a connection that makes calls and one that answers them."""
+"""HTTP/1.1 client and server connections on trio, with h11."""
--- a/willowhook/web/wire.py
+++ b/willowhook/web/wire.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 connection, as the caller or as the one who answers; one call on it at a time."""
+"""HTTP/1.1 connections of a client and of a server, each with one request at a time."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 Header = tuple[bytes, bytes]
 Headers = list[Header]
-MOST_BODY = 16 << 20  # bytes of a body, unless a caller says otherwise
-CHUNK = 64 << 10  # bytes per read
+MAX_BODY_BYTES = 16 << 20  # the default limit of a message body
+READ_SIZE_BYTES = 64 << 10
 
 
 class ConnectionLostError(WillowhookError):
-    """The connection ended or spoke no HTTP.
+    """The connection ended, or the peer does not speak HTTP.
 
     Args:
         text: what happened.
         sent: as the attribute.
 
     Attributes:
-        sent: whether the call may have reached the other side.
+        sent: whether the request may have reached the server.
     """
 
     def __init__(self, text: str, sent: bool) -> None:
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class Call:
-    """A request, complete with its body; names of headers are in lower case."""
+    """A request, complete with its body; header names are in lower case."""
 
     method: bytes
     target: bytes
@@ -50,9 +50,9 @@
 
     Attributes:
         status: the status code.
-        headers: names in lower case; those of the body's length are added as it is sent.
-        body: of at most as many bytes as its reader allows.
-        close: whether the connection ends after it, when it is sent.
+        headers: with names in lower case; the content-length header is added when the response is sent.
+        body: no longer than the limit of the client that received it.
+        close: whether the server closes the connection after this response.
     """
 
     status: int
@@ -61,25 +61,27 @@
     close: bool = False
 
     def header(self, name: bytes) -> bytes | None:
-        """The value of the first header of this name."""
+        """Returns the value of the first header with this name."""
         return next((value for key, value in self.headers if key == name), None)
 
 
 class ClientConnection:
-    """Makes calls, one after the other. After `Broken` or a cancelled call it is of no more use.
+    """Sends requests one after the other.
+
+    After `ConnectionLostError` or a cancelled request the connection cannot be used again.
 
     Args:
-        stream: the connection, which the caller closes.
+        stream: the open stream, which this connection owns and closes.
         host: the value of the Host header.
 
     Attributes:
-        usable: whether another call can be made on this connection.
+        usable: whether another request can be sent on this connection.
     """
 
     def __init__(self, stream: trio.abc.Stream, host: bytes) -> None:
         self._stream = stream
         self._host = host
-        self._wire = h11.Connection(h11.CLIENT)
+        self._protocol = h11.Connection(h11.CLIENT)
         self.usable = True
 
     async def request(
@@ -88,21 +90,22 @@
         target: bytes,
         headers: Sequence[Header] = (),
         body: bytes = b"",
-        max_body_bytes: int = MOST_BODY,
+        max_body_bytes: int = MAX_BODY_BYTES,
         on_sent: Callable[[], None] = lambda: None,
     ) -> Reply:
-        """Makes a call and returns its response.
+        """Sends a request and returns its response.
 
         Args:
-            method: of the request.
-            target: of the request.
-            headers: besides those of the host and the body's length.
-            body: of the request.
-            most: bytes that the response's body may have.
-            gone_out: is called when the whole request has been handed to the kernel.
+            method: the request method.
+            target: the request target.
+            headers: the headers besides Host and Content-Length.
+            body: the request body.
+            max_body_bytes: the limit of the response body.
+            on_sent: called when the whole request has been handed to the kernel.
 
         Raises:
-            Broken: if the connection ends, the other side speaks no HTTP, or its body is too long.
+            ConnectionLostError: the connection ended, the server does not speak HTTP, or the response body is
+                over the limit.
         """
         self.usable = False
         sent = False
@@ -111,19 +114,19 @@
             sent = True
             await self._stream.send_all(data)
             on_sent()
-            reply = await self._receive_reply(max_body_bytes)
-            if self._wire.our_state is h11.DONE and self._wire.their_state is h11.DONE:
-                self._wire.start_next_cycle()
+            response = await self._receive_response(max_body_bytes)
+            if self._protocol.our_state is h11.DONE and self._protocol.their_state is h11.DONE:
+                self._protocol.start_next_cycle()
                 self.usable = True
-            return reply
+            return response
         except (trio.BrokenResourceError, trio.ClosedResourceError, h11.ProtocolError) as error:
             raise ConnectionLostError(f"{type(error).__name__}: {error}", sent) from error
 
     def is_open(self) -> bool:
-        """Whether the other side has left the connection open, as far as this side has heard."""
+        """Returns whether the idle connection is still open, as far as this side knows."""
         if not isinstance(self._stream, trio.SocketStream):
             return True
-        try:  # readable while no call is out: it was closed, or what came belongs to no call
+        try:  # readable without an outstanding request: closed by the server, or it sent unrequested data
             poll = select.poll()
             poll.register(self._stream.socket.fileno(), select.POLLIN | select.POLLHUP)
             return not poll.poll(0)
@@ -131,7 +134,7 @@
             return False
 
     async def close(self) -> None:
-        """Closes the connection without waiting for the other side."""
+        """Closes the connection without waiting for the server."""
         self.usable = False
         await trio.aclose_forcefully(self._stream)
 
@@ -140,105 +143,109 @@
         if body or method in (b"POST", b"PUT"):
             all_headers.append((b"content-length", b"%d" % len(body)))
         return _encode_message(
-            self._wire, h11.Request(method=method, target=target, headers=all_headers), body
+            self._protocol, h11.Request(method=method, target=target, headers=all_headers), body
         )
 
-    async def _receive_reply(self, most: int) -> Reply:
-        reply = Reply(0)
+    async def _receive_response(self, max_body_bytes: int) -> Reply:
+        response = Reply(0)
         parts: list[bytes] = []
         size = 0
         while True:
-            event = self._wire.next_event()
+            event = self._protocol.next_event()
             if event is h11.NEED_DATA:
-                self._wire.receive_data(await self._stream.receive_some(CHUNK))
+                self._protocol.receive_data(await self._stream.receive_some(READ_SIZE_BYTES))
             elif isinstance(event, h11.Response):
-                reply = Reply(event.status_code, list(event.headers))
+                response = Reply(event.status_code, list(event.headers))
             elif isinstance(event, h11.Data):
                 size += len(event.data)
-                if size > most:
-                    raise ConnectionLostError(f"an answer of over {most} bytes", True)
+                if size > max_body_bytes:
+                    raise ConnectionLostError(f"response body is over {max_body_bytes} bytes", True)
                 parts.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
-                reply.body = b"".join(parts)
-                return reply
+                response.body = b"".join(parts)
+                return response
             elif not isinstance(event, h11.InformationalResponse):
-                raise ConnectionLostError("closed before an answer", True)
+                raise ConnectionLostError("connection closed before a response", True)
 
 
 async def open_connection(address: str, port: int, timeout_seconds: float = math.inf) -> ClientConnection:
     """Connects to `address:port`.
 
-    Raises `Broken`, with nothing sent, if there is no connection within `patience` seconds.
+    Raises `ConnectionLostError`, with nothing sent, if there is no connection within `timeout_seconds`.
     """
     try:
         with trio.fail_after(timeout_seconds):
             stream = await trio.open_tcp_stream(address, port)
     except (OSError, trio.TooSlowError) as error:
-        raise ConnectionLostError(f"no connection: {type(error).__name__}: {error}", False) from error
+        raise ConnectionLostError(f"cannot connect: {type(error).__name__}: {error}", False) from error
     stream.setsockopt(trio.socket.IPPROTO_TCP, trio.socket.TCP_NODELAY, 1)
     return ClientConnection(stream, f"{address}:{port}".encode())
 
 
-Answer = Callable[[Call], Awaitable[Reply | None]]
+RequestHandler = Callable[[Call], Awaitable[Reply | None]]
 
 
-async def serve_connection(stream: trio.abc.Stream, answer: Answer, most: int = MOST_BODY) -> None:
-    """Answers the calls on a connection until the other side is done, and closes it.
+async def serve_connection(
+    stream: trio.abc.Stream, answer: RequestHandler, max_body_bytes: int = MAX_BODY_BYTES
+) -> None:
+    """Answers the requests on a connection until the client closes it, then closes the stream.
 
     Args:
-        stream: of the connection.
-        answer: makes the response to a call; None closes the connection without one.
-        most: bytes that a call's body may have; a longer one closes the connection.
+        stream: the stream of the connection.
+        answer: returns the response to a request, or None to close the connection without a response.
+        max_body_bytes: the limit of a request body; a longer one closes the connection.
     """
-    wire = h11.Connection(h11.SERVER)
+    protocol = h11.Connection(h11.SERVER)
     try:
         while True:
-            call = await _receive_call(stream, wire, most)
-            reply = await answer(call) if call is not None else None
-            if reply is None:
+            request = await _receive_request(stream, protocol, max_body_bytes)
+            response = await answer(request) if request is not None else None
+            if response is None:
                 return
-            await stream.send_all(_encode_reply(wire, reply))
-            if wire.our_state is h11.MUST_CLOSE or wire.their_state is not h11.DONE:
+            await stream.send_all(_encode_response(protocol, response))
+            if protocol.our_state is h11.MUST_CLOSE or protocol.their_state is not h11.DONE:
                 return
-            wire.start_next_cycle()
+            protocol.start_next_cycle()
     except (trio.BrokenResourceError, trio.ClosedResourceError, h11.ProtocolError):
-        return  # the other side broke off or spoke no HTTP: there is nobody to answer
+        return  # the client disconnected or does not speak HTTP, so no response can be sent
     finally:
         await trio.aclose_forcefully(stream)
 
 
-async def _receive_call(stream: trio.abc.Stream, wire: h11.Connection, most: int) -> Call | None:
-    """The next call; None if the other side has closed the connection, or the body is too long."""
-    call = Call(b"", b"", {})
+async def _receive_request(
+    stream: trio.abc.Stream, protocol: h11.Connection, max_body_bytes: int
+) -> Call | None:
+    """Returns the next request, or None if the client closed the connection or the body is over the limit."""
+    request = Call(b"", b"", {})
     parts: list[bytes] = []
     size = 0
     while True:
-        event = wire.next_event()
+        event = protocol.next_event()
         if event is h11.NEED_DATA:
-            wire.receive_data(await stream.receive_some(CHUNK))
+            protocol.receive_data(await stream.receive_some(READ_SIZE_BYTES))
         elif isinstance(event, h11.Request):
-            call = Call(event.method, event.target, dict(event.headers))
+            request = Call(event.method, event.target, dict(event.headers))
         elif isinstance(event, h11.Data):
             size += len(event.data)
-            if size > most:
+            if size > max_body_bytes:
                 return None
             parts.append(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
-            call.body = b"".join(parts)
-            return call
+            request.body = b"".join(parts)
+            return request
         else:
             return None
 
 
-def _encode_reply(wire: h11.Connection, reply: Reply) -> bytes:
-    length = (b"content-length", b"%d" % len(reply.body))
-    close = [(b"connection", b"close")] if reply.close else []
-    head = h11.Response(status_code=reply.status, headers=[*reply.headers, length, *close])
-    return _encode_message(wire, head, reply.body)
+def _encode_response(protocol: h11.Connection, response: Reply) -> bytes:
+    length = (b"content-length", b"%d" % len(response.body))
+    close = [(b"connection", b"close")] if response.close else []
+    header = h11.Response(status_code=response.status, headers=[*response.headers, length, *close])
+    return _encode_message(protocol, header, response.body)
 
 
-def _encode_message(wire: h11.Connection, head: h11.Request | h11.Response, body: bytes) -> bytes:
-    data = wire.send(head) or b""
+def _encode_message(protocol: h11.Connection, header: h11.Request | h11.Response, body: bytes) -> bytes:
+    data = protocol.send(header) or b""
     if body:
-        data += wire.send(h11.Data(data=body)) or b""
-    return data + (wire.send(h11.EndOfMessage()) or b"")
+        data += protocol.send(h11.Data(data=body)) or b""
+    return data + (protocol.send(h11.EndOfMessage()) or b"")
