--- a/willowhook/front/__init__.py
+++ b/willowhook/front/__init__.py
@@ -1,1 +1,1 @@
-"""The front that answers proxies' calls: who calls, what it may, in which order, and with which bytes."""
+"""The discovery server: authentication, limits, response order and response bodies of proxies' requests."""
--- a/willowhook/front/identity.py
+++ b/willowhook/front/identity.py
@@ -1,4 +1,4 @@
-"""Who calls: a proxy is who its credential says, whatever its node says."""
+"""Authentication of proxies: a proxy is the one that its credential names, whatever its node says."""
 
 from __future__ import annotations
 
@@ -13,53 +13,63 @@
 
 
 class CredentialError(Exception):
-    """A file of credentials that is none."""
+    """A credentials file is malformed."""
 
 
 class Identity(Protocol):
-    """The seam for other credentials, such as a client's certificate, which the transport has verified."""
+    """How callers authenticate.
+
+    Other kinds of credentials can implement it, such as a client certificate that the transport has verified.
+    """
 
     def authenticate(self, headers: dict[bytes, bytes], peer: object) -> str | None:
-        """The proxy's name; None if it cannot be told."""
+        """Returns the name of the proxy, or None if the request has no known credential."""
+
 
+class CredentialFile(msgspec.Struct, forbid_unknown_fields=True):
+    """The credentials file: the SHA-256 of each proxy's token in hex, by the name of the proxy."""
 
-class Listed(msgspec.Struct, forbid_unknown_fields=True):
     proxies: dict[str, str]
 
 
 class BearerIdentity:
-    """Tokens, of which only SHA-256 sums are known here; a sum names one proxy."""
+    """Authenticates proxies by bearer tokens, of which it holds only the SHA-256 hashes.
+
+    Each hash names one proxy.
+    """
 
     def __init__(self, data: bytes) -> None:
-        """Raises CredentialError naming the place."""
+        """Reads a credentials file. Raises CredentialError, which names the place in the file."""
         try:
-            listed = msgspec.json.decode(data, type=Listed)
-        except (msgspec.DecodeError, UnicodeDecodeError) as fault:
-            raise CredentialError(f"no list of credentials: {fault}") from fault
+            credentials = msgspec.json.decode(data, type=CredentialFile)
+        except (msgspec.DecodeError, UnicodeDecodeError) as error:
+            raise CredentialError(f"malformed credentials file: {error}") from error
         self._names: dict[bytes, str] = {}
-        for name, told in listed.proxies.items():
+        for name, hex_hash in credentials.proxies.items():
             if not PROXY_NAME.match(name):
-                raise CredentialError(f"$.proxies: {name[:80]!r} is no name of a proxy")
+                raise CredentialError(f"$.proxies: {name[:80]!r} is not a proxy name")
             try:
-                sum_ = bytes.fromhex(told)
+                token_hash = bytes.fromhex(hex_hash)
             except ValueError:
-                sum_ = b""
-            if len(sum_) != 32:
-                raise CredentialError(f"$.proxies.{name}: not a SHA-256 sum in hex")
-            if sum_ in self._names:
-                raise CredentialError(f"$.proxies.{name}: the same as that of {self._names[sum_]}")
-            self._names[sum_] = name
+                token_hash = b""
+            if len(token_hash) != 32:
+                raise CredentialError(f"$.proxies.{name}: not a SHA-256 hash in hex")
+            if token_hash in self._names:
+                raise CredentialError(f"$.proxies.{name}: same token hash as {self._names[token_hash]}")
+            self._names[token_hash] = name
 
     def authenticate(self, headers: dict[bytes, bytes], peer: object) -> str | None:
-        told = headers.get(b"authorization", b"")
-        if told[: len(SCHEME)].lower() != SCHEME:
+        """Returns the proxy whose token the Authorization header has, or None."""
+        authorization = headers.get(b"authorization", b"")
+        if authorization[: len(SCHEME)].lower() != SCHEME:
             return None
-        # looked up by its sum: how long that takes tells nothing of the tokens
-        return self._names.get(hashlib.sha256(told[len(SCHEME) :].strip()).digest())
+        # looked up by the hash, so that the time of the lookup reveals nothing about the tokens
+        return self._names.get(hashlib.sha256(authorization[len(SCHEME) :].strip()).digest())
 
 
 class UnverifiedIdentity:
-    """Whoever calls is taken for whom its node names: on loopback, for trials."""
+    """Trusts the node that a request names; for tests on loopback only."""
 
     def authenticate(self, headers: dict[bytes, bytes], peer: object) -> str | None:
+        """Returns an empty name: the node of the request names the proxy."""
         return ""
--- a/willowhook/front/limits.py
+++ b/willowhook/front/limits.py
@@ -1,4 +1,4 @@
-"""What one caller, and all callers, may ask of the front.  No I/O and no clock."""
+"""Limits on the connections and the request rate of proxies. No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -8,74 +8,105 @@
 
 @dataclass(slots=True)
 class Bucket:
-    """Tokens that come back at a steady rate."""
+    """A token bucket that refills at a steady rate.
 
-    rate: float  # a tick
-    most: float
-    level: float
-    at: int
+    Attributes:
+        tokens_per_tick: the refill rate.
+        capacity: the most tokens that the bucket holds.
+        tokens: the tokens at `updated_at`.
+        updated_at: the tick of the last refill.
+    """
+
+    tokens_per_tick: float
+    capacity: float
+    tokens: float
+    updated_at: int
 
     def take(self, now: int) -> int:
-        """0 if there was one; otherwise in how many ticks there will be."""
-        self.level = min(self.most, self.level + self.rate * max(now - self.at, 0))
-        self.at = max(now, self.at)
-        if self.level >= 1:
-            self.level -= 1
+        """Takes a token and returns 0; without a token, returns the ticks until there is one."""
+        self.tokens = min(self.capacity, self.tokens + self.tokens_per_tick * max(now - self.updated_at, 0))
+        self.updated_at = max(now, self.updated_at)
+        if self.tokens >= 1:
+            self.tokens -= 1
             return 0
-        return math.ceil((1 - self.level) / self.rate)
+        return math.ceil((1 - self.tokens) / self.tokens_per_tick)
 
 
 class Gate:
-    """Counts connections, of all and of each proxy, and bounds how often one asks."""
+    """Limits the number of connections, in total and for each proxy, and the request rate of each proxy.
+
+    Attributes:
+        open: the connections that are open.
+        peak: the most connections that have been open at once.
+        rejected: the rejected connections and requests, by the limit that rejected them.
+    """
+
+    def __init__(
+        self, max_connections: int, max_proxy_connections: int, requests_per_tick: float, burst: float
+    ) -> None:
+        """Creates limits with no connections.
 
-    def __init__(self, most: int, most_of_one: int, rate: float, burst: float) -> None:
-        """`rate`: asks a tick that one proxy may make; `burst`: as many at once."""
-        self._most, self._most_of_one, self._rate, self._burst = most, most_of_one, rate, burst
+        Args:
+            max_connections: the limit of all connections.
+            max_proxy_connections: the limit of the connections of one proxy.
+            requests_per_tick: the sustained request rate of one proxy.
+            burst: the requests that one proxy may send at once.
+        """
+        self._max_connections, self._max_proxy_connections, self._requests_per_tick, self._burst = (
+            max_connections,
+            max_proxy_connections,
+            requests_per_tick,
+            burst,
+        )
         self.open, self.peak = 0, 0
-        self._of: dict[str, int] = {}
+        self._proxy_connections: dict[str, int] = {}
         self._buckets: dict[str, Bucket] = {}
-        self.turned_away = {"connections": 0, "of one proxy": 0, "asks": 0}
+        self.rejected = {"connections": 0, "of one proxy": 0, "asks": 0}
 
-    def opened(self) -> bool:
-        """A connection is there; whether it may stay."""
-        if self.open >= self._most:
-            self.turned_away["connections"] += 1
+    def try_open(self) -> bool:
+        """Counts a new connection; returns False if there are too many."""
+        if self.open >= self._max_connections:
+            self.rejected["connections"] += 1
             return False
         self.open += 1
         self.peak = max(self.peak, self.open)
         return True
 
-    def named(self, proxy: str) -> bool:
-        """It has said whose it is; whether that proxy may have one more."""
-        count = self._of.get(proxy, 0)
-        if count >= self._most_of_one:
-            self.turned_away["of one proxy"] += 1
+    def try_assign(self, proxy: str) -> bool:
+        """Counts an open connection for its proxy; returns False if the proxy has too many."""
+        count = self._proxy_connections.get(proxy, 0)
+        if count >= self._max_proxy_connections:
+            self.rejected["of one proxy"] += 1
             return False
-        self._of[proxy] = count + 1
+        self._proxy_connections[proxy] = count + 1
         return True
 
-    def closed(self, proxy: str) -> None:
-        """`proxy`: '' if it had not said whose it was."""
+    def release(self, proxy: str) -> None:
+        """Removes a closed connection from the counts; `proxy` is empty if it was never assigned to one."""
         self.open -= 1
-        count = self._of.get(proxy, 0) - 1
+        count = self._proxy_connections.get(proxy, 0) - 1
         if count > 0:
-            self._of[proxy] = count
+            self._proxy_connections[proxy] = count
         else:
-            self._of.pop(proxy, None)
+            self._proxy_connections.pop(proxy, None)
 
-    def asks(self, now: int, proxy: str) -> int:
-        """0 if it may ask now; otherwise in how many ticks."""
+    def acquire(self, now: int, proxy: str) -> int:
+        """Admits a request of a proxy and returns 0, or returns the ticks after which it may retry."""
         bucket = self._buckets.get(proxy)
         if bucket is None:
-            self._sweep(now)
-            bucket = self._buckets[proxy] = Bucket(self._rate, self._burst, self._burst, now)
+            self._remove_full_buckets(now)
+            bucket = self._buckets[proxy] = Bucket(self._requests_per_tick, self._burst, self._burst, now)
         wait = bucket.take(now)
         if wait:
-            self.turned_away["asks"] += 1
+            self.rejected["asks"] += 1
         return wait
 
-    def _sweep(self, now: int) -> None:
-        """Buckets that have been full for long are as good as none."""
-        if len(self._buckets) > 2 * self._most:
-            full = self._burst / self._rate
-            self._buckets = {name: b for name, b in self._buckets.items() if now - b.at < full}
+    def _remove_full_buckets(self, now: int) -> None:
+        """Once there are many buckets, drops those that have refilled: a new bucket starts full too."""
+        if len(self._buckets) > 2 * self._max_connections:
+            refill_ticks = self._burst / self._requests_per_tick
+            self._buckets = {
+                name: bucket
+                for name, bucket in self._buckets.items()
+                if now - bucket.updated_at < refill_ticks
+            }
--- a/willowhook/front/serve.py
+++ b/willowhook/front/serve.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 connections of many proxies, each within its bounds, whoever is slow, silent or floods."""
+"""The HTTP/1.1 server of the proxies' connections, with limits against slow, silent and flooding clients."""
 
 from __future__ import annotations
 
@@ -12,35 +12,54 @@
 from ..web.wire import Call, Reply
 from .limits import Gate
 
-CHUNK = 65536
+READ_SIZE_BYTES = 65536
 
 
 @dataclass(slots=True)
 class Waiting:
-    """A call that waits for news: `wake` when there may be some, and `reply` to look whether there is.
+    """A request that waits until there is an update to send.
 
-    `reply(over)` gives None as long as there is nothing to say; with `over` it always gives an answer.
+    Attributes:
+        poll: returns the response, or None if there is none yet; `poll(True)`, at the end of the wait, always
+            returns one.
+        wake: set when there may be a response.
+        on_end: called when the request no longer waits.
     """
 
-    reply: Callable[[bool], Reply | None]
+    poll: Callable[[bool], Reply | None]
     wake: trio.Event = field(default_factory=trio.Event)
-    ended: Callable[[], None] = lambda: None
+    on_end: Callable[[], None] = lambda: None
 
 
 @dataclass(slots=True, eq=False)
 class Line:
-    """One connection, and what its proxy has said on it."""
+    """The state of one connection.
+
+    Attributes:
+        peer: the address of the client.
+        proxy: the name of the proxy, empty until a request has named it.
+        state: the state of the protocol that the handler implements.
+        calls: the requests so far.
+        reported_at: the tick at which the last load report was answered, -1 if there was none.
+    """
 
     peer: object = None
-    proxy: str = ""  # whose it is, once it has said so
-    state: Any = None  # the protocol's own
+    proxy: str = ""
+    state: Any = None
     calls: int = 0
-    reported_at: int = -1  # when its last report was answered
+    reported_at: int = -1
 
 
 @dataclass(frozen=True, slots=True)
 class Timeouts:
-    """In seconds."""
+    """The timeouts of a connection, in seconds.
+
+    Attributes:
+        header: from the first byte of a request to its end.
+        write: for sending a response.
+        idle: without a request.
+        wait: for a response to a request that waits.
+    """
 
     header: float
     write: float
@@ -51,159 +70,187 @@
 Handler = Callable[[Line, Call], Awaitable[Reply | Waiting]]
 
 
-def refusal(status: int, code: int, message: str, back_s: float = 0.0, close: bool = False) -> Reply:
-    """An error as the published `google.rpc.Status`; `back_s`: when to come back."""
+def error_response(
+    status: int, code: int, message: str, retry_after_s: float = 0.0, close: bool = False
+) -> Reply:
+    """Returns an error as a `google.rpc.Status`, with a Retry-After header if `retry_after_s` is above 0."""
     body = b'{"code":%d,"message":"%s"}' % (code, message.encode().replace(b'"', b"'"))
     headers = [(b"content-type", b"application/json")]
-    if back_s > 0:
-        headers.append((b"retry-after", b"%d" % max(1, round(back_s))))
+    if retry_after_s > 0:
+        headers.append((b"retry-after", b"%d" % max(1, round(retry_after_s))))
     return Reply(status, headers, body, close)
 
 
 class Server:
-    """`handler(line, call)` answers, or says that the call waits; `ended(line)` when a connection is over."""
+    """Serves connections within the limits and timeouts.
+
+    Attributes:
+        gate: the limits on connections.
+        timeouts: the timeouts of each connection.
+        max_body_bytes: the limit of a request body.
+        handler: returns the response to a request, or a `Waiting` if there is none yet.
+        on_closed: called when a connection has ended.
+        slow_readers: the connections closed because the client did not read a response in time.
+        late_requests: the requests that did not arrive completely in time.
+        malformed_requests: the requests rejected as malformed, too long or late.
+    """
 
     def __init__(
-        self, gate: Gate, times: Timeouts, most_body: int, handler: Handler, ended: Callable[[Line], None]
+        self,
+        gate: Gate,
+        timeouts: Timeouts,
+        max_body_bytes: int,
+        handler: Handler,
+        on_closed: Callable[[Line], None],
     ) -> None:
-        self.gate, self.times, self.most_body = gate, times, most_body
-        self.handler, self.ended = handler, ended
-        self.slow_readers = self.late = self.bad = (
-            0  # readers cut off, callers cut off, calls that were no HTTP
-        )
+        self.gate, self.timeouts, self.max_body_bytes = gate, timeouts, max_body_bytes
+        self.handler, self.on_closed = handler, on_closed
+        self.slow_readers = self.late_requests = self.malformed_requests = 0
 
     async def serve(self, stream: trio.abc.Stream) -> None:
+        """Serves one connection until it ends, and closes it."""
         line = Line(getattr(getattr(stream, "socket", None), "getpeername", lambda: None)())
-        wire = h11.Connection(h11.SERVER)
-        if not self.gate.opened():
+        protocol = h11.Connection(h11.SERVER)
+        if not self.gate.try_open():
             try:
-                await self._send(stream, wire, refusal(503, 14, "too many connections", 1, True))
+                await self._send(stream, protocol, error_response(503, 14, "too many connections", 1, True))
             except (trio.BrokenResourceError, trio.ClosedResourceError, h11.ProtocolError):
-                pass  # it did not even wait to be told
+                pass  # the client disconnected before the response
             finally:
                 await trio.aclose_forcefully(stream)
             return
         try:
-            while await self._one(stream, wire, line):
-                wire.start_next_cycle()
+            while await self._serve_request(stream, protocol, line):
+                protocol.start_next_cycle()
         except (trio.BrokenResourceError, trio.ClosedResourceError, h11.ProtocolError):
-            return  # the other side broke off: nobody is left to tell
+            return  # the client disconnected, so no response can be sent
         finally:
-            self.gate.closed(line.proxy)
-            self.ended(line)
+            self.gate.release(line.proxy)
+            self.on_closed(line)
             with trio.CancelScope(shield=True):
                 await trio.aclose_forcefully(stream)
 
-    async def _one(self, stream: trio.abc.Stream, wire: h11.Connection, line: Line) -> bool:
-        """One call and its answer; whether another may follow."""
-        call = await self._read(stream, wire)
-        if call is None:
+    async def _serve_request(self, stream: trio.abc.Stream, protocol: h11.Connection, line: Line) -> bool:
+        """Receives and answers one request; returns whether another may follow on the connection."""
+        request = await self._receive_request(stream, protocol)
+        if request is None:
             return False
-        if isinstance(call, Reply):
-            self.bad += 1
-            await self._send(stream, wire, call)
+        if isinstance(request, Reply):
+            self.malformed_requests += 1
+            await self._send(stream, protocol, request)
             return False
         line.calls += 1
-        reply = await self.handler(line, call)
-        if isinstance(reply, Waiting):
+        response = await self.handler(line, request)
+        if isinstance(response, Waiting):
             try:
-                answer = await self._wait(stream, wire, reply)
+                late_response = await self._wait(stream, protocol, response)
             finally:
-                reply.ended()
-            if answer is None:
+                response.on_end()
+            if late_response is None:
                 return False
-            reply = answer
-        if not await self._send(stream, wire, reply):
+            response = late_response
+        if not await self._send(stream, protocol, response):
             return False
-        return wire.our_state is h11.DONE and wire.their_state is h11.DONE
+        return protocol.our_state is h11.DONE and protocol.their_state is h11.DONE
 
-    async def _read(self, stream: trio.abc.Stream, wire: h11.Connection) -> Call | Reply | None:
-        """The next call; an answer to what is none; None if the other side is done."""
-        call, parts, size, begun = Call(b"", b"", {}), list[bytes](), 0, False
-        with trio.CancelScope(deadline=trio.current_time() + self.times.idle) as scope:
+    async def _receive_request(
+        self, stream: trio.abc.Stream, protocol: h11.Connection
+    ) -> Call | Reply | None:
+        """Returns the next request; the error response to a bad one; None if the client is done."""
+        request, parts, size, has_begun = Call(b"", b"", {}), list[bytes](), 0, False
+        with trio.CancelScope(deadline=trio.current_time() + self.timeouts.idle) as scope:
             try:
                 while True:
-                    event = wire.next_event()
+                    event = protocol.next_event()
                     if event is h11.NEED_DATA:
-                        if begun and wire.they_are_waiting_for_100_continue:
-                            go_on = h11.InformationalResponse(status_code=100, headers=[])
-                            await stream.send_all(wire.send(go_on) or b"")
-                        data = await stream.receive_some(CHUNK)
-                        if not begun and data:
-                            begun = True
-                            scope.deadline = trio.current_time() + self.times.header
-                        wire.receive_data(data)
+                        if has_begun and protocol.they_are_waiting_for_100_continue:
+                            continue_response = h11.InformationalResponse(status_code=100, headers=[])
+                            await stream.send_all(protocol.send(continue_response) or b"")
+                        data = await stream.receive_some(READ_SIZE_BYTES)
+                        if not has_begun and data:
+                            has_begun = True
+                            scope.deadline = trio.current_time() + self.timeouts.header
+                        protocol.receive_data(data)
                     elif isinstance(event, h11.Request):
-                        if not begun:  # it had come while the last call waited
-                            begun = True
-                            scope.deadline = trio.current_time() + self.times.header
-                        call = Call(event.method, event.target, dict(event.headers))
-                        told = call.headers.get(b"content-length", b"0")
-                        if int(told) > self.most_body:
-                            return refusal(413, 8, f"a body of over {self.most_body} bytes", 0, True)
+                        if not has_begun:  # it was received while the previous request waited
+                            has_begun = True
+                            scope.deadline = trio.current_time() + self.timeouts.header
+                        request = Call(event.method, event.target, dict(event.headers))
+                        content_length = request.headers.get(b"content-length", b"0")
+                        if int(content_length) > self.max_body_bytes:
+                            return error_response(
+                                413, 8, f"a body of over {self.max_body_bytes} bytes", 0, True
+                            )
                     elif isinstance(event, h11.Data):
                         size += len(event.data)
-                        if size > self.most_body:
-                            return refusal(413, 8, f"a body of over {self.most_body} bytes", 0, True)
+                        if size > self.max_body_bytes:
+                            return error_response(
+                                413, 8, f"a body of over {self.max_body_bytes} bytes", 0, True
+                            )
                         parts.append(bytes(event.data))
                     elif isinstance(event, h11.EndOfMessage):
-                        call.body = b"".join(parts)
-                        return call
+                        request.body = b"".join(parts)
+                        return request
                     else:
                         return None
-            except h11.RemoteProtocolError as fault:
-                if wire.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
+            except h11.RemoteProtocolError as error:
+                if protocol.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
                     return None
-                return refusal(fault.error_status_hint or 400, 3, str(fault)[:200], 0, True)
-        self.late += begun
-        if begun and wire.our_state in (h11.IDLE, h11.SEND_RESPONSE):
-            return refusal(408, 4, "the call took too long to come", 0, True)
+                return error_response(error.error_status_hint or 400, 3, str(error)[:200], 0, True)
+        self.late_requests += has_begun
+        if has_begun and protocol.our_state in (h11.IDLE, h11.SEND_RESPONSE):
+            return error_response(408, 4, "the call took too long to come", 0, True)
         return None
 
-    async def _wait(self, stream: trio.abc.Stream, wire: h11.Connection, waiting: Waiting) -> Reply | None:
-        """The answer, when there is news or the wait is over; None if the caller has gone."""
-        gone = False
+    async def _wait(
+        self, stream: trio.abc.Stream, protocol: h11.Connection, waiting: Waiting
+    ) -> Reply | None:
+        """Returns the response once there is one or the wait is over; None if the client disconnects."""
+        is_disconnected = False
 
         async def watch(scope: trio.CancelScope) -> None:
-            """One who closes is noticed; what comes too early is the next call, and nothing more is read."""
-            nonlocal gone
+            """Ends the wait if the client disconnects.
+
+            Data that arrives meanwhile belongs to the next request: it is buffered, and no more is read.
+            """
+            nonlocal is_disconnected
             try:
-                data = await stream.receive_some(CHUNK)
+                data = await stream.receive_some(READ_SIZE_BYTES)
             except (trio.BrokenResourceError, trio.ClosedResourceError):
                 data = b""
             if data:
-                wire.receive_data(data)
+                protocol.receive_data(data)
             else:
-                gone = True
+                is_disconnected = True
                 scope.cancel()
 
-        answer: Reply | None = None
+        response: Reply | None = None
         async with trio.open_nursery() as nursery:
             nursery.start_soon(watch, nursery.cancel_scope)
-            with trio.move_on_after(self.times.wait):
-                while answer is None:
+            with trio.move_on_after(self.timeouts.wait):
+                while response is None:
                     await waiting.wake.wait()
                     waiting.wake = trio.Event()
-                    answer = waiting.reply(False)
-            if answer is None:
-                answer = waiting.reply(True)
+                    response = waiting.poll(False)
+            if response is None:
+                response = waiting.poll(True)
             nursery.cancel_scope.cancel()
-        return None if gone else answer
-
-    async def _send(self, stream: trio.abc.Stream, wire: h11.Connection, reply: Reply) -> bool:
-        """Whether it was taken within the time; who reads too slowly is cut off."""
-        length = (b"content-length", b"%d" % len(reply.body))
-        ends = [(b"connection", b"close")] if reply.close else []
-        if reply.status == 304:
-            head = h11.Response(status_code=304, headers=[*reply.headers, *ends])
-            data = wire.send(head) or b""
+        return None if is_disconnected else response
+
+    async def _send(self, stream: trio.abc.Stream, protocol: h11.Connection, response: Reply) -> bool:
+        """Sends a response; returns False if the client does not read it in time and must be disconnected."""
+        length = (b"content-length", b"%d" % len(response.body))
+        close = [(b"connection", b"close")] if response.close else []
+        if response.status == 304:
+            header = h11.Response(status_code=304, headers=[*response.headers, *close])
+            data = protocol.send(header) or b""
         else:
-            head = h11.Response(status_code=reply.status, headers=[*reply.headers, length, *ends])
-            data = wire.send(head) or b""
-            if reply.body:
-                data += wire.send(h11.Data(data=reply.body)) or b""
-        data += wire.send(h11.EndOfMessage()) or b""
-        with trio.move_on_after(self.times.write) as scope:
+            header = h11.Response(status_code=response.status, headers=[*response.headers, length, *close])
+            data = protocol.send(header) or b""
+            if response.body:
+                data += protocol.send(h11.Data(data=response.body)) or b""
+        data += protocol.send(h11.EndOfMessage()) or b""
+        with trio.move_on_after(self.timeouts.write) as scope:
             await stream.send_all(data)
         self.slow_readers += scope.cancelled_caught
         return not scope.cancelled_caught
--- a/willowhook/front/turns.py
+++ b/willowhook/front/turns.py
@@ -1,7 +1,7 @@
-"""In which order calls that wait are answered when many have news at once.  No I/O and no clock.
+"""The order in which waiting requests are woken when many can be answered at once. No I/O and no clock.
 
-Whoever has gone without an answer for longest is first, so that a proxy that asks often does not come
-before one that waits patiently; of equals, whoever had news first.
+The one that has gone without a response for longest is first, so that a proxy that sends many requests does
+not overtake one that waits; of equals, the one that was added first.
 """
 
 from __future__ import annotations
@@ -10,30 +10,34 @@
 from collections.abc import Hashable
 
 
-class Turns:
+class WakeupQueue:
+    """A priority queue in which each key is queued at most once."""
+
     def __init__(self) -> None:
         self._heap: list[tuple[int, int, Hashable]] = []
-        self._in: dict[Hashable, int] = {}
+        self._entry_numbers: dict[Hashable, int] = {}  # the valid heap entry of each queued key
         self._count = 0
 
     def __len__(self) -> int:
-        return len(self._in)
+        return len(self._entry_numbers)
 
-    def want(self, key: Hashable, answered_at: int) -> None:
-        """`answered_at`: when it was last answered.  One that has its turn coming keeps it."""
-        if key not in self._in:
+    def add(self, key: Hashable, answered_at: int) -> None:
+        """Queues a key that was last answered at `answered_at`; a key in the queue keeps its place."""
+        if key not in self._entry_numbers:
             self._count += 1
-            self._in[key] = self._count
+            self._entry_numbers[key] = self._count
             heapq.heappush(self._heap, (answered_at, self._count, key))
 
-    def drop(self, key: Hashable) -> None:
-        self._in.pop(key, None)
-
-    def take(self, most: int) -> list[Hashable]:
-        found: list[Hashable] = []
-        while self._heap and len(found) < most:
-            _, count, key = heapq.heappop(self._heap)
-            if self._in.get(key) == count:
-                del self._in[key]
-                found.append(key)
-        return found
+    def discard(self, key: Hashable) -> None:
+        """Removes a key if it is queued; its heap entry becomes invalid and is skipped later."""
+        self._entry_numbers.pop(key, None)
+
+    def pop(self, max_keys: int) -> list[Hashable]:
+        """Removes and returns up to `max_keys` keys, in order."""
+        keys: list[Hashable] = []
+        while self._heap and len(keys) < max_keys:
+            _, number, key = heapq.heappop(self._heap)
+            if self._entry_numbers.get(key) == number:
+                del self._entry_numbers[key]
+                keys.append(key)
+        return keys
