--- a/willowhook/front/discovery.py
+++ b/willowhook/front/discovery.py
@@ -4,8 +4,8 @@
 reports: the path of the published gRPC method, with the same messages in JSON.
 
 One connection takes the place of one gRPC stream: its first request of a resource type carries the node and
-the versions that the proxy holds. A request waits while there is no update for it, and gets status 304 when the
-wait ends. Errors are `google.rpc.Status`.
+the versions that the proxy holds. A request waits while there is no update for it, and gets status 304 when
+the wait ends. Errors are `google.rpc.Status`.
 """
 
 from __future__ import annotations
