--- a/willowhook/xds/__init__.py
+++ b/willowhook/xds/__init__.py
@@ -1,1 +1,1 @@
-"""The published forms of the file front: xDS v3 messages in proto3 JSON, to and from bytes.  No I/O."""
+"""The published xDS v3 messages in proto3 JSON, their codec, and their meaning to a proxy. No I/O."""
--- a/willowhook/xds/forms.py
+++ b/willowhook/xds/forms.py
@@ -1,7 +1,7 @@
-"""The messages of xDS v3 that this program speaks, field by field as published, in proto3 JSON.
+"""The xDS v3 messages that this program reads and writes, in proto3 JSON.
 
-Only fields that are used are named; what a message holds besides is left alone when read, as proto3
-has it.  Times are proto3 durations (`"0.25s"`).  Source: the protobuf files of the xDS API, version 3.
+Names are as published in the protobuf files of the xDS API, version 3. Only the fields in use are declared;
+others are ignored when a message is read, as in proto3. Times are proto3 durations (`"0.25s"`).
 """
 
 from __future__ import annotations
@@ -20,90 +20,118 @@
 PREVIOUS_HOSTS = "envoy.retry_host_predicates.previous_hosts"
 PREVIOUS_HOSTS_TYPE = TYPES + "envoy.extensions.retry.host.previous_hosts.v3.PreviousHostsPredicate"
 DRAINING, HEALTHY = "DRAINING", "HEALTHY"
-TYPE_URLS = {
+TYPE_URLS = {  # by resource type, in the order in which a proxy applies them
     "cds": CLUSTER,
     "eds": ASSIGNMENT,
     "rds": ROUTES,
-}  # by name of file, in the order in which to apply
+}
 
 
-class Form(msgspec.Struct, omit_defaults=True):
-    """A message; a field at its default is left out, as in proto3."""
+class Message(msgspec.Struct, omit_defaults=True):
+    """The base of all messages; fields at their default are left out, as in proto3."""
 
 
-class Locality(Form):
+class Locality(Message):
+    """Where a proxy or an endpoint runs."""
+
     region: str = ""
     zone: str = ""
 
 
-class Node(Form):
+class Node(Message):
+    """A proxy, as it identifies itself."""
+
     id: str = ""
     cluster: str = ""
     locality: Locality = msgspec.field(default_factory=Locality)
     metadata: dict[str, Any] = msgspec.field(default_factory=dict)
 
 
-class SocketAddress(Form):
+class SocketAddress(Message):
+    """An IP address and a port."""
+
     address: str = ""
     port_value: int = 0
 
 
-class Pipe(Form):
+class Pipe(Message):
+    """The path of a Unix domain socket."""
+
     path: str = ""
 
 
-class Address(Form):
-    """One of the two."""
+class Address(Message):
+    """A socket address or a Unix domain socket; one of the two is set."""
 
     socket_address: SocketAddress | None = None
     pipe: Pipe | None = None
 
 
-class Endpoint(Form):
+class Endpoint(Message):
+    """The address and the name of an endpoint."""
+
     address: Address
     hostname: str = ""
 
 
-class LbEndpoint(Form):
+class LbEndpoint(Message):
+    """An endpoint with its health and its weight."""
+
     endpoint: Endpoint
     health_status: str = "UNKNOWN"
     load_balancing_weight: int = 0
 
 
-class LocalityLbEndpoints(Form):
+class LocalityLbEndpoints(Message):
+    """The endpoints of one locality and one priority."""
+
     locality: Locality = msgspec.field(default_factory=Locality)
     lb_endpoints: list[LbEndpoint] = msgspec.field(default_factory=list)
     priority: int = 0
 
 
-class ClusterLoadAssignment(Form, tag_field="@type", tag=ASSIGNMENT):
+class ClusterLoadAssignment(Message, tag_field="@type", tag=ASSIGNMENT):
+    """A table of weighted endpoints."""
+
     cluster_name: str = ""
     endpoints: list[LocalityLbEndpoints] = msgspec.field(default_factory=list)
 
 
-class PathSource(Form):
+class PathSource(Message):
+    """A file on the proxy."""
+
     path: str = ""
 
 
-class PathConfigSource(Form):
+class PathConfigSource(Message):
+    """A configuration source that is a file."""
+
     path_config_source: PathSource = msgspec.field(default_factory=PathSource)
 
 
-class EdsClusterConfig(Form):
+class EdsClusterConfig(Message):
+    """Which table a cluster uses, and where it comes from."""
+
     eds_config: PathConfigSource = msgspec.field(default_factory=PathConfigSource)
     service_name: str = ""
 
 
-class LeastRequest(Form):
+class LeastRequest(Message):
+    """The settings of least-request load balancing."""
+
     choice_count: int = 0
 
 
-class OutlierDetection(Form):
+class OutlierDetection(Message):
+    """When a proxy ejects an endpoint, and for how long."""
+
     consecutive_5xx: int = 0
     base_ejection_time: str = ""
 
 
-class Cluster(Form, tag_field="@type", tag=CLUSTER):
+class Cluster(Message, tag_field="@type", tag=CLUSTER):
+    """The upstream of a route: its table, load balancing and outlier detection."""
+
     name: str = ""
     type: str = "STATIC"
     eds_cluster_config: EdsClusterConfig = msgspec.field(default_factory=EdsClusterConfig)
@@ -113,44 +141,62 @@
     outlier_detection: OutlierDetection | None = None
 
 
-class Percentage(Form):
+class Percentage(Message):
+    """A fraction, `numerator` out of `denominator`."""
+
     numerator: int = 0
     denominator: str = "HUNDRED"
 
 
-class FaultAbort(Form):
+class FaultAbort(Message):
+    """The fraction of requests that a proxy rejects, and with which status."""
+
     http_status: int = 0
     percentage: Percentage = msgspec.field(default_factory=Percentage)
 
 
-class HTTPFault(Form, tag_field="@type", tag=FAULT):
+class HTTPFault(Message, tag_field="@type", tag=FAULT):
+    """The settings of the fault injection filter."""
+
     abort: FaultAbort | None = None
 
 
-class TokenBucket(Form):
+class TokenBucket(Message):
+    """The size and the refill rate of a rate limit."""
+
     max_tokens: int = 0
     tokens_per_fill: int = 0
     fill_interval: str = ""
 
 
-class HttpStatus(Form):
+class HttpStatus(Message):
+    """An HTTP status code."""
+
     code: int = 0
 
 
-class HeaderValue(Form):
+class HeaderValue(Message):
+    """A header."""
+
     key: str = ""
     value: str = ""
 
 
-class HeaderValueOption(Form):
+class HeaderValueOption(Message):
+    """A header that a filter adds."""
+
     header: HeaderValue
 
 
-class RuntimeFraction(Form):
+class RuntimeFraction(Message):
+    """The fraction of requests that a filter applies to."""
+
     default_value: Percentage = msgspec.field(default_factory=Percentage)
 
 
-class LocalRateLimit(Form, tag_field="@type", tag=RATE_LIMIT):
+class LocalRateLimit(Message, tag_field="@type", tag=RATE_LIMIT):
+    """The settings of the local rate limit filter."""
+
     stat_prefix: str = ""
     status: HttpStatus = msgspec.field(default_factory=HttpStatus)
     token_bucket: TokenBucket = msgspec.field(default_factory=TokenBucket)
@@ -159,21 +205,29 @@
     response_headers_to_add: list[HeaderValueOption] = msgspec.field(default_factory=list)
 
 
-class HeaderMatcher(Form):
+class HeaderMatcher(Message):
+    """A condition on a header."""
+
     name: str = ""
     present_match: bool = False
 
 
-class TypedConfig(Form):
+class TypedConfig(Message):
+    """The settings of an extension, of which only the type is given."""
+
     type: str = msgspec.field(name="@type", default="")
 
 
-class RetryHostPredicate(Form):
+class RetryHostPredicate(Message):
+    """Which endpoints a retry avoids."""
+
     name: str = ""
     typed_config: TypedConfig = msgspec.field(default_factory=TypedConfig)
 
 
-class RetryPolicy(Form):
+class RetryPolicy(Message):
+    """When, how often and where a proxy retries a request."""
+
     retry_on: str = ""
     num_retries: int | None = None
     per_try_timeout: str = ""
@@ -182,12 +236,14 @@
     retriable_headers: list[HeaderMatcher] = msgspec.field(default_factory=list)
 
 
-class RegexMatcher(Form):
+class RegexMatcher(Message):
+    """A regular expression."""
+
     regex: str = ""
 
 
-class RouteMatch(Form):
-    """One of the four; `safe_regex` is matched by the whole path."""
+class RouteMatch(Message):
+    """Which paths a route matches; one of the four is set, and `safe_regex` has to match the whole path."""
 
     path_separated_prefix: str = ""
     prefix: str = ""
@@ -195,20 +251,26 @@
     safe_regex: RegexMatcher | None = None
 
 
-class HashHeader(Form):
+class HashHeader(Message):
+    """The header that ring hash uses."""
+
     header_name: str = ""
 
 
-class HashNamed(Form):
+class HashNamed(Message):
+    """The cookie or the query parameter that ring hash uses."""
+
     name: str = ""
 
 
-class HashConnection(Form):
+class HashConnection(Message):
+    """The property of the connection that ring hash uses."""
+
     source_ip: bool = False
 
 
-class HashPolicy(Form):
-    """One of the four."""
+class HashPolicy(Message):
+    """What ring hash uses as its key; one of the four is set."""
 
     header: HashHeader | None = None
     cookie: HashNamed | None = None
@@ -216,7 +278,9 @@
     query_parameter: HashNamed | None = None
 
 
-class RouteAction(Form):
+class RouteAction(Message):
+    """The cluster of a route, and how requests are sent to it."""
+
     cluster: str = ""
     timeout: str = ""
     retry_policy: RetryPolicy | None = None
@@ -224,12 +288,14 @@
     hash_policy: list[HashPolicy] = msgspec.field(default_factory=list)
 
 
-class DirectResponse(Form):
+class DirectResponse(Message):
+    """The status with which a proxy itself answers requests."""
+
     status: int = 0
 
 
-class Route(Form):
-    """It leads to a cluster, or answers by itself."""
+class Route(Message):
+    """A route to a cluster, or one whose requests the proxy answers itself."""
 
     name: str = ""
     match: RouteMatch = msgspec.field(default_factory=RouteMatch)
@@ -238,30 +304,40 @@
     typed_per_filter_config: dict[str, HTTPFault | LocalRateLimit] = msgspec.field(default_factory=dict)
 
 
-class VirtualHost(Form):
+class VirtualHost(Message):
+    """The routes of some domains; the first match wins."""
+
     name: str = ""
     domains: list[str] = msgspec.field(default_factory=list)
     routes: list[Route] = msgspec.field(default_factory=list)
 
 
-class RouteConfiguration(Form, tag_field="@type", tag=ROUTES):
+class RouteConfiguration(Message, tag_field="@type", tag=ROUTES):
+    """All routes of a proxy."""
+
     name: str = ""
     virtual_hosts: list[VirtualHost] = msgspec.field(default_factory=list)
 
 
-class DiscoveryResponse(Form):
+class DiscoveryResponse(Message):
+    """The full state of one resource type, or one of its files."""
+
     version_info: str = ""
     type_url: str = ""
     nonce: str = ""
     resources: list[msgspec.Raw] = msgspec.field(default_factory=list)
 
 
-class Status(Form):
+class Status(Message):
+    """An error, as `google.rpc.Status`."""
+
     code: int = 0
     message: str = ""
 
 
-class DiscoveryRequest(Form):
+class DiscoveryRequest(Message):
+    """A request for the full state of a resource type; it also accepts or rejects the last response."""
+
     version_info: str = ""
     node: Node = msgspec.field(default_factory=Node)
     resource_names: list[str] = msgspec.field(default_factory=list)
@@ -270,15 +346,17 @@
     error_detail: Status | None = None
 
 
-class Resource(Form):
-    """One resource of a difference; `resource` has its type in it."""
+class Resource(Message):
+    """One resource of a delta; `resource` carries its own type."""
 
     name: str = ""
     version: str = ""
     resource: msgspec.Raw = msgspec.Raw(b"{}")
 
 
-class DeltaDiscoveryRequest(Form):
+class DeltaDiscoveryRequest(Message):
+    """A request for a delta of a resource type; it also accepts or rejects the last response."""
+
     node: Node = msgspec.field(default_factory=Node)
     type_url: str = ""
     resource_names_subscribe: list[str] = msgspec.field(default_factory=list)
@@ -288,7 +366,9 @@
     error_detail: Status | None = None
 
 
-class DeltaDiscoveryResponse(Form):
+class DeltaDiscoveryResponse(Message):
+    """The resources that have changed, and the names of those that were removed."""
+
     system_version_info: str = ""
     resources: list[Resource] = msgspec.field(default_factory=list)
     type_url: str = ""
@@ -296,18 +376,24 @@
     nonce: str = ""
 
 
-class LoadStatsResponse(Form):
+class LoadStatsResponse(Message):
+    """For which clusters and how often a proxy is to send load reports."""
+
     send_all_clusters: bool = False
     load_reporting_interval: str = ""
 
 
-class LoadMetricStats(Form):
+class LoadMetricStats(Message):
+    """The sum of one metric that responses have carried."""
+
     metric_name: str = ""
     num_requests_finished_with_metric: int = 0
     total_metric_value: float = 0.0
 
 
-class UpstreamEndpointStats(Form):
+class UpstreamEndpointStats(Message):
+    """The requests to one endpoint within a report."""
+
     address: Address
     total_successful_requests: int = 0
     total_requests_in_progress: int = 0
@@ -316,7 +402,9 @@
     load_metric_stats: list[LoadMetricStats] = msgspec.field(default_factory=list)
 
 
-class UpstreamLocalityStats(Form):
+class UpstreamLocalityStats(Message):
+    """The requests to the endpoints of one locality within a report."""
+
     locality: Locality = msgspec.field(default_factory=Locality)
     total_successful_requests: int = 0
     total_error_requests: int = 0
@@ -324,12 +412,16 @@
     upstream_endpoint_stats: list[UpstreamEndpointStats] = msgspec.field(default_factory=list)
 
 
-class DroppedRequests(Form):
+class DroppedRequests(Message):
+    """The requests that a proxy has rejected itself, for one reason."""
+
     category: str = ""
     dropped_count: int = 0
 
 
-class ClusterStats(Form):
+class ClusterStats(Message):
+    """The requests to one cluster within a report."""
+
     cluster_name: str = ""
     cluster_service_name: str = ""
     upstream_locality_stats: list[UpstreamLocalityStats] = msgspec.field(default_factory=list)
@@ -338,12 +430,16 @@
     load_report_interval: str = ""
 
 
-class LoadStatsRequest(Form):
+class LoadStatsRequest(Message):
+    """A load report."""
+
     node: Node = msgspec.field(default_factory=Node)
     cluster_stats: list[ClusterStats] = msgspec.field(default_factory=list)
 
 
-class GenericXdsConfig(Form):
+class GenericXdsConfig(Message):
+    """A resource that a proxy holds, and whether it has accepted it."""
+
     type_url: str = ""
     name: str = ""
     version_info: str = ""
@@ -351,8 +447,8 @@
     client_status: str = "UNKNOWN"
 
 
-class ClientConfig(Form):
-    """What a proxy holds, as the client status discovery service tells it."""
+class ClientConfig(Message):
+    """What a proxy holds, as in the client status discovery service."""
 
     node: Node = msgspec.field(default_factory=Node)
     generic_xds_configs: list[GenericXdsConfig] = msgspec.field(default_factory=list)
