--- a/tests/test_xds.py
+++ b/tests/test_xds.py
@@ -1,4 +1,4 @@
-"""The forms: strict parsing of every kind of file by the published protobuf types, and there and back."""
+"""xDS messages parse with the published protobuf types, and read back as they were written."""
 
 from __future__ import annotations
 
@@ -21,11 +21,14 @@
     read_response,
 )
 
-LINES = [("a", "127.0.0.1", 81, "north", 0.25, False), ("b", "127.0.0.1", 82, "south", 1.5, True)]
+ENTRIES = [("a", "127.0.0.1", 81, "north", 0.25, False), ("b", "127.0.0.1", 82, "south", 1.5, True)]
 
 
-def strictly(data: bytes, kind: str):  # type: ignore[no-untyped-def]
-    """Parsed by the library's types, unknown fields refused; imports register the types that `Any` needs."""
+def parse_strictly(data: bytes, kind: str):  # type: ignore[no-untyped-def]
+    """Parses a message with the published types, which reject unknown fields.
+
+    The imports that look unused register the types that `Any` needs.
+    """
     from envoy.config.cluster.v3 import cluster_pb2  # noqa: F401
     from envoy.config.endpoint.v3 import endpoint_pb2  # noqa: F401
     from envoy.config.route.v3 import route_pb2  # noqa: F401
@@ -45,73 +48,86 @@
     return json_format.Parse(data, getattr(module, kind)())
 
 
-def route_file(levels: list[tuple[str, float]], tries: int) -> bytes:
-    rows = [
-        tables.route(f"r{k}", f"/r{k}", "c", 15_000, tables.retry(tries, 9000), tables.level(admit, value, 1))
-        for k, (admit, value) in enumerate(levels)
+def encoded_routes(limits: list[tuple[str, float]], retry_mode: int) -> bytes:
+    routes = [
+        tables.route(
+            f"r{k}", f"/r{k}", "c", 15_000, tables.retry(retry_mode, 9000), tables.level(admit, value, 1)
+        )
+        for k, (admit, value) in enumerate(limits)
     ]
-    return encode_response("1.7", forms.ROUTES, "1.7", [encode(tables.route_set("calls", rows))])
-
-
-@pytest.mark.parametrize("tries", [0, 1, 2, 3])
-def test_every_kind_of_file_down_is_what_the_published_types_say(tries: int) -> None:
-    eds = encode_response("1.7", forms.ASSIGNMENT, "1.7", [encode(tables.assignment("t0", LINES))])
-    got = strictly(eds, "DiscoveryResponse")
-    assert got.version_info == "1.7" and got.resources[0].type_url == forms.ASSIGNMENT
-    for pick, strikes in (("pair", 5), ("lottery", 0), ("wheel", 1)):
-        cluster = tables.cluster("c", "t0", "eds.json", pick, 2500, strikes)
-        strictly(encode_response("1.7", forms.CLUSTER, "1.7", [encode(cluster)]), "DiscoveryResponse")
-    rds = route_file([("rps", 12.34), ("ratio", 0.4), ("rps", 0.0), ("none", 0.1), ("rps", 1e6)], tries)
-    strictly(rds, "DiscoveryResponse")
+    return encode_response("1.7", forms.ROUTES, "1.7", [encode(tables.route_set("calls", routes))])
+
+
+@pytest.mark.parametrize("retry_mode", [0, 1, 2, 3])
+def test_every_kind_of_response_parses_with_the_published_types(retry_mode: int) -> None:
+    eds = encode_response("1.7", forms.ASSIGNMENT, "1.7", [encode(tables.assignment("t0", ENTRIES))])
+    response = parse_strictly(eds, "DiscoveryResponse")
+    assert response.version_info == "1.7" and response.resources[0].type_url == forms.ASSIGNMENT
+    for pick, consecutive_5xx in (("pair", 5), ("lottery", 0), ("wheel", 1)):
+        cluster = tables.cluster("c", "t0", "eds.json", pick, 2500, consecutive_5xx)
+        parse_strictly(encode_response("1.7", forms.CLUSTER, "1.7", [encode(cluster)]), "DiscoveryResponse")
+    rds = encoded_routes(
+        [("rps", 12.34), ("ratio", 0.4), ("rps", 0.0), ("none", 0.1), ("rps", 1e6)], retry_mode
+    )
+    parse_strictly(rds, "DiscoveryResponse")
 
 
-def test_calls_by_difference_are_what_the_published_types_say() -> None:
+def test_delta_messages_parse_with_the_published_types() -> None:
     node = forms.Node("p1", "calls", forms.Locality(zone="north"), {"term": 3, "holds": [{"name": "t0"}]})
-    asked = forms.DeltaDiscoveryRequest(
+    request = forms.DeltaDiscoveryRequest(
         node, forms.ASSIGNMENT, ["t0", "*"], ["t1"], {"t0": "1.7"}, "1.6-1.7", forms.Status(3, "no")
     )
-    got = strictly(encode(asked), "DeltaDiscoveryRequest")
-    assert dict(got.initial_resource_versions) == {"t0": "1.7"} and got.error_detail.message == "no"
-    table = msgspec.Raw(encode(tables.assignment("t0", LINES)))
-    answer = forms.DeltaDiscoveryResponse(
+    parsed_request = parse_strictly(encode(request), "DeltaDiscoveryRequest")
+    assert (
+        dict(parsed_request.initial_resource_versions) == {"t0": "1.7"}
+        and parsed_request.error_detail.message == "no"
+    )
+    table = msgspec.Raw(encode(tables.assignment("t0", ENTRIES)))
+    response = forms.DeltaDiscoveryResponse(
         "1.8", [forms.Resource("t0", "1.8", table)], forms.ASSIGNMENT, ["t1"], "1.7-1.8"
     )
-    told = strictly(encode(answer), "DeltaDiscoveryResponse")
-    assert told.resources[0].resource.type_url == forms.ASSIGNMENT and list(told.removed_resources) == ["t1"]
-    strictly(encode(forms.LoadStatsResponse(True, "1.5s")), "LoadStatsResponse")
+    parsed = parse_strictly(encode(response), "DeltaDiscoveryResponse")
+    assert parsed.resources[0].resource.type_url == forms.ASSIGNMENT and list(parsed.removed_resources) == [
+        "t1"
+    ]
+    parse_strictly(encode(forms.LoadStatsResponse(True, "1.5s")), "LoadStatsResponse")
 
 
-def test_every_kind_of_file_up_is_what_the_published_types_say() -> None:
+def test_every_kind_of_request_parses_with_the_published_types() -> None:
     node = forms.Node("p1", "calls", forms.Locality(zone="north"), {"usual_calls_per_s": 3.5})
     request = forms.DiscoveryRequest(
         "1.7", node, ["t0"], forms.ASSIGNMENT, "1.8", forms.Status(3, "no table")
     )
-    assert strictly(encode(request), "DiscoveryRequest").error_detail.message == "no table"
-    at = forms.Address(forms.SocketAddress("127.0.0.1", 81))
+    assert parse_strictly(encode(request), "DiscoveryRequest").error_detail.message == "no table"
+    address = forms.Address(forms.SocketAddress("127.0.0.1", 81))
     metric = forms.LoadMetricStats("cpu_utilization", 3, 1.5)
-    row = forms.UpstreamEndpointStats(at, 3, 1, 2, 5, [metric])
-    zone = forms.UpstreamLocalityStats(forms.Locality(zone="north"), 3, 2, 5, [row])
-    stats = forms.ClusterStats("r@t0", "", [zone], 4, [forms.DroppedRequests("throttled", 4)], "0.5s")
-    load = strictly(encode(forms.LoadStatsRequest(node, [stats])), "LoadStatsRequest")
+    endpoint_stats = forms.UpstreamEndpointStats(address, 3, 1, 2, 5, [metric])
+    locality_stats = forms.UpstreamLocalityStats(forms.Locality(zone="north"), 3, 2, 5, [endpoint_stats])
+    stats = forms.ClusterStats(
+        "r@t0", "", [locality_stats], 4, [forms.DroppedRequests("throttled", 4)], "0.5s"
+    )
+    load = parse_strictly(encode(forms.LoadStatsRequest(node, [stats])), "LoadStatsRequest")
     assert (
         load.cluster_stats[0].upstream_locality_stats[0].upstream_endpoint_stats[0].total_error_requests == 2
     )
-    held = forms.GenericXdsConfig(forms.ASSIGNMENT, "t0", "1.7", tables_raw(), "ACKED")
-    strictly(encode(forms.ClientConfig(node, [held])), "ClientConfig")
+    config = forms.GenericXdsConfig(forms.ASSIGNMENT, "t0", "1.7", raw_table(), "ACKED")
+    parse_strictly(encode(forms.ClientConfig(node, [config])), "ClientConfig")
 
 
-def tables_raw():  # type: ignore[no-untyped-def]
+def raw_table():  # type: ignore[no-untyped-def]
     import msgspec
 
-    return msgspec.Raw(encode(tables.assignment("t0", LINES)))
+    return msgspec.Raw(encode(tables.assignment("t0", ENTRIES)))
 
 
-def test_what_a_library_writes_can_be_read() -> None:
+def test_json_of_the_protobuf_library_can_be_read() -> None:
     from google.protobuf import json_format
 
-    eds = encode_response("1.7", forms.ASSIGNMENT, "1.7", [encode(tables.assignment("t0", LINES))])
-    again = json_format.MessageToJson(strictly(eds, "DiscoveryResponse"), preserving_proto_field_name=True)
-    assert tables.lines(tables.read_tables(again.encode())[1][0]) == LINES
+    eds = encode_response("1.7", forms.ASSIGNMENT, "1.7", [encode(tables.assignment("t0", ENTRIES))])
+    rewritten = json_format.MessageToJson(
+        parse_strictly(eds, "DiscoveryResponse"), preserving_proto_field_name=True
+    )
+    assert tables.lines(tables.read_tables(rewritten.encode())[1][0]) == ENTRIES
 
 
 weights = st.floats(1e-4, 100, allow_nan=False)
@@ -146,9 +162,9 @@
 
 
 def test_the_longest_path_is_matched_first() -> None:
-    rows = [tables.route(n, n, "c", 1, tables.retry(1, 0), {}) for n in ("/a", "/a/b/c", "/a/b")]
-    made = tables.route_set("calls", rows).virtual_hosts[0].routes
-    assert [row.name for row in made] == ["/a/b/c", "/a/b", "/a"]
+    routes = [tables.route(path, path, "c", 1, tables.retry(1, 0), {}) for path in ("/a", "/a/b/c", "/a/b")]
+    ordered = tables.route_set("calls", routes).virtual_hosts[0].routes
+    assert [route.name for route in ordered] == ["/a/b/c", "/a/b", "/a"]
 
 
 @pytest.mark.parametrize(
@@ -161,32 +177,32 @@
         (b'{"version_info": 3}', "Expected `str`"),
     ],
 )
-def test_a_bad_file_is_refused_with_its_place(body: bytes, cause: str) -> None:
+def test_a_malformed_response_is_rejected_with_its_cause(body: bytes, cause: str) -> None:
     with pytest.raises(MessageFormatError, match=cause):
         read_response(body, forms.ASSIGNMENT)
 
 
-def test_a_bad_resource_is_named() -> None:
-    bad = encode_response(
+def test_a_malformed_resource_is_named() -> None:
+    malformed = encode_response(
         "1", forms.ASSIGNMENT, "1", [b'{"@type": "%s", "endpoints": 3}' % forms.ASSIGNMENT.encode()]
     )
     with pytest.raises(MessageFormatError, match=r"resources\[0\].*endpoints"):
-        tables.read_tables(bad)
-    row = json.loads(encode(tables.assignment("t0", LINES)))
-    row["endpoints"][0]["lb_endpoints"][0]["load_balancing_weight"] = 0
+        tables.read_tables(malformed)
+    table = json.loads(encode(tables.assignment("t0", ENTRIES)))
+    table["endpoints"][0]["lb_endpoints"][0]["load_balancing_weight"] = 0
     with pytest.raises(MessageFormatError, match="'a' has no weight"):
-        tables.lines(decode(json.dumps(row).encode(), forms.ClusterLoadAssignment))
+        tables.lines(decode(json.dumps(table).encode(), forms.ClusterLoadAssignment))
 
 
 def test_durations_and_load_reports() -> None:
     assert (
         format_duration(2500) == "0.25s" and format_duration(10_000) == "1s" and parse_duration("1.5s") == 1.5
     )
-    for bad in ("1", "xs", "nans", "infs"):
+    for malformed in ("1", "xs", "nans", "infs"):
         with pytest.raises(MessageFormatError):
-            parse_duration(bad)
-    told = orca.read(orca.write({"cpu_utilization": 0.5, "named_metrics.queue": 3}))
-    assert orca.decision_metrics(told) == {"busy": 0.5, "q": 3.0}
+            parse_duration(malformed)
+    metrics = orca.read(orca.write({"cpu_utilization": 0.5, "named_metrics.queue": 3}))
+    assert orca.decision_metrics(metrics) == {"busy": 0.5, "q": 3.0}
     assert (
         orca.read(b'JSON {"cpu_utilization": 0.25, "named_metrics": {"queue": 2}}')["named_metrics.queue"]
         == 2
