--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -1,4 +1,4 @@
-"""The front that answers calls: bounds, turns, bodies, credentials; and a real director on real sockets."""
+"""The discovery server: its parts, its HTTP server, and a controller that serves proxies on real sockets."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 from willowhook.xds import forms, tables
 from willowhook.xds.codec import decode, encode
 
-# What decides.
+# Parts without connections.
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
@@ -58,7 +58,7 @@
     assert let <= burst + rate * now / TICKS_PER_SECOND + 1e-6
 
 
-def test_the_gate_counts_all_and_each() -> None:
+def test_gate_limits_connections_and_requests_in_total_and_by_proxy() -> None:
     gate = Gate(3, 2, 0.001, 2)
     assert gate.try_open() and gate.try_open() and gate.try_open() and not gate.try_open()
     assert gate.try_assign("a") and gate.try_assign("a") and not gate.try_assign("a") and gate.try_assign("b")
@@ -68,44 +68,47 @@
     assert gate.acquire(0, "b") == 0 and gate.rejected == {"connections": 1, "of one proxy": 1, "asks": 1}
 
 
-def test_whoever_waited_longest_is_first_and_nobody_twice() -> None:
-    turns = WakeupQueue()
+def test_wakeup_queue_returns_the_longest_waiting_first_and_each_key_once() -> None:
+    queue = WakeupQueue()
     for key, at in (("often", 90), ("long", 10), ("never", 0), ("often", 5), ("long", 99)):
-        turns.add(key, at)
-    turns.add("gone", 1)
-    turns.discard("gone")
-    assert len(turns) == 3 and turns.pop(2) == ["never", "long"] and turns.pop(9) == ["often"]
-    turns.add("often", 7)
-    assert turns.pop(9) == ["often"] and not turns.pop(1)
+        queue.add(key, at)
+    queue.add("discarded", 1)
+    queue.discard("discarded")
+    assert len(queue) == 3 and queue.pop(2) == ["never", "long"] and queue.pop(9) == ["often"]
+    queue.add("often", 7)
+    assert queue.pop(9) == ["often"] and not queue.pop(1)
 
 
 @pytest.mark.parametrize(
-    ("accepts", "what"),
+    ("accepts", "expected"),
     [(b"", b""), (b"gzip", b"gzip"), (b"gzip, zstd", b"zstd"), (b"zstd;q=0.1, gzip;q=0.9", b"gzip"),
      (b"*", b"zstd"), (b"zstd;q=0, *", b"gzip"), (b"br", b""), (b"gzip;q=x", b""), (b"GZip ;q=1", b"gzip")],
 )  # fmt: skip
-def test_the_encoding_is_one_that_the_caller_takes(accepts: bytes, what: bytes) -> None:
-    assert choose_encoding(accepts) == what
+def test_choose_encoding_returns_one_that_the_client_accepts(accepts: bytes, expected: bytes) -> None:
+    assert choose_encoding(accepts) == expected
 
 
-def test_bodies_are_made_once_and_kept_within_bounds() -> None:
-    bodies, made = ResponseCache(10_000, 100), list[int]()
+def test_response_cache_encodes_once_and_stays_within_its_capacity() -> None:
+    cache, encoded_numbers = ResponseCache(10_000, 100), list[int]()
 
-    def make(k: int) -> bytes:
-        made.append(k)
-        return b"%d" % k * 1000
+    def encode_body(number: int) -> bytes:
+        encoded_numbers.append(number)
+        return b"%d" % number * 1000
 
-    for encoding, unpack in ((b"gzip", gzip.decompress), (b"zstd", zstandard.ZstdDecompressor().decompress)):
+    for encoding, decompress in (
+        (b"gzip", gzip.decompress),
+        (b"zstd", zstandard.ZstdDecompressor().decompress),
+    ):
         for _ in range(3):
-            body, told = bodies.get("k", lambda: make(1), encoding)
-            assert told == encoding and unpack(body) == b"1" * 1000
-    assert made == [1] and bodies.compressed == 2
-    for k in range(10, 40):
-        bodies.get(k, lambda k=k: make(k), b"")  # type: ignore[misc]
-    assert bodies.size <= 10_000 and len(made) == 31
-    assert bodies.get("small", lambda: b"x", b"zstd") == (b"x", b"")
-    bodies.get("huge", lambda: b"x" * 9000, b"")
-    assert bodies.size <= 10_000
+            body, used_encoding = cache.get("k", lambda: encode_body(1), encoding)
+            assert used_encoding == encoding and decompress(body) == b"1" * 1000
+    assert encoded_numbers == [1] and cache.compressed == 2
+    for number in range(10, 40):
+        cache.get(number, lambda number=number: encode_body(number), b"")  # type: ignore[misc]
+    assert cache.size <= 10_000 and len(encoded_numbers) == 31
+    assert cache.get("small", lambda: b"x", b"zstd") == (b"x", b"")
+    cache.get("huge", lambda: b"x" * 9000, b"")
+    assert cache.size <= 10_000
 
 
 @pytest.mark.parametrize(
@@ -115,18 +118,18 @@
      ('{"proxies": {"../p": "00"}}', "is not a proxy name"), ('{"proxy": {}}', "unknown field"),
      (json.dumps({"proxies": {"p": "00" * 32, "q": "00" * 32}}), "$.proxies.q: same token hash as p")],
 )  # fmt: skip
-def test_a_bad_file_of_credentials_names_place_and_cause(text: str, cause: str) -> None:
+def test_malformed_credentials_file_is_rejected_with_place_and_cause(text: str, cause: str) -> None:
     with pytest.raises(CredentialError, match=cause.replace("$", r"\$")):
         BearerIdentity(text.encode())
 
 
-def test_a_token_tells_one_proxy() -> None:
-    who = BearerIdentity(
+def test_bearer_token_authenticates_one_proxy() -> None:
+    authenticate = BearerIdentity(
         json.dumps({"proxies": {"p1": hashlib.sha256(b"secret").hexdigest()}}).encode()
     ).authenticate
-    assert who({b"authorization": b"Bearer secret"}, None) == "p1"
+    assert authenticate({b"authorization": b"Bearer secret"}, None) == "p1"
     for bad in (b"", b"Bearer", b"Bearer Secret", b"Basic secret", b"bearer secret2"):
-        assert who({b"authorization": bad}, None) is None
+        assert authenticate({b"authorization": bad}, None) is None
 
 
 # Connections.
@@ -134,138 +137,143 @@
 QUICK = Timeouts(header=0.3, write=0.3, idle=0.5, wait=0.3)
 
 
-def serving(
-    play: Callable[[int, Server], Awaitable[None]],
+def run_server(
+    scenario: Callable[[int, Server], Awaitable[None]],
     handler: Any = None,
-    most: int = 20,
-    times: Timeouts = QUICK,
+    max_connections: int = 20,
+    timeouts: Timeouts = QUICK,
 ) -> Server:
-    """Runs a server on loopback while `play(port, server)` goes on."""
-    held: list[Server] = []
+    """Runs a server on loopback for the time of `scenario(port, server)`, and returns it."""
+    servers: list[Server] = []
 
-    async def usual(line: Line, call: Call) -> Reply | Waiting:
-        return Reply(200, [], call.body[::-1])
+    async def reverse_body(line: Line, request: Call) -> Reply | Waiting:
+        return Reply(200, [], request.body[::-1])
 
     async def run() -> None:
-        server = Server(Gate(most, 5, 1, 100), times, 10_000, handler or usual, lambda line: None)
-        held.append(server)
+        server = Server(
+            Gate(max_connections, 5, 1, 100), timeouts, 10_000, handler or reverse_body, lambda line: None
+        )
+        servers.append(server)
         async with trio.open_nursery() as nursery:
             listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
             nursery.start_soon(trio.serve_listeners, server.serve, listeners)
             with trio.fail_after(60):
-                await play(listeners[0].socket.getsockname()[1], server)
+                await scenario(listeners[0].socket.getsockname()[1], server)
             nursery.cancel_scope.cancel()
 
     trio.run(run)
-    return held[0]
+    return servers[0]
 
 
-async def raw(port: int, data: bytes, then_wait: float = 2.0) -> bytes:
-    """What comes back for these bytes until the other side closes."""
+async def send_raw(port: int, data: bytes, timeout_s: float = 2.0) -> bytes:
+    """Sends bytes on a new connection and returns what comes back until the server closes it."""
     stream = await trio.open_tcp_stream("127.0.0.1", port)
-    found = b""
-    with trio.move_on_after(then_wait):
+    received = b""
+    with trio.move_on_after(timeout_s):
         try:
             await stream.send_all(data)
             while chunk := await stream.receive_some(65536):
-                found += chunk
+                received += chunk
         except trio.BrokenResourceError:
-            pass  # closed while it was still being sent to: what came before that counts
+            pass  # the server closed while data was still being sent: what it sent before counts
     await trio.aclose_forcefully(stream)
-    return found
+    return received
 
 
 HEAD = b"POST /x HTTP/1.1\r\nhost: a\r\n"
 
 
-def test_who_is_slow_or_large_or_no_http_is_told_and_cut_off() -> None:
-    async def play(port: int, server: Server) -> None:
-        assert b" 408 " in await raw(port, HEAD)  # the head never ends
-        assert b" 408 " in await raw(port, HEAD + b"content-length: 5\r\n\r\nab")
-        assert b" 413 " in await raw(port, HEAD + b"content-length: 99999\r\n\r\n")
+def test_late_oversized_and_malformed_requests_get_an_error_and_a_closed_connection() -> None:
+    async def scenario(port: int, server: Server) -> None:
+        assert b" 408 " in await send_raw(port, HEAD)  # the header never ends
+        assert b" 408 " in await send_raw(port, HEAD + b"content-length: 5\r\n\r\nab")
+        assert b" 413 " in await send_raw(port, HEAD + b"content-length: 99999\r\n\r\n")
         chunk = b"1000\r\n" + b"x" * 0x1000 + b"\r\n"
-        assert b" 413 " in await raw(port, HEAD + b"transfer-encoding: chunked\r\n\r\n" + chunk * 5)
-        assert b" 431 " in await raw(port, HEAD + b"a: " + b"b" * 40_000)
-        assert b" 400 " in await raw(port, b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\r\n\r\n")
-        assert await raw(port, b"") == b""  # silent: closed without a word
-        assert b" 100 " in await raw(port, HEAD + b"expect: 100-continue\r\ncontent-length: 2\r\n\r\n")
+        assert b" 413 " in await send_raw(port, HEAD + b"transfer-encoding: chunked\r\n\r\n" + chunk * 5)
+        assert b" 431 " in await send_raw(port, HEAD + b"a: " + b"b" * 40_000)
+        assert b" 400 " in await send_raw(port, b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\r\n\r\n")
+        assert await send_raw(port, b"") == b""  # silent: closed without a response
+        assert b" 100 " in await send_raw(port, HEAD + b"expect: 100-continue\r\ncontent-length: 2\r\n\r\n")
         await wait_until(lambda: server.gate.open == 0)
 
-    server = serving(play)
+    server = run_server(scenario)
     assert server.late_requests >= 2 and server.malformed_requests >= 6
 
 
-def test_a_flood_of_connections_is_bounded_and_the_rest_served() -> None:
-    async def play(port: int, server: Server) -> None:
+def test_connections_over_the_limit_are_rejected_and_later_ones_served() -> None:
+    async def scenario(port: int, server: Server) -> None:
         streams = [await trio.open_tcp_stream("127.0.0.1", port) for _ in range(60)]
         await wait_until(lambda: server.gate.rejected["connections"] >= 40)
         assert server.gate.peak == 20
         for stream in streams:
             await trio.aclose_forcefully(stream)
         await wait_until(lambda: server.gate.open == 0)
-        caller = await open_connection("127.0.0.1", port)
-        assert (await caller.request(b"POST", b"/x", [], b"abc")).body == b"cba"
-        await caller.close()
+        connection = await open_connection("127.0.0.1", port)
+        assert (await connection.request(b"POST", b"/x", [], b"abc")).body == b"cba"
+        await connection.close()
 
-    serving(play)
+    run_server(scenario)
 
 
-def test_a_call_waits_ends_when_its_time_is_over_and_who_goes_away_is_noticed() -> None:
-    waits: list[Waiting] = []
+def test_waiting_request_ends_with_a_response_a_timeout_or_a_disconnect() -> None:
+    waiting_requests: list[Waiting] = []
     ended: list[int] = []
 
-    async def handler(line: Line, call: Call) -> Reply | Waiting:
-        if call.body == b"now":
+    async def handler(line: Line, request: Call) -> Reply | Waiting:
+        if request.body == b"now":
             return Reply(200, [], b"now")
-        waiting = Waiting(lambda over: Reply(304) if over else said.get("it"), on_end=lambda: ended.append(1))
-        waits.append(waiting)
+        waiting = Waiting(
+            lambda is_expired: Reply(304) if is_expired else responses.get("it"),
+            on_end=lambda: ended.append(1),
+        )
+        waiting_requests.append(waiting)
         return waiting
 
-    said: dict[str, Reply] = {}
+    responses: dict[str, Reply] = {}
 
-    async def play(port: int, server: Server) -> None:
-        caller = await open_connection("127.0.0.1", port)
-        assert (await caller.request(b"POST", b"/x", [], b"a")).status == 304
+    async def scenario(port: int, server: Server) -> None:
+        connection = await open_connection("127.0.0.1", port)
+        assert (await connection.request(b"POST", b"/x", [], b"a")).status == 304
         async with trio.open_nursery() as nursery:
 
-            async def news() -> None:
+            async def send_update() -> None:
                 await trio.sleep(0.1)
-                waits[-1].wake.set()  # nothing yet
+                waiting_requests[-1].wake.set()  # nothing yet
                 await trio.sleep(0.05)
-                said["it"] = Reply(200, [], b"news")
-                waits[-1].wake.set()
-
-            nursery.start_soon(news)
-            assert (await caller.request(b"POST", b"/x", [], b"b")).body == b"news"
-        # two calls at once on one connection: the second is answered after the first
-        del said["it"]
-        two = HEAD + b"content-length: 1\r\n\r\nc" + HEAD + b"content-length: 3\r\n\r\nnow"
-        got = await raw(port, two, 1.0)
-        assert got.startswith(b"HTTP/1.1 304") and got.endswith(b"now")
+                responses["it"] = Reply(200, [], b"news")
+                waiting_requests[-1].wake.set()
+
+            nursery.start_soon(send_update)
+            assert (await connection.request(b"POST", b"/x", [], b"b")).body == b"news"
+        # two requests at once on one connection: the second is answered after the first
+        del responses["it"]
+        two_requests = HEAD + b"content-length: 1\r\n\r\nc" + HEAD + b"content-length: 3\r\n\r\nnow"
+        received = await send_raw(port, two_requests, 1.0)
+        assert received.startswith(b"HTTP/1.1 304") and received.endswith(b"now")
         stream = await trio.open_tcp_stream("127.0.0.1", port)
         await stream.send_all(HEAD + b"content-length: 1\r\n\r\nd")
-        await wait_until(lambda: len(waits) == 4)
+        await wait_until(lambda: len(waiting_requests) == 4)
         await trio.aclose_forcefully(stream)
         await wait_until(lambda: len(ended) == 4)
-        await caller.close()
+        await connection.close()
 
-    serving(play, handler)
+    run_server(scenario, handler)
 
 
-def test_who_does_not_read_is_cut_off_and_holds_up_nobody() -> None:
-    async def handler(line: Line, call: Call) -> Reply | Waiting:
-        return Reply(200, [], b"x" * (64 << 20) if call.body == b"big" else b"ok")
+def test_client_that_does_not_read_is_disconnected_and_delays_no_other() -> None:
+    async def handler(line: Line, request: Call) -> Reply | Waiting:
+        return Reply(200, [], b"x" * (64 << 20) if request.body == b"big" else b"ok")
 
-    async def play(port: int, server: Server) -> None:
-        slow = await trio.open_tcp_stream("127.0.0.1", port)
-        await slow.send_all(HEAD + b"content-length: 3\r\n\r\nbig")
-        caller = await open_connection("127.0.0.1", port)
-        assert (await caller.request(b"POST", b"/x", [], b"small")).body == b"ok"
+    async def scenario(port: int, server: Server) -> None:
+        slow_stream = await trio.open_tcp_stream("127.0.0.1", port)
+        await slow_stream.send_all(HEAD + b"content-length: 3\r\n\r\nbig")
+        connection = await open_connection("127.0.0.1", port)
+        assert (await connection.request(b"POST", b"/x", [], b"small")).body == b"ok"
         await wait_until(lambda: server.slow_readers == 1)
-        await trio.aclose_forcefully(slow)
-        await caller.close()
+        await trio.aclose_forcefully(slow_stream)
+        await connection.close()
 
-    serving(play, handler)
+    run_server(scenario, handler)
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
@@ -304,13 +312,13 @@
     trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-# A real director.
+# A controller with a discovery server.
 
 LOST_AFTER_S = 0.8  # in the test of silent proxies
 
 
-class ByCalls:
-    """A proxy's side of the protocol, by hand."""
+class DiscoveryClient:
+    """A proxy that sends the requests of the discovery protocol as a test tells it to."""
 
     def __init__(self, service: Service, name: str, term: int = 1) -> None:
         self.service, self.name = service, name
@@ -318,83 +326,95 @@
             name, "calls", forms.Locality(zone="north"),
             {"usual_calls_per_s": 4, "term": term, "director": service.terms.name},
         )  # fmt: skip
-        self.callers: dict[str, ClientConnection] = {}
+        self.connections: dict[str, ClientConnection] = {}
         self.headers = [(b"authorization", b"Bearer token of " + name.encode())]
 
     async def post(self, path: bytes, body: bytes, key: str = "", headers: Any = None) -> Reply:
         key = key or path.decode()
-        caller = self.callers.get(key)
-        if caller is None or not caller.usable:
-            caller = self.callers[key] = await open_connection("127.0.0.1", self.service.discovery_port)
-        return await caller.request(b"POST", path, self.headers if headers is None else headers, body)
-
-    async def whole(self, kind: str, version: str = "", nonce: str = "", error: str = "") -> Reply:
-        word = {"cds": "clusters", "eds": "endpoints", "rds": "routes"}[kind]
-        detail = forms.Status(3, error) if error else None
-        asked = forms.DiscoveryRequest(version, self.node, [], forms.TYPE_URLS[kind], nonce, detail)
-        return await self.post(f"/v3/discovery:{word}".encode(), encode(asked))
-
-    async def settle(self, rounds: int = 3) -> dict[str, forms.DiscoveryResponse]:
-        """Acknowledges whatever comes until nothing new does."""
-        got: dict[str, forms.DiscoveryResponse] = {}
+        connection = self.connections.get(key)
+        if connection is None or not connection.usable:
+            connection = self.connections[key] = await open_connection(
+                "127.0.0.1", self.service.discovery_port
+            )
+        return await connection.request(b"POST", path, self.headers if headers is None else headers, body)
+
+    async def request_full_state(
+        self, kind: str, version: str = "", nonce: str = "", error: str = ""
+    ) -> Reply:
+        path_suffix = {"cds": "clusters", "eds": "endpoints", "rds": "routes"}[kind]
+        error_detail = forms.Status(3, error) if error else None
+        request = forms.DiscoveryRequest(version, self.node, [], forms.TYPE_URLS[kind], nonce, error_detail)
+        return await self.post(f"/v3/discovery:{path_suffix}".encode(), encode(request))
+
+    async def acknowledge_all(self, rounds: int = 3) -> dict[str, forms.DiscoveryResponse]:
+        """Requests and acknowledges every resource type `rounds` times; returns the last responses."""
+        responses: dict[str, forms.DiscoveryResponse] = {}
         for _ in range(rounds):
             for kind in ("cds", "eds", "rds"):
-                last = got.get(kind)
-                reply = await self.whole(kind, last.version_info if last else "", last.nonce if last else "")
+                response = responses.get(kind)
+                reply = await self.request_full_state(
+                    kind, response.version_info if response else "", response.nonce if response else ""
+                )
                 if reply.status == 200:
-                    got[kind] = decode(reply.body, forms.DiscoveryResponse)
-        return got
+                    responses[kind] = decode(reply.body, forms.DiscoveryResponse)
+        return responses
 
     async def close(self) -> None:
-        for caller in self.callers.values():
-            await caller.close()
+        for connection in self.connections.values():
+            await connection.close()
 
 
-class Held:
-    """What a proxy holds, however it was told."""
+class HeldResources:
+    """The resources that a proxy holds, by type and name, however it received them."""
 
     def __init__(self) -> None:
-        self.rows: dict[str, dict[str, Any]] = {"cds": {}, "eds": {}, "rds": {}}
+        self.resources: dict[str, dict[str, Any]] = {"cds": {}, "eds": {}, "rds": {}}
 
-    def whole(self, kind: str, got: forms.DiscoveryResponse) -> None:
-        rows = [json.loads(bytes(raw)) for raw in got.resources]
-        self.rows[kind] = {row.get("cluster_name") or row["name"]: row for row in rows}
+    def apply_full_state(self, kind: str, response: forms.DiscoveryResponse) -> None:
+        bodies = [json.loads(bytes(raw)) for raw in response.resources]
+        self.resources[kind] = {body.get("cluster_name") or body["name"]: body for body in bodies}
 
-    def delta(self, kind: str, got: forms.DeltaDiscoveryResponse) -> None:
-        for row in got.resources:
-            self.rows[kind][row.name] = json.loads(bytes(row.resource))
-        for name in got.removed_resources:
-            self.rows[kind].pop(name, None)
+    def apply_delta(self, kind: str, response: forms.DeltaDiscoveryResponse) -> None:
+        for resource in response.resources:
+            self.resources[kind][resource.name] = json.loads(bytes(resource.resource))
+        for name in response.removed_resources:
+            self.resources[kind].pop(name, None)
 
 
-def read_files(proxy: FileProxy) -> Held:
-    """What a proxy on files can read now."""
-    files = Held()
+def read_files(proxy: FileProxy) -> HeldResources:
+    """Returns the resources in the files of a proxy."""
+    held = HeldResources()
     for name, data in read_group(str(proxy.down))[1].items():
-        files.whole(name[:-5], decode(data, forms.DiscoveryResponse))
-    return files
+        held.apply_full_state(name[:-5], decode(data, forms.DiscoveryResponse))
+    return held
 
 
-def is_final(held: Held, endpoints: int) -> bool:
-    """Whether a proxy holds what `Restless` ends with: table 1 alone, with all endpoints alike."""
-    rows = [decode(encode(row), forms.ClusterLoadAssignment) for row in held.rows["eds"].values()]
-    lines = [line for table in rows for line in tables.lines(table)]
-    names = [table.cluster_name.rpartition(".")[2] for table in rows]
-    return names == ["t1"] and [line[4] for line in lines] == [1.0] * endpoints
+def is_final(held: HeldResources, endpoints: int) -> bool:
+    """Returns whether a proxy holds what `RandomCommands` ends with: table 1 alone, with equal weights."""
+    loaded_tables = [
+        decode(encode(body), forms.ClusterLoadAssignment) for body in held.resources["eds"].values()
+    ]
+    entries = [entry for table in loaded_tables for entry in tables.lines(table)]
+    names = [table.cluster_name.rpartition(".")[2] for table in loaded_tables]
+    return names == ["t1"] and [entry[4] for entry in entries] == [1.0] * endpoints
 
 
-def hosts_of(got: forms.DiscoveryResponse) -> set[str]:
-    rows = [decode(bytes(raw), forms.ClusterLoadAssignment) for raw in got.resources]
-    return {line[0] for table in rows for line in tables.lines(table) if not line[5]}
+def active_endpoints(response: forms.DiscoveryResponse) -> set[str]:
+    loaded_tables = [decode(bytes(raw), forms.ClusterLoadAssignment) for raw in response.resources]
+    return {entry[0] for table in loaded_tables for entry in tables.lines(table) if not entry[5]}
 
 
-Play = Callable[[Service, FakeDiscovery, RecordingLog], Awaitable[None]]
+Scenario = Callable[[Service, FakeDiscovery, RecordingLog], Awaitable[None]]
 
 
-def directed(
-    tmp_path: Path, play: Play, decider: Any = Controller, proxy_lost_after_ms: float = 20_000, **parts: Any
+def run_controller(
+    tmp_path: Path,
+    scenario: Scenario,
+    decider: Any = Controller,
+    proxy_lost_after_ms: float = 20_000,
+    **parts: Any,
 ) -> RecordingLog:
-    """Runs a director with a front while `play` goes on."""
+    """Runs a controller with a discovery server for the time of `scenario`, and returns its log."""
     log = RecordingLog()
 
     async def run() -> None:
@@ -408,15 +428,17 @@
             url = f"http://127.0.0.1:{listeners[0].socket.getsockname()[1]}"
             nursery.start_soon(trio.serve_listeners, handler, listeners)
             replace = msgspec.structs.replace
-            sums = {n: hashlib.sha256(f"token of {n}".encode()).hexdigest() for n in ("p1", "p2", "p3")}
-            (tmp_path / "credentials").write_text(json.dumps({"proxies": sums}))
+            token_hashes = {
+                name: hashlib.sha256(f"token of {name}".encode()).hexdigest() for name in ("p1", "p2", "p3")
+            }
+            (tmp_path / "credentials").write_text(json.dumps({"proxies": token_hashes}))
             front = FrontTerms(
                 listen="127.0.0.1:0", credentials=str(tmp_path / "credentials"), wait_ms=200, asks_per_s=500,
                 asks_burst=500,
             )  # fmt: skip
             terms = replace(
                 EXAMPLE,
-                fleet=replace(EXAMPLE.fleet, standing=0),  # proxies played by hand start with nothing
+                fleet=replace(EXAMPLE.fleet, standing=0),  # proxies that tests play start without resources
                 files=replace(
                     EXAMPLE.files, folder=str(tmp_path / "d"), proxy_lost_after_ms=proxy_lost_after_ms
                 ),
@@ -427,85 +449,90 @@
             service = Service(terms, log=log, decider=decider)
             await nursery.start(service.run)
             with trio.fail_after(30):
-                await play(service, discovery, log)
+                await scenario(service, discovery, log)
             nursery.cancel_scope.cancel()
 
     trio.run(run)
     return log
 
 
-def test_a_proxy_joins_by_calls_is_bound_make_before_break_and_hears_of_a_drain(tmp_path: Path) -> None:
-    async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
-        one = ByCalls(service, "p1")
-        got = await one.settle()
-        assert set(got) == {"cds", "eds", "rds"} and hosts_of(got["eds"]) == {"a", "b", "c"}
+def test_proxy_joins_with_requests_receives_a_drain_and_reports_load(tmp_path: Path) -> None:
+    async def scenario(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
+        proxy = DiscoveryClient(service, "p1")
+        held = await proxy.acknowledge_all()
+        assert set(held) == {"cds", "eds", "rds"} and active_endpoints(held["eds"]) == {"a", "b", "c"}
         session = service.publisher.sessions[0]
         await wait_until(lambda: session.acknowledged > 0)
-        # the controller handles the acknowledgement a turn later
+        # the controller handles the acknowledgement one event later
         await wait_until(lambda: not any(service.controller.channel.unacknowledged.values()))
         discovery.hosts["b"], discovery.index = True, 2
-        news: dict[str, forms.DiscoveryResponse] = {}
-        while "eds" not in news or "b" in hosts_of(news["eds"]):
-            reply = await one.whole("eds", got["eds"].version_info, got["eds"].nonce)
+        updates: dict[str, forms.DiscoveryResponse] = {}
+        while "eds" not in updates or "b" in active_endpoints(updates["eds"]):
+            reply = await proxy.request_full_state("eds", held["eds"].version_info, held["eds"].nonce)
             if reply.status == 200:
-                got["eds"] = news["eds"] = decode(reply.body, forms.DiscoveryResponse)
-        report = encode(forms.LoadStatsRequest(one.node))
+                held["eds"] = updates["eds"] = decode(reply.body, forms.DiscoveryResponse)
+        report = encode(forms.LoadStatsRequest(proxy.node))
         path = b"/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats"
-        reply = await one.post(path, report)
+        reply = await proxy.post(path, report)
         assert reply.status == 200 and b"load_reporting_interval" in reply.body
-        await one.close()
+        await proxy.close()
 
-    log = directed(tmp_path, play)
+    log = run_controller(tmp_path, scenario)
     assert log.texts("warning") == []
     beliefs = [row for row in read_records(str(tmp_path / "records")) if row["kind"] == "belief"]
     assert {row["state"] for row in beliefs} >= {"sent", "acknowledged"}
 
 
-def test_differences_bring_only_what_changed(tmp_path: Path) -> None:
-    async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
-        one = ByCalls(service, "p1")
+def test_delta_responses_have_only_what_changed(tmp_path: Path) -> None:
+    async def scenario(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
+        proxy = DiscoveryClient(service, "p1")
         path = b"/envoy.service.endpoint.v3.EndpointDiscoveryService/DeltaEndpoints"
-        asked = forms.DeltaDiscoveryRequest(one.node, forms.ASSIGNMENT)
-        reply = await one.post(path, encode(asked))
+        request = forms.DeltaDiscoveryRequest(proxy.node, forms.ASSIGNMENT)
+        reply = await proxy.post(path, encode(request))
         while reply.status == 304:
-            reply = await one.post(path, encode(forms.DeltaDiscoveryRequest(type_url=forms.ASSIGNMENT)))
+            reply = await proxy.post(path, encode(forms.DeltaDiscoveryRequest(type_url=forms.ASSIGNMENT)))
         first = decode(reply.body, forms.DeltaDiscoveryResponse)
         assert len(first.resources) >= 1
-        # the connection breaks; on the next one it says what it holds, and gets nothing again
-        await one.close()
-        one.callers.clear()
-        asked.initial_resource_versions = {row.name: row.version for row in first.resources}
-        asked.response_nonce = first.nonce
-        assert (await one.post(path, encode(asked))).status in (200, 304)
-        await one.close()
-        one.callers.clear()
-        asked.initial_resource_versions, asked.response_nonce = {}, ""  # it lost its base: all again
-        again = decode((await one.post(path, encode(asked))).body, forms.DeltaDiscoveryResponse)
-        assert {row.name for row in again.resources} >= {row.name for row in first.resources}
-        await one.close()
+        # a new connection: the request names what the proxy holds, which is not sent again
+        await proxy.close()
+        proxy.connections.clear()
+        request.initial_resource_versions = {resource.name: resource.version for resource in first.resources}
+        request.response_nonce = first.nonce
+        assert (await proxy.post(path, encode(request))).status in (200, 304)
+        await proxy.close()
+        proxy.connections.clear()
+        # the proxy has lost its state: everything is sent again
+        request.initial_resource_versions, request.response_nonce = {}, ""
+        again = decode((await proxy.post(path, encode(request))).body, forms.DeltaDiscoveryResponse)
+        assert {resource.name for resource in again.resources} >= {
+            resource.name for resource in first.resources
+        }
+        await proxy.close()
 
-    directed(tmp_path, play)
+    run_controller(tmp_path, scenario)
 
 
-class Restless(Churn):
-    """Orders by chance, for a while, then gives all endpoints one weight and keeps still."""
+class RandomCommands(Churn):
+    """Sends random commands for a while, then gives all endpoints one weight and changes nothing more."""
 
-    left = 60
+    remaining = 60
 
     def evaluate(self, now: int) -> None:
-        if self.hosts and len(self.joined) == 3 and self.left > 0:
-            self.left -= 1
-            chance = random.Random(self.left)
+        if self.hosts and len(self.joined) == 3 and self.remaining > 0:
+            self.remaining -= 1
+            generator = random.Random(self.remaining)
             for name in self.hosts:
-                self.host.set_weight(chance.randrange(3), name, chance.choice([0.0, 0.5, 1.0, 2.5]))
-            name, is_out = chance.choice(self.hosts), chance.random() < 0.5
-            (self.host.exclude_endpoint if is_out else self.host.readmit_endpoint)(name)
-            table, route = chance.randrange(3), chance.randrange(2)
-            self.host.set_admission(table, route, AdmissionLimit(chance.randrange(3), 5.0 * self.left))
+                self.host.set_weight(generator.randrange(3), name, generator.choice([0.0, 0.5, 1.0, 2.5]))
+            name, is_excluded = generator.choice(self.hosts), generator.random() < 0.5
+            (self.host.exclude_endpoint if is_excluded else self.host.readmit_endpoint)(name)
+            table, route = generator.randrange(3), generator.randrange(2)
+            self.host.set_admission(
+                table, route, AdmissionLimit(generator.randrange(3), 5.0 * self.remaining)
+            )
             for proxy in self.joined:
-                self.host.bind(proxy, self.left % 3, [self.left % 2])
-        if self.left == 0:
-            self.left = -1
+                self.host.bind(proxy, self.remaining % 3, [self.remaining % 2])
+        if self.remaining == 0:
+            self.remaining = -1
             for name in self.hosts:
                 self.host.set_weight(1, name, 1.0)
             for proxy in self.joined:
@@ -513,128 +540,131 @@
         self.host.schedule_evaluation(200)
 
     def order(self) -> None:
-        """The list alone changes nothing."""
+        """A new endpoint list alone changes nothing."""
 
 
-def test_both_fronts_give_the_same_for_the_same_orders(tmp_path: Path) -> None:
-    """A proxy on files, one that is told whole and one by difference, through sixty changes."""
+def test_files_full_state_and_deltas_deliver_the_same_resources(tmp_path: Path) -> None:
+    """One proxy reads files, one requests full state and one deltas, through sixty changes."""
 
-    async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
-        by_files, by_calls, by_delta = (
+    async def scenario(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
+        file_proxy, full_state_proxy, delta_proxy = (
             FileProxy(service, "p3"),
-            ByCalls(service, "p1"),
-            ByCalls(service, "p2"),
+            DiscoveryClient(service, "p1"),
+            DiscoveryClient(service, "p2"),
         )
-        by_files.join()
-        one, two = Held(), Held()
+        file_proxy.join()
+        full_state, deltas = HeldResources(), HeldResources()
 
-        async def whole(kind: str) -> None:
+        async def follow_full_state(kind: str) -> None:
             version = nonce = ""
             while True:
-                reply = await by_calls.whole(kind, version, nonce)
+                reply = await full_state_proxy.request_full_state(kind, version, nonce)
                 nonce = ""
                 if reply.status == 200:
-                    got = decode(reply.body, forms.DiscoveryResponse)
-                    version, nonce = got.version_info, got.nonce
-                    one.whole(kind, got)
+                    response = decode(reply.body, forms.DiscoveryResponse)
+                    version, nonce = response.version_info, response.nonce
+                    full_state.apply_full_state(kind, response)
 
-        async def delta(kind: str, word: str) -> None:
+        async def follow_deltas(kind: str, word: str) -> None:
             path = f"/envoy.service.{word.lower()}.v3.{word}DiscoveryService/Delta{word}s".encode()
             nonce = ""
             while True:
-                asked = forms.DeltaDiscoveryRequest(
-                    by_delta.node, forms.TYPE_URLS[kind], response_nonce=nonce
+                request = forms.DeltaDiscoveryRequest(
+                    delta_proxy.node, forms.TYPE_URLS[kind], response_nonce=nonce
                 )
-                reply = await by_delta.post(path, encode(asked))
+                reply = await delta_proxy.post(path, encode(request))
                 nonce = ""
                 if reply.status == 200:
-                    got = decode(reply.body, forms.DeltaDiscoveryResponse)
-                    nonce = got.nonce
-                    two.delta(kind, got)
+                    response = decode(reply.body, forms.DeltaDiscoveryResponse)
+                    nonce = response.nonce
+                    deltas.apply_delta(kind, response)
 
         async with trio.open_nursery() as nursery:
             for kind, word in (("cds", "Cluster"), ("eds", "Endpoint"), ("rds", "Route")):
-                nursery.start_soon(whole, kind)
-                nursery.start_soon(delta, kind, word)
+                nursery.start_soon(follow_full_state, kind)
+                nursery.start_soon(follow_deltas, kind, word)
             decider: Any = service.controller
-            await wait_until(lambda: decider.left == -1, 20)
+            await wait_until(lambda: decider.remaining == -1, 20)
             with trio.fail_after(5):
                 while not (
-                    read_files(by_files).rows == one.rows == two.rows and is_final(one, len(discovery.hosts))
+                    read_files(file_proxy).resources == full_state.resources == deltas.resources
+                    and is_final(full_state, len(discovery.hosts))
                 ):
                     await trio.sleep(0.1)
-                    by_files.answer()
-            final = copy.deepcopy(one.rows)
-            for _ in range(10):  # nothing may follow: the decider keeps still
+                    file_proxy.answer()
+            final = copy.deepcopy(full_state.resources)
+            for _ in range(10):  # nothing may change any more, as there are no more commands
                 await trio.sleep(0.1)
-                by_files.answer()
-                assert decider.left == -1
-                assert read_files(by_files).rows == one.rows == two.rows == final
+                file_proxy.answer()
+                assert decider.remaining == -1
+                assert read_files(file_proxy).resources == full_state.resources == deltas.resources == final
             assert len(final["cds"]) == len(service.terms.routes) and final["rds"]
             nursery.cancel_scope.cancel()
-        await by_calls.close()
-        await by_delta.close()
+        await full_state_proxy.close()
+        await delta_proxy.close()
 
-    directed(tmp_path, play, decider=partial(Restless, bool))
+    run_controller(tmp_path, scenario, decider=partial(RandomCommands, bool))
 
 
-def test_nobody_asks_for_another_and_bad_calls_are_told_why(tmp_path: Path) -> None:
-    async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
-        one, two = ByCalls(service, "p1"), ByCalls(service, "p2")
-        await one.settle()
+def test_requests_for_another_proxy_and_malformed_requests_are_rejected_with_a_cause(tmp_path: Path) -> None:
+    async def scenario(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
+        proxy, other_proxy = DiscoveryClient(service, "p1"), DiscoveryClient(service, "p2")
+        await proxy.acknowledge_all()
         path = b"/v3/discovery:endpoints"
-        body = encode(forms.DiscoveryRequest("", one.node, [], forms.ASSIGNMENT))
-        assert (await two.post(path, body, "as p1")).status == 403
-        assert (await two.post(path, body, "no token", [])).status == 401
-        assert (await two.post(path, body, "a wrong one", [(b"authorization", b"Bearer x")])).status == 401
-        report = encode(forms.LoadStatsRequest(one.node))
-        loads = b"/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats"
-        assert (await two.post(loads, report, "loads as p1")).status == 403
-        for bad, cause in (
+        body = encode(forms.DiscoveryRequest("", proxy.node, [], forms.ASSIGNMENT))
+        assert (await other_proxy.post(path, body, "as p1")).status == 403
+        assert (await other_proxy.post(path, body, "no token", [])).status == 401
+        assert (
+            await other_proxy.post(path, body, "wrong token", [(b"authorization", b"Bearer x")])
+        ).status == 401
+        report = encode(forms.LoadStatsRequest(proxy.node))
+        load_report_path = b"/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats"
+        assert (await other_proxy.post(load_report_path, report, "loads as p1")).status == 403
+        for malformed, cause in (
             (b"{", b"not a DiscoveryRequest"), (b"[]", b"not a DiscoveryRequest"), (b"\xff", b"not a"),
-            (encode(forms.DiscoveryRequest("", two.node, [], forms.CLUSTER)), b"type_url"),
+            (encode(forms.DiscoveryRequest("", other_proxy.node, [], forms.CLUSTER)), b"type_url"),
             (encode(forms.DiscoveryRequest()), b"node"),
         ):  # fmt: skip
-            reply = await two.post(path, bad, f"bad {bad[:4]!r}{cause!r}")
+            reply = await other_proxy.post(path, malformed, f"bad {malformed[:4]!r}{cause!r}")
             assert reply.status == 400 and cause in reply.body, reply.body
-        two.node.metadata["term"] = "x"
-        reply = await two.whole("eds")
+        other_proxy.node.metadata["term"] = "x"
+        reply = await other_proxy.request_full_state("eds")
         assert reply.status == 400 and b"term" in reply.body
-        two.node.metadata.update(term=2, director="another")
-        assert (await two.whole("eds")).status == 400
-        assert (await two.post(b"/v3/nothing", b"{}")).status == 404
+        other_proxy.node.metadata.update(term=2, director="another")
+        assert (await other_proxy.request_full_state("eds")).status == 400
+        assert (await other_proxy.post(b"/v3/nothing", b"{}")).status == 404
         assert "p2" not in service.intake.sessions and "p1" in service.intake.sessions
-        await one.close()
-        await two.close()
+        await proxy.close()
+        await other_proxy.close()
 
-    directed(tmp_path, play)
+    run_controller(tmp_path, scenario)
 
 
-def test_a_stay_that_is_over_is_told_so_and_a_newer_one_is_taken_up(tmp_path: Path) -> None:
-    async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
-        old, new = ByCalls(service, "p1", 1), ByCalls(service, "p1", 2)
-        await old.settle()
-        await new.settle()
+def test_requests_of_an_ended_session_are_rejected_and_a_newer_session_accepted(tmp_path: Path) -> None:
+    async def scenario(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
+        earlier, later = DiscoveryClient(service, "p1", 1), DiscoveryClient(service, "p1", 2)
+        await earlier.acknowledge_all()
+        await later.acknowledge_all()
         assert service.intake.sessions["p1"].term == 2
-        assert (await old.whole("eds")).status in (409, 503)  # on its old connection
-        late = ByCalls(service, "p1", 1)
-        assert (await late.whole("eds")).status == 409  # and on a new one
-        for each in (old, new, late):
-            await each.close()
+        assert (await earlier.request_full_state("eds")).status in (409, 503)  # on its existing connection
+        reconnected = DiscoveryClient(service, "p1", 1)
+        assert (await reconnected.request_full_state("eds")).status == 409  # and on a new connection
+        for proxy in (earlier, later, reconnected):
+            await proxy.close()
 
-    directed(tmp_path, play)
+    run_controller(tmp_path, scenario)
 
 
-def test_proxy_whose_call_waits_is_not_silent_and_one_without_calls_is(tmp_path: Path) -> None:
-    """Guards against proxies that lose their tables while their calls wait and no report of theirs counts."""
+def test_proxy_with_a_waiting_request_is_not_silent_and_one_without_requests_is(tmp_path: Path) -> None:
+    """Guards against proxies that lose their tables while requests wait and no report of theirs counts."""
 
-    async def play(service: Service, _discovery: FakeDiscovery, log: RecordingLog) -> None:
-        proxy = ByCalls(service, "p1")
+    async def scenario(service: Service, _discovery: FakeDiscovery, log: RecordingLog) -> None:
+        proxy = DiscoveryClient(service, "p1")
 
         async def follow(kind: str) -> None:
             version = nonce = ""
             while True:
-                reply = await proxy.whole(kind, version, nonce)
+                reply = await proxy.request_full_state(kind, version, nonce)
                 assert reply.status == 200
                 response = decode(reply.body, forms.DiscoveryResponse)
                 version, nonce = response.version_info, response.nonce
@@ -650,94 +680,100 @@
         await wait_until(lambda: "proxy left" in log.texts())
         assert [parts["reason"][:6] for _, text, parts in log.rows if text == "proxy left"] == ["silent"]
 
-    directed(tmp_path, play, proxy_lost_after_ms=LOST_AFTER_S * 1000, wait_ms=10_000)
+    run_controller(tmp_path, scenario, proxy_lost_after_ms=LOST_AFTER_S * 1000, wait_ms=10_000)
 
 
-def test_a_proxy_that_asks_too_often_is_given_up_at_once_and_told_when_to_come_back(tmp_path: Path) -> None:
-    async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
-        one, two = ByCalls(service, "p1"), ByCalls(service, "p2")
-        await one.settle(1)
-        loads = b"/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats"
+def test_proxy_over_its_request_rate_is_rejected_with_a_retry_after_header(tmp_path: Path) -> None:
+    async def scenario(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
+        proxy, other_proxy = DiscoveryClient(service, "p1"), DiscoveryClient(service, "p2")
+        await proxy.acknowledge_all(1)
+        load_report_path = b"/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats"
         replies = []
-        for _ in range(40):  # on one connection its answers would come no sooner than reports are due
-            other = ByCalls(service, "p1")
-            replies.append(await other.post(loads, encode(forms.LoadStatsRequest(one.node))))
-            await other.close()
-        refused = [reply for reply in replies if reply.status == 429]
-        assert refused and all(int(reply.header(b"retry-after") or 0) >= 1 for reply in refused)
-        assert (await two.post(loads, encode(forms.LoadStatsRequest(two.node)))).status == 400  # not here yet
-        assert len(await two.settle()) == 3
-        await one.close()
-        await two.close()
-
-    directed(tmp_path, play, asks_per_s=20, asks_burst=15)
-
-
-def test_a_refused_table_is_held_for_that_proxy_and_a_corrected_one_comes(tmp_path: Path) -> None:
-    async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
-        one = ByCalls(service, "p1")
-        got = await one.settle()
+        for _ in range(40):  # new connections: a single one delays responses until reports are due
+            client = DiscoveryClient(service, "p1")
+            replies.append(await client.post(load_report_path, encode(forms.LoadStatsRequest(proxy.node))))
+            await client.close()
+        rejected = [reply for reply in replies if reply.status == 429]
+        assert rejected and all(int(reply.header(b"retry-after") or 0) >= 1 for reply in rejected)
+        assert (
+            await other_proxy.post(load_report_path, encode(forms.LoadStatsRequest(other_proxy.node)))
+        ).status == 400  # it has not joined yet
+        assert len(await other_proxy.acknowledge_all()) == 3
+        await proxy.close()
+        await other_proxy.close()
+
+    run_controller(tmp_path, scenario, asks_per_s=20, asks_burst=15)
+
+
+def test_rejected_table_is_not_sent_again_and_a_corrected_one_is(tmp_path: Path) -> None:
+    async def scenario(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
+        proxy = DiscoveryClient(service, "p1")
+        responses = await proxy.acknowledge_all()
         discovery.hosts["b"], discovery.index = True, 2
-        reply = await one.whole("eds", got["eds"].version_info, got["eds"].nonce)
+        reply = await proxy.request_full_state("eds", responses["eds"].version_info, responses["eds"].nonce)
         while reply.status != 200:
-            reply = await one.whole("eds", got["eds"].version_info)
-        bad = decode(reply.body, forms.DiscoveryResponse)
-        reply = await one.whole("eds", got["eds"].version_info, bad.nonce, "I do not like it")
-        seen = [reply.status]
+            reply = await proxy.request_full_state("eds", responses["eds"].version_info)
+        rejected = decode(reply.body, forms.DiscoveryResponse)
+        reply = await proxy.request_full_state(
+            "eds", responses["eds"].version_info, rejected.nonce, "I do not like it"
+        )
+        statuses = [reply.status]
         for _ in range(3):
-            reply = await one.whole("eds", got["eds"].version_info)
-            seen.append(reply.status)
+            reply = await proxy.request_full_state("eds", responses["eds"].version_info)
+            statuses.append(reply.status)
             if reply.status == 200:
-                now = decode(reply.body, forms.DiscoveryResponse)
-                assert now.resources != bad.resources  # never the same content again
+                response = decode(reply.body, forms.DiscoveryResponse)
+                assert response.resources != rejected.resources  # never the same content again
         assert "update rejected by proxy" in log.texts("warning")
         discovery.hosts["b"], discovery.hosts["c"], discovery.index = False, True, 3
-        while reply.status != 200 or "c" in hosts_of(decode(reply.body, forms.DiscoveryResponse)):
-            reply = await one.whole("eds", got["eds"].version_info)
-        await one.close()
+        while reply.status != 200 or "c" in active_endpoints(decode(reply.body, forms.DiscoveryResponse)):
+            reply = await proxy.request_full_state("eds", responses["eds"].version_info)
+        await proxy.close()
 
-    directed(tmp_path, play)
+    run_controller(tmp_path, scenario)
 
 
-def test_a_draining_director_ends_waits_with_a_reason_and_when_to_come_back(tmp_path: Path) -> None:
-    async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
-        one = ByCalls(service, "p1")
-        got = await one.settle()
+def test_draining_controller_ends_waiting_requests_with_a_reason_and_retry_after(tmp_path: Path) -> None:
+    async def scenario(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
+        proxy = DiscoveryClient(service, "p1")
+        responses = await proxy.acknowledge_all()
         (tmp_path / "d" / "drain").write_bytes(b"")
         reply = Reply(304)
         while reply.status in (200, 304):
-            reply = await one.whole("eds", got["eds"].version_info)
+            reply = await proxy.request_full_state("eds", responses["eds"].version_info)
         assert reply.status == 503 and b"drains" in reply.body and reply.header(b"retry-after")
-        await one.close()
+        await proxy.close()
 
-    directed(tmp_path, play)
+    run_controller(tmp_path, scenario)
 
 
-def test_operators_see_who_runs_what_and_why_not(tmp_path: Path) -> None:
-    async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
-        one = ByCalls(service, "p1")
-        got = await one.settle()
+def test_versions_command_shows_acknowledged_and_rejected_versions(tmp_path: Path) -> None:
+    async def scenario(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
+        proxy = DiscoveryClient(service, "p1")
+        responses = await proxy.acknowledge_all()
         discovery.hosts["b"], discovery.index = True, 2
-        reply = await one.whole("eds", got["eds"].version_info, got["eds"].nonce)
+        reply = await proxy.request_full_state("eds", responses["eds"].version_info, responses["eds"].nonce)
         while reply.status != 200:
-            reply = await one.whole("eds", got["eds"].version_info)
-        bad = decode(reply.body, forms.DiscoveryResponse)
-        await one.whole("eds", got["eds"].version_info, bad.nonce, "I do not like it")
+            reply = await proxy.request_full_state("eds", responses["eds"].version_info)
+        rejected = decode(reply.body, forms.DiscoveryResponse)
+        await proxy.request_full_state(
+            "eds", responses["eds"].version_info, rejected.nonce, "I do not like it"
+        )
         await trio.sleep(0.3)
-        shown = CliRunner().invoke(main, ["versions", str(tmp_path / "records")]).output
-        assert "1 proxies are here: 1 cds acknowledged" in shown and "1 rds acknowledged" in shown
-        shown = CliRunner().invoke(main, ["versions", str(tmp_path / "records"), "--proxy", "p1"]).output
-        assert "refused" in shown and "I do not like it" in shown
-        await one.close()
+        output = CliRunner().invoke(main, ["versions", str(tmp_path / "records")]).output
+        assert "1 proxies are here: 1 cds acknowledged" in output and "1 rds acknowledged" in output
+        output = CliRunner().invoke(main, ["versions", str(tmp_path / "records"), "--proxy", "p1"]).output
+        assert "refused" in output and "I do not like it" in output
+        await proxy.close()
 
-    directed(tmp_path, play)
+    run_controller(tmp_path, scenario)
     assert CliRunner().invoke(main, ["versions", str(tmp_path / "none")]).exit_code == 2
 
 
-def test_a_front_without_credentials_does_not_start(tmp_path: Path) -> None:
-    async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
-        raise AssertionError("it started")
+def test_discovery_server_without_credentials_does_not_start(tmp_path: Path) -> None:
+    async def scenario(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
+        raise AssertionError("the controller started")
 
     with pytest.raises(BaseExceptionGroup) as caught:
-        directed(tmp_path, play, credentials="")
+        run_controller(tmp_path, scenario, credentials="")
     assert caught.group_contains(CredentialError)
