--- a/willowhook/front/discovery.py
+++ b/willowhook/front/discovery.py
@@ -141,63 +141,67 @@
 
     # Requests.
 
-    async def handle_request(self, line: Line, call: Call) -> Reply | Waiting:
+    async def handle_request(self, connection: Line, http_request: Call) -> Reply | Waiting:
         """Answers a request, or returns that it waits."""
-        authenticated_name = self._identity.authenticate(call.headers, line.peer)
+        authenticated_name = self._identity.authenticate(http_request.headers, connection.peer)
         if authenticated_name is None:
             return error_response(401, 16, "no credential that is known", 0, True)
-        path, state = call.target.split(b"?")[0], line.state
+        path, state = http_request.target.split(b"?")[0], connection.state
         if state is None:
-            state = line.state = ConnectionState()
+            state = connection.state = ConnectionState()
         kind, is_full_state = FULL_STATE_PATHS.get(path, ""), path in FULL_STATE_PATHS
         kind = kind or DELTA_PATHS.get(path, "")
         if not kind and path != LOAD_REPORT_PATH:
             return error_response(404, 12, "no method of this path")
-        if call.method != b"POST":
+        if http_request.method != b"POST":
             return error_response(405, 12, "POST it")
         try:
-            return await self._handle_message(line, state, call, authenticated_name, kind, is_full_state)
+            return await self._handle_message(
+                connection, state, http_request, authenticated_name, kind, is_full_state
+            )
         except MessageFormatError as error:
             return error_response(400, 3, str(error)[:300])
 
     async def _handle_message(
         self,
-        line: Line,
+        connection: Line,
         state: ConnectionState,
-        call: Call,
+        http_request: Call,
         authenticated_name: str,
         kind: str,
         is_full_state: bool,
     ) -> Reply | Waiting:
         if not kind:
-            report = decode(call.body, forms.LoadStatsRequest)
-            if (rejection := self._check_node(line, state, report.node, authenticated_name)) is not None:
+            report = decode(http_request.body, forms.LoadStatsRequest)
+            if (
+                rejection := self._check_node(connection, state, report.node, authenticated_name)
+            ) is not None:
                 return rejection
-            return await self._handle_report(line, call)
+            return await self._handle_report(connection, http_request)
         message: forms.DiscoveryRequest | forms.DeltaDiscoveryRequest
         if is_full_state:
-            message = decode(call.body, forms.DiscoveryRequest)
+            message = decode(http_request.body, forms.DiscoveryRequest)
         else:
-            message = decode(call.body, forms.DeltaDiscoveryRequest)
-        if (rejection := self._check_node(line, state, message.node, authenticated_name)) is not None:
+            message = decode(http_request.body, forms.DeltaDiscoveryRequest)
+        if (rejection := self._check_node(connection, state, message.node, authenticated_name)) is not None:
             return rejection
         if message.type_url not in ("", forms.TYPE_URLS[kind]):
             return error_response(
                 400, 3, f"type_url is {message.type_url[:80]!r}, not {forms.TYPE_URLS[kind]!r}"
             )
         is_first = kind not in state.kinds
-        if (rejection := await self._check_session(line.proxy, state, message, is_first)) is not None:
+        if (rejection := await self._check_session(connection.proxy, state, message, is_first)) is not None:
             return rejection
         state.kinds[kind] = None
         session = state.session
         assert session is not None
-        self._backend.record_request(line.proxy)
+        self._backend.record_request(connection.proxy)
         response = session.handle_request(self._resource_request(message, kind, is_first))
         await self._backend.flush_events()
         self.notify_session(session)  # this request may have made an update of another type available
-        encoding = choose_encoding(call.headers.get(b"accept-encoding", b""))
-        request = WaitingRequest(session, line.proxy, kind, is_full_state, encoding)
-        if self._backend.is_redirected(line.proxy):
+        encoding = choose_encoding(http_request.headers.get(b"accept-encoding", b""))
+        request = WaitingRequest(session, connection.proxy, kind, is_full_state, encoding)
+        if self._backend.is_redirected(connection.proxy):
             return self._draining_response()
         if response is not None:
             self._end_waiting(session, kind, "superseded by a later request")
@@ -205,7 +209,7 @@
         return self._wait(request)
 
     def _check_node(
-        self, line: Line, state: ConnectionState, node: forms.Node, authenticated_name: str
+        self, connection: Line, state: ConnectionState, node: forms.Node, authenticated_name: str
     ) -> Reply | None:
         """Binds the connection to the proxy that its node and credential name; returns an error otherwise.
 
@@ -220,13 +224,13 @@
         if state.node is None:
             return error_response(400, 3, "node: the first call of a connection has it")
         name = authenticated_name or state.node.id
-        if name == line.proxy:
+        if name == connection.proxy:
             return None
-        if line.proxy:
-            return error_response(403, 7, f"this connection is of {line.proxy!r}", 0, True)
+        if connection.proxy:
+            return error_response(403, 7, f"this connection is of {connection.proxy!r}", 0, True)
         if not self._gate.try_assign(name):
             return error_response(429, 8, "too many connections of one proxy", self._retry_after_s, True)
-        line.proxy = name
+        connection.proxy = name
         return None
 
     async def _check_session(
@@ -301,20 +305,20 @@
         """Sets how often proxies are to send load reports; each learns it with its next response."""
         self._report_interval_s = interval_s
 
-    async def _handle_report(self, line: Line, call: Call) -> Reply:
-        wait = self._gate.acquire(monotonic_ticks(), line.proxy)
+    async def _handle_report(self, connection: Line, http_request: Call) -> Reply:
+        wait = self._gate.acquire(monotonic_ticks(), connection.proxy)
         if wait:
             return error_response(429, 8, "too many calls", wait / TICKS_PER_SECOND)
-        if self._backend.session_state(line.proxy) is None:
+        if self._backend.session_state(connection.proxy) is None:
             return error_response(400, 9, "ask for resources first")
-        await self._backend.submit_report(line.proxy, call.body)
+        await self._backend.submit_report(connection.proxy, http_request.body)
         # slows down a proxy that reports far too often: its response is delayed until a report is almost due
         now = monotonic_ticks()
-        due = line.reported_at + round(self._report_interval_s * TICKS_PER_SECOND * 0.75)
-        wait = due - now if line.reported_at >= 0 else 0
+        due = connection.reported_at + round(self._report_interval_s * TICKS_PER_SECOND * 0.75)
+        wait = due - now if connection.reported_at >= 0 else 0
         if wait > 0:
             await trio.sleep(min(wait / TICKS_PER_SECOND, MAX_REPORT_DELAY_S))
-        line.reported_at = monotonic_ticks()
+        connection.reported_at = monotonic_ticks()
         return Reply(
             200,
             [JSON_CONTENT_TYPE],
@@ -425,9 +429,9 @@
                         request.waiting.wake.set()
                 await trio.lowlevel.checkpoint()
 
-    def handle_connection_closed(self, line: Line) -> None:
+    def handle_connection_closed(self, connection: Line) -> None:
         """Tells the session that a connection has ended: a response in flight may have arrived or not."""
-        state: ConnectionState | None = line.state
+        state: ConnectionState | None = connection.state
         if state is not None and state.session is not None:
             for kind in state.kinds:
                 state.session.handle_connection_lost(kind)
--- a/willowhook/front/serve.py
+++ b/willowhook/front/serve.py
@@ -109,7 +109,7 @@
 
     async def serve(self, stream: trio.abc.Stream) -> None:
         """Serves one connection until it ends, and closes it."""
-        line = Line(getattr(getattr(stream, "socket", None), "getpeername", lambda: None)())
+        connection = Line(getattr(getattr(stream, "socket", None), "getpeername", lambda: None)())
         protocol = h11.Connection(h11.SERVER)
         if not self.gate.try_open():
             try:
@@ -120,17 +120,19 @@
                 await trio.aclose_forcefully(stream)
             return
         try:
-            while await self._serve_request(stream, protocol, line):
+            while await self._serve_request(stream, protocol, connection):
                 protocol.start_next_cycle()
         except (trio.BrokenResourceError, trio.ClosedResourceError, h11.ProtocolError):
             return  # the client disconnected, so no response can be sent
         finally:
-            self.gate.release(line.proxy)
-            self.on_closed(line)
+            self.gate.release(connection.proxy)
+            self.on_closed(connection)
             with trio.CancelScope(shield=True):
                 await trio.aclose_forcefully(stream)
 
-    async def _serve_request(self, stream: trio.abc.Stream, protocol: h11.Connection, line: Line) -> bool:
+    async def _serve_request(
+        self, stream: trio.abc.Stream, protocol: h11.Connection, connection: Line
+    ) -> bool:
         """Receives and answers one request; returns whether another may follow on the connection."""
         request = await self._receive_request(stream, protocol)
         if request is None:
@@ -139,8 +141,8 @@
             self.malformed_requests += 1
             await self._send(stream, protocol, request)
             return False
-        line.calls += 1
-        response = await self.handler(line, request)
+        connection.calls += 1
+        response = await self.handler(connection, request)
         if isinstance(response, Waiting):
             try:
                 late_response = await self._wait(stream, protocol, response)
--- a/willowhook/xds/tables.py
+++ b/willowhook/xds/tables.py
@@ -69,14 +69,21 @@
     """Returns the entries of a table. Raises MessageFormatError at an entry that no proxy could use."""
     entries = []
     for group in table.endpoints:
-        for row in group.lb_endpoints:
-            socket = row.endpoint.address.socket_address
+        for lb_endpoint in group.lb_endpoints:
+            socket = lb_endpoint.endpoint.address.socket_address
             if socket is None or not socket.address or not 0 < socket.port_value < 65536:
-                raise MessageFormatError(f"{table.cluster_name}: {row.endpoint.hostname!r} has no address")
-            if not 0 < row.load_balancing_weight <= MAX_UINT32:
-                raise MessageFormatError(f"{table.cluster_name}: {row.endpoint.hostname!r} has no weight")
-            name = row.endpoint.hostname or f"{socket.address}:{socket.port_value}"
-            weight, draining = row.load_balancing_weight / SCALE, row.health_status == forms.DRAINING
+                raise MessageFormatError(
+                    f"{table.cluster_name}: {lb_endpoint.endpoint.hostname!r} has no address"
+                )
+            if not 0 < lb_endpoint.load_balancing_weight <= MAX_UINT32:
+                raise MessageFormatError(
+                    f"{table.cluster_name}: {lb_endpoint.endpoint.hostname!r} has no weight"
+                )
+            name = lb_endpoint.endpoint.hostname or f"{socket.address}:{socket.port_value}"
+            weight, draining = (
+                lb_endpoint.load_balancing_weight / SCALE,
+                lb_endpoint.health_status == forms.DRAINING,
+            )
             entries.append((name, socket.address, socket.port_value, group.locality.zone, weight, draining))
     return entries
 
@@ -85,10 +92,10 @@
     """Returns the priority of each endpoint, in the order of `lines`."""
     priority_by_endpoint = {}
     for group in table.endpoints:
-        for row in group.lb_endpoints:
-            socket = row.endpoint.address.socket_address
+        for lb_endpoint in group.lb_endpoints:
+            socket = lb_endpoint.endpoint.address.socket_address
             default_name = f"{socket.address}:{socket.port_value}" if socket is not None else ""
-            priority_by_endpoint[row.endpoint.hostname or default_name] = group.priority
+            priority_by_endpoint[lb_endpoint.endpoint.hostname or default_name] = group.priority
     return priority_by_endpoint
 
 
