--- a/willowhook/decisions/controller.py
+++ b/willowhook/decisions/controller.py
@@ -222,7 +222,7 @@
         if self.solver.step(now):
             self._locality.rebalance_all(now)
             self._binder.stop_holding_back()
-        if self.solver.takes_changes(now):
+        if self.solver.should_send_changes(now):
             self.updater.has_changes = True
 
     def _record_endpoint_report(self, now: int, report: EndpointReport) -> None:
--- a/willowhook/decisions/fleet.py
+++ b/willowhook/decisions/fleet.py
@@ -59,7 +59,7 @@
         """Whether a proxy is still bound to tables of a subset."""
         return any(subset is not None for subset in self.subset_of.values())
 
-    def is_without_open_entry(self, table: EndpointTable) -> bool:
+    def has_only_excluded_entries(self, table: EndpointTable) -> bool:
         """Whether no entry of a table is for an endpoint that proxies may use."""
         return all(self.endpoints[name].is_excluded for name in table.entries)
 
--- a/willowhook/decisions/table_updates.py
+++ b/willowhook/decisions/table_updates.py
@@ -120,7 +120,7 @@
         """Fills tables with no open entry: before a proxy is bound to them, or when their endpoints went."""
         for table in self._fleet.tables:
             may_send = self._channel.can_message(now, self._fleet.users(table))
-            if may_send and self._fleet.is_without_open_entry(table):
+            if may_send and self._fleet.has_only_excluded_entries(table):
                 if table.entries:
                     table.members = []  # a subset table whose endpoints are all gone may use any
                 self._locality.rebalance(now, table)
@@ -173,7 +173,7 @@
         traffic = self._traffic_fraction(table, users)
         threshold = self._change_threshold(len(users), len(weights), traffic)
         # a table without a usable endpoint waits for nothing, nor does one under load shedding
-        is_needed = self._fleet.is_without_open_entry(table) or self._admission.is_shedding
+        is_needed = self._fleet.has_only_excluded_entries(table) or self._admission.is_shedding
         changes: list[WeightChange] = []
         for name, weight in weights.items():
             old = table.entries.get(name, 0.0)
--- a/willowhook/decisions/weight_solver.py
+++ b/willowhook/decisions/weight_solver.py
@@ -44,7 +44,7 @@
             self._next_changes_at = now
         return is_done
 
-    def takes_changes(self, now: int) -> bool:
+    def should_send_changes(self, now: int) -> bool:
         """Whether to send changed weights now: after each step, or as often while no step is possible."""
         if now < self._next_changes_at:
             return False
