--- a/willowhook/decisions/exclusions.py
+++ b/willowhook/decisions/exclusions.py
@@ -24,7 +24,7 @@
 from .context import ControllerContext
 from .model import Endpoint, EndpointTable
 from .pending_binds import PendingBinds
-from .queue_limits import EXCLUSION_GATHER_DIVISOR
+from .queue_limits import EXCLUSION_BATCH_DIVISOR
 from .slow_start import SlowStart
 from .table_updates import TableUpdater
 from .timing import urgent_after_ticks
@@ -149,7 +149,7 @@
         """Whether exclusions wait a little for more: a message costs more than its entry."""
         waiting = [endpoint for endpoint in due if not endpoint.is_excluded]
         age_ticks = max((now - self._changed[endpoint.name] for endpoint in waiting), default=0)
-        gatherings = age_ticks * EXCLUSION_GATHER_DIVISOR // self._fleet.settings.rules.drain_grace_ticks
+        gatherings = age_ticks * EXCLUSION_BATCH_DIVISOR // self._fleet.settings.rules.drain_grace_ticks
         if gatherings < 1:
             return True
         if self._fits(self._cost_at_most(waiting)):
--- a/willowhook/decisions/queue_limits.py
+++ b/willowhook/decisions/queue_limits.py
@@ -12,7 +12,7 @@
 EXCLUSION_FRACTION = 0.95  # share of the queue's limit that exclusions may fill
 TABLE_FRACTION = 0.4  # share of the queue's limit that table updates may fill
 BIND_DIVISOR = 3  # binds may fill this part of the limit, or of what can leave within the grace
-EXCLUSION_GATHER_DIVISOR = 8  # while the queue is long, exclusions gather for this part of the grace
+EXCLUSION_BATCH_DIVISOR = 8  # while the queue is long, exclusions gather for this part of the grace
 REMINDER_DIVISOR = 4  # proxies that wait for this part of the grace are sent earlier exclusions
 CALM_FRACTION = 0.5  # share of the limit for binds below which tables may be sent for their own sake
 
@@ -44,7 +44,7 @@
 
     def for_table_updates(self) -> float:
         """For weights: the next exclusions must still reach all proxies within the grace."""
-        gathering = self._grace_ticks / EXCLUSION_GATHER_DIVISOR
+        gathering = self._grace_ticks / EXCLUSION_BATCH_DIVISOR
         in_time = self._grace_ticks - gathering - self._settings.max_delay_ticks
         reach = self._channel.entries_per_tick * in_time
         reach -= len(self._fleet.proxies) * (self._channel.overhead_entries + 1)
