--- a/tests/platform_fixtures.py
+++ b/tests/platform_fixtures.py
@@ -37,7 +37,7 @@
     return {**entry, **replaced}
 
 
-class PlainProxy:
+class ReferenceProxy:
     """A proxy that applies updates exactly as the protocol's specification says."""
 
     def __init__(self, route_names: list[str]) -> None:
--- a/tests/soak_peers.py
+++ b/tests/soak_peers.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 import trio
-from platform_fixtures import MAX_PARTS, PlainProxy
+from platform_fixtures import MAX_PARTS, ReferenceProxy
 from platform_process import ATTACH
 
 from willowhook.platform.fields import Fields
@@ -61,7 +61,7 @@
     _last_marker: int = 0
 
     def __post_init__(self) -> None:
-        self.plain = PlainProxy(self.routes)
+        self.plain = ReferenceProxy(self.routes)
         self._is_fresh = True
         self._parts: list[Fields] = []
         self._sending = trio.Lock()
--- a/tests/test_platform_proxy_updates.py
+++ b/tests/test_platform_proxy_updates.py
@@ -7,7 +7,7 @@
 from builders import SECOND, SETTINGS, settings_with
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
-from platform_fixtures import PlainProxy
+from platform_fixtures import ReferenceProxy
 
 from willowhook.decisions.controller import Controller
 from willowhook.decisions.events import (
@@ -57,7 +57,7 @@
     """What the proxies should hold after a script of commands."""
 
     def __init__(self) -> None:
-        self.proxies = {number: PlainProxy(ROUTE_NAMES) for number in range(3)}
+        self.proxies = {number: ReferenceProxy(ROUTE_NAMES) for number in range(3)}
         self.updates = ProxyUpdates(SETTINGS, lambda proxy, update: self.proxies[proxy].apply(update.frames))
         self.bound: dict[int, dict[int, int]] = {number: {} for number in self.proxies}
         self.tables: dict[int, dict[str, float]] = {number: {} for number in range(3)}
@@ -89,7 +89,7 @@
     def reconnect(self, number: int) -> None:
         self.updates.close_session(number)
         self.updates.open_session(number, True)
-        self.proxies[number] = PlainProxy(ROUTE_NAMES)
+        self.proxies[number] = ReferenceProxy(ROUTE_NAMES)
         self.bound[number] = {}
 
     def set_weight(self, table: int, endpoint: str, weight: float) -> None:
@@ -160,7 +160,7 @@
 
     def __init__(self, deployment: DeploymentSettings) -> None:
         route_names = [route.name for route in deployment.routes]
-        self.proxies = {number: PlainProxy(route_names) for number in range(6)}
+        self.proxies = {number: ReferenceProxy(route_names) for number in range(6)}
         self.sent_entries = 0
         super().__init__(deployment, self.count)
 
