--- a/tests/controlplane_fixtures.py
+++ b/tests/controlplane_fixtures.py
@@ -18,7 +18,7 @@
 from willowhook.controlplane.update_sinks import FileUpdateSink
 from willowhook.files.swap import Shelf
 from willowhook.records.writer import Records
-from willowhook.roster.forms import Host
+from willowhook.roster.forms import DiscoveredEndpoint
 from willowhook.versions.resources import ResourceStore, first_era
 
 SETTINGS = deployment_settings(EXAMPLE)
@@ -125,7 +125,10 @@
         self.publisher = Publisher(
             EXAMPLE, self.settings, self.listener, self.records, log, renderer, 1, self.book
         )
-        hosts = [Host(name, "127.0.0.1", 80 + ord(name), False, 0.0, 1.0, "", "", "north") for name in "abc"]
+        hosts = [
+            DiscoveredEndpoint(name, "127.0.0.1", 80 + ord(name), False, 0.0, 1.0, "", "", "north")
+            for name in "abc"
+        ]
         self.publisher.validation.update_endpoints(0, hosts, lambda host: 0)
         self.session = self.join(0)
 
--- a/tests/test_config_and_roster.py
+++ b/tests/test_config_and_roster.py
@@ -13,10 +13,10 @@
 from click.testing import CliRunner
 
 from willowhook.cli.main import main
-from willowhook.config.check import TermsError, read_terms, schema
+from willowhook.config.check import ConfigError, parse_config, schema
 from willowhook.config.example import EXAMPLE
-from willowhook.roster.forms import Cursor, RosterError, read_hosts
-from willowhook.roster.reader import Roster
+from willowhook.roster.forms import BlockingQueryIndex, DiscoveryError, parse_endpoints
+from willowhook.roster.reader import DiscoveryClient
 from willowhook.web.wire import Call, Reply, serve_connection
 
 GOOD = json.loads(msgspec.json.encode(EXAMPLE))
@@ -39,7 +39,7 @@
 
 
 def test_the_example_is_good_by_the_check_and_by_the_schema() -> None:
-    assert read_terms(json.dumps(GOOD).encode()) == EXAMPLE
+    assert parse_config(json.dumps(GOOD).encode()) == EXAMPLE
     jsonschema.validate(GOOD, schema())
     with pytest.raises(jsonschema.ValidationError):
         jsonschema.validate(json.loads(changed("channel.lines_per_s", 0)), schema())
@@ -72,15 +72,15 @@
     ],
 )
 def test_each_fault_is_told_with_its_place_and_cause(place: str, value: Any, told: tuple[str, str]) -> None:
-    with pytest.raises(TermsError) as caught:
-        read_terms(changed(place, value))
-    assert any(at == told[0] and told[1] in cause for at, cause in caught.value.faults), caught.value.faults
+    with pytest.raises(ConfigError) as caught:
+        parse_config(changed(place, value))
+    assert any(at == told[0] and told[1] in cause for at, cause in caught.value.errors), caught.value.errors
 
 
 @pytest.mark.parametrize("data", [b"", b"{", b"\xff", b'{"name": 1, "name": 2}', b"[" * 100_000, b"3"])
 def test_what_is_no_configuration_is_told(data: bytes) -> None:
-    with pytest.raises(TermsError, match=r"\$"):
-        read_terms(data)
+    with pytest.raises(ConfigError, match=r"\$"):
+        parse_config(data)
 
 
 def test_the_command_names_file_place_and_cause(tmp_path: Any) -> None:
@@ -105,8 +105,8 @@
 def test_entries_become_hosts() -> None:
     draining = {**entry(ID="b"), "Checks": [{"CheckID": "_service_maintenance:b", "Status": "critical"}]}
     sick = {**entry(ID="c"), "Checks": [{"CheckID": "http", "Status": "critical"}]}
-    hosts = read_hosts(json.dumps([entry(), draining, sick]).encode())
-    shown = [(h.id, h.draining, h.started, h.zone, h.kind) for h in hosts]
+    hosts = parse_endpoints(json.dumps([entry(), draining, sick]).encode())
+    shown = [(h.id, h.draining, h.started, h.zone, h.endpoint_class) for h in hosts]
     assert shown == [(name, name == "b", 3.5, "north", "wide") for name in "abc"]
 
 
@@ -125,16 +125,16 @@
     ],
 )
 def test_a_list_that_lies_is_refused_whole(rows: Any, cause: str) -> None:
-    with pytest.raises(RosterError, match=cause):
-        read_hosts(json.dumps(rows).encode())
+    with pytest.raises(DiscoveryError, match=cause):
+        parse_endpoints(json.dumps(rows).encode())
 
 
 def test_an_index_that_goes_back_starts_again() -> None:
-    cursor = Cursor()
-    assert cursor.heard(b"7") and not cursor.heard(b"7") and cursor.heard(b"9")
-    assert cursor.heard(b"3") and cursor.index == 0
-    with pytest.raises(RosterError):
-        cursor.heard(None)
+    cursor = BlockingQueryIndex()
+    assert cursor.record_index(b"7") and not cursor.record_index(b"7") and cursor.record_index(b"9")
+    assert cursor.record_index(b"3") and cursor.index == 0
+    with pytest.raises(DiscoveryError):
+        cursor.record_index(None)
 
 
 def test_the_reader_waits_for_news_and_tells_of_every_failure() -> None:
@@ -159,24 +159,24 @@
                 partial(trio.serve_tcp, partial(serve_connection, answer=answer), 0)
             )
             port = listeners[0].socket.getsockname()[1]
-            roster = Roster(f"http://127.0.0.1:{port}/x", "tasks", 0.1, 0.15)
-            first = await roster.ask(True)
+            roster = DiscoveryClient(f"http://127.0.0.1:{port}/x", "tasks", 0.1, 0.15)
+            first = await roster.fetch(True)
             assert first is not None and first[0].id == "a" and asked[0] == b"/x/v1/health/service/tasks"
-            assert await roster.ask(False) is None and b"index=5&wait=0.1s" in asked[-1]
+            assert await roster.fetch(False) is None and b"index=5&wait=0.1s" in asked[-1]
             bodies["index"] = 6
-            assert await roster.ask(False) is not None
+            assert await roster.fetch(False) is not None
             for how, cause in (("stall", "no answer"), ("break", "no answer"), ("error", "status 500"),
                                ("bare", "X-Consul-Index")):  # fmt: skip
                 bodies["how"] = how
-                with pytest.raises(RosterError, match=cause):
-                    await roster.ask(False)
+                with pytest.raises(DiscoveryError, match=cause):
+                    await roster.fetch(False)
             bodies.update(how="html", index=8)
-            with pytest.raises(RosterError, match="not a list"):
-                await roster.ask(False)
+            with pytest.raises(DiscoveryError, match="not a list"):
+                await roster.fetch(False)
             bodies["how"] = "good"
-            assert await roster.ask(True) is not None
+            assert await roster.fetch(True) is not None
             nursery.cancel_scope.cancel()
-        with pytest.raises(RosterError, match="no answer"):
-            await roster.ask(True)
+        with pytest.raises(DiscoveryError, match="no answer"):
+            await roster.fetch(True)
 
     trio.run(play)
--- a/tests/test_controlplane_components.py
+++ b/tests/test_controlplane_components.py
@@ -20,11 +20,11 @@
 from willowhook.decisions.events import EndpointListLost, EvaluationDue
 from willowhook.membership.handoff import EndpointSums, Hint, Packet
 from willowhook.records.writer import Records, read_records
-from willowhook.roster.forms import Host
+from willowhook.roster.forms import DiscoveredEndpoint
 from willowhook.ticks import TICKS_PER_SECOND
 from willowhook.xds.codec import MessageFormatError
 
-ENDPOINT = Host("a", "127.0.0.1", 9000, False, 0.0, 1.0, "", "", "north", 0)
+ENDPOINT = DiscoveredEndpoint("a", "127.0.0.1", 9000, False, 0.0, 1.0, "", "", "north", 0)
 
 
 class ListLogger:
--- a/tests/test_nginx.py
+++ b/tests/test_nginx.py
@@ -13,14 +13,14 @@
 from hypothesis import strategies as st
 
 from willowhook.cli.main import main
-from willowhook.config.check import read_terms
+from willowhook.config.check import parse_config
 from willowhook.files.swap import read_group
 from willowhook.nginx.after import left_after
 from willowhook.nginx.locations import Location, Matcher, read_all
 from willowhook.nginx.syntax import Directive, Loader, SyntaxFault, parse, text_of
 from willowhook.nginx.upstreams import Retry, Upstream, passed_to, retry_of, upstream_of
 from willowhook.nginx.verdicts import CARRIED, DIFFERS, LEFT, REFUSED
-from willowhook.roster.forms import read_hosts
+from willowhook.roster.forms import parse_endpoints
 from willowhook.trial import nginx_check
 from willowhook.trial.corpus import Sample, samples, wrong
 from willowhook.xds import tables
@@ -280,14 +280,14 @@
 def test_what_is_made_passes_the_check_and_says_what_was_meant(tmp_path: Path) -> None:
     done, out = imported(tmp_path, A_CONF, "--mutating", "/submit-task", "--repeatable", "/api")
     assert done.exit_code == 0, done.output
-    terms = read_terms((out / "director.json").read_bytes())
-    hosts = {host.id: host for host in read_hosts((out / "hosts.json").read_bytes())}
-    assert [hosts[f"127.0.0.1:900{k}"].size for k in (1, 2, 4)] == [675, 225, 100]  # 9 to 1 in the split
+    terms = parse_config((out / "director.json").read_bytes())
+    hosts = {host.id: host for host in parse_endpoints((out / "hosts.json").read_bytes())}
+    assert [hosts[f"127.0.0.1:900{k}"].weight for k in (1, 2, 4)] == [675, 225, 100]  # 9 to 1 in the split
     assert hosts["127.0.0.1:9003"].tier == 1 and hosts["127.0.0.1:9005"].draining
     assert {host.tier for host in hosts.values()} == {0, 1}
     assert terms.fleet.weights == "nominal"
     for route in terms.routes:  # the kinds of a route name its hosts, and no others
-        named = {host.id[-4:] for host in hosts.values() if host.kind in route.kinds}
+        named = {host.id[-4:] for host in hosts.values() if host.endpoint_class in route.kinds}
         assert named in ({"9001", "9002", "9003"}, {"9004", "9005"}, {"9001", "9002", "9003", "9004", "9005"})
     place, files = read_group(str(out / "tables"))
     routes = tables.read_routes(files["rds.json"])[1][0].virtual_hosts[0].routes
--- a/tests/test_publisher.py
+++ b/tests/test_publisher.py
@@ -13,7 +13,7 @@
 from willowhook.controlplane.update_validator import MIN_HOLD_TICKS
 from willowhook.controlplane.update_writer import FIRST_REWRITE_TICKS
 from willowhook.decisions.update_cost import SYNC_MARKER_ENTRIES
-from willowhook.roster.forms import Host
+from willowhook.roster.forms import DiscoveredEndpoint
 from willowhook.ticks import TICKS_PER_SECOND
 from willowhook.validation.model import Candidate
 from willowhook.validation.verdict import Finding, Outcome, Rule, Verdict
@@ -228,7 +228,8 @@
     async def play() -> None:
         harness = PublisherHarness()
         hosts = [
-            Host(name, "127.0.0.1", 80 + ord(name), False, 0.0, 1.0, "", "", "north") for name in "abcdef"
+            DiscoveredEndpoint(name, "127.0.0.1", 80 + ord(name), False, 0.0, 1.0, "", "", "north")
+            for name in "abcdef"
         ]
         harness.publisher.validation.update_endpoints(0, hosts, lambda host: 1 if host.id == "c" else 0)
         harness.order({"a": 1.0, "b": 1.0, "c": 50.0})
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -18,7 +18,7 @@
 from click.testing import CliRunner
 
 from willowhook.cli.main import main
-from willowhook.config.check import read_terms
+from willowhook.config.check import parse_config
 from willowhook.records.states import States
 from willowhook.records.writer import read_records
 from willowhook.store.commit import Committer
@@ -94,7 +94,7 @@
 
 def configuration(data: bytes) -> Any:
     """All values, defaults too, as plain data."""
-    return json.loads(msgspec.json.encode(read_terms(data)))
+    return json.loads(msgspec.json.encode(parse_config(data)))
 
 
 def command(*arguments: str) -> tuple[int, bytes]:
--- a/willowhook/cli/commands.py
+++ b/willowhook/cli/commands.py
@@ -30,14 +30,14 @@
 
 def load_terms(path: str) -> Terms:
     """Reads a configuration; prints what is wrong with it and exits with code 2 if it cannot be used."""
-    from ..config.check import TermsError, read_terms
+    from ..config.check import ConfigError, parse_config
 
     try:
-        return read_terms(Path(path).read_bytes())
+        return parse_config(Path(path).read_bytes())
     except OSError as fault:
         click.echo(f"{path}: {fault.strerror}", err=True)
-    except TermsError as fault:
-        for place, cause in fault.faults:
+    except ConfigError as fault:
+        for place, cause in fault.errors:
             click.echo(f"{path}: {place}: {cause}", err=True)
     sys.exit(2)
 
--- a/willowhook/cli/imports.py
+++ b/willowhook/cli/imports.py
@@ -58,7 +58,7 @@
 
     Exit codes: 0, 1 if something is refused or (--diff) changes, 2 if it cannot be read or made.
     """
-    from ..config.check import TermsError
+    from ..config.check import ConfigError
     from ..nginx.diff import diff
     from ..nginx.explain import explain
     from ..nginx.plan import REFUSED, Asked, PlanFault
@@ -97,8 +97,8 @@
     except (SyntaxFault, PlanFault) as fault:
         click.echo(str(fault), err=True)
         sys.exit(2)
-    except TermsError as fault:
-        for place, cause in fault.faults:
+    except ConfigError as fault:
+        for place, cause in fault.errors:
             click.echo(f"what it would make: {place}: {cause}", err=True)
         sys.exit(2)
     except OSError as fault:
--- a/willowhook/config/check.py
+++ b/willowhook/config/check.py
@@ -15,31 +15,31 @@
 WORST = 4  # a channel is slower than it should be by this at times; a withdrawal must still fit the grace
 
 
-class TermsError(Exception):
+class ConfigError(Exception):
     """What is wrong with a configuration; `faults` are `(place, cause)`, in order."""
 
-    def __init__(self, faults: list[tuple[str, str]]) -> None:
-        super().__init__("; ".join(f"{place}: {cause}" for place, cause in faults))
-        self.faults = faults
+    def __init__(self, errors: list[tuple[str, str]]) -> None:
+        super().__init__("; ".join(f"{place}: {cause}" for place, cause in errors))
+        self.errors = errors
 
 
-def read_terms(data: bytes) -> Terms:
+def parse_config(data: bytes) -> Terms:
     """A whole configuration; raises TermsError with all that is wrong, not only the first."""
     try:
         top = json.loads(data, object_pairs_hook=_once)
     except (ValueError, RecursionError) as fault:
-        raise TermsError([("$", f"not JSON: {fault}")]) from fault
+        raise ConfigError([("$", f"not JSON: {fault}")]) from fault
     faults = list(_unknown(top, msgspec.json.schema(Terms), "$"))
     if faults:
-        raise TermsError(faults)
+        raise ConfigError(faults)
     try:
         terms = msgspec.convert(top, Terms)
     except msgspec.ValidationError as fault:
         cause, _, place = str(fault).partition(" - at `")
-        raise TermsError([(place.rstrip("`") or "$", cause)]) from fault
+        raise ConfigError([(place.rstrip("`") or "$", cause)]) from fault
     faults = list(_against_each_other(terms))
     if faults:
-        raise TermsError(faults)
+        raise ConfigError(faults)
     return terms
 
 
--- a/willowhook/config/deployment.py
+++ b/willowhook/config/deployment.py
@@ -36,7 +36,7 @@
     """
 
     route: int | None
-    terms: PathTerms | RouteTerms
+    config: PathTerms | RouteTerms
 
 
 def ordered_paths(terms: Terms) -> list[PathEntry]:
@@ -46,7 +46,7 @@
         paths.append(PathEntry(index, route))
         paths += [PathEntry(index, path) for path in route.more]
     paths += [PathEntry(None, path) for path in terms.closed]
-    return sorted(paths, key=lambda path: (path.terms.order, -len(path.terms.path)))
+    return sorted(paths, key=lambda path: (path.config.order, -len(path.config.path)))
 
 
 def deployment_settings(terms: Terms) -> DeploymentSettings:
--- a/willowhook/config/terms.py
+++ b/willowhook/config/terms.py
@@ -11,7 +11,7 @@
 from msgspec import Meta
 
 Positive = Annotated[float, Meta(gt=0)]
-AtLeast0 = Annotated[float, Meta(ge=0)]
+NonNegative = Annotated[float, Meta(ge=0)]
 Share = Annotated[float, Meta(gt=0, le=1)]
 Count = Annotated[int, Meta(ge=0, le=1_000_000)]
 Name = Annotated[str, Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9_.-]{0,63}$")]
@@ -19,11 +19,11 @@
 RoutePath = Annotated[str, Meta(min_length=1, max_length=1000)]
 
 
-class Part(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class ConfigSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """A part of the configuration."""
 
 
-class FileTerms(Part, frozen=True, kw_only=True):
+class FileTerms(ConfigSection, frozen=True, kw_only=True):
     """The folder through which the director and its proxies speak."""
 
     folder: str
@@ -35,7 +35,7 @@
     largest_report_bytes: Annotated[int, Meta(ge=1024, le=1 << 26)] = 1 << 20
 
 
-class RosterTerms(Part, frozen=True, kw_only=True):
+class RosterTerms(ConfigSection, frozen=True, kw_only=True):
     """Where the list of hosts comes from."""
 
     url: Annotated[str, Meta(pattern=r"^http://[^/ ]+(/[^ ]*)?$")]
@@ -49,7 +49,7 @@
 Order = Annotated[int, Meta(ge=0, le=100_000)]
 
 
-class PathTerms(Part, frozen=True, kw_only=True):
+class PathTerms(ConfigSection, frozen=True, kw_only=True):
     """Calls by their path, without arguments.
 
     `match`: the path and all that lies below it, the path alone, all that begins with it, or all that an
@@ -71,7 +71,7 @@
 Semantics = Literal["repeatable", "keyed", "mutating"]
 
 
-class RouteTerms(Part, frozen=True, kw_only=True):
+class RouteTerms(ConfigSection, frozen=True, kw_only=True):
     """A route: calls whose path is `path` or lies below it, and those of `more`."""
 
     name: Name
@@ -82,47 +82,47 @@
     more: tuple[PathTerms, ...] = ()
     hash_by: Annotated[str, Meta(pattern=r"^$|^source_ip$|^(header|cookie|query):[!-~]+$")] = ""  # a ring
     tries: Annotated[int, Meta(ge=0, le=3)] = 3  # no more are ordered, whatever is decided
-    most_per_s: AtLeast0 = 0  # calls at one proxy, as a cap on what is let in; 0: none
+    most_per_s: NonNegative = 0  # calls at one proxy, as a cap on what is let in; 0: none
     slo_time_ms: Positive
     time_limit_ms: Positive
     importance: Positive = 1
-    late_importance: AtLeast0 = 0
+    late_importance: NonNegative = 0
     semantics: Semantics = "mutating"
     group: Literal["", "all", "zone", "cell"] = ""
-    window_ms: AtLeast0 = 0
+    window_ms: NonNegative = 0
     writes: bool = False
     own_zone: bool = False
     zones: tuple[Name, ...] = ()
     kinds: tuple[Name, ...] = ()
 
 
-class ChannelTerms(Part, frozen=True, kw_only=True):
+class ChannelTerms(ConfigSection, frozen=True, kw_only=True):
     """What one director may send its proxies."""
 
     lines_per_s: Positive
     head_lines: Count = 6
     most_waiting_lines: Positive
-    late_ms: AtLeast0 = 20
-    late_most_ms: AtLeast0 = 200
+    late_ms: NonNegative = 20
+    late_most_ms: NonNegative = 200
     messages_most: Count = 0
     messages_over_ms: Positive = 10_000
-    order_price: AtLeast0 = 0.02
+    order_price: NonNegative = 0.02
 
 
-class RuleTerms(Part, frozen=True, kw_only=True):
+class RuleTerms(ConfigSection, frozen=True, kw_only=True):
     """The figures of the five rules."""
 
     bare_ms: Positive
     drain_grace_ms: Positive
-    ask_every_ms: AtLeast0 = 10_000
+    ask_every_ms: NonNegative = 10_000
     start_capacity: Share = 1
-    cold_ms: AtLeast0 = 0
+    cold_ms: NonNegative = 0
     fall_multiple: Positive = 4
     fall_ms: Positive = 2000
     gone_is_advice: bool = False
 
 
-class FleetTerms(Part, frozen=True, kw_only=True):
+class FleetTerms(ConfigSection, frozen=True, kw_only=True):
     """What the proxies and hosts are like."""
 
     proxies: Annotated[int, Meta(ge=1, le=65_000)]
@@ -136,20 +136,20 @@
     report_every_ms: Positive = 1000
     reports_per_s: Positive = 500
     dial_ms: Positive = 250
-    cross_zone_price: AtLeast0 = 0
+    cross_zone_price: NonNegative = 0
     load_reports: Literal["answers", "probe", "none"] = "answers"
     probe_path: Path = "/load"
     weights: Literal["none", "nominal", "rough", "live"] = "none"
 
 
-class RecordTerms(Part, frozen=True, kw_only=True):
+class RecordTerms(ConfigSection, frozen=True, kw_only=True):
     """The director's own record, from which later reports are made."""
 
     file: str = ""
     most_waiting: Annotated[int, Meta(ge=100, le=1_000_000)] = 20_000
 
 
-class GuardTerms(Part, frozen=True, kw_only=True):
+class GuardTerms(ConfigSection, frozen=True, kw_only=True):
     """The table guard, on the only way out."""
 
     mode: Literal["on", "shadow", "off"] = "on"  # shadow: what would be refused passes, and is told of
@@ -158,7 +158,7 @@
     capacity_calls_per_s: dict[str, Positive] = {}  # by kind of host, where it is known
 
 
-class RolloutTerms(Part, frozen=True, kw_only=True):
+class RolloutTerms(ConfigSection, frozen=True, kw_only=True):
     """When a content of a table stops going out, and who gets the next one first."""
 
     mode: Literal["after_refusal", "always", "never"] = "after_refusal"
@@ -170,7 +170,7 @@
     worse_share: Share = 0.05  # by which more of the canaries' calls may fail than of others
 
 
-class FrontTerms(Part, frozen=True, kw_only=True):
+class FrontTerms(ConfigSection, frozen=True, kw_only=True):
     """The front that answers proxies' calls; without `listen` there is none."""
 
     listen: Annotated[str, Meta(pattern=r"^$|^[^: ]+:[0-9]+$")] = ""  # ADDRESS:PORT
@@ -190,7 +190,7 @@
     cache_bytes: Annotated[int, Meta(ge=0, le=1 << 34)] = 64 << 20
 
 
-class IntakeTerms(Part, frozen=True, kw_only=True):
+class IntakeTerms(ConfigSection, frozen=True, kw_only=True):
     """How reports of proxies are taken in; the rate is `fleet.reports_per_s`."""
 
     half_life_ms: Positive = 2000  # what comes so much too late counts half
@@ -198,14 +198,14 @@
     share: Annotated[float, Meta(gt=0, le=0.9)] = 0.3  # of all time that may go to looking at reports
 
 
-class StoreTerms(Part, frozen=True, kw_only=True):
+class StoreTerms(ConfigSection, frozen=True, kw_only=True):
     """What a director keeps for its next life; without a folder nothing."""
 
     folder: str = ""
     lasts_ms: Positive = 10_000  # for so long what was met is of use after a restart
 
 
-class LinkTerms(Part, frozen=True, kw_only=True):
+class LinkTerms(ConfigSection, frozen=True, kw_only=True):
     """Links between directors, where an installation allows them; none is needed."""
 
     listen: Annotated[str, Meta(pattern=r"^$|^[^: ]+:[0-9]+$")] = ""  # ADDRESS:PORT
@@ -214,7 +214,7 @@
     lasts_ms: Positive = 10_000  # a hint is of use for so long
 
 
-class Terms(Part, frozen=True, kw_only=True):
+class Terms(ConfigSection, frozen=True, kw_only=True):
     """Everything that one director is told at its start."""
 
     name: Name
--- a/willowhook/controlplane/clock.py
+++ b/willowhook/controlplane/clock.py
@@ -5,7 +5,7 @@
 import time
 
 from ..clock import monotonic_ticks
-from ..roster.forms import Host
+from ..roster.forms import DiscoveredEndpoint
 from ..ticks import TICKS_PER_SECOND, ticks_from_seconds
 
 # Endpoints may have started before the machine booted: their start still has to be a positive time.
@@ -23,7 +23,7 @@
         """The current time in ticks."""
         return CLOCK_ORIGIN_TICKS + monotonic_ticks()
 
-    def start_of(self, endpoint: Host) -> int:
+    def start_of(self, endpoint: DiscoveredEndpoint) -> int:
         """When an endpoint's process started, in ticks of this clock; 0 if it is not known.
 
         A start is converted once, so a later step of the wall clock does not move it.
--- a/willowhook/controlplane/endpoint_directory.py
+++ b/willowhook/controlplane/endpoint_directory.py
@@ -10,7 +10,7 @@
 
 from ..decisions.events import EndpointEntry, EndpointListReceived, EndpointState
 from ..membership.priority_tiers import PriorityTiers, TieredEndpoint
-from ..roster.forms import Host
+from ..roster.forms import DiscoveredEndpoint
 from ..ticks import ticks_from_milliseconds
 from .context import ServiceContext
 from .resource_renderer import Address, ResourceRenderer
@@ -23,7 +23,7 @@
         self,
         context: ServiceContext,
         renderer: ResourceRenderer,
-        shown: Callable[[int, list[Host]], None],
+        shown: Callable[[int, list[DiscoveredEndpoint]], None],
     ) -> None:
         """Creates an empty directory.
 
@@ -37,8 +37,8 @@
         self._shown_to = shown
         slow_start_ticks = ticks_from_milliseconds(context.terms.rules.cold_ms)
         self._tiers = PriorityTiers(self, slow_start_ticks)
-        self._listed: Sequence[Host] = ()  # as service discovery lists them
-        self._shown: dict[str, Host] = {}  # as the decisions see them
+        self._listed: Sequence[DiscoveredEndpoint] = ()  # as service discovery lists them
+        self._shown: dict[str, DiscoveredEndpoint] = {}  # as the decisions see them
         self._has_tier_changes = False  # since the endpoints were shown
         self._names_by_address: dict[str, str] = {}
         self._pools_by_class: dict[str, tuple[str, ...]] = {}
@@ -46,7 +46,7 @@
 
     # The list.
 
-    def update(self, now: int, endpoints: Sequence[Host]) -> None:
+    def update(self, now: int, endpoints: Sequence[DiscoveredEndpoint]) -> None:
         """Handles a complete endpoint list and shows it."""
         addresses = {each.id: (each.address, each.port, each.zone) for each in endpoints}
         self._names_by_address.update({f"{each.address}:{each.port}": each.id for each in endpoints})
@@ -56,12 +56,13 @@
         self._listed = endpoints
         start_of = self._context.clock.start_of
         rows = [
-            TieredEndpoint(e.id, self._pools_of(e.kind), e.tier, e.draining, start_of(e)) for e in endpoints
+            TieredEndpoint(e.id, self._pools_of(e.endpoint_class), e.tier, e.draining, start_of(e))
+            for e in endpoints
         ]
         self._tiers.update_list(now, rows)
         self._show(now)
 
-    def _record(self, endpoints: Sequence[Host]) -> None:
+    def _record(self, endpoints: Sequence[DiscoveredEndpoint]) -> None:
         rows = [[each.id, "draining" if each.draining else "open", each.started] for each in endpoints]
         self._context.records.note(self._context.now(), "list", hosts=rows)
         memory = self._context.memory
@@ -82,7 +83,7 @@
             self._pools_by_class[endpoint_class] = tuple(dict.fromkeys(pools))
         return self._pools_by_class[endpoint_class]
 
-    def find(self, name: str) -> Host | None:
+    def find(self, name: str) -> DiscoveredEndpoint | None:
         """A listed endpoint as the decisions see it; None if it is not listed."""
         return self._shown.get(name)
 
@@ -126,11 +127,13 @@
         self._shown = {each.id: each for each in endpoints}
         self._shown_to(now, endpoints)
 
-    def list_event(self, endpoints: Sequence[Host]) -> EndpointListReceived:
+    def list_event(self, endpoints: Sequence[DiscoveredEndpoint]) -> EndpointListReceived:
         """The event by which the controller learns of these endpoints."""
         return EndpointListReceived(True, tuple(self._entry(each) for each in endpoints))
 
-    def _entry(self, endpoint: Host) -> EndpointEntry:
+    def _entry(self, endpoint: DiscoveredEndpoint) -> EndpointEntry:
         state = EndpointState.DRAINING if endpoint.draining else EndpointState.IN_SERVICE
         started_at = self._context.clock.start_of(endpoint)
-        return EndpointEntry(endpoint.id, state, started_at, endpoint.size, endpoint.kind, endpoint.zone)
+        return EndpointEntry(
+            endpoint.id, state, started_at, endpoint.weight, endpoint.endpoint_class, endpoint.zone
+        )
--- a/willowhook/controlplane/endpoint_list_reader.py
+++ b/willowhook/controlplane/endpoint_list_reader.py
@@ -7,8 +7,8 @@
 from ..decisions.events import EndpointListLost
 from ..files.layout import LIST
 from ..files.swap import read_at, swap_file
-from ..roster.forms import Host, RosterError, read_hosts
-from ..roster.reader import Roster
+from ..roster.forms import DiscoveredEndpoint, DiscoveryError, parse_endpoints
+from ..roster.reader import DiscoveryClient
 from .context import ServiceContext
 from .inbound_events import EndpointListFetched
 
@@ -29,11 +29,11 @@
         if not self._settings.subscribe:
             self._watch_requested.set()
 
-    def last_saved(self) -> list[Host]:
+    def last_saved(self) -> list[DiscoveredEndpoint]:
         """The list that an earlier start saved in this folder, which may be stale; empty if there is none."""
         try:
-            return read_hosts(read_at(None, f"{self._context.folder.path}/{LIST}", MAX_LIST_BYTES))
-        except (OSError, RosterError):
+            return parse_endpoints(read_at(None, f"{self._context.folder.path}/{LIST}", MAX_LIST_BYTES))
+        except (OSError, DiscoveryError):
             return []
 
     def watch(self) -> None:
@@ -69,25 +69,29 @@
             if not await self._poll(client, True):
                 await self._context.queue.send(EndpointListLost())
 
-    def _client(self) -> Roster:
+    def _client(self) -> DiscoveryClient:
         settings = self._settings
         wait_seconds = settings.wait_ms / 1000
         timeout_seconds = settings.timeout_ms / 1000
-        return Roster(
-            settings.url, settings.service, wait_seconds, timeout_seconds, agent=self._context.terms.name
+        return DiscoveryClient(
+            settings.url,
+            settings.service,
+            wait_seconds,
+            timeout_seconds,
+            client_name=self._context.terms.name,
         )
 
-    async def _poll(self, client: Roster, is_complete_wanted: bool) -> bool:
+    async def _poll(self, client: DiscoveryClient, is_complete_wanted: bool) -> bool:
         """Sends one request; returns False if service discovery failed."""
         try:
-            endpoints = await client.ask(is_complete_wanted)
-        except RosterError as error:
+            endpoints = await client.fetch(is_complete_wanted)
+        except DiscoveryError as error:
             self._conditions.report("roster", True, "endpoint list unavailable", cause=str(error))
             return False
         self._conditions.report("roster", False, "endpoint list available again")
         if endpoints is not None:
             await self._context.queue.send(EndpointListFetched(endpoints))
-            self._save(client.body)
+            self._save(client.last_body)
         return True
 
     def _save(self, body: bytes) -> None:
--- a/willowhook/controlplane/evidence_recovery.py
+++ b/willowhook/controlplane/evidence_recovery.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 
 from ..decisions.events import EndpointReport
-from ..roster.forms import Host
+from ..roster.forms import DiscoveredEndpoint
 from ..ticks import TICKS_PER_MILLISECOND
 from .context import ServiceContext
 
@@ -18,7 +18,7 @@
         self._context = context
         self._is_done = False
 
-    def restore(self, now: int, endpoints: Sequence[Host]) -> None:
+    def restore(self, now: int, endpoints: Sequence[DiscoveredEndpoint]) -> None:
         """Reports the stored evidence of endpoints in service to the controller; later calls do nothing."""
         memory = self._context.memory
         if memory is None or self._is_done or not endpoints:
--- a/willowhook/controlplane/health_checker.py
+++ b/willowhook/controlplane/health_checker.py
@@ -7,7 +7,7 @@
 import trio
 
 from ..decisions.events import HealthCheckCompleted, HealthCheckOutcome
-from ..roster.forms import Host
+from ..roster.forms import DiscoveredEndpoint
 from ..web.wire import ClientConnection, ConnectionLostError, open_connection
 from ..xds import orca
 from .context import ServiceContext
@@ -20,7 +20,9 @@
 class HealthChecker:
     """Checks endpoints over HTTP, each in a task of its own."""
 
-    def __init__(self, context: ServiceContext, find_endpoint: Callable[[str], Host | None]) -> None:
+    def __init__(
+        self, context: ServiceContext, find_endpoint: Callable[[str], DiscoveredEndpoint | None]
+    ) -> None:
         """Creates a checker that checks nothing until it runs.
 
         Args:
@@ -49,7 +51,7 @@
         self._running_checks += 1
         self._nursery.start_soon(self._check, endpoint)
 
-    async def _check(self, endpoint: Host) -> None:
+    async def _check(self, endpoint: DiscoveredEndpoint) -> None:
         outcome = HealthCheckOutcome.TIMED_OUT
         load: dict[str, float] = {}
         caller: ClientConnection | None = None
--- a/willowhook/controlplane/inbound_dispatcher.py
+++ b/willowhook/controlplane/inbound_dispatcher.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Sequence
 
-from ..roster.forms import Host
+from ..roster.forms import DiscoveredEndpoint
 from .context import ServiceContext
 from .discovery_feed import DiscoveryFeed
 from .handoff_peers import HandoffPeers
@@ -43,7 +43,7 @@
         folder_feed: ProxyFolderFeed,
         discovery: DiscoveryFeed | None,
         handoff: HandoffPeers,
-        update_endpoints: Callable[[int, Sequence[Host]], None],
+        update_endpoints: Callable[[int, Sequence[DiscoveredEndpoint]], None],
     ) -> None:
         """Receives the components that handle the events."""
         self._context = context
--- a/willowhook/controlplane/inbound_events.py
+++ b/willowhook/controlplane/inbound_events.py
@@ -12,7 +12,7 @@
 
 from ..decisions.events import Event
 from ..membership.handoff import Packet
-from ..roster.forms import Host
+from ..roster.forms import DiscoveredEndpoint
 from ..versions.resources import Resource, ResourceSet
 from .proxy_events import UpdateApplied
 
@@ -29,7 +29,7 @@
 class EndpointListFetched:
     """Service discovery has returned the complete endpoint list."""
 
-    endpoints: Sequence[Host]
+    endpoints: Sequence[DiscoveredEndpoint]
 
 
 # From the folders of proxies.
--- a/willowhook/controlplane/service.py
+++ b/willowhook/controlplane/service.py
@@ -19,7 +19,7 @@
 from ..files.swap import Shelf
 from ..files.watch import Watch, open_watch
 from ..records.writer import Records
-from ..roster.forms import Host
+from ..roster.forms import DiscoveredEndpoint
 from ..ticks import ticks_from_milliseconds
 from ..versions.resources import ResourceStore, first_era
 from .clock import Clock
@@ -290,13 +290,13 @@
 
     # Endpoints, in the decision task.
 
-    def _update_endpoints(self, now: int, endpoints: Sequence[Host]) -> None:
+    def _update_endpoints(self, now: int, endpoints: Sequence[DiscoveredEndpoint]) -> None:
         """Handles an endpoint list; with the first one, the stored evidence of its endpoints is restored."""
         self.reports.sums.keep(frozenset(each.id for each in endpoints))
         self.directory.update(now, endpoints)
         self.recovery.restore(now, endpoints)
 
-    def _show_endpoints(self, now: int, endpoints: list[Host]) -> None:
+    def _show_endpoints(self, now: int, endpoints: list[DiscoveredEndpoint]) -> None:
         """Shows the endpoints to update validation and the controller."""
         self.publisher.update_validation(
             self.validation.update_endpoints, now, endpoints, self.clock.start_of
--- a/willowhook/controlplane/validation_context.py
+++ b/willowhook/controlplane/validation_context.py
@@ -10,7 +10,7 @@
 
 from ..decisions.runtime import AdmissionLimit
 from ..decisions.settings import DeploymentSettings, Route
-from ..roster.forms import Host
+from ..roster.forms import DiscoveredEndpoint
 from ..ticks import TICKS_PER_SECOND
 from ..validation.model import (
     Candidate,
@@ -95,18 +95,20 @@
 
     # The world.
 
-    def update_endpoints(self, now: int, hosts: list[Host], started_at: Callable[[Host], int]) -> None:
+    def update_endpoints(
+        self, now: int, hosts: list[DiscoveredEndpoint], started_at: Callable[[DiscoveredEndpoint], int]
+    ) -> None:
         """Handles the complete endpoint list; `started_at` returns the tick of an endpoint's start."""
         self.world.endpoints.update_list(now, [self._endpoint(now, host, started_at(host)) for host in hosts])
 
-    def _endpoint(self, now: int, host: Host, started_at: int) -> ValidatedEndpoint:
+    def _endpoint(self, now: int, host: DiscoveredEndpoint, started_at: int) -> ValidatedEndpoint:
         capacity = 1.0
         if self._settings.lists_capacity:
-            capacity = host.size
+            capacity = host.weight
         elif host.id in self.world.endpoints.by_name:
             capacity = self.world.endpoints.by_name[host.id].capacity
         mode = EndpointMode.DRAINING if host.draining else EndpointMode.IN_SERVICE
-        return ValidatedEndpoint(host.id, mode, now, started_at, capacity, host.kind, host.zone)
+        return ValidatedEndpoint(host.id, mode, now, started_at, capacity, host.endpoint_class, host.zone)
 
     def update_capacities(self, capacities: Mapping[str, float]) -> None:
         """Sets the capacities that the decisions learnt, if the endpoint list states none."""
--- a/willowhook/nginx/result.py
+++ b/willowhook/nginx/result.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from ..config.check import read_terms
+from ..config.check import parse_config
 from ..config.deployment import SEMANTICS, ordered_paths
 from ..config.example import EXAMPLE
 from ..config.terms import ClosedTerms, FileTerms, RecordTerms, Terms
@@ -51,7 +51,7 @@
         closed=tuple(plan.closed), channel=channel, rules=rules, fleet=fleet,
         records=RecordTerms(file=f"{folder}.records"),
     )  # fmt: skip
-    return read_terms(msgspec.json.encode(made))
+    return parse_config(msgspec.json.encode(made))
 
 
 def host_list(plan: Plan) -> bytes:
--- a/willowhook/roster/forms.py
+++ b/willowhook/roster/forms.py
@@ -16,7 +16,7 @@
 TIERS = frozenset("0123456789")
 
 
-class RosterError(Exception):
+class DiscoveryError(Exception):
     """An answer that is no list of hosts: what is wrong, and where."""
 
 
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Host:
+class DiscoveredEndpoint:
     """One listed host.  `started`: seconds of the Unix clock, 0 if not told; `size`: its listed weight."""
 
     id: str
@@ -60,8 +60,8 @@
     port: int
     draining: bool
     started: float
-    size: float
-    kind: str
+    weight: float
+    endpoint_class: str
     cell: str
     zone: str
     tier: int = 0  # a later one serves when no host of its kind before it does
@@ -70,33 +70,33 @@
 _entries = msgspec.json.Decoder(list[Entry])
 
 
-def read_hosts(body: bytes) -> list[Host]:
+def parse_endpoints(body: bytes) -> list[DiscoveredEndpoint]:
     """Raises RosterError: an answer is taken whole or not at all."""
     try:
         entries = _entries.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as fault:
-        raise RosterError(f"not a list of entries: {fault}") from fault
-    hosts: dict[str, Host] = {}
+        raise DiscoveryError(f"not a list of entries: {fault}") from fault
+    hosts: dict[str, DiscoveredEndpoint] = {}
     for at, entry in enumerate(entries):
         service, where = entry.Service, f"[{at}].Service"
         if not service.ID or len(service.ID) > 200 or not service.ID.isprintable():
-            raise RosterError(f"{where}.ID is no name of a host: {service.ID[:40]!r}")
+            raise DiscoveryError(f"{where}.ID is no name of a host: {service.ID[:40]!r}")
         if service.ID in hosts:
-            raise RosterError(f"{where}.ID {service.ID} is listed twice")
+            raise DiscoveryError(f"{where}.ID {service.ID} is listed twice")
         if not 0 < service.Port < 65536:
-            raise RosterError(f"{where}.Port of {service.ID} is {service.Port}")
+            raise DiscoveryError(f"{where}.Port of {service.ID} is {service.Port}")
         address = service.Address or entry.Node.Address
         if not address:
-            raise RosterError(f"{where}.Address of {service.ID} is empty, and so is its node's")
+            raise DiscoveryError(f"{where}.Address of {service.ID} is empty, and so is its node's")
         try:
             started = float(service.Meta.get("started", "0"))
         except ValueError as fault:
-            raise RosterError(f"{where}.Meta.started of {service.ID} is no number") from fault
+            raise DiscoveryError(f"{where}.Meta.started of {service.ID} is no number") from fault
         if not 0 <= started < 1e12:
-            raise RosterError(f"{where}.Meta.started of {service.ID} is {started}")
+            raise DiscoveryError(f"{where}.Meta.started of {service.ID} is {started}")
         tier = service.Meta.get("tier", "0")
         if tier not in TIERS:
-            raise RosterError(f"{where}.Meta.tier of {service.ID} is {tier[:20]!r}, no figure from 0 to 9")
+            raise DiscoveryError(f"{where}.Meta.tier of {service.ID} is {tier[:20]!r}, no figure from 0 to 9")
         drains = any(
             check.CheckID.startswith(MAINTENANCE) and check.Status == "critical" for check in entry.Checks
         )
@@ -104,17 +104,17 @@
         size = float(service.Weights.Passing) if service.Weights else 1.0
         kind, cell = service.Meta.get("kind", ""), service.Meta.get("cell", "")
         told = (drains, started, size, kind, cell, zone, int(tier))
-        hosts[service.ID] = Host(service.ID, address, service.Port, *told)
+        hosts[service.ID] = DiscoveredEndpoint(service.ID, address, service.Port, *told)
     return list(hosts.values())
 
 
-class Cursor:
+class BlockingQueryIndex:
     """The index of blocking queries: what to ask for next, and whether an answer is news."""
 
     def __init__(self) -> None:
         self.index = 0
 
-    def heard(self, header: bytes | None) -> bool:
+    def record_index(self, header: bytes | None) -> bool:
         """True if this answer brings something new.  Raises RosterError without a proper index.
 
         An index that goes back, or is 0, starts again from nothing, as the form asks.
@@ -122,7 +122,7 @@
         try:
             index = int(header or b"")
         except ValueError as fault:
-            raise RosterError("no X-Consul-Index in the answer") from fault
+            raise DiscoveryError("no X-Consul-Index in the answer") from fault
         news = index != self.index
         self.index = 0 if index < self.index or index < 1 else index
         return news
