--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -465,7 +465,7 @@
         await wait_until(lambda: session.acknowledged > 0)
         # the controller handles the acknowledgement one event later
         await wait_until(lambda: not any(service.controller.channel.unacknowledged.values()))
-        discovery.hosts["b"], discovery.index = True, 2
+        discovery.endpoints["b"], discovery.index = True, 2
         updates: dict[str, forms.DiscoveryResponse] = {}
         while "eds" not in updates or "b" in active_endpoints(updates["eds"]):
             reply = await proxy.request_full_state("eds", held["eds"].version_info, held["eds"].nonce)
@@ -588,14 +588,14 @@
             with trio.fail_after(5):
                 while not (
                     read_files(file_proxy).resources == full_state.resources == deltas.resources
-                    and is_final(full_state, len(discovery.hosts))
+                    and is_final(full_state, len(discovery.endpoints))
                 ):
                     await trio.sleep(0.1)
-                    file_proxy.answer()
+                    file_proxy.acknowledge()
             final = copy.deepcopy(full_state.resources)
             for _ in range(10):  # nothing may change any more, as there are no more commands
                 await trio.sleep(0.1)
-                file_proxy.answer()
+                file_proxy.acknowledge()
                 assert decider.remaining == -1
                 assert read_files(file_proxy).resources == full_state.resources == deltas.resources == final
             assert len(final["cds"]) == len(service.terms.routes) and final["rds"]
@@ -678,7 +678,7 @@
             nursery.cancel_scope.cancel()
         await proxy.close()
         await wait_until(lambda: "proxy left" in log.texts())
-        assert [parts["reason"][:6] for _, text, parts in log.rows if text == "proxy left"] == ["silent"]
+        assert [parts["reason"][:6] for _, text, parts in log.lines if text == "proxy left"] == ["silent"]
 
     run_controller(tmp_path, scenario, proxy_lost_after_ms=LOST_AFTER_S * 1000, wait_ms=10_000)
 
@@ -709,7 +709,7 @@
     async def scenario(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
         proxy = DiscoveryClient(service, "p1")
         responses = await proxy.acknowledge_all()
-        discovery.hosts["b"], discovery.index = True, 2
+        discovery.endpoints["b"], discovery.index = True, 2
         reply = await proxy.request_full_state("eds", responses["eds"].version_info, responses["eds"].nonce)
         while reply.status != 200:
             reply = await proxy.request_full_state("eds", responses["eds"].version_info)
@@ -725,7 +725,7 @@
                 response = decode(reply.body, forms.DiscoveryResponse)
                 assert response.resources != rejected.resources  # never the same content again
         assert "update rejected by proxy" in log.texts("warning")
-        discovery.hosts["b"], discovery.hosts["c"], discovery.index = False, True, 3
+        discovery.endpoints["b"], discovery.endpoints["c"], discovery.index = False, True, 3
         while reply.status != 200 or "c" in active_endpoints(decode(reply.body, forms.DiscoveryResponse)):
             reply = await proxy.request_full_state("eds", responses["eds"].version_info)
         await proxy.close()
@@ -751,7 +751,7 @@
     async def scenario(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
         proxy = DiscoveryClient(service, "p1")
         responses = await proxy.acknowledge_all()
-        discovery.hosts["b"], discovery.index = True, 2
+        discovery.endpoints["b"], discovery.index = True, 2
         reply = await proxy.request_full_state("eds", responses["eds"].version_info, responses["eds"].nonce)
         while reply.status != 200:
             reply = await proxy.request_full_state("eds", responses["eds"].version_info)
