--- a/willowhook/validation/model.py
+++ b/willowhook/validation/model.py
@@ -73,7 +73,7 @@
         message_cap: messages to one proxy within `message_cap_window_ticks`; 0: no cap.
         message_cap_window_ticks: the window of the cap.
         proxy_count: the proxies of all controllers.
-        cold_budget_fraction: the fraction of the budget of an endpoint that warms up that tables may use.
+        slow_start_budget_fraction: the fraction of a warming endpoint's load budget that tables may use.
         max_share_factor: how many times its even share of all requests one endpoint may be given.
         capacity_per_second: requests that an endpoint can serve, by class, where it is configured.
         max_capacity_fraction: the fraction of that capacity that tables may use.
@@ -89,7 +89,7 @@
     message_cap: int
     message_cap_window_ticks: int
     proxy_count: int
-    cold_budget_fraction: float = 0.8
+    slow_start_budget_fraction: float = 0.8
     max_share_factor: float = 6.0
     capacity_per_second: Mapping[str, float] = field(default_factory=dict)
     max_capacity_fraction: float = 1.0
--- a/willowhook/validation/verdict.py
+++ b/willowhook/validation/verdict.py
@@ -114,14 +114,14 @@
         findings: the findings in the order of the checks.
         steps: the steps in which a split update is safe.
         exemption: why an update with findings passes nevertheless; empty if it does not.
-        faults: the checks that raised an error, and whether each failed open or closed.
+        check_errors: the checks that raised an error, and whether each failed open or closed.
     """
 
     outcome: Outcome = Outcome.PASSED
     findings: list[Finding] = field(default_factory=list)
     steps: list[Step] = field(default_factory=list)
     exemption: str = ""
-    faults: list[str] = field(default_factory=list)
+    check_errors: list[str] = field(default_factory=list)
 
     @property
     def has_passed(self) -> bool:
@@ -150,7 +150,7 @@
             "findings": [finding.data() for finding in self.findings],
             "steps": [step.data() for step in self.steps],
             "rescue": self.exemption,
-            "faults": list(self.faults),
+            "faults": list(self.check_errors),
             "exit_code": EXIT_CODES[self.outcome],
         }
 
@@ -162,4 +162,4 @@
             lines.append(f"step {number}, not before {step.not_before}: {step.text}")
         if self.exemption:
             lines.append(f"passes all the same: {self.exemption}")
-        return [*lines, *self.faults]
+        return [*lines, *self.check_errors]
