--- a/tests/test_validation.py
+++ b/tests/test_validation.py
@@ -91,7 +91,7 @@
     made.endpoints.update_list(9 * TICKS_PER_SECOND, listed(draining="ab"))
     verdict = judged(made, {"a": 1.0, "b": 1.0})
     assert verdict.outcome is Outcome.REFUSED and verdict.findings[0].rule == 1
-    assert "add a warm host, such as c" in verdict.findings[0].line()
+    assert "add a warm endpoint, such as c" in verdict.findings[0].line()
 
 
 def test_slow_start_budget_counts_all_proxies_and_updates_in_flight() -> None:
@@ -154,10 +154,10 @@
     made.endpoints.update_list(0, listed(draining="ab"))
     assert judged(made, some).outcome is Outcome.REFUSED
     verdict = judged(made, some, excluded="ab")
-    assert verdict.has_passed and "only withdraws" in verdict.exemption
+    assert verdict.has_passed and "only excludes" in verdict.exemption
     made.endpoints.update_list(0, listed(draining="abcd"))
     late = judged(made, {"a": 1.0}, now=100 * TICKS_PER_SECOND)
-    assert late.has_passed and "no host is open" in late.exemption
+    assert late.has_passed and "no endpoint is in service" in late.exemption
     assert (
         judged(made, some, excluded="ab", retries=(1, 3)).outcome is Outcome.REFUSED
     )  # no rescue has need of that
--- a/willowhook/validation/__init__.py
+++ b/willowhook/validation/__init__.py
@@ -1,1 +1,1 @@
-"""Update validation: judges each update by its effect before it leaves. No I/O, no clock."""
+"""Update validation: checks the effect of each update before it is sent. No I/O, no clock."""
--- a/willowhook/validation/case.py
+++ b/willowhook/validation/case.py
@@ -1,4 +1,4 @@
-"""One update under judgement: the candidate and the world that it is judged against."""
+"""The input of the checks: a candidate update and the state that it is validated against."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from .model import Candidate, RequestShares
 from .world import ProxyRecord, World
 
-ROUNDING_FACTOR = 1 + 1e-9  # running sums and products of fractions are exact up to this
+ROUNDING_FACTOR = 1 + 1e-9  # allows for floating-point errors of running sums and products
 
 
 def exceeds(figure: float, limit: float) -> bool:
@@ -20,12 +20,13 @@
     """The input of every check.
 
     Attributes:
-        now: the tick of the judgement.
-        world: the world that the candidate is judged against.
-        candidate: the candidate that is judged.
-        shares: the shares of requests by the candidate's tables.
+        now: the tick of the validation.
+        world: the state that the candidate is validated against.
+        candidate: the update to validate.
+        shares: each endpoint's share of the requests under the candidate's tables.
         proxy: the proxy that the candidate is for; None if it has not joined.
-        rises: by endpoint, the requests a second that the candidate adds to what the proxy may send now.
+        added_load: by endpoint, the requests per second that the candidate adds to what the proxy may
+            already send.
     """
 
     now: int
@@ -33,7 +34,7 @@
     candidate: Candidate
     shares: RequestShares
     proxy: ProxyRecord | None
-    rises: dict[str, float]
+    added_load: dict[str, float]
 
     @property
     def zone(self) -> str:
@@ -46,9 +47,9 @@
 
 
 def make_case(now: int, world: World, candidate: Candidate) -> Case:
-    """Computes the input of the checks. Raises if the candidate's tables make no sense."""
+    """Computes the input of the checks. Raises if the candidate's tables are malformed."""
     shares = world.shares_of(candidate.tables)
     proxy = world.proxies.get(candidate.proxy)
     has_all_routes = len(shares.by_route) == len(world.settings.routes)
-    rises = world.rises(candidate.proxy, shares) if proxy is not None and has_all_routes else {}
-    return Case(now, world, candidate, shares, proxy, rises)
+    added_load = world.added_load(candidate.proxy, shares) if proxy is not None and has_all_routes else {}
+    return Case(now, world, candidate, shares, proxy, added_load)
--- a/willowhook/validation/endpoints.py
+++ b/willowhook/validation/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoints as listed, and what follows from the list."""
+"""The listed endpoints and the values derived from the list."""
 
 from __future__ import annotations
 
@@ -11,23 +11,24 @@
     """All endpoints that were ever listed.
 
     Attributes:
-        by_name: the endpoints by name, with removed ones. A caller that changes it directly calls `refresh`.
+        by_name: the endpoints by name, including removed ones. A caller that changes it directly must call
+            `refresh` afterwards.
         not_in_service: the endpoints that are draining or removed, in the order of the list.
         capacity_in_service: the sum of the capacities of the endpoints in service.
-        list_version: a number that rises with each list.
+        list_version: a number that increases with each list.
     """
 
     def __init__(self, settings: ValidationSettings) -> None:
-        """Starts without endpoints."""
+        """Creates an index without endpoints."""
         self._settings = settings
         self.by_name: dict[str, ValidatedEndpoint] = {}
         self.not_in_service: dict[str, None] = {}
         self.capacity_in_service = 0.0
         self.list_version = 0
-        self._may_be_cold: list[ValidatedEndpoint] = []
+        self._warm_up_candidates: list[ValidatedEndpoint] = []
 
     def update_list(self, now: int, endpoints: Iterable[ValidatedEndpoint]) -> None:
-        """Handles the complete list; sets `since` of each endpoint. Missing ones count as removed."""
+        """Applies a complete list and sets `since` of each endpoint. Missing endpoints become removed."""
         listed: dict[str, None] = {}
         for endpoint in endpoints:
             listed[endpoint.name] = None
@@ -45,12 +46,12 @@
         """Recomputes the values that depend on the list."""
         self.list_version += 1
         endpoints = self.by_name.values()
-        self.not_in_service = {each.name: None for each in endpoints if not each.is_in_service}
-        self._may_be_cold = [each for each in endpoints if each.is_in_service and each.started_at]
+        self.not_in_service = {endpoint.name: None for endpoint in endpoints if not endpoint.is_in_service}
+        self._warm_up_candidates = [each for each in endpoints if each.is_in_service and each.started_at]
         self._sum_capacity()
 
     def update_capacities(self, capacities: Mapping[str, float]) -> None:
-        """Sets relative capacities that were learnt, if the list states none."""
+        """Sets learnt relative capacities, by endpoint; unknown endpoints are ignored."""
         for name, capacity in capacities.items():
             if name in self.by_name:
                 self.by_name[name].capacity = capacity
@@ -59,14 +60,16 @@
     def _sum_capacity(self) -> None:
         self.capacity_in_service = sum(each.capacity for each in self.by_name.values() if each.is_in_service)
 
-    def cold(self, now: int) -> list[ValidatedEndpoint]:
+    def warming_up(self, now: int) -> list[ValidatedEndpoint]:
         """Returns the endpoints in service that are still warming up."""
         slow_start = self._settings.slow_start_ticks
-        self._may_be_cold = [each for each in self._may_be_cold if now - each.started_at < slow_start]
-        return self._may_be_cold
+        self._warm_up_candidates = [
+            each for each in self._warm_up_candidates if now - each.started_at < slow_start
+        ]
+        return self._warm_up_candidates
 
-    def warmth(self, now: int, endpoint: ValidatedEndpoint) -> float:
-        """Returns the fraction of its capacity that an endpoint has by now: slow start is linear."""
+    def capacity_fraction(self, now: int, endpoint: ValidatedEndpoint) -> float:
+        """Returns the fraction of its capacity that an endpoint has now; it grows linearly in slow start."""
         settings = self._settings
         age = now - endpoint.started_at
         if not endpoint.started_at or age >= settings.slow_start_ticks:
@@ -75,11 +78,11 @@
         return start + (1 - start) * max(age, 0) / settings.slow_start_ticks
 
     def is_warm(self, now: int, endpoint: ValidatedEndpoint) -> bool:
-        """Whether an endpoint has all of its capacity."""
-        return self.warmth(now, endpoint) >= 1
+        """Whether an endpoint has its full capacity."""
+        return self.capacity_fraction(now, endpoint) >= 1
 
     def may_serve(self, route: int, endpoint: ValidatedEndpoint, zone: str) -> bool:
-        """Whether the route allows an endpoint to a proxy in this zone."""
+        """Whether an endpoint may serve the route for a proxy in this zone."""
         constraints = self._settings.routes[route]
         if constraints.same_zone_only and endpoint.zone != zone:
             return False
--- a/willowhook/validation/exposure.py
+++ b/willowhook/validation/exposure.py
@@ -1,9 +1,9 @@
-"""How many requests each endpoint may get from this controller's proxies, as a running sum.
+"""The largest load that each endpoint may get from this controller's proxies, kept as running sums.
 
-Until an update is acknowledged its proxy may hold the update's tables or those before. Proxies that hold the
-same tables, and wait for the same, form one class, for which the most that each endpoint may get of each
-route's requests (the peak share) is worked out once. A proxy that moves from one class to another costs one
-pass over the entries of both, however many proxies there are.
+Until an update is acknowledged its proxy may use the tables of the update or those before it. Proxies that
+hold the same tables and have the same updates in flight form one class, for which the largest share of each
+route's requests that each endpoint may get (the peak share) is computed once. Moving a proxy from one class
+to another takes one pass over the entries of both, independent of the number of proxies.
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
 
 from .model import ContentKey, ProxyTables, RequestShares
 
-MAX_CACHED_GAINS = 300  # steps from one table to another
-REBUILD_INTERVAL = 65_536  # moves after which the sums are recomputed, as rounding errors add up
+MAX_CACHED_GAINS = 300  # pairs of an old and a new table
+REBUILD_INTERVAL = 65_536  # moves after which the sums are recomputed, because rounding errors accumulate
 
-ClassKey = tuple[ContentKey, ...]  # contents: applied first, then in flight in their order
-Rates = tuple[float, ...]  # requests a second by route index
-Shares = dict[str, float]  # of a route's requests, by endpoint
+ClassKey = tuple[ContentKey, ...]  # the applied content, then those in flight in the order they were sent
+Rates = tuple[float, ...]  # requests per second by route index
+Shares = dict[str, float]  # fractions of a route's requests, by endpoint
 
 NO_SHARES: Shares = {}
 
 
 class PeakShares(NamedTuple):
-    """The most of their requests that each endpoint may get, for routes that share all their tables."""
+    """The largest share of requests that each endpoint may get, for routes that share all their tables."""
 
     routes: list[int]
     shares: Shares
@@ -32,11 +32,11 @@
 
 @dataclass(slots=True)
 class ProxyClass:
-    """Proxies that hold the same tables and wait for the same.
+    """Proxies that hold the same tables and have the same updates in flight.
 
     Attributes:
         peaks: the peak shares of all routes.
-        rates: the request rates of all its proxies together, by route index.
+        rates: the total request rates of its proxies, by route index.
         count: the number of its proxies.
     """
 
@@ -45,8 +45,11 @@
     count: int = 0
 
 
-class _Gains(NamedTuple):
-    """By how much shares grow from one table to another; both are kept, so that their ids stay theirs."""
+class _ShareGains(NamedTuple):
+    """The increases of shares from one table to another.
+
+    Both tables are referenced so that their ids, which are the cache key, are not reused.
+    """
 
     old: Shares
     new: Shares
@@ -54,8 +57,8 @@
 
 
 @dataclass(slots=True)
-class _RateOfStep:
-    """A step from one table to another, and the requests a second that make it."""
+class _StepRate:
+    """A change from one table to another, and the requests per second that it applies to."""
 
     old: Shares
     new: Shares
@@ -66,50 +69,50 @@
     """Keeps the running sums.
 
     Attributes:
-        contents: all contents that proxies hold or may hold soon.
+        contents: all contents that proxies hold or have in flight, by key.
     """
 
     def __init__(self, route_count: int) -> None:
-        """Starts without proxies."""
+        """Creates an index without proxies."""
         self._route_count = route_count
         self.contents: dict[ContentKey, RequestShares] = {}
         self._classes: dict[ClassKey, ProxyClass] = {}
-        self._gains: dict[tuple[int, int], _Gains] = {}  # by the ids of both tables
+        self._gains: dict[tuple[int, int], _ShareGains] = {}  # by the ids of both tables
         self._load: dict[str, float] = {}
-        self._moves = 0
+        self._move_count = 0
 
     # Reading.
 
     def load(self, endpoint: str) -> float:
-        """Returns the most requests a second that the proxies may send there now."""
+        """Returns the largest number of requests per second that the proxies may send to an endpoint now."""
         return self._load.get(endpoint, 0.0)
 
-    def rises(self, rates: Rates, held: ClassKey, shares: RequestShares) -> dict[str, float]:
-        """Returns the requests a second, by endpoint, that come on top if a proxy gets new tables.
+    def added_load(self, rates: Rates, held: ClassKey, shares: RequestShares) -> dict[str, float]:
+        """Returns the requests per second, by endpoint, that are added if a proxy gets new tables.
 
         Args:
             rates: the request rates of the proxy.
-            held: the class that it is in.
-            shares: the shares of requests by the new tables.
+            held: the key of the class that it is in.
+            shares: the shares of requests under the new tables.
         """
-        peak_of: dict[int, Shares] = {}
+        peaks_by_route: dict[int, Shares] = {}
         if held in self._classes:
             for peak in self._classes[held].peaks:
-                peak_of.update(dict.fromkeys(peak.routes, peak.shares))
-        steps: dict[tuple[int, int], _RateOfStep] = {}
+                peaks_by_route.update(dict.fromkeys(peak.routes, peak.shares))
+        steps: dict[tuple[int, int], _StepRate] = {}
         for route, rate in enumerate(rates):
-            old = peak_of.get(route, NO_SHARES)
+            old = peaks_by_route.get(route, NO_SHARES)
             new = shares.by_route[route]
-            step = steps.setdefault((id(old), id(new)), _RateOfStep(old, new))
+            step = steps.setdefault((id(old), id(new)), _StepRate(old, new))
             step.rate += rate
-        found: dict[str, float] = {}
+        added: dict[str, float] = {}
         for step in steps.values():
-            for endpoint, gain in self._gains_of(step.old, step.new):
-                found[endpoint] = found.get(endpoint, 0.0) + step.rate * gain
-        return found
+            for endpoint, gain in self._share_gains(step.old, step.new):
+                added[endpoint] = added.get(endpoint, 0.0) + step.rate * gain
+        return added
 
-    def _gains_of(self, old: Shares, new: Shares) -> list[tuple[str, float]]:
-        """Cached, as a fleet makes the same step proxy by proxy."""
+    def _share_gains(self, old: Shares, new: Shares) -> list[tuple[str, float]]:
+        """Returns the increases of shares; cached, because many proxies change between the same tables."""
         key = (id(old), id(new))
         cached = self._gains.get(key)
         if cached is not None and cached.old is old and cached.new is new:
@@ -118,28 +121,28 @@
         gains = [(endpoint, gain) for endpoint, gain in differences if gain > 0]
         if len(self._gains) >= MAX_CACHED_GAINS:
             self._gains.clear()
-        self._gains[key] = _Gains(old, new, gains)
+        self._gains[key] = _ShareGains(old, new, gains)
         return gains
 
     # Changes.
 
     def register(self, tables: ProxyTables) -> ContentKey:
-        """Registers a content that a proxy is about to move to. Returns its key."""
+        """Registers a content that a proxy is about to get. Returns its key."""
         key = tables.content_key()
         if key not in self.contents:
             self.contents[key] = RequestShares(tables)
         return key
 
     def move(self, rates: Rates, old: ClassKey, new: ClassKey) -> None:
-        """Moves a proxy with these rates from one class to another; an empty key is no class."""
+        """Moves a proxy with these rates from one class to another; an empty key means no class."""
         if old == new:
             return
         if new:
-            self._enter(rates, new)
+            self._add_to_class(rates, new)
         if old:
-            self._leave(rates, old)
-        self._moves += 1
-        if self._moves % REBUILD_INTERVAL == 0:
+            self._remove_from_class(rates, old)
+        self._move_count += 1
+        if self._move_count % REBUILD_INTERVAL == 0:
             self._rebuild()
 
     def change_rates(self, key: ClassKey, old: Rates, new: Rates) -> None:
@@ -150,28 +153,28 @@
             group.rates[route] += rate
         self._add_load(group, change, 1)
 
-    def _enter(self, rates: Rates, key: ClassKey) -> None:
+    def _add_to_class(self, rates: Rates, key: ClassKey) -> None:
         group = self._classes.get(key)
         if group is None:
             for content in dict.fromkeys(key):
                 self.contents[content].class_count += 1
-            group = self._classes[key] = ProxyClass(self._peaks(key), [0.0] * len(rates))
+            group = self._classes[key] = ProxyClass(self._peak_shares(key), [0.0] * len(rates))
         for route, rate in enumerate(rates):
             group.rates[route] += rate
         group.count += 1
         self._add_load(group, rates, 1)
 
-    def _leave(self, rates: Rates, key: ClassKey) -> None:
+    def _remove_from_class(self, rates: Rates, key: ClassKey) -> None:
         group = self._classes[key]
         for route, rate in enumerate(rates):
             group.rates[route] -= rate
         group.count -= 1
         self._add_load(group, rates, -1)
         if group.count == 0:
-            self._drop(key)
+            self._remove_class(key)
 
-    def _drop(self, key: ClassKey) -> None:
-        """Drops a class that is empty, and contents that no class is left to hold."""
+    def _remove_class(self, key: ClassKey) -> None:
+        """Removes an empty class, and the contents that no other class holds."""
         del self._classes[key]
         for content in dict.fromkeys(key):
             shares = self.contents[content]
@@ -179,12 +182,12 @@
             if shares.class_count == 0:
                 del self.contents[content]
 
-    def _peaks(self, key: ClassKey) -> list[PeakShares]:
-        """The peaks of a class, one for all routes that share their tables at each time."""
+    def _peak_shares(self, key: ClassKey) -> list[PeakShares]:
+        """Returns the peak shares of a class, one for each group of routes that share their tables."""
         groups: dict[tuple[int, ...], list[int]] = {}
         for route in range(self._route_count):
-            same = tuple(id(self.contents[content].by_route[route]) for content in key)
-            groups.setdefault(same, []).append(route)
+            table_ids = tuple(id(self.contents[content].by_route[route]) for content in key)
+            groups.setdefault(table_ids, []).append(route)
         peaks = []
         for routes in groups.values():
             peak = dict(self.contents[key[0]].by_route[routes[0]])
--- a/willowhook/validation/model.py
+++ b/willowhook/validation/model.py
@@ -1,4 +1,4 @@
-"""The types that validation works on: settings, endpoints, and what a proxy holds. Times are ticks."""
+"""The data types of validation: settings, endpoints, and the tables of a proxy. Times are ticks."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 from ..decisions.settings import RequestSemantics
 
-ProxyKey = int | str  # a number in service, a name in a state file
-ContentKey = object  # the same for the same tables
+ProxyKey = int | str  # a number in the running service, a name in a state file
+ContentKey = object  # equal for equal tables
 
 
 class EndpointMode(Enum):
@@ -23,20 +23,20 @@
 
 
 class UpdateVersion(NamedTuple):
-    """The version of an update at one proxy; it never goes back."""
+    """The version of an update at one proxy; it only increases."""
 
     term: int
     epoch: int
     number: int
 
     def __str__(self) -> str:
-        """As in files and findings."""
+        """Returns the form that files and findings use."""
         return f"{self.term}.{self.epoch}.{self.number}"
 
 
 @dataclass(frozen=True, slots=True)
 class RouteConstraints:
-    """What may serve a route, and how often a request may run.
+    """Which endpoints may serve a route, and whether a request may run more than once.
 
     Attributes:
         name: the name of the route.
@@ -54,7 +54,7 @@
 
     @property
     def has_constraints(self) -> bool:
-        """Whether some endpoints may not serve the route."""
+        """Whether the route restricts the endpoints that may serve it."""
         return bool(self.same_zone_only or self.allowed_zones or self.allowed_classes)
 
 
@@ -64,18 +64,18 @@
 
     Attributes:
         routes: the routes by index.
-        drain_grace_ticks: after this, nothing may be sent to a draining or removed endpoint.
-        slow_start_ticks: after this a newly started endpoint has all of its capacity.
-        slow_start_fraction: the fraction of its capacity that it has at its start.
-        recovery_overload_factor: how far over its capacity an endpoint that warms up may be loaded.
+        drain_grace_ticks: the time after which nothing may be sent to a draining or removed endpoint.
+        slow_start_ticks: the time after which a newly started endpoint has its full capacity.
+        slow_start_fraction: the fraction of its capacity that an endpoint has when it starts.
+        recovery_overload_factor: the multiple of its current capacity that a warming endpoint may get.
         entries_per_tick: the rate of the channel.
-        queue_limit_entries: entries that may wait in the channel.
+        queue_limit_entries: the number of entries that may wait in the channel.
         message_cap: messages to one proxy within `message_cap_window_ticks`; 0: no cap.
-        message_cap_window_ticks: the window of the cap.
-        proxy_count: the proxies of all controllers.
+        message_cap_window_ticks: the window of the message cap.
+        proxy_count: the number of proxies of all controllers.
         slow_start_budget_fraction: the fraction of a warming endpoint's load budget that tables may use.
-        max_share_factor: how many times its even share of all requests one endpoint may be given.
-        capacity_per_second: requests that an endpoint can serve, by class, where it is configured.
+        max_share_factor: the multiple of its even share of all requests that one endpoint may be given.
+        capacity_per_second: requests per second that an endpoint can serve, by class, where configured.
         max_capacity_fraction: the fraction of that capacity that tables may use.
     """
 
@@ -102,11 +102,11 @@
     Attributes:
         name: the name of the endpoint.
         mode: whether it is in service, draining or removed.
-        since: when it was first listed in this mode.
-        started_at: when its process started; 0: long ago.
-        capacity: relative to the other endpoints; 1 is usual.
-        endpoint_class: the kind of machine.
-        zone: where it is.
+        since: the tick at which it was first listed in this mode.
+        started_at: the tick at which its process started; 0: long ago, so not in slow start.
+        capacity: its capacity relative to the other endpoints; usually 1.
+        endpoint_class: its class, such as the kind of machine.
+        zone: its zone.
         has_address: whether its address is known.
     """
 
@@ -127,14 +127,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyTables:
-    """What a proxy holds, or is to hold.
+    """The tables that a proxy holds, or is to hold.
 
     Attributes:
         weights: the weights of the endpoints, by route index.
-        excluded: endpoints that are not used, whatever the weights say.
-        retries: the retry modes by route index, as ordered.
+        excluded: endpoints that are not used, regardless of the weights.
+        retries: the retry modes by route index.
         limits: admission limits by route index; infinite: none.
-        key: a key of the content, if the caller knows one; None: the content is the key.
+        key: a key of the content, if the caller has one; None: the key is made from the content.
     """
 
     weights: tuple[Mapping[str, float], ...]
@@ -144,7 +144,7 @@
     key: ContentKey | None = None
 
     def usable(self, route: int) -> dict[str, float]:
-        """Returns the weights of the endpoints that are used for a route."""
+        """Returns the weights of a route's endpoints that are not excluded and have a weight above 0."""
         return {
             endpoint: weight
             for endpoint, weight in self.weights[route].items()
@@ -155,18 +155,18 @@
         """Returns `key`, or else a key made from the content; equal contents have equal keys."""
         if self.key is not None:
             return self.key
-        weights = tuple(tuple(sorted(row.items())) for row in self.weights)
+        weights = tuple(tuple(sorted(table.items())) for table in self.weights)
         return (weights, self.excluded, self.retries, self.limits)
 
 
 class RequestShares:
-    """The shares of requests by one content of tables, computed once.
+    """Each endpoint's share of the requests under one content of the tables, computed once.
 
     Attributes:
         tables: the content.
-        by_route: each endpoint's share of a route's requests.
-        endpoints: all that get any requests, in the order of the tables.
-        class_count: the classes of proxies that hold this content; see `exposure`.
+        by_route: by route index, each endpoint's share of the route's requests.
+        endpoints: all endpoints that get any requests, in the order of the tables.
+        class_count: the number of proxy classes that hold this content; see `exposure`.
     """
 
     __slots__ = ("by_route", "class_count", "endpoints", "tables")
@@ -176,11 +176,11 @@
         self.tables = tables
         self.class_count = 0
         self.by_route: list[dict[str, float]] = []
-        known: dict[int, dict[str, float]] = {}
+        shares_by_table: dict[int, dict[str, float]] = {}
         for route, weights in enumerate(tables.weights):
-            shares = known.get(id(weights))
+            shares = shares_by_table.get(id(weights))
             if shares is None:
-                shares = known[id(weights)] = _shares(tables.usable(route))
+                shares = shares_by_table[id(weights)] = _shares(tables.usable(route))
             self.by_route.append(shares)
         self.endpoints = dict.fromkeys(endpoint for shares in self.by_route for endpoint in shares)
 
@@ -194,14 +194,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """An update that is to be judged.
+    """An update to validate.
 
     Attributes:
         proxy: the proxy that it is for.
-        tables: what the proxy would hold.
+        tables: the tables that the proxy would hold.
         version: the version of the update.
-        cost_entries: the cost in the channel, in entries.
-        is_queued: whether its entries are counted as waiting already.
+        cost_entries: its update cost in the channel, in entries.
+        is_queued: whether its entries are already counted as waiting.
     """
 
     proxy: ProxyKey
--- a/willowhook/validation/state_file.py
+++ b/willowhook/validation/state_file.py
@@ -1,6 +1,7 @@
-"""Validation on files, for use in a pipeline: the same checks as in service.
+"""Validation of files, for use in a pipeline, with the same checks as in the running service.
 
-A state file describes the world, a candidates file the updates. Their keys are fixed, and known here only.
+A state file describes the fleet, a candidates file the updates. Their keys are fixed, and only this module
+uses them.
 """
 
 from __future__ import annotations
@@ -38,15 +39,15 @@
 
 
 class StateFileError(WillowhookError):
-    """A file does not have the form that it should, or its names do not fit together."""
+    """A file is malformed, or refers to an unknown route."""
 
 
-class Part(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """A part of a file. Unknown keys are errors."""
+class StrictStruct(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
+    """An object in a file. Unknown keys are errors."""
 
 
-class StateTerms(Part, kw_only=True):
-    """Settings, in seconds and lines."""
+class StateSettings(StrictStruct, kw_only=True):
+    """Settings; times in seconds, channel rates and limits in table entries (lines)."""
 
     drain_grace_s: float
     cold_s: float
@@ -62,8 +63,8 @@
     capacity_calls_per_s: dict[str, float] = {}
 
 
-class StateRoute(Part, kw_only=True):
-    """A route, its semantics in the words of the configuration."""
+class StateRoute(StrictStruct, kw_only=True):
+    """A route; `semantics` has the values of the configuration."""
 
     name: str
     semantics: Literal["repeatable", "keyed", "mutating"]
@@ -72,8 +73,8 @@
     kinds: list[str] = []
 
 
-class StateHost(Part, kw_only=True):
-    """An endpoint; times are ages."""
+class StateEndpoint(StrictStruct, kw_only=True):
+    """An endpoint; times are ages in seconds."""
 
     name: str
     mode: Literal["open", "draining", "gone"] = "open"
@@ -85,8 +86,8 @@
     address: bool = True
 
 
-class StateProxy(Part, kw_only=True):
-    """A proxy with what it holds, and what is on its way to it."""
+class StateProxy(StrictStruct, kw_only=True):
+    """A proxy with the tables that it holds, and those in flight to it."""
 
     name: str
     zone: str = ""
@@ -97,19 +98,19 @@
     version: str = "0.0.0"
 
 
-class State(Part, kw_only=True):
+class State(StrictStruct, kw_only=True):
     """A state file."""
 
     now_s: float
-    terms: StateTerms
+    terms: StateSettings
     routes: list[StateRoute]
-    hosts: list[StateHost]
+    hosts: list[StateEndpoint]
     proxies: list[StateProxy]
     waiting_lines: float = 0.0
 
 
-class StateCandidate(Part, kw_only=True):
-    """An update that is to be judged."""
+class StateCandidate(StrictStruct, kw_only=True):
+    """An update to validate."""
 
     proxy: str
     lines: dict[str, dict[str, float]]
@@ -121,52 +122,52 @@
 
 
 def decode_file(data: bytes, kind: type[T]) -> T:
-    """Reads a file of this form. Raises StateFileError."""
+    """Decodes a JSON file of this type. Raises StateFileError."""
     try:
-        made: T = msgspec.json.decode(data, type=kind)
+        decoded: T = msgspec.json.decode(data, type=kind)
     except msgspec.DecodeError as error:
         raise StateFileError(str(error)) from error
-    return made
+    return decoded
 
 
 def validate_candidates(candidates: bytes, state: bytes) -> list[tuple[str, Verdict]]:
-    """Judges each candidate in turn; one that passes is taken as sent before the next is judged.
+    """Validates each candidate in turn; one that passes counts as sent when the next is validated.
 
     Args:
-        candidates: a file with a list of `StateCandidate`.
-        state: a file with a `State`.
+        candidates: the content of a file with a list of `StateCandidate`.
+        state: the content of a file with a `State`.
 
     Returns:
-        The proxy and the verdict of each.
+        The proxy and the verdict of each candidate.
 
     Raises:
-        StateFileError: a file is malformed, or names do not fit together.
+        StateFileError: a file is malformed, or refers to an unknown route.
     """
-    made = decode_file(state, State)
-    world = build_world(made)
+    decoded = decode_file(state, State)
+    world = build_world(decoded)
     validator = Validator(world)
-    now = ticks_from_seconds(made.now_s)
-    names = [row.name for row in made.routes]
+    now = ticks_from_seconds(decoded.now_s)
+    routes = [route.name for route in decoded.routes]
     verdicts = []
-    for index, row in enumerate(decode_file(candidates, list[StateCandidate])):
-        _check_names(names, (*row.lines, *row.tries, *row.levels), f"[{index}]")
-        proxy = world.proxies.get(row.proxy)
-        version = _candidate_version(row, proxy.newest if proxy is not None else NO_VERSION)
-        tables = _tables(names, row.lines, row.withdrawn, row.tries, row.levels)
-        verdict = validator.validate(now, Candidate(row.proxy, tables, version, row.cost_lines))
+    for index, candidate in enumerate(decode_file(candidates, list[StateCandidate])):
+        _check_names(routes, (*candidate.lines, *candidate.tries, *candidate.levels), f"[{index}]")
+        proxy = world.proxies.get(candidate.proxy)
+        version = _candidate_version(candidate, proxy.newest if proxy is not None else NO_VERSION)
+        tables = _tables(routes, candidate.lines, candidate.withdrawn, candidate.tries, candidate.levels)
+        verdict = validator.validate(now, Candidate(candidate.proxy, tables, version, candidate.cost_lines))
         if verdict.has_passed and proxy is not None:
-            world.record_sent(now, row.proxy, tables, version)
-            world.update_queue(now, world.waiting_entries(now) + row.cost_lines)
-        verdicts.append((row.proxy, verdict))
+            world.record_sent(now, candidate.proxy, tables, version)
+            world.update_queue(now, world.waiting_entries(now) + candidate.cost_lines)
+        verdicts.append((candidate.proxy, verdict))
     return verdicts
 
 
 def build_world(state: State) -> World:
-    """Builds the world that a state file describes. Raises StateFileError where names do not fit together."""
+    """Builds the state that a state file describes. Raises StateFileError where it names an unknown route."""
     now = ticks_from_seconds(state.now_s)
     world = World(_settings(state))
-    for row in state.hosts:
-        world.endpoints.by_name[row.name] = _endpoint(row, now, state.terms.cold_s)
+    for endpoint in state.hosts:
+        world.endpoints.by_name[endpoint.name] = _endpoint(endpoint, now, state.terms.cold_s)
     world.endpoints.refresh()
     for proxy in state.proxies:
         _add_proxy(world, now, proxy)
@@ -177,7 +178,7 @@
 def _settings(state: State) -> ValidationSettings:
     terms = state.terms
     return ValidationSettings(
-        routes=tuple(_route(row) for row in state.routes),
+        routes=tuple(_route(route) for route in state.routes),
         drain_grace_ticks=ticks_from_seconds(terms.drain_grace_s),
         slow_start_ticks=ticks_from_seconds(terms.cold_s),
         slow_start_fraction=terms.start_capacity,
@@ -193,23 +194,23 @@
     )
 
 
-def _route(row: StateRoute) -> RouteConstraints:
+def _route(route: StateRoute) -> RouteConstraints:
     return RouteConstraints(
-        row.name, SEMANTICS[row.semantics], row.own_zone, tuple(row.zones), tuple(row.kinds)
+        route.name, SEMANTICS[route.semantics], route.own_zone, tuple(route.zones), tuple(route.kinds)
     )
 
 
-def _endpoint(row: StateHost, now: int, slow_start_s: float) -> ValidatedEndpoint:
-    is_young = row.started_s_ago < slow_start_s
+def _endpoint(endpoint: StateEndpoint, now: int, slow_start_s: float) -> ValidatedEndpoint:
+    is_warming_up = endpoint.started_s_ago < slow_start_s
     return ValidatedEndpoint(
-        name=row.name,
-        mode=EndpointMode(row.mode),
-        since=now - ticks_from_seconds(row.told_s_ago),
-        started_at=now - ticks_from_seconds(row.started_s_ago) if is_young else 0,
-        capacity=row.size,
-        endpoint_class=row.kind,
-        zone=row.zone,
-        has_address=row.address,
+        name=endpoint.name,
+        mode=EndpointMode(endpoint.mode),
+        since=now - ticks_from_seconds(endpoint.told_s_ago),
+        started_at=now - ticks_from_seconds(endpoint.started_s_ago) if is_warming_up else 0,
+        capacity=endpoint.size,
+        endpoint_class=endpoint.kind,
+        zone=endpoint.zone,
+        has_address=endpoint.address,
     )
 
 
@@ -218,8 +219,8 @@
     _check_names(names, (*proxy.lines, *proxy.calls_per_s), f"proxy {proxy.name}")
     rates = tuple(proxy.calls_per_s.get(name, 0.0) for name in names)
     world.add_proxy(proxy.name, proxy.zone, rates, _tables(names, proxy.lines, proxy.withdrawn))
-    for index, lines in enumerate(proxy.in_flight):
-        tables = _tables(names, lines, proxy.withdrawn)
+    for index, weights in enumerate(proxy.in_flight):
+        tables = _tables(names, weights, proxy.withdrawn)
         world.record_sent(now, proxy.name, tables, UpdateVersion(0, 0, index))
     world.proxies[proxy.name].newest = _read_version(proxy.version)
 
@@ -227,33 +228,33 @@
 def _check_names(known: list[str], names: Iterable[str], place: str) -> None:
     unknown = [name for name in names if name not in known]
     if unknown:
-        raise StateFileError(f"{place}: no route {unknown[0]!r}")
+        raise StateFileError(f"{place}: unknown route {unknown[0]!r}")
 
 
-def _candidate_version(row: StateCandidate, newest: UpdateVersion) -> UpdateVersion:
-    """The version that a candidate names; one above the newest if it names none."""
-    if row.version:
-        return _read_version(row.version)
+def _candidate_version(candidate: StateCandidate, newest: UpdateVersion) -> UpdateVersion:
+    """Returns the version of a candidate; the one after the newest if the file states none."""
+    if candidate.version:
+        return _read_version(candidate.version)
     return newest._replace(number=newest.number + 1)
 
 
 def _read_version(text: str) -> UpdateVersion:
     parts = text.split(".")
     if len(parts) != 3 or not all(part.isdigit() for part in parts):
-        raise StateFileError(f"version {text!r} is no TERM.EPOCH.NUMBER")
+        raise StateFileError(f"version {text!r} does not have the form TERM.EPOCH.NUMBER")
     return UpdateVersion(*map(int, parts))
 
 
 def _tables(
     routes: list[str],
-    lines: Mapping[str, Mapping[str, float]],
-    withdrawn: Iterable[str],
-    tries: Mapping[str, int] | None = None,
-    levels: Mapping[str, float] | None = None,
+    weights: Mapping[str, Mapping[str, float]],
+    excluded: Iterable[str],
+    retries: Mapping[str, int] | None = None,
+    limits: Mapping[str, float] | None = None,
 ) -> ProxyTables:
     return ProxyTables(
-        weights=tuple(lines.get(route, {}) for route in routes),
-        excluded=frozenset(withdrawn),
-        retries=tuple((tries or {}).get(route, DEFAULT_RETRIES) for route in routes),
-        limits=tuple((levels or {}).get(route, math.inf) for route in routes),
+        weights=tuple(weights.get(route, {}) for route in routes),
+        excluded=frozenset(excluded),
+        retries=tuple((retries or {}).get(route, DEFAULT_RETRIES) for route in routes),
+        limits=tuple((limits or {}).get(route, math.inf) for route in routes),
     )
--- a/willowhook/validation/verdict.py
+++ b/willowhook/validation/verdict.py
@@ -1,6 +1,7 @@
-"""The result of validating an update, for people and for pipelines.
+"""The result of validating an update, as text and as data.
 
-The words in records and in the output of the command line are fixed: `Verdict.data` maps the fields to them.
+The keys in records and in the JSON output of the command line are fixed: the `data` methods map the fields to
+them.
 """
 
 from __future__ import annotations
@@ -14,40 +15,40 @@
     """The outcome of an update. The values are those of records and of the command line."""
 
     PASSED = "passed"
-    SPLIT = "split"  # it goes out in steps
-    HELD = "held"  # it goes out later
+    SPLIT = "split"  # sent in steps
+    HELD = "held"  # sent later
     REFUSED = "refused"
 
 
-SEVERITY = (Outcome.PASSED, Outcome.SPLIT, Outcome.HELD, Outcome.REFUSED)  # the worst finding decides
+SEVERITY = (Outcome.PASSED, Outcome.SPLIT, Outcome.HELD, Outcome.REFUSED)  # from best to worst
 EXIT_CODES = {Outcome.PASSED: 0, Outcome.SPLIT: 3, Outcome.HELD: 4, Outcome.REFUSED: 5}
 
 
 class Rule(IntEnum):
-    """The rules of the service, by the numbers of its documents."""
+    """The rules of the service, with the numbers that its documentation gives them."""
 
     NONE = 0
-    EMPTY_TABLE = 1  # a connected proxy keeps a usable endpoint
-    RETRIES = 2  # no request runs twice that must not
-    DRAINING = 3  # nothing goes to an endpoint past its drain grace
-    SLOW_START = 4  # no endpoint that is warming up is overloaded
-    QUEUE = 5  # the queue limit and the message cap
+    EMPTY_TABLE = 1  # a connected proxy always has a usable endpoint
+    RETRIES = 2  # a request that must not execute twice does not
+    DRAINING = 3  # an endpoint gets no requests after its drain grace
+    SLOW_START = 4  # an endpoint that is warming up is not overloaded
+    QUEUE = 5  # the queue limit and the message cap are kept
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Finding:
-    """What one check found.
+    """A problem that one check found.
 
     Attributes:
         check: the name of the check.
         outcome: the outcome of the update by this finding alone.
         rule: the rule of the service that the update would break, if any.
-        text: what is wrong, for a person.
+        text: a description of the problem.
         remedy: the smallest change that would make the update pass.
-        route: the route that is concerned; empty: all.
-        endpoint: the endpoint that is concerned; empty: no single one.
-        figure: what was measured.
-        limit: what it was measured against.
+        route: the affected route; empty: all.
+        endpoint: the affected endpoint; empty: no single one.
+        figure: the value that was checked.
+        limit: the limit that the value was checked against.
         until: the tick from which the update may pass; None: waiting does not help.
     """
 
@@ -64,14 +65,14 @@
 
     def line(self) -> str:
         """Returns the finding as one line of text."""
-        where = f" route {self.route}" if self.route else ""
+        location = f" route {self.route}" if self.route else ""
         if self.endpoint:
-            where += f" host {self.endpoint}"
+            location += f" host {self.endpoint}"
         rule = f" (rule {self.rule.value})" if self.rule else ""
-        return f"{self.outcome.value}: {self.check}{where}{rule}: {self.text}; {self.remedy}"
+        return f"{self.outcome.value}: {self.check}{location}{rule}: {self.text}; {self.remedy}"
 
     def data(self) -> dict[str, Any]:
-        """Returns the finding in the words of the records."""
+        """Returns the finding with the keys of the records."""
         return {
             "check": self.check,
             "verdict": self.outcome.value,
@@ -88,12 +89,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One of the ordered safe steps that a split update is sent in.
+    """One of the ordered steps in which a split update is sent safely.
 
     Attributes:
         not_before: the tick from which it is safe.
         weights: the weights of the tables in this step, by route index.
-        text: what the step does, for a person.
+        text: a description of the step.
     """
 
     not_before: int
@@ -101,7 +102,7 @@
     text: str
 
     def data(self) -> dict[str, Any]:
-        """Returns the step in the words of the records."""
+        """Returns the step with the keys of the records."""
         return {"at": self.not_before, "lines": self.weights, "why": self.text}
 
 
@@ -110,10 +111,10 @@
     """The result of all checks of an update.
 
     Attributes:
-        outcome: the outcome of the worst finding, unless the update is exempted.
+        outcome: the outcome of the worst finding, unless the update is exempt.
         findings: the findings in the order of the checks.
         steps: the steps in which a split update is safe.
-        exemption: why an update with findings passes nevertheless; empty if it does not.
+        exemption: why an update passes despite its findings; empty if it is not exempt.
         check_errors: the checks that raised an error, and whether each failed open or closed.
     """
 
@@ -125,7 +126,7 @@
 
     @property
     def has_passed(self) -> bool:
-        """Whether the update may go out as it is."""
+        """Whether the update may be sent as it is."""
         return self.outcome is Outcome.PASSED
 
     def add(self, finding: Finding) -> None:
@@ -134,7 +135,7 @@
         self.outcome = max(self.outcome, finding.outcome, key=SEVERITY.index)
 
     def exempt(self, reason: str) -> None:
-        """Makes the update pass nevertheless."""
+        """Makes the update pass despite its findings."""
         self.outcome = Outcome.PASSED
         self.exemption = reason
 
@@ -144,7 +145,7 @@
         return max((until for until in held if until is not None), default=None)
 
     def data(self) -> dict[str, Any]:
-        """Returns the verdict in the words of the records."""
+        """Returns the verdict with the keys of the records."""
         return {
             "what": self.outcome.value,
             "findings": [finding.data() for finding in self.findings],
@@ -161,5 +162,5 @@
         for number, step in enumerate(self.steps, 1):
             lines.append(f"step {number}, not before {step.not_before}: {step.text}")
         if self.exemption:
-            lines.append(f"passes all the same: {self.exemption}")
+            lines.append(f"passes despite its findings: {self.exemption}")
         return [*lines, *self.check_errors]
--- a/willowhook/validation/world.py
+++ b/willowhook/validation/world.py
@@ -1,4 +1,4 @@
-"""What updates are judged against: endpoints, the tables that proxies hold or may hold soon, the queue."""
+"""The state that updates are validated against: endpoints, tables held or in flight, and the update queue."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from .exposure import ClassKey, ExposureIndex, Rates
 from .model import ProxyKey, ProxyTables, RequestShares, UpdateVersion, ValidatedEndpoint, ValidationSettings
 
-NO_VERSION = UpdateVersion(0, 0, 0)  # below any that is sent
-NO_CAPACITY = 1e-9  # relative; what is divided by stays above 0
+NO_VERSION = UpdateVersion(0, 0, 0)  # below any version that is sent
+MIN_CAPACITY = 1e-9  # relative capacity; avoids a division by 0
 
 
 @dataclass(slots=True)
@@ -17,11 +17,12 @@
     """A joined proxy.
 
     Attributes:
-        rates: requests a second by route index.
+        rates: requests per second by route index.
         zone: its zone.
-        held: keys of the contents that it may hold: applied first, then in flight in their order.
-        newest: the version of the update last sent to it.
-        sent_at: when updates were sent to it, within the window of the message cap.
+        held: the keys of the contents that it may hold: the applied one, then those in flight in the order
+            they were sent.
+        newest: the newest version sent to it.
+        sent_at: the ticks at which updates were sent to it, within the window of the message cap.
     """
 
     rates: Rates
@@ -32,16 +33,16 @@
 
 
 class World:
-    """Keeps the state that updates are judged against.
+    """Keeps the state that updates are validated against.
 
     Attributes:
-        endpoints: as listed.
+        endpoints: the listed endpoints.
         proxies: the joined proxies of this controller.
-        total_rates: the request rates of all proxies together, by route index.
+        total_rates: the total request rates of these proxies, by route index.
     """
 
     def __init__(self, settings: ValidationSettings) -> None:
-        """Starts without endpoints and proxies."""
+        """Creates a state without endpoints and proxies."""
         self.settings = settings
         self.endpoints = EndpointIndex(settings)
         self.proxies: dict[ProxyKey, ProxyRecord] = {}
@@ -53,7 +54,7 @@
     # Proxies.
 
     def add_proxy(self, proxy: ProxyKey, zone: str, rates: Rates, tables: ProxyTables | None) -> None:
-        """Registers a proxy that has joined, and holds these tables."""
+        """Registers a proxy that has joined with these tables; None: they are unknown."""
         self.remove_proxy(proxy)
         record = self.proxies[proxy] = ProxyRecord(rates, zone)
         self._add_total(rates, 1)
@@ -61,7 +62,7 @@
             self._move(record, (self._exposure.register(tables),))
 
     def remove_proxy(self, proxy: ProxyKey) -> None:
-        """Forgets a proxy that has left, if it is known."""
+        """Removes a proxy that has left, if it is known."""
         record = self.proxies.get(proxy)
         if record is not None:
             self._move(record, ())
@@ -69,7 +70,7 @@
             del self.proxies[proxy]
 
     def update_rates(self, proxy: ProxyKey, rates: Rates) -> None:
-        """Sets the rates of requests at a proxy; those of an unknown proxy are ignored."""
+        """Sets the request rates of a proxy; unknown proxies are ignored."""
         record = self.proxies.get(proxy)
         if record is None or record.rates == rates:
             return
@@ -80,7 +81,7 @@
         record.rates = rates
 
     def record_sent(self, now: int, proxy: ProxyKey, tables: ProxyTables, version: UpdateVersion) -> None:
-        """Notes an update on its way: until it is applied, its proxy may hold it or what it held before.
+        """Records an update in flight: until it is applied, its proxy may hold it or the tables before it.
 
         Raises KeyError for an unknown proxy.
         """
@@ -94,7 +95,7 @@
             del record.sent_at[0]
 
     def record_applied(self, proxy: ProxyKey, tables: ProxyTables | None = None) -> None:
-        """Notes that a proxy has applied all that was sent up to these tables; None: all that was sent."""
+        """Records that a proxy has applied all updates sent up to these tables; None: all that were sent."""
         record = self.proxies.get(proxy)
         if record is None or not record.held:
             return
@@ -115,25 +116,25 @@
 
     @property
     def contents(self) -> dict[object, RequestShares]:
-        """All contents that proxies hold or may hold soon, by key."""
+        """All contents that proxies hold or have in flight, by key."""
         return self._exposure.contents
 
     def shares_of(self, tables: ProxyTables) -> RequestShares:
-        """Returns the shares of tables, from the known contents where they have a key."""
+        """Returns the shares of requests under tables; those of a known content are reused by its key."""
         known = self.contents.get(tables.key) if tables.key is not None else None
         return known if known is not None else RequestShares(tables)
 
     def last_tables(self, proxy: ProxyKey) -> ProxyTables | None:
-        """Returns what was last sent to a proxy, or what it joined with; None if neither is known."""
+        """Returns the tables last sent to a proxy, or those it joined with; None if neither is known."""
         record = self.proxies.get(proxy)
         return self.contents[record.held[-1]].tables if record is not None and record.held else None
 
-    # Load of endpoints, in requests a second.
+    # Load of endpoints, in requests per second.
 
     def load(self, endpoint: str) -> float:
-        """Returns the most that this controller's proxies may send there, by what they may hold.
+        """Returns the largest load that this controller's proxies may send to an endpoint.
 
-        As a running sum it may be a rounding error below 0.
+        It is a running sum, so a rounding error may make it slightly negative.
         """
         return self._exposure.load(endpoint)
 
@@ -142,7 +143,7 @@
         return max(self.load(endpoint), 0.0)
 
     def exposure_in_full(self, endpoint: str) -> float:
-        """Returns the same, summed over every proxy: what the running sum is tested and measured against."""
+        """Returns `exposure` computed anew over every proxy, as a reference in tests and benchmarks."""
         requests = 0.0
         for record in self.proxies.values():
             for route, rate in enumerate(record.rates):
@@ -151,44 +152,47 @@
         return requests
 
     def load_elsewhere(self, endpoint: ValidatedEndpoint) -> float:
-        """Returns what other controllers' proxies may send there, spread in proportion to capacity."""
+        """Estimates the load from other controllers' proxies, spread in proportion to capacity."""
         capacity = self.endpoints.capacity_in_service
         if not endpoint.is_in_service or capacity <= 0:
             return 0.0
         requests = sum(self.total_rates) * (self.fleet_factor() - 1)
         return requests * endpoint.capacity / capacity
 
-    def rises(self, proxy: ProxyKey, shares: RequestShares) -> dict[str, float]:
-        """Returns what comes on top, by endpoint, once tables with these shares are on their way."""
+    def added_load(self, proxy: ProxyKey, shares: RequestShares) -> dict[str, float]:
+        """Returns the load that sending tables with these shares to a proxy adds, by endpoint."""
         record = self.proxies[proxy]
-        return self._exposure.rises(record.rates, record.held, shares)
+        return self._exposure.added_load(record.rates, record.held, shares)
 
     def load_from(self, proxy: ProxyKey, shares: RequestShares, endpoint: str) -> float:
-        """Returns what one proxy sends there by tables with these shares."""
+        """Returns the load that one proxy sends to an endpoint under tables with these shares."""
         rates = self.proxies[proxy].rates
         return sum(rate * shares.by_route[route].get(endpoint, 0.0) for route, rate in enumerate(rates))
 
     def even_load(self) -> float:
-        """Returns what an endpoint in service of capacity 1 gets when all load is spread evenly."""
-        capacity = max(self.endpoints.capacity_in_service, NO_CAPACITY)
+        """Returns the load of an endpoint of capacity 1 when all load is spread over those in service."""
+        capacity = max(self.endpoints.capacity_in_service, MIN_CAPACITY)
         return sum(self.total_rates) * self.fleet_factor() / capacity
 
-    def cold_budget(self, now: int, endpoint: ValidatedEndpoint) -> float:
-        """Returns what all proxies together may send an endpoint that is warming up."""
+    def slow_start_budget(self, now: int, endpoint: ValidatedEndpoint) -> float:
+        """Returns the load that all proxies together may send to an endpoint that is warming up."""
         settings = self.settings
         return (
             settings.slow_start_budget_fraction
             * settings.recovery_overload_factor
-            * self.endpoints.warmth(now, endpoint)
+            * self.endpoints.capacity_fraction(now, endpoint)
             * endpoint.capacity
             * self.even_load()
         )
 
     def fleet_factor(self) -> float:
-        """Returns how many times this controller's proxies the fleet is: others may do as it does."""
+        """Returns the size of the fleet relative to this controller's proxies.
+
+        It scales this controller's load to the fleet, as other controllers may send the same update.
+        """
         return max(self.settings.proxy_count / max(len(self.proxies), 1), 1.0)
 
-    # The queue.
+    # The update queue.
 
     def update_queue(self, now: int, waiting_entries: float) -> None:
         """Sets the number of entries that wait in the channel."""
@@ -196,6 +200,6 @@
         self._waiting_at = now
 
     def waiting_entries(self, now: int) -> float:
-        """Returns the entries that still wait, at the rate of the channel."""
-        left = (now - self._waiting_at) * self.settings.entries_per_tick
-        return max(0.0, self._waiting_entries - left)
+        """Estimates the entries that still wait, by the rate of the channel."""
+        sent = (now - self._waiting_at) * self.settings.entries_per_tick
+        return max(0.0, self._waiting_entries - sent)
--- a/willowhook/versions/discovery_session.py
+++ b/willowhook/versions/discovery_session.py
@@ -15,9 +15,9 @@
 from .resources import Resource, ResourceSet, ResourceStore
 from .version_tracker import VersionTracker
 
-MAX_NAMES = 10_000  # that one proxy may subscribe to
+MAX_SUBSCRIBED_NAMES = 10_000  # that one proxy may subscribe to
 MAX_UNAPPLIED_MESSAGES = 100  # of one proxy; when there are more, the oldest are forgotten
-FORGOTTEN_MESSAGES = 50  # at once
+FORGOTTEN_MESSAGE_COUNT = 50  # at once
 NO_BASE = "0"  # in the nonce of a delta that starts from no set of ours
 
 
@@ -100,9 +100,9 @@
             Whether the proxy is offered something that it was not offered before.
         """
         before = dict(self._offers.current)
-        self._offers.want(sets, excluded)
+        self._offers.set_wanted(sets, excluded)
         self._pending.append(_PendingMessage(number, dict(self._offers.wanted)))
-        self._offers.settle()
+        self._offers.recompute()
         offers = self._offers.current.items()
         has_changed = any(before.get(kind) is not resources for kind, resources in offers)
         self._report_applied()
@@ -119,7 +119,7 @@
         """
         self._rejections.halt(resource)
         before = self._offers.current.get(resource.kind)
-        self._offers.settle()
+        self._offers.recompute()
         return self._offers.current.get(resource.kind) is not before
 
     # What it says, and the responses.
@@ -137,7 +137,7 @@
         if request.is_first:
             self._handle_first_request(tracker, request)
         self._subscribe(tracker, request)
-        self._offers.settle()
+        self._offers.recompute()
         self._report_applied()
         return self.pending_response(request.kind, request.is_full)
 
@@ -179,7 +179,7 @@
         ahead = [era for era in map(self._store.era_ahead, versions) if era is not None]
         if ahead:
             self._store.raise_era(max(ahead))
-            self._offers.renew()
+            self._offers.rebuild_for_new_era()
             if self._pending:
                 self._pending = [_PendingMessage(self._pending[-1].number, dict(self._offers.wanted))]
 
@@ -223,7 +223,7 @@
             tracker.known = found
             self._report_version(tracker)
         else:
-            self._offers.floors[tracker.kind] = self._store.own_version(version)
+            self._offers.reported_versions[tracker.kind] = self._store.own_version(version)
 
     def _handle_acknowledgement(self, tracker: VersionTracker, nonce: str) -> None:
         applied = tracker.record_acknowledged(nonce)
@@ -253,13 +253,13 @@
             names = _complete_subscription(request)
         elif request.subscribe or request.unsubscribe:
             names = _changed_subscription(before, request)
-            self._forget_subscribed(tracker, request.subscribe)
+            self._forget_resubscribed(tracker, request.subscribe)
         else:
             return
-        limited = dict(list(names.items())[:MAX_NAMES]) if names is not None else None
+        limited = dict(list(names.items())[:MAX_SUBSCRIBED_NAMES]) if names is not None else None
         self._offers.names[request.kind] = limited
 
-    def _forget_subscribed(self, tracker: VersionTracker, names: tuple[str, ...]) -> None:
+    def _forget_resubscribed(self, tracker: VersionTracker, names: tuple[str, ...]) -> None:
         """Resources that the proxy subscribes to again are sent again, even if it is known to hold them."""
         held = tracker.known.resources if tracker.known is not None else {}
         if tracker.in_flight or not any(name in held for name in names):
@@ -280,7 +280,7 @@
             del self._pending[: applied[-1] + 1]
             self._listener.handle_applied(self.proxy, number)
         elif len(self._pending) > MAX_UNAPPLIED_MESSAGES:
-            del self._pending[:FORGOTTEN_MESSAGES]
+            del self._pending[:FORGOTTEN_MESSAGE_COUNT]
 
     def _is_applied(self, message: _PendingMessage) -> bool:
         return all(
--- a/willowhook/versions/offers.py
+++ b/willowhook/versions/offers.py
@@ -50,16 +50,16 @@
         self.wanted: dict[str, ResourceSet] = {}
         self.current: dict[str, ResourceSet] = {}
         self.names: dict[str, dict[str, None] | None] = dict.fromkeys(KINDS)
-        self.floors = dict.fromkeys(KINDS, NO_VERSION)
+        self.reported_versions = dict.fromkeys(KINDS, NO_VERSION)
 
-    def want(self, sets: Mapping[str, ResourceSet], excluded: frozenset[str]) -> None:
+    def set_wanted(self, sets: Mapping[str, ResourceSet], excluded: frozenset[str]) -> None:
         """Sets what the proxy is to run; types that are missing stay. `settle` is to be called after it."""
         for kind, resources in sets.items():
             self.wanted[kind] = resources
             self._rejections.forget_outdated(kind, resources)
         self._excluded = excluded
 
-    def renew(self) -> None:
+    def rebuild_for_new_era(self) -> None:
         """Makes all wanted sets again under the era that has begun. Nothing is offered until `settle`."""
         for sets in (self.wanted, self._held.initial):
             for kind, resources in list(sets.items()):
@@ -75,13 +75,13 @@
                 newest = resources
         return newest
 
-    def settle(self) -> None:
+    def recompute(self) -> None:
         """Works out what may be offered now."""
-        self._settle_kind(CLUSTERS, self._stage_clusters())
-        self._settle_kind(TABLES, self._stage_tables())
-        self._settle_kind(ROUTES, self._stage_routes())
+        self._recompute_kind(CLUSTERS, self._offerable_clusters())
+        self._recompute_kind(TABLES, self._offerable_tables())
+        self._recompute_kind(ROUTES, self._offerable_routes())
 
-    def _settle_kind(self, kind: str, staged: Mapping[str, Resource] | None) -> None:
+    def _recompute_kind(self, kind: str, staged: Mapping[str, Resource] | None) -> None:
         if staged is None:
             return
         resources = self._rejections.replace(kind, staged)
@@ -92,13 +92,13 @@
             resources = {name: each for name, each in resources.items() if name in names}
         newest = self.newest(kind)
         wanted = self.wanted.get(kind)
-        above = max(newest.order if newest is not None else NO_VERSION, self.floors[kind])
+        above = max(newest.order if newest is not None else NO_VERSION, self.reported_versions[kind])
         if wanted is not None and resources == wanted.resources and wanted.order >= above:
             self.current[kind] = wanted
         else:
-            self.current[kind] = self._store.assemble(kind, resources, newest, self.floors[kind])
+            self.current[kind] = self._store.assemble(kind, resources, newest, self.reported_versions[kind])
 
-    def _stage_clusters(self) -> dict[str, Resource] | None:
+    def _offerable_clusters(self) -> dict[str, Resource] | None:
         """The wanted clusters, and those that are still in use."""
         wanted = self.wanted.get(CLUSTERS)
         if wanted is None:
@@ -110,7 +110,7 @@
                 resources[name] = old
         return resources
 
-    def _stage_tables(self) -> dict[str, Resource] | None:
+    def _offerable_tables(self) -> dict[str, Resource] | None:
         """The wanted tables, and those that are still in use; exclusions hold for these too."""
         wanted = self.wanted.get(TABLES)
         if wanted is None:
@@ -123,7 +123,7 @@
                 resources[name] = self._store.resource(TABLES, name, body, old)
         return resources
 
-    def _stage_routes(self) -> Mapping[str, Resource] | None:
+    def _offerable_routes(self) -> Mapping[str, Resource] | None:
         """The wanted routes, once all that they lead to is known to be held; until then those of now."""
         wanted = self.wanted.get(ROUTES)
         if wanted is None:
--- a/willowhook/versions/rejections.py
+++ b/willowhook/versions/rejections.py
@@ -108,10 +108,10 @@
         if self._held.trackers[kind].rejected.get(name) is resource:
             return self._held.held(kind).get(name)
         if self._halted.get((kind, name)) is resource:
-            return self._go_back(kind, name, resource)
+            return self._previous_version(kind, name, resource)
         return resource
 
-    def _go_back(self, kind: str, name: str, halted: Resource) -> Resource | None:
+    def _previous_version(self, kind: str, name: str, halted: Resource) -> Resource | None:
         """What replaces a halted version: the one before it; the halted one itself if there is no other."""
         tracker = self._held.trackers[kind]
         held = tracker.known.resources.get(name) if tracker.known is not None else None
