--- a/willowhook/versions/__init__.py
+++ b/willowhook/versions/__init__.py
@@ -1,1 +1,1 @@
-"""What proxies are to run, as numbered versions, and what each is known to run.  No I/O and no clock."""
+"""Versions of resources: what proxies are to run, and what each is known to run. No I/O, no clock."""
--- a/willowhook/versions/discovery_session.py
+++ b/willowhook/versions/discovery_session.py
@@ -1,6 +1,6 @@
-"""The discovery session of one proxy: what it is to run, what it says, and the responses that it gets.
+"""The discovery session of one proxy: the resources it is to run, its requests, and the responses to them.
 
-Which front serves the proxy, and in which form, does not matter here. No I/O, no clock.
+Independent of the discovery server that serves the proxy and of its wire format. No I/O, no clock.
 """
 
 from __future__ import annotations
@@ -15,37 +15,37 @@
 from .resources import Resource, ResourceSet, ResourceStore
 from .version_tracker import VersionTracker
 
-MAX_SUBSCRIBED_NAMES = 10_000  # that one proxy may subscribe to
-MAX_UNAPPLIED_MESSAGES = 100  # of one proxy; when there are more, the oldest are forgotten
-FORGOTTEN_MESSAGE_COUNT = 50  # at once
-NO_BASE = "0"  # in the nonce of a delta that starts from no set of ours
+MAX_SUBSCRIBED_NAMES = 10_000  # per proxy and resource type
+MAX_UNAPPLIED_MESSAGES = 100  # per proxy; when there are more, the oldest are forgotten
+FORGOTTEN_MESSAGE_COUNT = 50  # messages that are forgotten at once
+NO_BASE = "0"  # in the nonce of a delta whose base is not a set of this store
 
 
 class SessionListener(Protocol):
-    """Is notified of the requests of a proxy."""
+    """Is notified of what the requests of a proxy report."""
 
     def handle_applied(self, proxy: int, number: int) -> None:
-        """Called when a proxy has applied an update message, and all before it."""
+        """Called when a proxy has applied an update message and all messages before it."""
 
     def handle_rejected(self, proxy: int, resource: Resource, error: str) -> None:
-        """Called when a proxy has rejected a resource, which it is not offered again."""
+        """Called when a proxy has rejected a resource, which is not offered to it again."""
 
     def handle_acknowledged(self, proxy: int, resources: ResourceSet) -> None:
         """Called when a proxy has applied a set."""
 
     def record_known_version(self, proxy: int, kind: str, version: str, state: str) -> None:
-        """Called when it changes what a proxy runs; `version` is empty where that is not certain."""
+        """Called when the known version of a proxy changes; `version` is empty if it is not certain."""
 
 
 class _PendingMessage(NamedTuple):
-    """An update message that is not known to be applied, and the sets that it wants."""
+    """An update message that is not known to be applied, and the wanted sets by type."""
 
     number: int
     wanted: dict[str, ResourceSet]
 
 
 class DiscoverySession:
-    """The session of one proxy."""
+    """The discovery session of one proxy."""
 
     def __init__(
         self,
@@ -61,10 +61,10 @@
         Args:
             proxy: the proxy's number.
             store: makes resources and sets.
-            listener: is notified of what the proxy states.
+            listener: is notified of what the proxy reports.
             references: returns the names that a resource refers to.
-            exclude_from: returns a table's body with endpoints draining.
-            initial: by type, names and bodies of what the proxy holds from elsewhere.
+            exclude_from: returns a table's body with endpoints marked as draining.
+            initial: by type, names and bodies of the resources that the proxy held when it joined.
         """
         self.proxy = proxy
         self._store = store
@@ -76,28 +76,28 @@
 
     @property
     def trackers(self) -> dict[str, VersionTracker]:
-        """What the proxy is known to run, by type."""
+        """The version trackers of the proxy, by type."""
         return self._held.trackers
 
     def states(self) -> dict[str, tuple[str, str, dict[str, str]]]:
-        """Returns by type: state, version if it is certain, and why resources were rejected."""
+        """Returns by type: the state, the version if it is certain, and the errors of rejected resources."""
         return {
             kind: (tracker.state.value, tracker.certain_version, dict(tracker.errors))
             for kind, tracker in self.trackers.items()
         }
 
-    # What it is to run.
+    # Wanted resources.
 
     def want(self, number: int, sets: Mapping[str, ResourceSet], excluded: frozenset[str]) -> bool:
-        """Sets what the proxy is to run.
+        """Sets the resources that the proxy is to run.
 
         Args:
             number: the number of the update message.
-            sets: the sets by type; types that are missing stay as they are.
+            sets: the sets by type; missing types are unchanged.
             excluded: endpoints that the proxy may not use.
 
         Returns:
-            Whether the proxy is offered something that it was not offered before.
+            Whether the offers to the proxy have changed.
         """
         before = dict(self._offers.current)
         self._offers.set_wanted(sets, excluded)
@@ -109,23 +109,23 @@
         return has_changed
 
     def newest(self, kind: str) -> ResourceSet | None:
-        """Returns the newest set that the proxy was offered: what comes next must be newer."""
+        """Returns the newest set that the proxy was offered; a later set must have a higher version."""
         return self._offers.newest(kind)
 
     def halt(self, resource: Resource) -> bool:
-        """Offers what the proxy ran before in place of a version that is halted for all proxies.
+        """Replaces a version that is halted for all proxies by the one that the proxy ran before.
 
-        Returns whether the offer has changed by that.
+        Returns whether the offer has changed.
         """
         self._rejections.halt(resource)
         before = self._offers.current.get(resource.kind)
         self._offers.recompute()
         return self._offers.current.get(resource.kind) is not before
 
-    # What it says, and the responses.
+    # Requests and responses.
 
     def handle_request(self, request: ResourceRequest) -> ResourceResponse | None:
-        """Processes a request. Returns the response, or None: the request is to wait for one."""
+        """Processes a request. Returns the response, or None if the request has to wait for one."""
         tracker = self.trackers[request.kind]
         self._raise_era(request)
         if request.nonce and request.error:
@@ -142,7 +142,7 @@
         return self.pending_response(request.kind, request.is_full)
 
     def pending_response(self, kind: str, is_full: bool) -> ResourceResponse | None:
-        """Returns the response that a waiting request gets now; None if the proxy has all of it."""
+        """Returns the response to a waiting request; None if the proxy holds all that it is offered."""
         tracker = self.trackers[kind]
         offer = self._offers.current.get(kind)
         if offer is None or offer is tracker.known:
@@ -151,7 +151,7 @@
         if offer.resources == held:
             return None
         if tracker.known is None and held and offer.bodies() == {n: each.body for n, each in held.items()}:
-            return None  # it joined with just this, whatever version it knows it by
+            return None  # the proxy joined with the same content, perhaps under another version
         if is_full:
             return ResourceResponse(offer, offer.version, None, None)
         base = tracker.delta_base
@@ -161,30 +161,33 @@
         return ResourceResponse(offer, f"{base_version}-{offer.version}", known, delta)
 
     def record_sent(self, kind: str, response: ResourceResponse) -> None:
-        """Notes that a response is about to leave; to be called just before it does."""
+        """Records a response that is about to be sent; must be called just before it is sent."""
         tracker = self.trackers[kind]
         tracker.record_sent(response.nonce, response.resource_set)
         self._report_version(tracker)
 
     def handle_connection_lost(self, kind: str) -> None:
-        """Notes that the connection has ended: what was in flight may have arrived or not."""
+        """Records that the connection was lost: responses in flight may or may not have arrived."""
         tracker = self.trackers[kind]
         if tracker.in_flight and not tracker.is_connection_lost:
             tracker.is_connection_lost = True
             self._report_version(tracker)
 
     def _raise_era(self, request: ResourceRequest) -> None:
-        """Keeps what the proxy holds older than what it is offered, also if all memory was lost."""
+        """Starts a new era if the proxy holds newer versions than this store makes.
+
+        Offers stay newer than what the proxy holds, even if the controller has lost its state.
+        """
         versions = [request.version, *(request.held_versions or {}).values()]
-        ahead = [era for era in map(self._store.era_ahead, versions) if era is not None]
-        if ahead:
-            self._store.raise_era(max(ahead))
+        newer_eras = [era for era in map(self._store.era_ahead, versions) if era is not None]
+        if newer_eras:
+            self._store.raise_era(max(newer_eras))
             self._offers.rebuild_for_new_era()
             if self._pending:
                 self._pending = [_PendingMessage(self._pending[-1].number, dict(self._offers.wanted))]
 
     def _handle_first_request(self, tracker: VersionTracker, request: ResourceRequest) -> None:
-        """On a new connection the proxy says what it holds; that is where deltas begin."""
+        """Processes the versions that a proxy states on a new connection; deltas are based on them."""
         known = tracker.known
         if request.is_full:
             if known is not None and request.version != known.version:
@@ -194,24 +197,24 @@
         if known is None:
             tracker.reported = held
         elif known.versions() != held:
-            # it may have applied what was in flight when the connection ended
-            same = [each for each in tracker.in_flight.values() if each.versions() == held]
-            self._reset_known(tracker, held, same[-1] if same else None)
+            # the proxy may have applied a response that was in flight when the connection was lost
+            matching = [each for each in tracker.in_flight.values() if each.versions() == held]
+            self._reset_known(tracker, held, matching[-1] if matching else None)
 
     def _reset_known(
-        self, tracker: VersionTracker, reported: dict[str, str], runs: ResourceSet | None
+        self, tracker: VersionTracker, reported: dict[str, str], known: ResourceSet | None
     ) -> None:
-        """Notes that the proxy holds something other than what it was known to hold."""
-        tracker.known = runs
-        tracker.reported = reported if runs is None else {}
+        """Records that the proxy holds something other than it was known to hold."""
+        tracker.known = known
+        tracker.reported = reported if known is None else {}
         self._held.initial.pop(tracker.kind, None)
         tracker.in_flight.clear()
-        if runs is not None:
-            self._listener.handle_acknowledged(self.proxy, runs)
+        if known is not None:
+            self._listener.handle_acknowledged(self.proxy, known)
         self._report_version(tracker)
 
     def _handle_reported_version(self, tracker: VersionTracker, version: str) -> None:
-        """Uses the version that a request names, if no nonce is more specific."""
+        """Uses the version that a request states, if the request has no nonce."""
         for nonce, resources in list(tracker.in_flight.items()):
             if resources.version == version:
                 self._handle_acknowledgement(tracker, nonce)
@@ -260,20 +263,20 @@
         self._offers.names[request.kind] = limited
 
     def _forget_resubscribed(self, tracker: VersionTracker, names: tuple[str, ...]) -> None:
-        """Resources that the proxy subscribes to again are sent again, even if it is known to hold them."""
+        """Forgets that the proxy holds resources that it subscribes to again, so that they are sent again."""
         held = tracker.known.resources if tracker.known is not None else {}
         if tracker.in_flight or not any(name in held for name in names):
             return
-        left = {name: resource for name, resource in held.items() if name not in names}
-        tracker.reported = {name: resource.version for name, resource in left.items()}
-        self._held.initial[tracker.kind] = self._store.assemble(tracker.kind, left)
+        remaining = {name: resource for name, resource in held.items() if name not in names}
+        tracker.reported = {name: resource.version for name, resource in remaining.items()}
+        self._held.initial[tracker.kind] = self._store.assemble(tracker.kind, remaining)
         tracker.known = None
         self._report_version(tracker)
 
     # Reports.
 
     def _report_applied(self) -> None:
-        """Reports the newest message all of whose resources are known to be held."""
+        """Reports the newest message whose resources are all known to be held."""
         applied = [index for index, message in enumerate(self._pending) if self._is_applied(message)]
         if applied:
             number = self._pending[applied[-1]].number
@@ -296,14 +299,14 @@
 
 
 def _complete_subscription(request: ResourceRequest) -> dict[str, None] | None:
-    """The names of a request that has all of them; None: `*`, or none at all, is everything."""
+    """Returns the names of a request that states all of them; None, for `*` or no names, means all."""
     if not request.subscribe or ALL_NAMES in request.subscribe:
         return None
     return dict.fromkeys(request.subscribe)
 
 
 def _changed_subscription(before: dict[str, None] | None, request: ResourceRequest) -> dict[str, None] | None:
-    """The names after a request that adds and takes away some; None: everything."""
+    """Returns the names after a request that adds and removes some; None means all."""
     if before is None and ALL_NAMES not in request.unsubscribe:
         return None
     names = [*(before or {}), *request.subscribe]
--- a/willowhook/versions/exchange.py
+++ b/willowhook/versions/exchange.py
@@ -1,4 +1,4 @@
-"""What a proxy and its session say to each other, whatever form it has on the wire."""
+"""The requests and responses of a discovery session, independent of the wire format."""
 
 from __future__ import annotations
 
@@ -7,23 +7,23 @@
 
 from .resources import ResourceDelta, ResourceSet
 
-ALL_NAMES = "*"  # among the names of a subscription
+ALL_NAMES = "*"  # a name that subscribes to all resources
 
 
 @dataclass(slots=True)
 class ResourceRequest:
-    """A call of a proxy for resources of one type.
+    """A request of a proxy for resources of one type.
 
     Attributes:
         kind: the resource type.
-        is_full: whether it wants complete sets; otherwise deltas.
+        is_full: whether it asks for complete sets; otherwise for deltas.
         is_first: whether it is the first of its connection, so that it states what the proxy holds.
-        version: the version that the proxy states it runs; with complete sets.
-        held_versions: the versions by name that the proxy states it holds; with deltas.
-        nonce: the nonce of the response that this answers; empty: none.
+        version: the version that the proxy states it runs, if it asks for complete sets.
+        held_versions: the versions by name that the proxy states it holds, if it asks for deltas.
+        nonce: the nonce of the response that it acknowledges or rejects; empty: none.
         error: why the proxy rejected that response; empty: it applied it.
-        subscribe: names that it wants from now on.
-        unsubscribe: names that it does not want any more.
+        subscribe: names to subscribe to.
+        unsubscribe: names to unsubscribe from.
     """
 
     kind: str
@@ -39,13 +39,13 @@
 
 @dataclass(slots=True)
 class ResourceResponse:
-    """What a proxy is sent.
+    """A response to a proxy.
 
     Attributes:
-        resource_set: what the proxy holds once it has applied this.
-        nonce: the nonce that the proxy's answer names.
-        base: the set that `delta` starts from, where one response serves many proxies.
-        delta: what changes; None: the complete set is sent.
+        resource_set: the set that the proxy holds once it has applied the response.
+        nonce: the nonce by which the proxy acknowledges or rejects the response.
+        base: the set that `delta` is based on, if it is a known one, so that proxies can share the response.
+        delta: the changes; None: the complete set is sent.
     """
 
     resource_set: ResourceSet
--- a/willowhook/versions/offers.py
+++ b/willowhook/versions/offers.py
@@ -1,7 +1,7 @@
-"""What one proxy may be offered now, on the way to what it is to run: make before break.
+"""The resources that one proxy may be offered now on the way to its wanted ones, in make-before-break order.
 
-Clusters and tables come first, the routes that lead to them once the proxy has them, and what no route leads
-to any more is dropped last.
+Clusters and tables are offered first, then the routes that refer to them once the proxy holds them; resources
+that no route refers to any more are removed last.
 """
 
 from __future__ import annotations
@@ -21,17 +21,18 @@
     ResourceStore,
 )
 
-ExcludeFrom = Callable[[Resource, frozenset[str]], bytes]  # a table's body with these endpoints draining
+ExcludeFrom = Callable[[Resource, frozenset[str]], bytes]  # marks endpoints as draining in a table's body
 
 
 class Offers:
     """The offers to one proxy.
 
     Attributes:
-        wanted: by type, what the proxy is to run in the end.
-        current: by type, what it is offered now.
+        wanted: by type, the set that the proxy is to run in the end.
+        current: by type, the set that it is offered now.
         names: by type, the names that it subscribes to; None: all.
-        floors: by type, the version that the proxy states it runs, of a set that is no longer kept.
+        reported_versions: by type, the version that the proxy states it runs, of a set that is no longer
+            kept. Later offers must be newer.
     """
 
     def __init__(
@@ -41,7 +42,7 @@
         rejections: Rejections,
         exclude_from: ExcludeFrom,
     ) -> None:
-        """Nothing is offered before something is wanted."""
+        """Creates the offers of a proxy; there are none before `set_wanted`."""
         self._store = store
         self._held = held
         self._rejections = rejections
@@ -53,21 +54,21 @@
         self.reported_versions = dict.fromkeys(KINDS, NO_VERSION)
 
     def set_wanted(self, sets: Mapping[str, ResourceSet], excluded: frozenset[str]) -> None:
-        """Sets what the proxy is to run; types that are missing stay. `settle` is to be called after it."""
+        """Sets the wanted sets; missing types are unchanged. Call `recompute` afterwards."""
         for kind, resources in sets.items():
             self.wanted[kind] = resources
             self._rejections.forget_outdated(kind, resources)
         self._excluded = excluded
 
     def rebuild_for_new_era(self) -> None:
-        """Makes all wanted sets again under the era that has begun. Nothing is offered until `settle`."""
+        """Makes all wanted and initial sets anew in the new era. Nothing is offered until `recompute`."""
         for sets in (self.wanted, self._held.initial):
             for kind, resources in list(sets.items()):
                 sets[kind] = self._store.make_set(kind, resources.bodies().items())
         self.current.clear()
 
     def newest(self, kind: str) -> ResourceSet | None:
-        """Returns the newest set that the proxy was offered: what comes next must be newer."""
+        """Returns the newest set that the proxy was offered; a later set must have a higher version."""
         tracker = self._held.trackers[kind]
         newest = self.current.get(kind)
         for resources in (self.wanted.get(kind), *tracker.in_flight.values(), tracker.known):
@@ -76,17 +77,17 @@
         return newest
 
     def recompute(self) -> None:
-        """Works out what may be offered now."""
+        """Recomputes the sets that may be offered now."""
         self._recompute_kind(CLUSTERS, self._offerable_clusters())
         self._recompute_kind(TABLES, self._offerable_tables())
         self._recompute_kind(ROUTES, self._offerable_routes())
 
-    def _recompute_kind(self, kind: str, staged: Mapping[str, Resource] | None) -> None:
-        if staged is None:
+    def _recompute_kind(self, kind: str, offerable: Mapping[str, Resource] | None) -> None:
+        if offerable is None:
             return
-        resources = self._rejections.replace(kind, staged)
+        resources = self._rejections.replace(kind, offerable)
         if kind == ROUTES and not resources:
-            return  # it rejected them and has none of ours: it keeps its own
+            return  # the proxy rejected the routes and holds none of this store: it keeps its own
         names = self.names[kind]
         if names is not None:
             resources = {name: each for name, each in resources.items() if name in names}
@@ -99,7 +100,7 @@
             self.current[kind] = self._store.assemble(kind, resources, newest, self.reported_versions[kind])
 
     def _offerable_clusters(self) -> dict[str, Resource] | None:
-        """The wanted clusters, and those that are still in use."""
+        """Returns the wanted clusters and those that are still in use."""
         wanted = self.wanted.get(CLUSTERS)
         if wanted is None:
             return None
@@ -111,7 +112,7 @@
         return resources
 
     def _offerable_tables(self) -> dict[str, Resource] | None:
-        """The wanted tables, and those that are still in use; exclusions hold for these too."""
+        """Returns the wanted tables and those that are still in use, to which exclusions apply too."""
         wanted = self.wanted.get(TABLES)
         if wanted is None:
             return None
@@ -124,7 +125,10 @@
         return resources
 
     def _offerable_routes(self) -> Mapping[str, Resource] | None:
-        """The wanted routes, once all that they lead to is known to be held; until then those of now."""
+        """Returns the wanted routes once all that they refer to is known to be held; else the known ones.
+
+        None if there are none.
+        """
         wanted = self.wanted.get(ROUTES)
         if wanted is None:
             return None
--- a/willowhook/versions/rejections.py
+++ b/willowhook/versions/rejections.py
@@ -1,7 +1,7 @@
 """The resources that one proxy rejected, or that were halted for all proxies, and their replacements.
 
-A resource that a proxy rejected is not offered to it again. If several were rejected together, they become
-suspects, and each is offered alone to find the faulty one.
+A resource that a proxy rejected is not offered to it again. Resources that were rejected together become
+suspects, and each is offered alone to find the invalid one.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 
     Attributes:
         suspects: by type and name, resources that were rejected together with others.
-        retained: by type and name, resources that the proxy refused to drop.
+        retained: by type and name, resources whose removal the proxy rejected.
     """
 
     def __init__(self, store: ResourceStore, held: HeldResources) -> None:
-        """Starts without rejections."""
+        """Creates the state of a proxy without rejections."""
         self._store = store
         self._held = held
         self.suspects: dict[str, dict[str, Resource]] = {kind: {} for kind in KINDS}
@@ -29,11 +29,11 @@
         self._halted: dict[tuple[str, str], Resource] = {}
 
     def halt(self, resource: Resource) -> None:
-        """Notes that this version is not to be offered, whoever runs it."""
+        """Records that this version must not be offered, as it is halted for all proxies."""
         self._halted[resource.kind, resource.name] = resource
 
     def forget_outdated(self, kind: str, wanted: ResourceSet) -> None:
-        """Forgets rejections of resources that are wanted in another version now, or not at all."""
+        """Forgets rejections of resources that are now wanted in another version, or not at all."""
         tracker = self._held.trackers[kind]
         resources = wanted.resources
         for name, resource in list(tracker.rejected.items()):
@@ -52,16 +52,16 @@
     def record(
         self, kind: str, nonce: str, error: str, offered: Mapping[str, Resource]
     ) -> list[Resource] | None:
-        """Notes that a proxy rejected a response.
+        """Records that a proxy rejected a response.
 
         Args:
             kind: the resource type.
             nonce: the nonce of the response.
-            error: why, in the proxy's words.
-            offered: what the proxy is offered now, by name.
+            error: the error message of the proxy.
+            offered: the resources that the proxy is offered now, by name.
 
         Returns:
-            The resources that are known to be rejected; None if the nonce is of no response in flight.
+            The resources that are known to be rejected; None if the nonce matches no response in flight.
         """
         tracker = self._held.trackers[kind]
         new = tracker.record_rejected(nonce, error)
@@ -69,10 +69,10 @@
             return None
         held = self._held.held(kind)
         if tracker.known is None:
-            # what it joined with is not new to it, whatever version it knows that by
+            # content that the proxy joined with is not new to it, even under another version
             new = tuple(each for each in new if each.name not in held or held[each.name].body != each.body)
         if not new:
-            # the response only removed resources: what the proxy would not drop it keeps
+            # the response only removed resources: the proxy keeps those whose removal it rejected
             retained = {name: each for name, each in held.items() if name not in offered}
             self.retained[kind].update(retained)
             return list(retained.values())
@@ -84,25 +84,25 @@
         return [new[0]]
 
     def clear_suspects(self, kind: str, applied: ResourceSet) -> None:
-        """Clears the suspects that a proxy has applied after all."""
+        """Clears the suspects that a proxy has applied."""
         suspects = self.suspects[kind]
         for name in [name for name, each in suspects.items() if applied.resources.get(name) is each]:
             del suspects[name]
 
     def replace(self, kind: str, resources: Mapping[str, Resource]) -> dict[str, Resource]:
-        """Returns resources with what the proxy holds in place of what was rejected or halted."""
+        """Returns resources, with rejected or halted ones replaced by those that the proxy holds."""
         held = self._held.held(kind)
         if self.suspects[kind]:
-            # one at a time, and nothing else that is new
+            # suspects are offered one at a time, together with nothing else that is new
             name, suspect = next(iter(self.suspects[kind].items()))
             return {other: each for other, each in held.items() if other != name} | {name: suspect}
-        made: dict[str, Resource] = {}
+        replaced: dict[str, Resource] = {}
         for name, resource in resources.items():
             chosen = self._choose(kind, name, resource)
             if chosen is not None:
-                made[name] = chosen
+                replaced[name] = chosen
         retained = self.retained[kind].items()
-        return made | {name: held.get(name, each) for name, each in retained if name not in made}
+        return replaced | {name: held.get(name, each) for name, each in retained if name not in replaced}
 
     def _choose(self, kind: str, name: str, resource: Resource) -> Resource | None:
         if self._held.trackers[kind].rejected.get(name) is resource:
@@ -112,7 +112,7 @@
         return resource
 
     def _previous_version(self, kind: str, name: str, halted: Resource) -> Resource | None:
-        """What replaces a halted version: the one before it; the halted one itself if there is no other."""
+        """Returns the replacement of a halted version: the one before it, or itself if there is no other."""
         tracker = self._held.trackers[kind]
         held = tracker.known.resources.get(name) if tracker.known is not None else None
         if held is not halted:
--- a/willowhook/versions/resources.py
+++ b/willowhook/versions/resources.py
@@ -1,7 +1,8 @@
-"""Versioned resources and sets of them: immutable, numbered, and shared by all proxies that hold the same.
+"""Versioned resources and sets of resources, immutable and shared by all proxies that hold the same content.
 
-What is encoded or compared for one proxy serves all. Versions are `ERA.NUMBER`: numbers rise over the life of
-a store, and eras over the runs of a controller, so nothing that a proxy is offered is older than what it has.
+Encodings and comparisons that are made for one proxy serve all others. Versions have the form `ERA.NUMBER`:
+numbers increase over the life of a store, and eras over the runs of a controller, so that a proxy is never
+offered an older version than it holds.
 """
 
 from __future__ import annotations
@@ -17,28 +18,28 @@
 ROUTES = "rds"
 KINDS = (CLUSTERS, TABLES, ROUTES)
 
-MAX_ERA = 1 << 60  # of a version that a proxy reports; more is no version of ours
+MAX_ERA = 1 << 60  # a proxy's reported version with this era or above was not made by a controller
 MAX_VERSION_LENGTH = 40  # characters
-ERAS_PER_RUN = 1 << 20  # an era is a count of runs and, below it, a salt that distinguishes runs of one count
+ERAS_PER_RUN = 1 << 20  # the high bits of an era count the runs; the low bits are a salt
 MAX_CACHED_DELTAS = 2000
 
 
 class ResourceVersion(NamedTuple):
-    """The version of a resource or of a set; its order is that in which versions were made."""
+    """The version of a resource or of a set. Versions are ordered by when they were made."""
 
     era: int
     number: int
 
     def __str__(self) -> str:
-        """As on the wire."""
+        """Returns the form used on the wire."""
         return f"{self.era}.{self.number}"
 
 
-NO_VERSION = ResourceVersion(0, 0)  # below any that is made
+NO_VERSION = ResourceVersion(0, 0)  # below any version that is made
 
 
 def read_version(text: str) -> ResourceVersion | None:
-    """Reads `ERA.NUMBER`; returns None for anything else."""
+    """Parses `ERA.NUMBER`; returns None for anything else."""
     era, dot, number = text.partition(".")
     if not dot or len(text) > MAX_VERSION_LENGTH or not (era.isascii() and era.isdigit()):
         return None
@@ -48,7 +49,10 @@
 
 
 def first_era(run: int, salt: int) -> int:
-    """Returns the era of a run; `salt` distinguishes runs with the same count, as after a lost disk."""
+    """Returns the first era of a run.
+
+    `salt` distinguishes runs with the same count, which occur when the count is lost with a disk.
+    """
     return run * ERAS_PER_RUN + salt % ERAS_PER_RUN
 
 
@@ -64,14 +68,14 @@
         kind: its type, one of `KINDS`.
         name: the name of the resource.
         order: its version.
-        body: its JSON.
-        references: names of the resources that it refers to; None: not worked out yet.
+        body: its content as JSON.
+        references: names of the resources that it refers to; None: not computed yet.
     """
 
     __slots__ = ("__weakref__", "body", "kind", "name", "order", "references")
 
     def __init__(self, kind: str, name: str, order: ResourceVersion, body: bytes) -> None:
-        """Only a `ResourceStore` makes resources."""
+        """Must only be called by a `ResourceStore`."""
         self.kind = kind
         self.name = name
         self.order = order
@@ -85,7 +89,7 @@
 
 
 class ResourceSet:
-    """All resources of one type that a proxy is to hold. It is never changed.
+    """All resources of one type that a proxy is to hold. Immutable.
 
     Attributes:
         kind: their type, one of `KINDS`.
@@ -96,7 +100,7 @@
     __slots__ = ("__weakref__", "kind", "order", "resources")
 
     def __init__(self, kind: str, order: ResourceVersion, resources: Mapping[str, Resource]) -> None:
-        """Only a `ResourceStore` makes sets."""
+        """Must only be called by a `ResourceStore`."""
         self.kind = kind
         self.order = order
         self.resources = resources
@@ -117,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResourceDelta:
-    """What changes from one set to the next: resources that are new or changed, and names that are gone."""
+    """The changes from one set to the next: new or changed resources, and the names of removed ones."""
 
     changed: tuple[Resource, ...]
     removed: tuple[str, ...]
@@ -126,14 +130,14 @@
 class ResourceStore:
     """Makes resources and sets, and returns the same object for the same content.
 
-    Resources and sets live as long as somebody holds them.
+    Only weak references are kept: resources and sets live as long as something else references them.
 
     Attributes:
-        era: the era of this run, above those of earlier runs.
+        era: the current era of this run, above those of earlier runs.
     """
 
     def __init__(self, era: int, max_cached_deltas: int = MAX_CACHED_DELTAS) -> None:
-        """Starts without resources."""
+        """Creates an empty store."""
         self.era = era
         self._number = 0
         self._own_eras = {era}
@@ -143,21 +147,25 @@
         self._sets_by_version: WeakValueDictionary[tuple[str, str], ResourceSet] = WeakValueDictionary()
         self._deltas: OrderedDict[tuple[str, str, str], ResourceDelta] = OrderedDict()
 
-    # Making.
+    # Creation.
 
     def resource(self, kind: str, name: str, body: bytes, above: Resource | None = None) -> Resource:
-        """Returns the resource of this content; newer than `above` unless that is the same.
+        """Returns the resource with this content; newer than `above` unless it has the same content.
 
-        Content that comes back after other content is given a new number: a version never goes back.
+        Content that returns after other content gets a new version, so that versions only increase.
         """
         if above is not None and above.body == body and above.order.era == self.era:
             return above
-        found = self._resources.get((kind, name, body))
-        if found is not None and found.order.era == self.era and (above is None or found.order > above.order):
-            return found
-        made = Resource(kind, name, self._next_version(), body)
-        self._resources[kind, name, body] = made
-        return made
+        existing = self._resources.get((kind, name, body))
+        if (
+            existing is not None
+            and existing.order.era == self.era
+            and (above is None or existing.order > above.order)
+        ):
+            return existing
+        created = Resource(kind, name, self._next_version(), body)
+        self._resources[kind, name, body] = created
+        return created
 
     def make_set(
         self, kind: str, bodies: Iterable[tuple[str, bytes]], last: ResourceSet | None = None
@@ -174,31 +182,31 @@
         last: ResourceSet | None = None,
         floor: ResourceVersion = NO_VERSION,
     ) -> ResourceSet:
-        """Returns the set of these resources; newer than `floor`, and than `last` unless it is the same."""
+        """Returns the set of these resources: `last` if it is the same, else one above `floor` and `last`."""
         if last is not None and last.order.era == self.era and last.resources == resources:
             return last
         content = tuple(resource.order.number for resource in resources.values())
-        found = self._sets.get((kind, content))
+        existing = self._sets.get((kind, content))
         above = max(last.order, floor) if last is not None else floor
-        if found is not None and found.order.era == self.era and found.order > above:
-            return found
-        made = ResourceSet(kind, self._next_version(), resources)
-        self._sets[kind, content] = made
-        self._sets_by_version[kind, made.version] = made
-        return made
+        if existing is not None and existing.order.era == self.era and existing.order > above:
+            return existing
+        created = ResourceSet(kind, self._next_version(), resources)
+        self._sets[kind, content] = created
+        self._sets_by_version[kind, created.version] = created
+        return created
 
     def _next_version(self) -> ResourceVersion:
         self._number += 1
         return ResourceVersion(self.era, self._number)
 
-    # Reading.
+    # Lookup.
 
     def find(self, kind: str, version: str) -> ResourceSet | None:
-        """Returns the set of this version, if anybody still holds it."""
+        """Returns the set of this version, if it is still referenced."""
         return self._sets_by_version.get((kind, version))
 
     def delta(self, base: ResourceSet | Mapping[str, str], new: ResourceSet) -> ResourceDelta:
-        """Returns what changes from a set, or from the versions by name that a proxy says it holds."""
+        """Returns the changes from a base: a set, or the versions by name that a proxy states it holds."""
         if not isinstance(base, ResourceSet):
             changed = tuple(each for name, each in new.resources.items() if base.get(name) != each.version)
             return ResourceDelta(changed, tuple(name for name in base if name not in new.resources))
@@ -209,18 +217,18 @@
             return cached
         old = base.resources
         changed = tuple(each for name, each in new.resources.items() if old.get(name) is not each)
-        made = ResourceDelta(changed, tuple(name for name in old if name not in new.resources))
-        self._deltas[key] = made
+        delta = ResourceDelta(changed, tuple(name for name in old if name not in new.resources))
+        self._deltas[key] = delta
         if len(self._deltas) > self._max_cached_deltas:
             self._deltas.popitem(last=False)
-        return made
+        return delta
 
     # Eras.
 
     def era_ahead(self, version: str) -> int | None:
-        """Returns the era of a version that a proxy reports, if all that is made now would be older.
+        """Returns the era of a version that a proxy reports, if versions made now would be older.
 
-        That is so when the controller has lost its count of runs. None for any other version.
+        That happens when the controller has lost its count of runs. None for any other version.
         """
         reported = read_version(version)
         if reported is None or reported.era in self._own_eras or not self.era < reported.era < MAX_ERA:
@@ -228,11 +236,11 @@
         return reported.era
 
     def own_version(self, version: str) -> ResourceVersion:
-        """Returns a version that this store made; `NO_VERSION` for any other."""
+        """Parses a version of this store's eras; returns `NO_VERSION` for any other."""
         reported = read_version(version)
         return reported if reported is not None and reported.era in self._own_eras else NO_VERSION
 
     def raise_era(self, reported: int) -> None:
-        """Makes all versions from now on newer than those of an era that a proxy reports."""
+        """Starts an era whose versions are newer than those of an era that a proxy reports."""
         self.era = next_era(reported, self.era)
         self._own_eras.add(self.era)
--- a/willowhook/versions/rollout.py
+++ b/willowhook/versions/rollout.py
@@ -1,11 +1,11 @@
-"""Staged rollout: a content that many proxies reject is halted, and the next one goes to a few first.
-
-As long as nothing is rejected a unit is trusted, and every content goes out as the channel brings it: a table
-whose weights change twice a second, or that excludes a dead endpoint, must not wait for anybody. When more
-than a stated fraction of the proxies rejects a content it is halted, those who run it go back to the last
-content that was good everywhere, and the unit is staged: what comes next goes to the canaries, among them
-some who rejected, until they have applied it and their requests have gone no worse than those of others.
-The configuration may have every content staged.
+"""Staged rollout: a content that too many proxies reject is halted, and the next one goes to canaries first.
+
+While nothing is rejected, every content is sent without delay: a table whose weights change twice a second,
+or that excludes a dead endpoint, must not wait. When more than a configured fraction of the proxies reject a
+content, it is halted, the proxies that run it are rolled back to the last content that was good everywhere,
+and the unit becomes staged: the next content goes to canaries first, some of which rejected before. The
+others get it once the canaries have applied it and their requests fail no more often than those of other
+proxies. The configuration may also require every content to be staged.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 from ..ticks import TICKS_PER_SECOND
 from .rollout_track import Content, ContentState, Unit, UnitTrack
 
-MAX_REJECTING_CANARIES = 2  # among the canaries, of those who rejected before
-REQUEST_WINDOW_SECONDS = 10  # of which requests are remembered
+MAX_REJECTING_CANARIES = 2  # canaries that are chosen because they rejected a content
+REQUEST_WINDOW_SECONDS = 10  # for which the counts of requests are kept
 
 
 class RolloutMode(StrEnum):
@@ -39,13 +39,14 @@
 
     Attributes:
         mode: when contents are staged.
-        max_rejected_fraction: the fraction of the proxies that answered; if more reject, a content is halted.
-        min_rejections: fewer never halt a content, except by a canary.
-        canary_fraction: the fraction of the proxies that use a unit that are canaries.
+        max_rejected_fraction: the fraction of the answering proxies above which rejections halt a content.
+        min_rejections: the number of rejections below which a content is not halted; one by a canary always
+            halts it.
+        canary_fraction: the fraction of the proxies of a unit that are canaries.
         settle_ticks: the time for which canaries run a content before the others get it.
-        canary_timeout_ticks: the time without an answer of a canary after which the others get it.
-        max_failure_increase: how much larger a fraction of attempts may fail at canaries than at others.
-        min_attempts: with fewer attempts, failures are not compared.
+        canary_timeout_ticks: the time without an acknowledgement by a canary after which the others get it.
+        max_failure_increase: by how much the failed fraction of attempts may be larger at canaries.
+        min_attempts: the number of attempts below which failures are not compared.
     """
 
     mode: RolloutMode = RolloutMode.AFTER_REJECTION
@@ -59,7 +60,7 @@
 
 
 class RolloutListener(Protocol):
-    """Who carries out the decisions of a rollout."""
+    """Carries out the decisions of a rollout."""
 
     def handle_halted(self, unit: Unit, bad: Content, good: Content | None, cause: str) -> None:
         """Rolls back the proxies that run `bad`; they get `good`, if there is such a content."""
@@ -77,7 +78,7 @@
 
 
 class Rollout:
-    """Decides which content of a unit may go to which proxy.
+    """Decides which content of a unit each proxy may be sent.
 
     Attributes:
         tracks: the state of each unit.
@@ -92,9 +93,9 @@
         self._content_count = 0
 
     def choose(self, now: int, proxy: int, unit: Unit, content: Content) -> Content | None:
-        """Returns the content that may go to a proxy in place of the one that was ordered.
+        """Returns the content that may be sent to a proxy when `content` is requested for it.
 
-        Most often that is the ordered one itself. None if there is none that may go.
+        Usually that is `content` itself. None if there is none that may be sent.
         """
         settings = self._settings
         if settings.mode is RolloutMode.NEVER:
@@ -109,10 +110,10 @@
             return content
         return content if proxy in track.canaries else track.good
 
-    # What happens.
+    # Events.
 
     def record_offered(self, now: int, proxy: int, unit: Unit, content: Content) -> None:
-        """Notes that a content goes out to a proxy."""
+        """Records that a content is sent to a proxy."""
         track = self._track(unit)
         state = track.contents.get(content)
         if state is None:
@@ -129,7 +130,7 @@
         track.current[proxy] = content
 
     def record_acknowledged(self, now: int, proxy: int, unit: Unit, content: Content) -> None:
-        """Notes that a proxy has applied a content."""
+        """Records that a proxy has applied a content."""
         track = self.tracks.get(unit)
         state = track.contents.get(content) if track is not None else None
         if track is None or state is None or content in track.halted:
@@ -143,7 +144,7 @@
         self._update_good(track, content, state)
 
     def record_rejected(self, now: int, proxy: int, unit: Unit, content: Content, cause: str) -> None:
-        """Notes that a proxy has rejected a content; may halt it."""
+        """Records that a proxy has rejected a content; may halt the content."""
         track = self.tracks.get(unit)
         state = track.contents.get(content) if track is not None else None
         if track is None or state is None:
@@ -160,14 +161,14 @@
             self._halt(now, unit, track, content, f"{counts} rejected it: {cause}")
 
     def record_requests(self, now: int, proxy: int, attempts: int, failures: int) -> None:
-        """Adds the attempts of a proxy since its last report."""
-        sums = self._requests.get(proxy)
-        if sums is None:
-            sums = self._requests[proxy] = WindowedSums(TICKS_PER_SECOND, REQUEST_WINDOW_SECONDS, 2)
-        sums.add(now, attempts, failures)
+        """Adds the attempts and failures of a proxy since its last report."""
+        request_sums = self._requests.get(proxy)
+        if request_sums is None:
+            request_sums = self._requests[proxy] = WindowedSums(TICKS_PER_SECOND, REQUEST_WINDOW_SECONDS, 2)
+        request_sums.add(now, attempts, failures)
 
     def remove_proxy(self, proxy: int) -> None:
-        """Forgets a proxy that has left."""
+        """Removes a proxy that has left."""
         self._requests.pop(proxy, None)
         for track in self.tracks.values():
             track.remove_proxy(proxy)
@@ -175,14 +176,14 @@
     # Stages.
 
     def evaluate(self, now: int) -> None:
-        """Ends stages whose canaries have shown enough; to be called some times a second."""
+        """Ends stages whose canaries have been observed for long enough; call it several times per second."""
         for unit, track in list(self.tracks.items()):
             if track.is_staged:
                 self._evaluate_stage(now, unit, track)
 
     def _evaluate_stage(self, now: int, unit: Unit, track: UnitTrack) -> None:
         if track.canary_answered_at is None:
-            # canaries that do not answer must not hold up all others
+            # canaries that do not respond must not block the rollout to all others
             waited = now - track.stage_began_at
             if waited >= self._settings.canary_timeout_ticks or not track.canaries:
                 self._release(unit, track)
@@ -204,14 +205,14 @@
         track.canaries = self._choose_canaries(track, unit)
 
     def _choose_canaries(self, track: UnitTrack, unit: Unit) -> dict[int, None]:
-        """Some of those who rejected, then proxies by lot, another lot in each stage."""
-        users = list(track.current)
-        count = max(1, math.ceil(self._settings.canary_fraction * len(users)))
-        by_lot = sorted(
-            users, key=lambda proxy: xxhash.xxh64_intdigest(f"{unit} {track.stage_count} {proxy}")
+        """Returns proxies that rejected a content, then others in an order that differs with each stage."""
+        proxies = list(track.current)
+        count = max(1, math.ceil(self._settings.canary_fraction * len(proxies)))
+        shuffled = sorted(
+            proxies, key=lambda proxy: xxhash.xxh64_intdigest(f"{unit} {track.stage_count} {proxy}")
         )
         rejecting = track.rejecting_proxies()
-        chosen = [*dict.fromkeys(rejecting[-MAX_REJECTING_CANARIES:]), *by_lot]
+        chosen = [*dict.fromkeys(rejecting[-MAX_REJECTING_CANARIES:]), *shuffled]
         count = max(count, min(len(rejecting), MAX_REJECTING_CANARIES) + 1)
         return dict.fromkeys(chosen[:count])
 
@@ -226,7 +227,7 @@
         track.released = track.newest
         self._listener.handle_released(unit)
 
-    # Judgement.
+    # Evaluation.
 
     def _track(self, unit: Unit) -> UnitTrack:
         track = self.tracks.get(unit)
@@ -235,7 +236,7 @@
         return track
 
     def _update_good(self, track: UnitTrack, content: Content | None, state: ContentState) -> None:
-        """Marks a content as good everywhere, if all but a few applied it and no proxy is behind it."""
+        """Marks a content as good if all but a few proxies applied it and none is left on an older one."""
         if content is None or content in track.halted or state.awaiting or not state.acknowledged:
             return
         good = track.contents.get(track.good) if track.good is not None else None
@@ -253,29 +254,29 @@
         return count >= self._settings.min_rejections and count > limit
 
     def _compare_failures(self, now: int, track: UnitTrack) -> str:
-        """Describes how many more attempts fail at canaries than at others; empty if no more fail."""
+        """Describes how many more attempts fail at canaries than at others; empty if within the limit."""
         canaries = self._attempts(now, [proxy for proxy in track.current if proxy in track.canaries])
         others = self._attempts(now, [proxy for proxy in track.current if proxy not in track.canaries])
         if min(canaries.count, others.count) < self._settings.min_attempts:
             return ""
-        fraction = canaries.failures / canaries.count
-        usual = others.failures / others.count
-        if fraction <= usual + self._settings.max_failure_increase:
+        canary_fraction = canaries.failures / canaries.count
+        other_fraction = others.failures / others.count
+        if canary_fraction <= other_fraction + self._settings.max_failure_increase:
             return ""
         return (
-            f"{fraction:.1%} of {canaries.count:.0f} attempts failed at canaries,"
-            f" {usual:.1%} of {others.count:.0f} elsewhere"
+            f"{canary_fraction:.1%} of {canaries.count:.0f} attempts failed at canaries,"
+            f" {other_fraction:.1%} of {others.count:.0f} elsewhere"
         )
 
     def _attempts(self, now: int, proxies: list[int]) -> _Attempts:
-        """The attempts of these proxies since canaries run the content, within the window that is kept."""
+        """Returns the attempts of these proxies while canaries ran the content, within the kept window."""
         seconds = max(1, min(REQUEST_WINDOW_SECONDS, self._settings.settle_ticks // TICKS_PER_SECOND))
         count = 0.0
         failures = 0.0
         for proxy in proxies:
-            sums = self._requests.get(proxy)
-            if sums is not None:
-                attempted, failed = sums.total(now, seconds)
+            request_sums = self._requests.get(proxy)
+            if request_sums is not None:
+                attempted, failed = request_sums.total(now, seconds)
                 count += attempted
                 failures += failed
         return _Attempts(count, failures)
--- a/willowhook/versions/rollout_track.py
+++ b/willowhook/versions/rollout_track.py
@@ -1,6 +1,6 @@
-"""The state of a staged rollout: what was offered of each unit, and what proxies answered.
+"""The state of a staged rollout: the contents offered of each unit, and the answers of proxies.
 
-A *unit* is what has one content at a time (a table, a route set); a *content* is any version of it.
+A *unit* has one content at a time, such as a table or a route set; a *content* is one version of it.
 """
 
 from __future__ import annotations
@@ -8,7 +8,7 @@
 from collections.abc import Hashable
 from dataclasses import dataclass, field
 
-MAX_CONTENTS = 16  # of a unit, that are remembered
+MAX_CONTENTS = 16  # remembered per unit
 
 Unit = Hashable
 Content = int | str
@@ -19,11 +19,11 @@
     """One content of a unit.
 
     Attributes:
-        order: a number that rises with each content that is offered for the first time.
+        order: a number that increases with each content that is offered for the first time.
         acknowledged: proxies that applied it.
         rejected: proxies that rejected it, with the cause that they stated.
         awaiting: proxies that were offered it last and have not answered.
-        current_count: the proxies that were offered it last.
+        current_count: the number of proxies that were offered it last.
     """
 
     order: int
@@ -34,25 +34,25 @@
 
     @property
     def answer_count(self) -> int:
-        """The proxies that have applied or rejected it."""
+        """The number of proxies that have applied or rejected it."""
         return len(self.rejected) + len(self.acknowledged)
 
 
 @dataclass(slots=True)
 class UnitTrack:
-    """One unit.
+    """The rollout state of one unit.
 
     Attributes:
         contents: the contents that are remembered.
         current: by proxy, the content that it was offered last.
-        good: the newest content that is good everywhere; None: none was yet.
+        good: the newest content that is good everywhere; None: there is none yet.
         halted: contents that are not offered any more, with the cause.
         is_staged: whether new contents go to canaries only.
         canaries: the proxies that get new contents first, in this stage.
         stage_began_at: the tick at which this stage began.
-        canary_answered_at: when the first canary applied the new content; None: none has yet.
+        canary_answered_at: the tick at which the first canary applied the new content; None: none has yet.
         stage_count: the number of stages so far.
-        released: in the mode that always stages, the content that all may have.
+        released: in the mode that always stages, the content that all proxies may get.
     """
 
     contents: dict[Content, ContentState] = field(default_factory=dict)
@@ -75,11 +75,11 @@
         return max(orders, key=orders.__getitem__) if orders else None
 
     def rejecting_proxies(self) -> list[int]:
-        """Returns the proxies that rejected any remembered content; the newest rejections last."""
+        """Returns the proxies that rejected any remembered content; rejections of newer contents last."""
         return [proxy for state in self.contents.values() for proxy in state.rejected]
 
     def add_content(self, content: Content, order: int) -> ContentState:
-        """Remembers a content that is offered for the first time."""
+        """Adds a content that is offered for the first time."""
         self._forget_old()
         state = self.contents[content] = ContentState(order)
         return state
@@ -93,7 +93,7 @@
             self.good = None
 
     def leave_current(self, proxy: int) -> ContentState | None:
-        """Notes that a proxy is offered something else. Returns what it was offered before, if remembered."""
+        """Records that a proxy is offered another content. Returns the state of the one before, if kept."""
         before = self.current.get(proxy)
         state = self.contents.get(before) if before is not None else None
         if state is not None:
@@ -102,7 +102,7 @@
         return state
 
     def remove_proxy(self, proxy: int) -> None:
-        """Forgets a proxy that has left, except what it rejected."""
+        """Removes a proxy that has left, but keeps its rejections."""
         self.leave_current(proxy)
         self.current.pop(proxy, None)
         self.canaries.pop(proxy, None)
@@ -111,9 +111,9 @@
             state.awaiting.discard(proxy)
 
     def _forget_old(self) -> None:
-        """Makes room for a content: forgets old ones, but not the good one, a halted one or one in use.
+        """Makes room for a content: forgets old ones, except the good one, halted ones and those in use.
 
-        If all are needed there will be more than the limit: one for each proxy at the most, and those halted.
+        If all are needed, the limit is exceeded: by at most one content per proxy and the halted ones.
         """
         for content, state in list(self.contents.items()):
             if len(self.contents) < MAX_CONTENTS:
--- a/willowhook/versions/version_tracker.py
+++ b/willowhook/versions/version_tracker.py
@@ -1,7 +1,7 @@
-"""What one proxy is known to run of one resource type, or that it is not known.
+"""The version that one proxy is known to run of one resource type.
 
-A version is known when the proxy has acknowledged it and nothing newer is in flight. From the moment before a
-response leaves until it is acknowledged or rejected, the proxy may run either version: it is unknown.
+A version is certain when the proxy has acknowledged it and nothing newer is in flight. From just before a
+response is sent until it is acknowledged or rejected, the proxy may run either version, so none is certain.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 from .resources import Resource, ResourceSet
 
-MAX_IN_FLIGHT = 8  # responses that were never answered; a proxy asks again after each
+MAX_IN_FLIGHT = 8  # unanswered responses that are kept; a proxy requests again after each
 
 
 class VersionState(StrEnum):
@@ -26,17 +26,17 @@
 
 @dataclass(slots=True)
 class VersionTracker:
-    """What one proxy runs of one type.
+    """Tracks the version that one proxy runs of one type.
 
     Attributes:
         kind: the resource type.
         known: the set that the proxy acknowledged last.
-        in_flight: by nonce, the sets that were sent and not answered.
-        reported: versions by name that it joined with, until it acknowledges a set of ours.
-        rejected: by name, resources that are not to be sent to it again.
+        in_flight: by nonce, the sets that were sent and neither acknowledged nor rejected.
+        reported: versions by name that it states it holds, until it acknowledges a set that it was sent.
+        rejected: by name, resources that must not be sent to it again.
         errors: by name, the reason that it stated for rejecting a resource.
-        is_connection_lost: whether the connection ended with something in flight.
-        previous: by name, what a resource of `known` replaced.
+        is_connection_lost: whether the connection was lost with responses in flight.
+        previous: by name, the resource that the one in `known` replaced.
     """
 
     kind: str
@@ -64,15 +64,15 @@
 
     @property
     def delta_base(self) -> ResourceSet | dict[str, str]:
-        """The base of a delta: the known set, or the versions that the proxy reported."""
+        """The base of a delta: the known set, or else the versions that the proxy reported."""
         return self.known if self.known is not None else self.reported
 
     def holds(self, resource: Resource) -> bool:
-        """Whether this resource, as it is, is known to be held."""
+        """Whether the proxy is known to hold exactly this resource version."""
         return self.known is not None and self.known.resources.get(resource.name) is resource
 
     def record_sent(self, nonce: str, resources: ResourceSet) -> None:
-        """Notes that a response is about to leave."""
+        """Records a response that is about to be sent."""
         self.in_flight.pop(nonce, None)
         self.in_flight[nonce] = resources
         self.is_connection_lost = False
@@ -80,14 +80,14 @@
             del self.in_flight[next(iter(self.in_flight))]
 
     def record_acknowledged(self, nonce: str) -> ResourceSet | None:
-        """Returns the set that this nonce proves to be applied; None if it proves nothing new."""
+        """Records an acknowledgement. Returns the set that it proves to be applied; None if none newly is."""
         applied = self.in_flight.get(nonce)
         if applied is None or (self.known is not None and applied.order < self.known.order):
             return None
         if self.known is not None:
             self._remember_previous(self.known, applied)
         self.known = applied
-        # a response that left later may still be applied; one that left before it may not
+        # responses that were sent later may still be applied; earlier ones can no longer be
         self.in_flight = {key: each for key, each in self.in_flight.items() if each.order > applied.order}
         self.is_connection_lost = self.is_connection_lost and bool(self.in_flight)
         self.reported = {}
@@ -101,7 +101,10 @@
             del self.previous[name]
 
     def record_rejected(self, nonce: str, error: str) -> tuple[Resource, ...] | None:
-        """Returns what was new in the response that is rejected; None if the nonce is of none in flight."""
+        """Records a rejection. Returns the resources that were new in the rejected response.
+
+        None if the nonce matches no response in flight.
+        """
         sent = self.in_flight.pop(nonce, None)
         if sent is None:
             return None
