--- a/tests/test_discovery_session.py
+++ b/tests/test_discovery_session.py
@@ -1,4 +1,4 @@
-"""Discovery sessions: against a plain model of the proxy, in any order of events."""
+"""Discovery sessions: against a reference model of the proxy, in any order of events."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 )
 
 
-def references(row: Resource) -> tuple[str, ...]:
-    """Bodies of these tests: names of what is used, after a colon."""
-    text = row.body.decode().partition(":")[2]
-    return tuple(text.split(",")) if text else ()
+def references(resource: Resource) -> tuple[str, ...]:
+    """Returns the names that a body of these tests refers to: those after its colon."""
+    names = resource.body.decode().partition(":")[2]
+    return tuple(names.split(",")) if names else ()
 
 
-def exclude_from(row: Resource, out: frozenset[str]) -> bytes:
-    return row.body
+def exclude_from(table: Resource, excluded: frozenset[str]) -> bytes:
+    return table.body
 
 
 class RecordingListener:
@@ -41,18 +41,18 @@
     def handle_applied(self, proxy: int, number: int) -> None:
         self.applied.append(number)
 
-    def handle_rejected(self, proxy: int, row: Resource, error: str) -> None:
-        self.rejected.append((row.name, row.version))
+    def handle_rejected(self, proxy: int, resource: Resource, error: str) -> None:
+        self.rejected.append((resource.name, resource.version))
 
     def handle_acknowledged(self, proxy: int, resources: ResourceSet) -> None:
-        """Nobody counts here."""
+        """Not needed by these tests."""
 
     def record_known_version(self, proxy: int, kind: str, version: str, state: str) -> None:
         self.versions[kind] = (version, state)
 
 
 class Proxy:
-    """A plain reading of the protocol's other side: it holds what it was told last, and refuses older."""
+    """A reference model of a proxy: it holds what it was sent last, and fails on versions that go back."""
 
     def __init__(self) -> None:
         self.rows: dict[str, dict[str, tuple[str, bytes]]] = {kind: {} for kind in KINDS}
@@ -61,26 +61,31 @@
     def holds(self, kind: str) -> dict[str, str]:
         return {name: version for name, (version, _) in self.rows[kind].items()}
 
-    def apply(self, kind: str, answer: ResourceResponse) -> None:
-        new = read_version(answer.resource_set.version)
+    def apply(self, kind: str, response: ResourceResponse) -> None:
+        new = read_version(response.resource_set.version)
         old = read_version(self.version[kind])
-        if answer.delta is None:
+        if response.delta is None:
             assert new is not None and (old is None or new >= old), f"{old} goes back to {new}"
-            self.rows[kind] = {n: (r.version, r.body) for n, r in answer.resource_set.resources.items()}
+            self.rows[kind] = {
+                name: (resource.version, resource.body)
+                for name, resource in response.resource_set.resources.items()
+            }
         else:
-            for row in answer.delta.changed:
-                had = self.rows[kind].get(row.name)
-                older = read_version(had[0]) if had else None
-                now = read_version(row.version)
-                assert now is not None and (older is None or now > older), f"{row.name} goes back"
-                self.rows[kind][row.name] = (row.version, row.body)
-            for name in answer.delta.removed:
+            for resource in response.delta.changed:
+                held = self.rows[kind].get(resource.name)
+                old_version = read_version(held[0]) if held else None
+                new_version = read_version(resource.version)
+                assert new_version is not None and (
+                    old_version is None or new_version > old_version
+                ), f"{resource.name} goes back"
+                self.rows[kind][resource.name] = (resource.version, resource.body)
+            for name in response.delta.removed:
                 self.rows[kind].pop(name, None)
-        self.version[kind] = answer.resource_set.version
+        self.version[kind] = response.resource_set.version
         self.check_references()
 
     def check_references(self) -> None:
-        """Whatever its routes lead to is there: make before break."""
+        """All clusters and tables that its routes refer to are held: make before break."""
         for _, routes in self.rows[ROUTES].values():
             for cluster in routes.decode().partition(":")[2].split(","):
                 assert cluster in self.rows[CLUSTERS], f"no cluster {cluster}"
@@ -91,12 +96,12 @@
 def content(
     store: ResourceStore, session: DiscoverySession, tables: list[int], weight: int
 ) -> dict[str, ResourceSet]:
-    rows = {
+    bodies = {
         TABLES: [(f"t{n}", b"w%d" % weight) for n in tables],
         CLUSTERS: [(f"c{n}", b"x:t%d" % n) for n in tables],
         ROUTES: [("calls", b"r%d:" % (weight // 3) + ",".join(f"c{n}" for n in tables).encode())],
     }
-    return {kind: store.make_set(kind, each, session.newest(kind)) for kind, each in rows.items()}
+    return {kind: store.make_set(kind, named, session.newest(kind)) for kind, named in bodies.items()}
 
 
 class SessionMachine(RuleBasedStateMachine):
@@ -249,41 +254,45 @@
 
 
 def settle(session: DiscoverySession, proxy: Proxy, bad: str = "") -> int:
-    """Calls until nothing is new; answers that bring `bad` are refused.  Gives how many were."""
-    no = 0
+    """Requests until nothing is new, rejecting responses with body `bad`. Returns how many it rejected."""
+    rejections = 0
     for _ in range(40):
-        quiet = True
+        is_settled = True
         for kind in KINDS:
-            answer = session.handle_request(ResourceRequest(kind, False))
-            while answer is not None:
-                quiet = False
-                session.record_sent(kind, answer)
-                if any(row.body.decode() == bad for row in answer.delta.changed if answer.delta):  # type: ignore[union-attr]
-                    no += 1
-                    answer = session.handle_request(
-                        ResourceRequest(kind, False, nonce=answer.nonce, error="bad weights")
+            response = session.handle_request(ResourceRequest(kind, False))
+            while response is not None:
+                is_settled = False
+                session.record_sent(kind, response)
+                if any(each.body.decode() == bad for each in response.delta.changed if response.delta):  # type: ignore[union-attr]
+                    rejections += 1
+                    response = session.handle_request(
+                        ResourceRequest(kind, False, nonce=response.nonce, error="bad weights")
                     )
                 else:
-                    proxy.apply(kind, answer)
-                    answer = session.handle_request(ResourceRequest(kind, False, nonce=answer.nonce))
-        if quiet:
-            return no
-    raise AssertionError("answers without end")
+                    proxy.apply(kind, response)
+                    response = session.handle_request(ResourceRequest(kind, False, nonce=response.nonce))
+        if is_settled:
+            return rejections
+    raise AssertionError("responses without end")
 
 
 def test_of_several_rejected_together_the_bad_one_is_found_and_never_sent_again() -> None:
     store, listener, session, proxy = joined([1, 2, 3])
     settle(session, proxy)
     assert listener.applied == [1] and listener.versions[TABLES][1] == "acknowledged"
-    rows = [("t1", b"w5"), ("t2", b"bad"), ("t3", b"w5")]
-    session.want(2, {TABLES: store.make_set(TABLES, rows, session.newest(TABLES))}, frozenset())
+    bodies = [("t1", b"w5"), ("t2", b"bad"), ("t3", b"w5")]
+    session.want(2, {TABLES: store.make_set(TABLES, bodies, session.newest(TABLES))}, frozenset())
     assert settle(session, proxy, "bad") == 2  # once with the others, once alone
     assert [name for name, _ in listener.rejected] == ["t2"] and listener.versions[TABLES][1] == "refused"
-    assert {n: body for n, (_, body) in proxy.rows[TABLES].items()} == {"t1": b"w5", "t2": b"w0", "t3": b"w5"}
+    assert {name: body for name, (_, body) in proxy.rows[TABLES].items()} == {
+        "t1": b"w5",
+        "t2": b"w0",
+        "t3": b"w5",
+    }
     assert settle(session, proxy, "bad") == 0 and listener.applied == [1]
     assert session.states()[TABLES][2] == {"t1": "bad weights", "t2": "bad weights", "t3": "bad weights"}
-    rows[1] = ("t2", b"good")
-    session.want(3, {TABLES: store.make_set(TABLES, rows, session.newest(TABLES))}, frozenset())
+    bodies[1] = ("t2", b"good")
+    session.want(3, {TABLES: store.make_set(TABLES, bodies, session.newest(TABLES))}, frozenset())
     assert (
         settle(session, proxy, "bad") == 0
         and listener.applied == [1, 3]
@@ -294,30 +303,33 @@
 
 @pytest.mark.parametrize("whole", [False, True])
 def test_a_proxy_that_rejects_everything_gets_a_bounded_number_of_responses(whole: bool) -> None:
-    """Also where an answer only takes away: seen in a trial, 478 times in 8 s."""
+    """Guards against a loop of rejections, also where a response only removes resources.
+
+    In one run such a response was sent 478 times in 8 s.
+    """
     store, listener = ResourceStore(first_era(1, 1)), RecordingListener()
-    rows = {TABLES: [("old", b"w")], CLUSTERS: [("c", b"x:old")], ROUTES: [("calls", b"r:c")]}
-    session, proxy = DiscoverySession(1, store, listener, references, exclude_from, rows), Proxy()
-    answers = 0
+    bodies = {TABLES: [("old", b"w")], CLUSTERS: [("c", b"x:old")], ROUTES: [("calls", b"r:c")]}
+    session, proxy = DiscoverySession(1, store, listener, references, exclude_from, bodies), Proxy()
+    response_count = 0
     for number, tables in ((2, [1]), (3, [3]), (4, [1, 2, 4])):
         session.want(number, content(store, session, tables, number), frozenset())
         for _ in range(20):
             for kind in KINDS:
-                answer = session.handle_request(ResourceRequest(kind, whole))
-                while answer is not None:
-                    answers += 1
-                    assert answers < 60, (
+                response = session.handle_request(ResourceRequest(kind, whole))
+                while response is not None:
+                    response_count += 1
+                    assert response_count < 60, (
                         kind,
-                        answer.resource_set.versions(),
+                        response.resource_set.versions(),
                         session._rejections.suspects,
                         session._rejections.retained,
                     )
-                    session.record_sent(kind, answer)
-                    answer = session.handle_request(
-                        ResourceRequest(kind, whole, nonce=answer.nonce, error="no")
+                    session.record_sent(kind, response)
+                    response = session.handle_request(
+                        ResourceRequest(kind, whole, nonce=response.nonce, error="no")
                     )
-    assert 3 <= answers <= 30, answers
-    proxy.rows = {kind: {name: ("", body) for name, body in each} for kind, each in rows.items()}
+    assert 3 <= response_count <= 30, response_count
+    proxy.rows = {kind: {name: ("", body) for name, body in named} for kind, named in bodies.items()}
     session.want(5, content(store, session, [5], 99), frozenset())
     settle(session, proxy)
     assert listener.applied[-1] == 5
@@ -326,10 +338,10 @@
 def test_a_rejected_resource_that_is_removed_is_forgotten() -> None:
     store, listener, session, proxy = joined([1, 2])
     settle(session, proxy)
-    rows = [("t1", b"w0"), ("t2", b"w0"), ("t9", b"bad")]
-    session.want(2, {TABLES: store.make_set(TABLES, rows, session.newest(TABLES))}, frozenset())
+    bodies = [("t1", b"w0"), ("t2", b"w0"), ("t9", b"bad")]
+    session.want(2, {TABLES: store.make_set(TABLES, bodies, session.newest(TABLES))}, frozenset())
     assert settle(session, proxy, "bad") == 1 and "t9" not in proxy.rows[TABLES]
-    session.want(3, {TABLES: store.make_set(TABLES, rows[:2], session.newest(TABLES))}, frozenset())
+    session.want(3, {TABLES: store.make_set(TABLES, bodies[:2], session.newest(TABLES))}, frozenset())
     assert settle(session, proxy) == 0 and listener.applied[-1] == 3 and not session.trackers[TABLES].rejected
 
 
@@ -343,7 +355,7 @@
     assert proxy.rows[ROUTES]["calls"][1] == b"odd:c1"
     assert session.halt(bad.resources["calls"])
     settle(session, proxy)
-    assert proxy.rows[ROUTES]["calls"][1] == good  # under a newer version, which the proxy has checked
+    assert proxy.rows[ROUTES]["calls"][1] == good  # under a newer version, as the proxy model verifies
     session.want(
         3, {ROUTES: store.make_set(ROUTES, [("calls", b"new:c1")], session.newest(ROUTES))}, frozenset()
     )
@@ -353,23 +365,31 @@
 
 def test_a_subscription_limits_the_resources_and_may_change_while_a_request_waits() -> None:
     store, _, session, proxy = joined([1, 2, 3])
-    answer = session.handle_request(
+    response = session.handle_request(
         ResourceRequest(TABLES, False, is_first=True, held_versions={}, subscribe=("t1",))
     )
-    assert answer is not None and list(answer.resource_set.resources) == ["t1"]
-    session.record_sent(TABLES, answer)
-    proxy.apply(TABLES, answer)
-    assert session.handle_request(ResourceRequest(TABLES, False, nonce=answer.nonce)) is None  # it waits
+    assert response is not None and list(response.resource_set.resources) == ["t1"]
+    session.record_sent(TABLES, response)
+    proxy.apply(TABLES, response)
+    assert session.handle_request(ResourceRequest(TABLES, False, nonce=response.nonce)) is None  # it waits
     more = session.handle_request(ResourceRequest(TABLES, False, subscribe=("t3",)))
-    assert more is not None and more.delta is not None and [r.name for r in more.delta.changed] == ["t3"]
+    assert (
+        more is not None
+        and more.delta is not None
+        and [resource.name for resource in more.delta.changed] == ["t3"]
+    )
     session.record_sent(TABLES, more)
     less = session.handle_request(ResourceRequest(TABLES, False, nonce=more.nonce, unsubscribe=("t1",)))
     assert less is not None and less.delta is not None and less.delta.removed == ("t1",)
     session.record_sent(TABLES, less)
     again = session.handle_request(
         ResourceRequest(TABLES, False, nonce=less.nonce, subscribe=("t3",))
-    )  # asked for anew: sent anew
-    assert again is not None and again.delta is not None and [r.name for r in again.delta.changed] == ["t3"]
+    )  # a resource that is subscribed to again is sent again
+    assert (
+        again is not None
+        and again.delta is not None
+        and [resource.name for resource in again.delta.changed] == ["t3"]
+    )
     everything = session.handle_request(ResourceRequest(TABLES, True))
     assert everything is not None and len(everything.resource_set.resources) == 3
 
@@ -379,11 +399,11 @@
     session = DiscoverySession(1, store, RecordingListener(), references, exclude_from, {})
     session.want(1, content(store, session, [1], 0), frozenset())
     ahead = f"{first_era(40, 9)}.17"
-    answer = session.handle_request(ResourceRequest(TABLES, True, is_first=True, version=ahead))
-    assert answer is not None
-    version, told = read_version(answer.resource_set.version), read_version(ahead)
-    assert version is not None and told is not None and version > told
+    response = session.handle_request(ResourceRequest(TABLES, True, is_first=True, version=ahead))
+    assert response is not None
+    version, reported = read_version(response.resource_set.version), read_version(ahead)
+    assert version is not None and reported is not None and version > reported
     era = store.era
-    for absurd in (f"{1 << 62}.1", "x.y", "9" * 50):
-        session.handle_request(ResourceRequest(TABLES, True, is_first=True, version=absurd))
+    for invalid in (f"{1 << 62}.1", "x.y", "9" * 50):
+        session.handle_request(ResourceRequest(TABLES, True, is_first=True, version=invalid))
     assert store.era == era
--- a/tests/test_resource_store.py
+++ b/tests/test_resource_store.py
@@ -9,22 +9,24 @@
 
 def test_sets_are_shared_and_content_that_comes_back_is_newer() -> None:
     store = ResourceStore(first_era(3, 7))
-    one = store.make_set(TABLES, [("a", b"1"), ("b", b"2")])
-    assert store.make_set(TABLES, [("a", b"1"), ("b", b"2")]) is one
-    two = store.make_set(TABLES, [("a", b"1"), ("b", b"3")], one)
-    assert two.resources["a"] is one.resources["a"] and two.order > one.order
-    back = store.make_set(TABLES, [("a", b"1"), ("b", b"2")], two)
+    first = store.make_set(TABLES, [("a", b"1"), ("b", b"2")])
+    assert store.make_set(TABLES, [("a", b"1"), ("b", b"2")]) is first
+    second = store.make_set(TABLES, [("a", b"1"), ("b", b"3")], first)
+    assert second.resources["a"] is first.resources["a"] and second.order > first.order
+    returned = store.make_set(TABLES, [("a", b"1"), ("b", b"2")], second)
     assert (
-        back.order > two.order
-        and back.resources["b"].order > two.resources["b"].order
-        and back.resources["a"] is one.resources["a"]
+        returned.order > second.order
+        and returned.resources["b"].order > second.resources["b"].order
+        and returned.resources["a"] is first.resources["a"]
     )
-    assert store.make_set(TABLES, [("a", b"1"), ("b", b"2")], two) is back  # the next that goes the same way
-    delta = store.delta(one, two)
-    assert [row.name for row in delta.changed] == ["b"] and store.delta(one, two) is delta
-    assert store.delta({"a": one.resources["a"].version, "z": "1.1"}, one).removed == ("z",)
-    version = one.version
-    assert store.find(TABLES, version) is one
+    assert (
+        store.make_set(TABLES, [("a", b"1"), ("b", b"2")], second) is returned
+    )  # a later proxy with the same history
+    delta = store.delta(first, second)
+    assert [resource.name for resource in delta.changed] == ["b"] and store.delta(first, second) is delta
+    assert store.delta({"a": first.resources["a"].version, "z": "1.1"}, first).removed == ("z",)
+    version = first.version
+    assert store.find(TABLES, version) is first
     assert next_era(first_era(9, 1), store.era) > first_era(9, 1 << 19)
 
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,4 +1,4 @@
-"""Staged rollout: what is halted, who gets the next content, and what counts as good everywhere."""
+"""Staged rollout: which contents are halted, which proxies get the next one, and which count as good."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
     proxies: range,
     rejecting: frozenset[int] | set[int] = frozenset(),
 ) -> dict[int, Content | None]:
-    """Offers a content to all; those in `rejecting` reject it. Returns what each was given."""
-    given = {}
+    """Offers a content to all; those in `rejecting` reject it. Returns the content that each was sent."""
+    sent = {}
     for proxy in proxies:
         chosen = rollout.choose(now, proxy, "t", content)
-        given[proxy] = chosen
+        sent[proxy] = chosen
         if chosen is None:
             continue
         rollout.record_offered(now, proxy, "t", chosen)
@@ -42,11 +42,11 @@
             rollout.record_rejected(now, proxy, "t", chosen, "bad")
         else:
             rollout.record_acknowledged(now, proxy, "t", chosen)
-    return given
+    return sent
 
 
 def test_new_content_is_halted_also_while_all_remembered_ones_are_in_use() -> None:
-    """Guards against a content that is forgotten as it is offered: nothing could halt it."""
+    """Guards against a content that is forgotten as soon as it is offered, so that nothing could halt it."""
     listener = RecordingListener()
     rollout = Rollout(RolloutSettings(), listener)
     for proxy in range(MAX_CONTENTS):  # each runs a content of its own
@@ -63,12 +63,12 @@
     offer_to_all(rollout, 0, 1, everyone)
     assert rollout.tracks["t"].good == 1 and not listener.calls
     bad = {20, 41, 60, 80}
-    given = offer_to_all(rollout, 10, 2, everyone, bad)
-    stopped = [proxy for proxy in everyone if given[proxy] == 1]
+    sent = offer_to_all(rollout, 10, 2, everyone, bad)
+    not_updated = [proxy for proxy in everyone if sent[proxy] == 1]
     assert listener.calls[0][:3] == ("halted", 2, 1)
-    assert min(stopped) == 42  # the second rejection was enough
-    given = offer_to_all(rollout, 20, 3, everyone)
-    canaries = [proxy for proxy in everyone if given[proxy] == 3]
+    assert min(not_updated) == 42  # the second rejection was enough
+    sent = offer_to_all(rollout, 20, 3, everyone)
+    canaries = [proxy for proxy in everyone if sent[proxy] == 3]
     assert 1 <= len(canaries) <= 6 and {20, 41} & set(canaries)
     rollout.evaluate(20 + TICKS_PER_SECOND)
     assert len(listener.calls) == 1
@@ -78,7 +78,7 @@
 
 
 def test_a_canary_that_rejects_or_whose_requests_fail_more_halts_again() -> None:
-    for way in ("rejects", "worse"):
+    for failure in ("rejects", "worse"):
         listener = RecordingListener()
         rollout = Rollout(RolloutSettings(), listener)
         everyone = range(50)
@@ -86,13 +86,13 @@
         offer_to_all(rollout, 1, 2, everyone, {0, 1, 2})
         track = rollout.tracks["t"]
         canaries = set(track.canaries)
-        offer_to_all(rollout, 2, 3, everyone, canaries if way == "rejects" else set())
+        offer_to_all(rollout, 2, 3, everyone, canaries if failure == "rejects" else set())
         for proxy in everyone:
             rollout.record_requests(
-                2 * TICKS_PER_SECOND, proxy, 30, 20 if way == "worse" and proxy in canaries else 1
+                2 * TICKS_PER_SECOND, proxy, 30, 20 if failure == "worse" and proxy in canaries else 1
             )
         rollout.evaluate(TICKS_PER_SECOND + 2 * TICKS_PER_SECOND)
-        assert [row[:2] for row in listener.calls][:2] == [("halted", 2), ("halted", 3)], way
+        assert [call[:2] for call in listener.calls][:2] == [("halted", 2), ("halted", 3)], failure
         assert rollout.choose(4 * TICKS_PER_SECOND, 49, "t", 3) == 1
 
 
@@ -110,8 +110,8 @@
 def test_one_proxy_that_rejects_everything_halts_nothing() -> None:
     listener = RecordingListener()
     rollout = Rollout(RolloutSettings(), listener)
-    for content_ in range(1, 30):
-        offer_to_all(rollout, content_, content_, range(40), {7})
+    for content in range(1, 30):
+        offer_to_all(rollout, content, content, range(40), {7})
     assert not listener.calls and rollout.tracks["t"].good == 29 and len(rollout.tracks["t"].contents) <= 17
 
 
@@ -127,8 +127,8 @@
     listener = RecordingListener()
     rollout = Rollout(RolloutSettings(mode=RolloutMode.ALWAYS), listener)
     offer_to_all(rollout, 0, 1, range(40))
-    given = offer_to_all(rollout, 10, 2, range(40))
-    assert 1 <= sum(chosen == 2 for chosen in given.values()) <= 4
+    sent = offer_to_all(rollout, 10, 2, range(40))
+    assert 1 <= sum(chosen == 2 for chosen in sent.values()) <= 4
     rollout.evaluate(3 * TICKS_PER_SECOND)
     assert listener.calls == [("released",)]
     assert set(offer_to_all(rollout, 3 * TICKS_PER_SECOND, 2, range(40)).values()) == {2}
--- a/tests/test_validation.py
+++ b/tests/test_validation.py
@@ -1,4 +1,4 @@
-"""Update validation: against an oracle, against a full recheck, with its own checks broken, and on files."""
+"""Update validation: against an oracle and a full recomputation, with failing checks, and on files."""
 
 from __future__ import annotations
 
@@ -54,90 +54,95 @@
     return ProxyTables((weights, weights), frozenset(excluded), retries, (math.inf, math.inf), key)
 
 
-def listed(draining: str = "", young: str = "") -> list[ValidatedEndpoint]:
-    """Four endpoints, some of them draining, some started just before 10 s."""
+def endpoint_list(draining: str = "", warming_up: str = "") -> list[ValidatedEndpoint]:
+    """Returns four endpoints, some of them draining, some started just before 10 s."""
     return [
         ValidatedEndpoint(
             name,
             EndpointMode.DRAINING if name in draining else EndpointMode.IN_SERVICE,
             since=0,
-            started_at=10 * TICKS_PER_SECOND - 1 if name in young else 0,
+            started_at=10 * TICKS_PER_SECOND - 1 if name in warming_up else 0,
         )
         for name in "abcd"
     ]
 
 
-def world(proxies: int = 4) -> World:
-    made = World(SETTINGS)
-    made.endpoints.update_list(0, listed())
+def make_world(proxies: int = 4) -> World:
+    world = World(SETTINGS)
+    world.endpoints.update_list(0, endpoint_list())
     for proxy in range(proxies):
-        made.add_proxy(proxy, "", (5.0, 5.0), tables(EVEN))
-    return made
+        world.add_proxy(proxy, "", (5.0, 5.0), tables(EVEN))
+    return world
 
 
-def judged(made: World, weights: dict[str, float], now: int = 10 * TICKS_PER_SECOND, **parts: Any) -> Verdict:
-    return Validator(made).validate(now, Candidate(0, tables(weights, **parts), UpdateVersion(1, 1, 1)))
+def validate(
+    world: World, weights: dict[str, float], now: int = 10 * TICKS_PER_SECOND, **parts: Any
+) -> Verdict:
+    return Validator(world).validate(now, Candidate(0, tables(weights, **parts), UpdateVersion(1, 1, 1)))
 
 
 def test_all_kinds_of_bad_tables_are_stopped_and_no_good_table_is() -> None:
-    done = confusion(12 * (len(BAD) + len(GOOD)), 5)
-    assert done.good, done.missed[:2] + done.wrongly[:2]
-    assert len(BAD) >= 15 and len(done.kinds) == len(BAD) + len(GOOD)
+    result = confusion(12 * (len(BAD) + len(GOOD)), 5)
+    assert result.good, result.missed[:2] + result.wrongly[:2]
+    assert len(BAD) >= 15 and len(result.kinds) == len(BAD) + len(GOOD)
 
 
 def test_a_valid_table_is_refused_while_all_its_endpoints_drain() -> None:
-    made = world()
-    assert judged(made, {"a": 1.0, "b": 1.0}).has_passed
-    made.endpoints.update_list(9 * TICKS_PER_SECOND, listed(draining="ab"))
-    verdict = judged(made, {"a": 1.0, "b": 1.0})
+    world = make_world()
+    assert validate(world, {"a": 1.0, "b": 1.0}).has_passed
+    world.endpoints.update_list(9 * TICKS_PER_SECOND, endpoint_list(draining="ab"))
+    verdict = validate(world, {"a": 1.0, "b": 1.0})
     assert verdict.outcome is Outcome.REFUSED and verdict.findings[0].rule == 1
     assert "add a warm endpoint, such as c" in verdict.findings[0].line()
 
 
 def test_slow_start_budget_counts_all_proxies_and_updates_in_flight() -> None:
-    made = world()
-    made.endpoints.update_list(0, listed(young="d"))
+    world = make_world()
+    world.endpoints.update_list(0, endpoint_list(warming_up="d"))
     for proxy in range(4):
-        made.record_sent(0, proxy, tables({**EVEN, "d": 0.001}), UpdateVersion(1, 1, 0))
-        made.record_applied(proxy)
-    much = {"a": 1.0, "b": 1.0, "c": 1.0, "d": 4.0}
-    seen = []
+        world.record_sent(0, proxy, tables({**EVEN, "d": 0.001}), UpdateVersion(1, 1, 0))
+        world.record_applied(proxy)
+    heavy_weights = {"a": 1.0, "b": 1.0, "c": 1.0, "d": 4.0}
+    outcomes = []
     for proxy in range(4):
-        candidate = Candidate(proxy, tables(much), UpdateVersion(1, 2, proxy))
-        verdict = Validator(made).validate(10 * TICKS_PER_SECOND, candidate)
-        seen.append(verdict.outcome)
+        candidate = Candidate(proxy, tables(heavy_weights), UpdateVersion(1, 2, proxy))
+        verdict = Validator(world).validate(10 * TICKS_PER_SECOND, candidate)
+        outcomes.append(verdict.outcome)
         if verdict.has_passed:
-            made.record_sent(10 * TICKS_PER_SECOND, proxy, candidate.tables, candidate.version)
-    assert seen[0] is Outcome.PASSED and seen[-1] in (
+            world.record_sent(10 * TICKS_PER_SECOND, proxy, candidate.tables, candidate.version)
+    assert outcomes[0] is Outcome.PASSED and outcomes[-1] in (
         Outcome.SPLIT,
         Outcome.REFUSED,
-    )  # one may; all together may not
+    )  # one proxy may send it; all together may not
     now = 10 * TICKS_PER_SECOND
     version = UpdateVersion(1, 2, 9)
-    whole = Candidate(3, tables(much), version)
-    last = Validator(made).validate(now, whole)
-    if last.outcome is Outcome.SPLIT:
-        first = ProxyTables(last.steps[0].weights, frozenset(), (1, 1), (math.inf,) * 2)
-        assert Validator(made).validate(now, Candidate(3, first, version)).has_passed
-        assert Validator(made).validate(last.steps[1].not_before + 1, whole).has_passed
+    complete = Candidate(3, tables(heavy_weights), version)
+    split = Validator(world).validate(now, complete)
+    if split.outcome is Outcome.SPLIT:
+        first = ProxyTables(split.steps[0].weights, frozenset(), (1, 1), (math.inf,) * 2)
+        assert Validator(world).validate(now, Candidate(3, first, version)).has_passed
+        assert Validator(world).validate(split.steps[1].not_before + 1, complete).has_passed
 
 
 def test_update_that_needs_a_whole_slow_start_budget_is_split_at_every_age() -> None:
-    """Guards against a verdict that hangs on the last bit of a sum: needed and full warmth are equal here."""
+    """Guards against a verdict that depends on a rounding error.
+
+    Here the update needs exactly the full capacity of the endpoint.
+    """
     routes = (SETTINGS.routes[0],) * 3
-    made = World(
+    world = World(
         replace(SETTINGS, routes=routes, slow_start_fraction=0.3, slow_start_ticks=80_000, proxy_count=8)
     )
 
-    def candidate(weights: dict[str, float]) -> ProxyTables:
+    def proxy_tables(weights: dict[str, float]) -> ProxyTables:
         return ProxyTables((weights,) * 3, frozenset(), (1,) * 3, (math.inf,) * 3)
 
     warm = {"a": 1.0, "b": 1.0, "c": 1.0}
     endpoints = [ValidatedEndpoint(name, EndpointMode.IN_SERVICE, 0, 0) for name in warm]
-    made.endpoints.update_list(0, [*endpoints, ValidatedEndpoint("d", EndpointMode.IN_SERVICE, 0, 1)])
-    made.add_proxy(0, "", (4 / 3,) * 3, candidate(warm))
-    eager = Candidate(0, candidate({**warm, "d": 12.0}), UpdateVersion(1, 1, 1))
-    outcomes = {Validator(made).validate(age, eager).outcome for age in range(40_000, 79_000, 13)}
+    world.endpoints.update_list(0, [*endpoints, ValidatedEndpoint("d", EndpointMode.IN_SERVICE, 0, 1)])
+    world.add_proxy(0, "", (4 / 3,) * 3, proxy_tables(warm))
+    candidate = Candidate(0, proxy_tables({**warm, "d": 12.0}), UpdateVersion(1, 1, 1))
+    outcomes = {Validator(world).validate(age, candidate).outcome for age in range(40_000, 79_000, 13)}
     assert outcomes == {Outcome.SPLIT}
 
 
@@ -148,34 +153,36 @@
 
 
 def test_exclusions_and_the_last_endpoints_pass_whatever_else_is_found() -> None:
-    made = world()
+    world = make_world()
     some = {"a": 1.0, "b": 1.0}
-    made.add_proxy(0, "", (5.0, 5.0), tables(some))
-    made.endpoints.update_list(0, listed(draining="ab"))
-    assert judged(made, some).outcome is Outcome.REFUSED
-    verdict = judged(made, some, excluded="ab")
+    world.add_proxy(0, "", (5.0, 5.0), tables(some))
+    world.endpoints.update_list(0, endpoint_list(draining="ab"))
+    assert validate(world, some).outcome is Outcome.REFUSED
+    verdict = validate(world, some, excluded="ab")
     assert verdict.has_passed and "only excludes" in verdict.exemption
-    made.endpoints.update_list(0, listed(draining="abcd"))
-    late = judged(made, {"a": 1.0}, now=100 * TICKS_PER_SECOND)
+    world.endpoints.update_list(0, endpoint_list(draining="abcd"))
+    late = validate(world, {"a": 1.0}, now=100 * TICKS_PER_SECOND)
     assert late.has_passed and "no endpoint is in service" in late.exemption
     assert (
-        judged(made, some, excluded="ab", retries=(1, 3)).outcome is Outcome.REFUSED
-    )  # no rescue has need of that
+        validate(world, some, excluded="ab", retries=(1, 3)).outcome is Outcome.REFUSED
+    )  # a recovery never needs these retries
 
 
 def test_shadow_mode_passes_and_says_what_it_would_have_done() -> None:
-    verdict = Validator(world(), shadow=True).validate(0, Candidate(0, tables({}), UpdateVersion(1, 1, 1)))
+    verdict = Validator(make_world(), shadow=True).validate(
+        0, Candidate(0, tables({}), UpdateVersion(1, 1, 1))
+    )
     assert verdict.has_passed and verdict.exemption == "shadow: it would be refused" and verdict.findings
 
 
 @pytest.mark.parametrize("name", list(FAILS_CLOSED))
 def test_a_check_that_raises_fails_in_its_stated_direction(name: str) -> None:
-    validator = Validator(world())
+    validator = Validator(make_world())
 
-    def breaks(*_: object) -> None:
+    def failing_check(*_: object) -> None:
         raise ZeroDivisionError("on purpose")
 
-    validator.checks[name] = breaks
+    validator.checks[name] = failing_check
     verdict = validator.validate(10 * TICKS_PER_SECOND, Candidate(0, tables(EVEN), UpdateVersion(1, 1, 1)))
     assert verdict.has_passed != FAILS_CLOSED[name] and "on purpose" in verdict.check_errors[0]
     assert set(validator.checks) == set(FAILS_CLOSED)
@@ -229,7 +236,7 @@
         "terms": {"drain_grace_s": 2.5, "cold_s": 10, "start_capacity": 0.25, "fall_multiple": 4,
                   "lines_per_s": 1600, "most_waiting_lines": 3200, "fleet": 2},
         "routes": [{"name": "read", "semantics": "repeatable"}, {"name": "write", "semantics": "mutating"}],
-        "hosts": [{"name": n, "mode": "open"} for n in "abc"],
+        "hosts": [{"name": name, "mode": "open"} for name in "abc"],
         "proxies": [
             {"name": name, "calls_per_s": {"read": 5, "write": 1},
              "lines": {"read": {"a": 1, "b": 1}, "write": {"a": 1, "b": 1}}}
@@ -248,17 +255,17 @@
         ),
         ({"lines": {"read": {"a": 1}, "write": {"a": 1}}, "cost_lines": 9999}, 4, "queue (rule 5)"),
     ]
-    for k, (candidate, code, text) in enumerate(cases):
-        path = tmp_path / f"{k}.json"
+    for index, (candidate, code, text) in enumerate(cases):
+        path = tmp_path / f"{index}.json"
         path.write_text(json.dumps([{"proxy": "p1", **candidate}]))
-        got = CliRunner().invoke(main, ["guard", "check", str(path), "--state", str(tmp_path / "s.json")])
-        assert got.exit_code == code and text in got.output, got.output
-        asked = CliRunner().invoke(
+        result = CliRunner().invoke(main, ["guard", "check", str(path), "--state", str(tmp_path / "s.json")])
+        assert result.exit_code == code and text in result.output, result.output
+        json_result = CliRunner().invoke(
             main, ["guard", "check", str(path), "--state", str(tmp_path / "s.json"), "--json"]
         )
-        assert json.loads(asked.output)[0]["exit_code"] == code
+        assert json.loads(json_result.output)[0]["exit_code"] == code
     (tmp_path / "bad.json").write_text('[{"proxi": "p1"}]')
-    got = CliRunner().invoke(
+    result = CliRunner().invoke(
         main, ["guard", "check", str(tmp_path / "bad.json"), "--state", str(tmp_path / "s.json")]
     )
-    assert got.exit_code == 2 and "proxi" in got.output
+    assert result.exit_code == 2 and "proxi" in result.output
