--- a/willowhook/validation/exposure.py
+++ b/willowhook/validation/exposure.py
@@ -147,30 +147,30 @@
 
     def change_rates(self, key: ClassKey, old: Rates, new: Rates) -> None:
         """Changes the rates of a proxy in a class."""
-        group = self._classes[key]
+        proxy_class = self._classes[key]
         change = tuple(after - before for before, after in zip(old, new, strict=True))
         for route, rate in enumerate(change):
-            group.rates[route] += rate
-        self._add_load(group, change, 1)
+            proxy_class.rates[route] += rate
+        self._add_load(proxy_class, change, 1)
 
     def _add_to_class(self, rates: Rates, key: ClassKey) -> None:
-        group = self._classes.get(key)
-        if group is None:
+        proxy_class = self._classes.get(key)
+        if proxy_class is None:
             for content in dict.fromkeys(key):
                 self.contents[content].class_count += 1
-            group = self._classes[key] = ProxyClass(self._peak_shares(key), [0.0] * len(rates))
+            proxy_class = self._classes[key] = ProxyClass(self._peak_shares(key), [0.0] * len(rates))
         for route, rate in enumerate(rates):
-            group.rates[route] += rate
-        group.count += 1
-        self._add_load(group, rates, 1)
+            proxy_class.rates[route] += rate
+        proxy_class.count += 1
+        self._add_load(proxy_class, rates, 1)
 
     def _remove_from_class(self, rates: Rates, key: ClassKey) -> None:
-        group = self._classes[key]
+        proxy_class = self._classes[key]
         for route, rate in enumerate(rates):
-            group.rates[route] -= rate
-        group.count -= 1
-        self._add_load(group, rates, -1)
-        if group.count == 0:
+            proxy_class.rates[route] -= rate
+        proxy_class.count -= 1
+        self._add_load(proxy_class, rates, -1)
+        if proxy_class.count == 0:
             self._remove_class(key)
 
     def _remove_class(self, key: ClassKey) -> None:
@@ -198,9 +198,9 @@
             peaks.append(PeakShares(routes, peak))
         return peaks
 
-    def _add_load(self, group: ProxyClass, rates: Rates, sign: int) -> None:
+    def _add_load(self, proxy_class: ProxyClass, rates: Rates, sign: int) -> None:
         load = self._load
-        for routes, peak in group.peaks:
+        for routes, peak in proxy_class.peaks:
             requests = sign * sum(rates[route] for route in routes)
             if requests:
                 for endpoint, share in peak.items():
@@ -208,5 +208,5 @@
 
     def _rebuild(self) -> None:
         self._load = {}
-        for group in self._classes.values():
-            self._add_load(group, tuple(group.rates), 1)
+        for proxy_class in self._classes.values():
+            self._add_load(proxy_class, tuple(proxy_class.rates), 1)
--- a/willowhook/validation/state_file.py
+++ b/willowhook/validation/state_file.py
@@ -47,7 +47,22 @@
 
 
 class StateSettings(StrictStruct, kw_only=True):
-    """Settings; times in seconds, channel rates and limits in table entries (lines)."""
+    """Settings; times are in seconds, and lines are table entries.
+
+    Attributes:
+        drain_grace_s: the drain grace.
+        cold_s: the duration of slow start.
+        start_capacity: the fraction of its capacity that an endpoint has when it starts.
+        fall_multiple: the overload factor of an endpoint in slow start.
+        lines_per_s: the rate of the channel.
+        most_waiting_lines: the queue limit.
+        fleet: the number of proxies of all controllers.
+        messages_most: the message cap; 0: no cap.
+        messages_over_s: the window of the message cap.
+        cold_part: the fraction of the load budget of an endpoint in slow start that tables may use.
+        swing: the multiple of its even share of all requests that one endpoint may be given.
+        capacity_calls_per_s: requests per second that an endpoint can serve, by class.
+    """
 
     drain_grace_s: float
     cold_s: float
@@ -64,7 +79,15 @@
 
 
 class StateRoute(StrictStruct, kw_only=True):
-    """A route; `semantics` has the values of the configuration."""
+    """A route.
+
+    Attributes:
+        name: the name of the route.
+        semantics: whether a request may run more than once, as in the configuration.
+        own_zone: whether only endpoints in the proxy's zone may serve it.
+        zones: the zones of the endpoints that may serve it; empty: any.
+        kinds: the classes of the endpoints that may serve it; empty: any.
+    """
 
     name: str
     semantics: Literal["repeatable", "keyed", "mutating"]
@@ -74,7 +97,18 @@
 
 
 class StateEndpoint(StrictStruct, kw_only=True):
-    """An endpoint; times are ages in seconds."""
+    """An endpoint; times are ages in seconds.
+
+    Attributes:
+        name: the name of the endpoint.
+        mode: whether it is in service (`open`), draining, or removed (`gone`).
+        told_s_ago: how long it has been listed in this mode.
+        started_s_ago: how long ago its process started.
+        size: its capacity relative to the other endpoints.
+        kind: its class.
+        zone: its zone.
+        address: whether its address is known.
+    """
 
     name: str
     mode: Literal["open", "draining", "gone"] = "open"
@@ -87,19 +121,38 @@
 
 
 class StateProxy(StrictStruct, kw_only=True):
-    """A proxy with the tables that it holds, and those in flight to it."""
+    """A proxy with the tables that it holds, and those in flight to it.
+
+    Attributes:
+        name: the name of the proxy.
+        zone: its zone.
+        calls_per_s: its request rates, by route.
+        lines: the weights of the endpoints, by route.
+        withdrawn: the endpoints that are excluded.
+        in_flight: the weights of the updates in flight, in the order they were sent.
+        version: the version of the update last sent to it.
+    """
 
     name: str
     zone: str = ""
     calls_per_s: dict[str, float] = {}
-    lines: dict[str, dict[str, float]] = {}  # by route
+    lines: dict[str, dict[str, float]] = {}
     withdrawn: list[str] = []
     in_flight: list[dict[str, dict[str, float]]] = []
     version: str = "0.0.0"
 
 
 class State(StrictStruct, kw_only=True):
-    """A state file."""
+    """The content of a state file.
+
+    Attributes:
+        now_s: the current time.
+        terms: the settings.
+        routes: the routes.
+        hosts: the endpoints.
+        proxies: the proxies of this controller.
+        waiting_lines: the number of table entries that wait in the channel.
+    """
 
     now_s: float
     terms: StateSettings
@@ -110,7 +163,17 @@
 
 
 class StateCandidate(StrictStruct, kw_only=True):
-    """An update to validate."""
+    """An update to validate.
+
+    Attributes:
+        proxy: the name of the proxy that it is for.
+        lines: the weights of the endpoints, by route.
+        withdrawn: the endpoints that are excluded.
+        tries: the retry modes, by route.
+        levels: the admission limits, by route.
+        version: the version of the update; empty: the one after the newest.
+        cost_lines: the update cost, in table entries.
+    """
 
     proxy: str
     lines: dict[str, dict[str, float]]
@@ -232,7 +295,7 @@
 
 
 def _candidate_version(candidate: StateCandidate, newest: UpdateVersion) -> UpdateVersion:
-    """Returns the version of a candidate; the one after the newest if the file states none."""
+    """Returns the version of a candidate; the one after the newest if it states none."""
     if candidate.version:
         return _read_version(candidate.version)
     return newest._replace(number=newest.number + 1)
