--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -1,4 +1,4 @@
-"""What proxies say, as the intake reads it: no I/O, no clock."""
+"""Tests of the intake: how it reads the files and requests of proxies."""
 
 from __future__ import annotations
 
@@ -47,8 +47,8 @@
     return [type(event) for event in events]
 
 
-def answer(nonce: str, fault: str = "", node: forms.Node = NODE, type_url: str = forms.ASSIGNMENT) -> bytes:
-    detail = forms.Status(3, fault) if fault else None
+def answer(nonce: str, error: str = "", node: forms.Node = NODE, type_url: str = forms.ASSIGNMENT) -> bytes:
+    detail = forms.Status(3, error) if error else None
     return encode(forms.DiscoveryRequest("3.1", node, [], type_url, nonce, detail))
 
 
@@ -68,14 +68,14 @@
         ("eds.json", b"\x00\x01\xff" * 50, "not a DiscoveryRequest"),
         ("eds.json", answer("2.3.7", type_url=forms.ROUTES), "type_url is"),
         ("eds.json", answer("2.3.7", node=forms.Node("p2")), "node.id is 'p2'"),
-        ("eds.json", answer("2.3.7", node=forms.Node("p1", metadata={"term": 2.5})), "no whole number"),
-        ("eds.json", answer("2.3.51"), "message 51, and 50 is the last"),
-        ("eds.json", answer("2.4.1"), "2.4.1, and this is term 2, epoch 3"),
-        ("eds.json", answer("3.3.1"), "3.3.1, and this is term 2, epoch 3"),
+        ("eds.json", answer("2.3.7", node=forms.Node("p1", metadata={"term": 2.5})), "not a whole number"),
+        ("eds.json", answer("2.3.51"), "message 51, but the last one is 50"),
+        ("eds.json", answer("2.4.1"), "2.4.1, but this is term 2, epoch 3"),
+        ("eds.json", answer("3.3.1"), "3.3.1, but this is term 2, epoch 3"),
         ("eds.json", answer("x"), "no TERM.EPOCH.NUMBER"),
         ("load.json", encode([1, 2]), "not a LoadStatsRequest"),
         ("load.json", b'{"cluster_stats": [{"load_report_interval": "-1s"}]}', "node.id is ''"),
-        ("other.json", b"{}", "no file of this name"),
+        ("other.json", b"{}", "unknown file name"),
     ],
 )
 def test_malformed_file_is_reported_once_until_a_well_formed_one(file: str, data: bytes, cause: str) -> None:
@@ -91,16 +91,18 @@
         assert types_of(events) == [ProxyInputRejected, UpdateApplied, ProxyInputRejected]
 
 
-def load(good: int, bad: int, spent: float = 1.0, dropped: int = 0, metric: float = 0.5) -> bytes:
-    at = forms.Address(forms.SocketAddress("127.0.0.1", 81))
-    row = forms.UpstreamEndpointStats(at, good, 0, bad, good + bad)
-    row.load_metric_stats = [
-        forms.LoadMetricStats("latency_seconds", good, spent),
-        forms.LoadMetricStats("cpu_utilization", 2, 2 * metric),
+def load(
+    successes: int, failures: int, latency_sum: float = 1.0, dropped: int = 0, utilization: float = 0.5
+) -> bytes:
+    address = forms.Address(forms.SocketAddress("127.0.0.1", 81))
+    endpoint_stats = forms.UpstreamEndpointStats(address, successes, 0, failures, successes + failures)
+    endpoint_stats.load_metric_stats = [
+        forms.LoadMetricStats("latency_seconds", successes, latency_sum),
+        forms.LoadMetricStats("cpu_utilization", 2, 2 * utilization),
     ]  # fmt: skip
-    zone = forms.UpstreamLocalityStats(upstream_endpoint_stats=[row])
-    stats = forms.ClusterStats("load@t0", "", [zone], dropped, [], "0.5s")
-    return encode(forms.LoadStatsRequest(NODE, [stats]))
+    zone = forms.UpstreamLocalityStats(upstream_endpoint_stats=[endpoint_stats])
+    cluster_stats = forms.ClusterStats("load@t0", "", [zone], dropped, [], "0.5s")
+    return encode(forms.LoadStatsRequest(NODE, [cluster_stats]))
 
 
 def test_load_report_counts_completely_or_not_at_all() -> None:
@@ -109,27 +111,32 @@
     attempts, requests = events
     assert requests == RequestsReported(0, "load", 8, 1, 5000)
     assert isinstance(attempts, AttemptsReported)
-    whole = attempts.sample
-    assert whole.cells == {("127.0.0.1:81", "load"): (5, 1, 20_000, 0)} and whole.window == 5000
-    assert whole.loads == {"127.0.0.1:81": {"busy": 0.5}}
+    sample = attempts.sample
+    assert sample.cells == {("127.0.0.1:81", "load"): (5, 1, 20_000, 0)} and sample.window == 5000
+    assert sample.loads == {"127.0.0.1:81": {"busy": 0.5}}
     events.clear()
-    for bad in (load(-1, 0), load(1, 0, spent=float("inf")), load(10**12, 0), load(1, 0, dropped=-2)):
-        intake.process_file(2, "p1", "load.json", bad)
+    for malformed in (
+        load(-1, 0),
+        load(1, 0, latency_sum=float("inf")),
+        load(10**12, 0),
+        load(1, 0, dropped=-2),
+    ):
+        intake.process_file(2, "p1", "load.json", malformed)
     assert types_of(events) == [ProxyInputRejected]
 
 
-def node(term: int, director: str = "d") -> forms.Node:
+def node(term: int, controller: str = "d") -> forms.Node:
     return forms.Node(
-        "p1", "calls", NODE.locality, {"usual_calls_per_s": 5, "term": term, "director": director}
+        "p1", "calls", NODE.locality, {"usual_calls_per_s": 5, "term": term, "director": controller}
     )
 
 
 def test_session_lasts_only_while_the_newest_file_names_the_controller() -> None:
     events, intake = intake_with_a_session()
-    late = encode(forms.LoadStatsRequest(node(1)))  # of its last stay, put in place late
-    intake.process_file(1, "p1", "load.json", late)
+    late_report = encode(forms.LoadStatsRequest(node(1)))  # of its previous session, written late
+    intake.process_file(1, "p1", "load.json", late_report)
     intake.process_file(1, "p1", "eds.json", answer("2.3.7", node=node(1)))
-    assert events == [] and intake.sessions["p1"].heard_at == 0
+    assert events == [] and intake.sessions["p1"].last_activity_at == 0
     intake.process_file(2, "p1", "load.json", encode(forms.LoadStatsRequest(node(2, "other"))))
     assert events == [ProxySessionClosed(0, "p1", "follows other in term 2")]
     assert not intake.open_session(3, "p1", {"status.json": encode(forms.ClientConfig(node(3, "other")))})
@@ -138,7 +145,7 @@
     intake.process_file(5, "p1", "load.json", encode(forms.LoadStatsRequest(node(5))))
     assert events[-1] == ProxySessionClosed(
         0, "p1", "follows d in term 5"
-    )  # it came again: its folder tells how
+    )  # the proxy has begun another session, which its folder will open
 
 
 def test_restarted_controller_takes_its_former_files_as_held() -> None:
@@ -168,7 +175,7 @@
     assert not intake.open_session(0, "p3", {})
     assert not intake.open_session(0, "p4", {"status.json": b"\x80"})
     assert types_of(events)[-2:] == [ProxyInputRejected, ProxyInputRejected]
-    intake.process_file(0, "p4", "load.json", load(1, 0))  # unknown: nobody's news
+    intake.process_file(0, "p4", "load.json", load(1, 0))  # ignored: the proxy has no session
     assert intake.open_session(1, "p1", {"status.json": STATUS, "eds.json": answer("2.3.7")})
     event = events[-1]
     assert isinstance(event, ProxySessionOpened)
--- a/willowhook/controlplane/inbound_dispatcher.py
+++ b/willowhook/controlplane/inbound_dispatcher.py
@@ -45,7 +45,7 @@
         handoff: HandoffPeers,
         update_endpoints: Callable[[int, Sequence[DiscoveredEndpoint]], None],
     ) -> None:
-        """Receives the components that handle the events."""
+        """Stores the components that handle the events."""
         self._context = context
         self._intake = intake
         self._publisher = publisher
@@ -58,7 +58,7 @@
         """Handles one event; an event that no component handles goes to the controller."""
         match event:
             case WorkAvailable():
-                pass  # the loop checks for work after every batch
+                pass  # the decision loop checks for work after every event batch
             case EndpointListFetched():
                 self._update_endpoints(now, event.endpoints)
             case HandoffReceived():
@@ -86,7 +86,7 @@
             case ProxyFolderFound():
                 self._folder_feed.open_session(now, event)
             case ProxyFolderRemoved():
-                self._intake.close_session(event.name, "its folder is gone")
+                self._intake.close_session(event.name, "folder removed")
             case ProxyFileWritten():
                 self._intake.process_file(now, event.name, event.file, event.data)
             case ProxyFileUnreadable():
@@ -96,7 +96,7 @@
         """Handles an event of the discovery server."""
         match event:
             case SessionRequested():
-                assert self._discovery is not None, "only a discovery server sends it"
+                assert self._discovery is not None, "only the discovery server sends this event"
                 self._discovery.open_session(now, event)
             case ProxyCalled():
                 self._intake.record_activity(now, event.name)
--- a/willowhook/controlplane/inbound_events.py
+++ b/willowhook/controlplane/inbound_events.py
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkAvailable:
-    """There is work outside the queue, such as a load report that waits."""
+    """Work waits outside the queue, such as a load report."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +43,7 @@
         name: the name of the proxy.
         identity: the identity of the folder.
         files: the files that the proxy has written, by name.
-        previous: the files that a controller wrote for it before, if any.
+        previous: the files that an earlier controller process wrote for it, if any.
     """
 
     name: str
@@ -85,17 +85,17 @@
     """The result of a request for a session.
 
     Attributes:
-        fault: what is malformed in the request; empty: nothing.
-        is_ready: is set once `fault` holds.
+        error: what is malformed in the request; empty if the session is open.
+        is_ready: set once `error` is final.
     """
 
-    fault: str = ""
+    error: str = ""
     is_ready: trio.Event = field(default_factory=trio.Event)
 
 
 @dataclass(frozen=True, slots=True)
 class SessionRequested:
-    """A proxy that calls asks for a session.
+    """A proxy requests a session from the discovery server.
 
     Attributes:
         name: the name of the proxy.
@@ -112,14 +112,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyCalled:
-    """A proxy has made a call."""
+    """A proxy has sent a request to the discovery server."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class ResourceRejected:
-    """A proxy that calls has rejected a resource."""
+    """A proxy that uses the discovery server has rejected a resource."""
 
     proxy: int
     resource: Resource
@@ -128,7 +128,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PartAcknowledged:
-    """A proxy that calls has acknowledged a part of its resources."""
+    """A proxy that uses the discovery server has acknowledged a part of its resources."""
 
     proxy: int
     part: ResourceSet
@@ -164,7 +164,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PublisherCallDue:
-    """The publisher's task requests a call in the decision task, with the current tick."""
+    """The publisher's task has a function called in the decision task, with the current tick."""
 
     call: Callable[[int], None]
 
--- a/willowhook/controlplane/intake.py
+++ b/willowhook/controlplane/intake.py
@@ -1,7 +1,7 @@
 """The sessions of proxies: turns the bytes that proxies write or send into typed events.
 
-Malformed input of one proxy does not affect any other proxy: it is reported once, until a well-formed file
-of the same kind arrives. No I/O and no clock; only the decision task may call these methods.
+Malformed input of one proxy does not affect any other proxy; it is reported once until a well-formed file
+of the same kind arrives. This module does no I/O and reads no clock. Only the decision task may call it.
 """
 
 from __future__ import annotations
@@ -44,9 +44,9 @@
     read_term,
 )
 
-MAX_PROXIES = 65_535  # over the life of the process: numbers are not reused
+MAX_PROXIES = 65_535  # per controller process; numbers are not reused
 TIMEOUT_WHEEL_SLOTS = 64
-TIMEOUT_WHEEL_RESOLUTION = 20  # slots for one timeout
+TIMEOUT_WHEEL_RESOLUTION = 20  # slots of the timing wheel per session timeout
 MAX_CAUSE_CHARACTERS = 500
 
 
@@ -55,19 +55,19 @@
     """The session of a proxy with this controller.
 
     Attributes:
-        number: the number by which the control plane names the proxy.
-        name: the name of the proxy in its folder or its calls.
+        number: the number of the proxy in the control plane.
+        name: the name of the proxy, as in its folder or its requests.
         term: the number of its session, counted over all controllers.
         heard_at: the tick of the last activity of the proxy.
         uses_discovery: whether it calls the discovery server; otherwise it reads files.
         applied: the newest update message that it is known to have applied.
-        rejected: the newest update message that it rejected, by the kind of file.
+        rejected: by kind of file, the newest update message that it rejected.
     """
 
     number: int
     name: str
     term: int
-    heard_at: int
+    last_activity_at: int
     uses_discovery: bool = False
     applied: int = 0
     rejected: dict[str, int] = field(default_factory=dict)
@@ -78,7 +78,7 @@
 
     Attributes:
         sessions: the open ones, by the name of the proxy.
-        windows: the times that load reports covered.
+        windows: the periods of time that load reports have covered.
     """
 
     def __init__(
@@ -96,9 +96,9 @@
             emit: receives the events.
             controller: the name of this controller.
             epoch: how often it has been started.
-            routes: their names, as in load reports.
-            session_timeout_ticks: a session is closed after this time without activity.
-            newest_message: returns the number of the last update message; no later one can be applied.
+            routes: the names of the routes, as in load reports.
+            session_timeout_ticks: the time without activity after which a session is closed.
+            newest_message: returns the number of the last update message; answers to later ones are rejected.
         """
         self._emit = emit
         self._controller = controller
@@ -116,7 +116,7 @@
     # Sessions.
 
     @property
-    def last_fault(self) -> str:
+    def last_error(self) -> str:
         """Why the input that was rejected last was malformed."""
         return self._malformed.last_cause
 
@@ -128,20 +128,20 @@
         previous: Mapping[str, bytes] | None = None,
         uses_discovery: bool = False,
     ) -> bool:
-        """Opens a session for the proxy `name`, in place of one that it may have had.
+        """Opens a session for the proxy `name`; closes the one that it has, if any.
 
         Args:
             now: the current tick.
             name: the name of the proxy.
             files: the files that it has written so far, by file name.
-            previous: the files that a controller before this one left for it, if any.
+            previous: the files that an earlier controller process wrote for it, if any.
             uses_discovery: whether it calls the discovery server.
 
         Returns:
-            False if the files do not make a proxy, or not yet.
+            False if the files are malformed or the status is still missing.
         """
         if name in self.sessions:
-            self.close_session(name, "came again")
+            self.close_session(name, "session opened again")
         try:
             check_proxy_name(name)
             if STATUS not in files:
@@ -161,11 +161,14 @@
         return True
 
     def _assign_number(self, name: str) -> int:
-        """The proxy's number, the same in all its sessions. Raises FormError if there are no more."""
+        """Returns the proxy's number, the same in all its sessions.
+
+        Raises MessageFormatError if all numbers are in use.
+        """
         number = self._numbers.setdefault(name, len(self._numbers))
         if number >= MAX_PROXIES:
             del self._numbers[name]
-            raise MessageFormatError(f"more than {MAX_PROXIES} proxies have come")
+            raise MessageFormatError(f"more than {MAX_PROXIES} proxies have joined")
         return number
 
     def close_session(self, name: str, reason: str) -> None:
@@ -176,13 +179,13 @@
             self._emit(ProxySessionClosed(proxy.number, name, reason))
 
     def record_activity(self, now: int, name: str) -> None:
-        """Notes a call of a proxy as activity."""
+        """Records a request of a proxy as activity."""
         proxy = self.sessions.get(name)
         if proxy is not None:
             self._touch(now, proxy)
 
     def _touch(self, now: int, proxy: IntakeSession) -> None:
-        proxy.heard_at = now
+        proxy.last_activity_at = now
         self._timeouts.set(proxy.name, now + self._session_timeout_ticks + 1)
 
     def close_silent_sessions(
@@ -192,14 +195,14 @@
 
         Args:
             now: the current tick.
-            is_waiting_for_controller: whether a proxy has sent something that was not read, or made a call
-                that was not answered. It is active then: the next step is the controller's.
+            is_waiting_for_controller: whether a proxy has sent input that was not read yet, or a request that
+                was not answered yet. Such a proxy counts as active.
         """
         for name in self._timeouts.overdue(now):
             if is_waiting_for_controller(name):
                 self._touch(now, self.sessions[name])
                 continue
-            silent_ticks = now - self.sessions[name].heard_at
+            silent_ticks = now - self.sessions[name].last_activity_at
             self.close_session(name, f"silent for {silent_ticks / TICKS_PER_SECOND:.1f} s")
 
     # Files.
@@ -215,11 +218,11 @@
         try:
             if file in REQUEST_FILES:
                 request = decode(data, forms.DiscoveryRequest)
-                if not self._is_of_session(proxy, request.node):
+                if not self._belongs_to_session(proxy, request.node):
                     return
                 self._process_request(proxy, REQUEST_FILES[file], request)
             elif file != STATUS:
-                raise MessageFormatError("no file of this name is known")
+                raise MessageFormatError("unknown file name")
         except MessageFormatError as error:
             self._malformed.reject(name, file, str(error))
             return
@@ -227,20 +230,20 @@
         self._malformed.accept(name, file)
 
     def reject_unreadable(self, name: str, file: str, cause: str) -> None:
-        """Notes that a file could not be read."""
+        """Records that a file could not be read."""
         self._malformed.reject(name, file, cause)
 
-    def _is_of_session(self, proxy: IntakeSession, node: forms.Node) -> bool:
-        """Whether a file belongs to the proxy's session with this controller, as the file itself says.
+    def _belongs_to_session(self, proxy: IntakeSession, node: forms.Node) -> bool:
+        """Whether a file belongs to the proxy's session with this controller, by its node's metadata.
 
-        A file that names another controller, or a later session, closes this one.
+        A file that names another controller, or a later session, closes this session.
         """
         check_node(proxy.name, node)
-        named = read_controller(node)
+        named_controller = read_controller(node)
         term = read_term(node)
-        claim = check_claim(self._controller, named, term=proxy.term, claimed_term=term)
+        claim = check_claim(self._controller, named_controller, term=proxy.term, claimed_term=term)
         if claim is OwnershipClaim.RELEASED:
-            self.close_session(proxy.name, f"follows {named or 'another'} in term {term}")
+            self.close_session(proxy.name, f"follows {named_controller or 'another'} in term {term}")
         return claim is OwnershipClaim.OWNED
 
     def _process_request(self, proxy: IntakeSession, kind: str, request: forms.DiscoveryRequest) -> None:
@@ -249,14 +252,14 @@
         if version is None:
             return
         if version.epoch > self._epoch or version.term > proxy.term:
-            here = f"term {proxy.term}, epoch {self._epoch}"
-            raise MessageFormatError(f"response_nonce is {version}, and this is {here}")
+            current = f"term {proxy.term}, epoch {self._epoch}"
+            raise MessageFormatError(f"response_nonce is {version}, but this is {current}")
         if (version.term, version.epoch) != (proxy.term, self._epoch):
-            return  # an answer to what was sent in another session, or before this controller started
+            return  # answers an update of an earlier session, or of an earlier process of this controller
         message = version.number
         newest = self._newest_message()
         if message > newest:
-            raise MessageFormatError(f"response_nonce is of message {message}, and {newest} is the last")
+            raise MessageFormatError(f"response_nonce is of message {message}, but the last one is {newest}")
         if request.error_detail is not None:
             if proxy.rejected.get(kind) != message:
                 proxy.rejected[kind] = message
@@ -277,7 +280,7 @@
             now: the current tick.
             name: the name of the proxy.
             reports: the tick at which each arrived, and its bytes; all that arrived, or a sample of two.
-            arrived: how many reports these stand for.
+            arrived: the number of reports that arrived, of which these are a sample.
 
         Returns:
             The cause and the bytes of each malformed report.
@@ -290,8 +293,8 @@
         for arrived_at, data in reports:
             try:
                 report = decode(data, forms.LoadStatsRequest)
-                if not self._is_of_session(proxy, report.node):
-                    if name not in self.sessions:  # this report has closed the session
+                if not self._belongs_to_session(proxy, report.node):
+                    if name not in self.sessions:  # the report has closed the session
                         return malformed
                     continue
                 accepted.append((arrived_at, xxhash.xxh64_intdigest(data), read(report, self._routes)))
--- a/willowhook/controlplane/proxy_event_handler.py
+++ b/willowhook/controlplane/proxy_event_handler.py
@@ -28,7 +28,7 @@
         sessions: SessionManager,
         load_recorder: LoadRecorder,
     ) -> None:
-        """Receives the components that handle the events."""
+        """Stores the components that handle the events."""
         self._context = context
         self._publisher = publisher
         self._sessions = sessions
--- a/willowhook/controlplane/proxy_events.py
+++ b/willowhook/controlplane/proxy_events.py
@@ -1,7 +1,7 @@
 """The typed events of proxies.
 
-`ProxyIntake` makes them from the files and calls of proxies; the decision task handles them. They refer to
-proxies by number, and by name in texts for people.
+`ProxyIntake` emits them for the files and requests of proxies; the decision task handles them. They refer to
+proxies by number; names are for logs and records.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
         proxy: its number.
         name: its name.
         zone: its zone.
-        usual_rate_per_second: the requests that usually reach it.
+        usual_rate_per_second: the rate of requests that usually reach it.
         is_fresh: whether no controller has sent it anything since it started.
         held: the resources that it holds.
         term: the number of the session, counted by the proxy over all controllers.
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptsReported:
-    """The attempts of a proxy at endpoints, from all its load reports about one period of time."""
+    """The attempts of a proxy at endpoints, summed over its load reports for one period of time."""
 
     proxy: int
     sample: SampleSums
@@ -94,7 +94,7 @@
         route: the route's name.
         requests: the number of requests that reached it.
         failures: the number of failures among them.
-        window_ticks: the time that the numbers cover.
+        window_ticks: the length of time that the numbers cover.
     """
 
     proxy: int
@@ -106,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyInputRejected:
-    """A file or call of a proxy is malformed; reported once until a well-formed one arrives.
+    """A file or request of a proxy is malformed; emitted once until a well-formed one arrives.
 
     Attributes:
         name: the name of the proxy.
--- a/willowhook/controlplane/proxy_files.py
+++ b/willowhook/controlplane/proxy_files.py
@@ -1,6 +1,6 @@
 """Reads the files that a proxy writes: its status, its answers and its load reports.
 
-The one module that knows the keys of `node.metadata`. All functions raise FormError on malformed input.
+Only this module knows the keys of `node.metadata`. All functions raise MessageFormatError on malformed input.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 PROXY_FILES = (STATUS, *REQUEST_FILES, LOAD)
 MAX_USUAL_RATE_PER_SECOND = 1e7
 MAX_TERM = 1e12
-QUOTED_CHARACTERS = 80  # of a malformed value, in a message
+QUOTED_CHARACTERS = 80  # the longest part of a malformed value that an error message quotes
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,10 +26,10 @@
     """A proxy's status file.
 
     Attributes:
-        node: who the proxy is.
+        node: the proxy's identity and metadata.
         term: the number of its session, counted over all controllers; 0: the proxy keeps no terms.
         held: the resources that it holds.
-        usual_rate_per_second: the requests that usually reach it.
+        usual_rate_per_second: the rate of requests that usually reach it.
     """
 
     node: forms.Node
@@ -39,34 +39,36 @@
 
 
 def check_proxy_name(name: str) -> None:
-    """Raises FormError if a proxy's folder may not have this name."""
+    """Raises MessageFormatError if this is not a valid name of a proxy and its folder."""
     if not PROXY_NAME.match(name):
-        raise MessageFormatError("the folder's name is no name of a proxy")
+        raise MessageFormatError("folder name is not a valid proxy name")
 
 
 def check_node(name: str, node: forms.Node) -> None:
-    """Raises FormError if a file in the folder of `name` is of another node."""
+    """Raises MessageFormatError if a file in the folder of the proxy `name` names another node."""
     if node.id != name:
         raise MessageFormatError(f"node.id is {node.id[:QUOTED_CHARACTERS]!r}, in the folder of {name!r}")
 
 
 def read_term(node: forms.Node) -> int:
-    """The session's term as a node states it; 0 from a proxy that keeps none."""
+    """Returns the term of the session as the node states it; 0 if the proxy keeps no terms."""
     term = node.metadata.get("term", 0)
     if not isinstance(term, int | float) or not 0 <= term < MAX_TERM or term != int(term):
-        raise MessageFormatError(f"node.metadata.term is {str(term)[:40]}, no whole number")
+        raise MessageFormatError(f"node.metadata.term is {str(term)[:40]}, not a whole number")
     return int(term)
 
 
 def check_controller(controller: str, node: forms.Node) -> None:
-    """Raises FormError if a joining proxy names another controller than this one."""
-    named = node.metadata.get("director", controller)
-    if named != controller:
-        raise MessageFormatError(f"node.metadata.director is {named!r}, and this is {controller!r}")
+    """Raises MessageFormatError if a joining proxy names another controller than this one."""
+    named_controller = node.metadata.get("director", controller)
+    if named_controller != controller:
+        raise MessageFormatError(
+            f"node.metadata.director is {named_controller!r}, but this controller is {controller!r}"
+        )
 
 
 def read_controller(node: forms.Node) -> str:
-    """The name of the controller that the proxy follows; empty if it names none."""
+    """Returns the name of the controller that the proxy follows; empty if it names none."""
     return str(node.metadata.get("director", ""))
 
 
@@ -74,9 +76,9 @@
     try:
         rate = float(node.metadata.get("usual_calls_per_s", 0))
     except (TypeError, ValueError) as error:
-        raise MessageFormatError("node.metadata.usual_calls_per_s is no number") from error
+        raise MessageFormatError("node.metadata.usual_calls_per_s is not a number") from error
     if not 0 <= rate < MAX_USUAL_RATE_PER_SECOND:
-        raise MessageFormatError(f"node.metadata.usual_calls_per_s is {rate:g}")
+        raise MessageFormatError(f"node.metadata.usual_calls_per_s is out of range: {rate:g}")
     return rate
 
 
@@ -86,44 +88,46 @@
     Args:
         name: the name of the proxy.
         data: the file's bytes.
-        previous: the files that a controller before this one left for the proxy, if any. If they are of this
-            session, the proxy holds them, or will, rather than what its status said when it joined.
+        previous: the files that an earlier controller process wrote for the proxy, if any. If they belong to
+            this session, they take precedence over the resources in the status, which dates from the join.
     """
     status = decode(data, forms.ClientConfig)
     check_node(name, status.node)
-    held = read_proxy_resources([(row.type_url, bytes(row.xds_config)) for row in status.generic_xds_configs])
+    held = read_proxy_resources(
+        [(resource.type_url, bytes(resource.xds_config)) for resource in status.generic_xds_configs]
+    )
     term = read_term(status.node)
     if previous is not None:
-        held_since = _read_previous(previous, term)
-        held = held if held_since is None else held_since
+        previous_resources = _read_previous(previous, term)
+        held = held if previous_resources is None else previous_resources
     return ProxyStatus(status.node, term, held, _read_usual_rate(status.node))
 
 
 def _read_previous(files: Mapping[str, bytes], term: int) -> ProxyResources | None:
-    """The resources of a complete group of files; None if it is of another session or incomplete."""
+    """Returns the resources of a complete group of files; None if it is incomplete or of another session."""
     try:
         responses = [read_response(files[f"{kind}.json"], url) for kind, url in forms.TYPE_URLS.items()]
         if any(parse_version(response.version_info).term != term for response in responses):
             return None
         return read_proxy_resources(
-            [(row.type_url, bytes(raw)) for row in responses for raw in row.resources]
+            [(response.type_url, bytes(body)) for response in responses for body in response.resources]
         )
     except (KeyError, MessageFormatError, VersionError):
         return None
 
 
 def read_requests(files: Mapping[str, bytes]) -> list[forms.DiscoveryRequest]:
-    """The answers among a proxy's files."""
+    """Returns the proxy's answers to updates among its files."""
     return [decode(files[file], forms.DiscoveryRequest) for file in REQUEST_FILES if file in files]
 
 
 def has_applied_any(requests: Iterable[forms.DiscoveryRequest]) -> bool:
-    """Whether these answers name any version that the proxy has applied."""
+    """Whether any of these answers names a version that the proxy has applied."""
     return any(request.version_info for request in requests)
 
 
 def read_answered_version(kind: str, request: forms.DiscoveryRequest) -> Version | None:
-    """The version that a request of this kind answers; None if it answers none."""
+    """Returns the version that a request of this kind answers; None if it answers none."""
     expected = forms.TYPE_URLS[kind]
     if request.type_url != expected:
         raise MessageFormatError(f"type_url is {request.type_url[:QUOTED_CHARACTERS]!r}, not {expected!r}")
--- a/willowhook/controlplane/proxy_folder_feed.py
+++ b/willowhook/controlplane/proxy_folder_feed.py
@@ -1,4 +1,4 @@
-"""Reads the files that proxies write to their folders, each once, and sends them to the decision task."""
+"""Reads each version of the files that proxies write to their folders once, for the decision task."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 from .proxy_files import PROXY_FILES
 from .report_processor import ReportProcessor
 
-REPORT_POLL_SECONDS = 0.05  # between two checks for load reports that may be read now
+REPORT_POLL_SECONDS = 0.05  # interval of the checks for deferred load reports that are due
 
 FileIdentity = tuple[int, int]
 """Inode and modification time of a file."""
 
 
 class ProxyFolderFeed:
-    """Watches the folders of proxies. The intake itself is called by the decision task only."""
+    """Watches the folders of proxies and queues their changes; only the decision task calls the intake."""
 
     def __init__(
         self,
@@ -44,8 +44,8 @@
         Args:
             context: the shared context.
             watch: reports which files have changed.
-            intake: handles the files.
-            reports: handles load reports.
+            intake: processes the files.
+            reports: processes load reports.
         """
         self._up = context.folder.up
         self._down = context.folder.down
@@ -56,15 +56,15 @@
         self._watch = watch
         self._intake = intake
         self._reports = reports
-        self._folders: dict[str, FolderIdentity] = {}  # of the proxies that have a folder
+        self._folders: dict[str, FolderIdentity] = {}  # by proxy: the folder that was read
         self._files_read: dict[tuple[str, str], FileIdentity] = {}  # by proxy and file
-        self._deferred_reports: dict[str, int] = {}  # by proxy: the tick to read its report at
-        self._reports_seen: dict[str, FileIdentity] = {}  # by proxy: written, and counted as activity unread
+        self._deferred_reports: dict[str, int] = {}  # by proxy: the tick at which to read its report
+        self._reports_seen: dict[str, FileIdentity] = {}  # by proxy: an unread report counted as activity
 
     # Tasks.
 
     async def run(self) -> None:
-        """Follows the folders of proxies until cancelled."""
+        """Watches the folders of proxies until cancelled."""
         self._watch.add(self._up, "")
         for name in self._ops.listdir(self._up):
             await self._folder_changed(name)
@@ -75,11 +75,11 @@
                 elif file:
                     await self._folder_changed(file)
                 else:  # the watch has lost changes
-                    for each in dict.fromkeys([*self._ops.listdir(self._up), *self._folders]):
-                        await self._folder_changed(each)
+                    for proxy in dict.fromkeys([*self._ops.listdir(self._up), *self._folders]):
+                        await self._folder_changed(proxy)
 
     async def run_deferred_reads(self) -> None:
-        """Reads load reports that came sooner than they should, until cancelled."""
+        """Reads the load reports that arrived before their turn once they are due, until cancelled."""
         while True:
             await trio.sleep(REPORT_POLL_SECONDS)
             now = self._now()
@@ -90,7 +90,7 @@
     # Folders.
 
     async def _folder_changed(self, name: str) -> None:
-        """Handles a folder of a proxy that was created, removed, replaced, or is unchanged."""
+        """Handles a proxy folder that was created, removed or replaced; an unchanged one is read again."""
         if not PROXY_NAME.match(name):
             return
         identity = self._watch_folder(name)
@@ -104,7 +104,7 @@
             await self._read_new_folder(name, identity)
 
     def _watch_folder(self, name: str) -> FolderIdentity:
-        """Watches a folder, again if need be: a watch goes with a folder that was replaced."""
+        """Watches a folder and returns its identity; replacing a folder ends the watch on the old one."""
         try:
             identity = self._folder_identity(name)
             if identity:
@@ -114,35 +114,35 @@
         return identity
 
     def _folder_identity(self, name: str) -> FolderIdentity:
-        """The status file counts too: inode numbers of folders are used again."""
+        """The identity includes the status file, because the file system reuses inode numbers of folders."""
         path = f"{self._up}/{name}"
-        found = os.lstat(path)
-        if not stat.S_ISDIR(found.st_mode):
+        folder_stat = os.lstat(path)
+        if not stat.S_ISDIR(folder_stat.st_mode):
             return ()
         try:
-            return found.st_ino, *_file_identity(f"{path}/{STATUS}")
+            return folder_stat.st_ino, *_file_identity(f"{path}/{STATUS}")
         except OSError:
-            return (found.st_ino,)
+            return (folder_stat.st_ino,)
 
     async def _read_new_folder(self, name: str, identity: FolderIdentity) -> None:
         self.forget(name)
-        read = {file: await self._read(name, file) for file in PROXY_FILES}
-        files = {file: data for file, data in read.items() if data is not None}
+        contents = {file: await self._read(name, file) for file in PROXY_FILES}
+        files = {file: data for file, data in contents.items() if data is not None}
         previous: dict[str, bytes] | None = None
-        with contextlib.suppress(OSError):  # no controller has sent it anything
+        with contextlib.suppress(OSError):  # no controller has written files for this proxy
             previous = read_group(f"{self._down}/{name}")[1]
         self._folders[name] = identity
         await self._queue.send(ProxyFolderFound(name, identity, files, previous))
 
     def open_session(self, now: int, found: ProxyFolderFound) -> None:
-        """Opens the session of a proxy whose folder was found; for the decision task."""
+        """Opens the session of a proxy whose folder was found; called by the decision task."""
         if self._intake.open_session(now, found.name, found.files, found.previous):
             self._folders[found.name] = found.identity
-        else:  # read again when it writes the next file
+        else:  # the folder is read again when the proxy writes its next file
             self.forget(found.name)
 
     def has_unread_report(self, name: str) -> bool:
-        """Whether a proxy has written a report that is not read yet; each report counts once."""
+        """Whether a proxy has written a report that is not read yet; true once per report."""
         try:
             identity = _file_identity(f"{self._up}/{name}/{LOAD}")
         except OSError:
@@ -153,7 +153,7 @@
         return True
 
     def forget(self, name: str) -> None:
-        """Makes the next file or folder of a proxy count as new."""
+        """Forgets what was read of a proxy, so that its folder and files are read again."""
         self._folders.pop(name, None)
         self._reports_seen.pop(name, None)
         for file in PROXY_FILES:
@@ -162,20 +162,20 @@
     # Files.
 
     async def _file_changed(self, name: str, file: str) -> None:
-        """Reads one file of a proxy; all of them if `file` is empty, as the watch has lost changes."""
+        """Reads one file of a proxy, or all of them if `file` is empty because the watch lost changes."""
         if name not in self._folders:
             await self._folder_changed(name)  # its session was closed, or its folder was incomplete
             return
-        for each in [file] if file else PROXY_FILES:
-            if each == LOAD:
+        for changed_file in [file] if file else PROXY_FILES:
+            if changed_file == LOAD:
                 await self._read_report(name)
                 continue
-            data = await self._read(name, each)
+            data = await self._read(name, changed_file)
             if data is not None:
-                await self._queue.send(ProxyFileWritten(name, each, data))
+                await self._queue.send(ProxyFileWritten(name, changed_file, data))
 
     async def _read_report(self, name: str) -> None:
-        """Reads a load report, or defers it: a newer one may have replaced it by then."""
+        """Reads a load report, or defers it until it is due; a newer one may replace it meanwhile."""
         if self._reports.is_quarantined(name):
             return
         now = self._now()
@@ -187,10 +187,10 @@
         data = await self._read(name, LOAD)
         if data is not None:
             self._reports.offer(self._now(), name, data)
-            await trio.lowlevel.checkpoint()  # many reports must not delay the decisions
+            await trio.lowlevel.checkpoint()  # lets the decision task run between many reports
 
     async def _read(self, name: str, file: str) -> bytes | None:
-        """A file's bytes; None if it was read before, does not exist or cannot be read."""
+        """Returns a file's bytes; None if it was read before, does not exist or cannot be read."""
         path = f"{self._up}/{name}/{file}"
         try:
             identity = _file_identity(path)
@@ -210,6 +210,6 @@
 
 
 def _file_identity(path: str) -> FileIdentity:
-    """Raises OSError if there is no such file."""
-    found = os.lstat(path)
-    return found.st_ino, found.st_mtime_ns
+    """Returns the identity of a file. Raises OSError if there is no such file."""
+    file_stat = os.lstat(path)
+    return file_stat.st_ino, file_stat.st_mtime_ns
--- a/willowhook/controlplane/proxy_session.py
+++ b/willowhook/controlplane/proxy_session.py
@@ -13,11 +13,11 @@
 
 FIRST_REFUSAL_BACKOFF_TICKS = TICKS_PER_SECOND
 MAX_REFUSAL_BACKOFF_TICKS = 4 * TICKS_PER_SECOND
-MAX_REMEMBERED_MESSAGES = 200  # for one proxy, with their contents, until they are acknowledged
+MAX_REMEMBERED_MESSAGES = 200  # per proxy, until they are acknowledged
 
 
 class RolloutContent(NamedTuple):
-    """One content of one rollout unit, as a message carries it."""
+    """The content of one rollout unit that a message carries."""
 
     unit: Unit
     content: Content
@@ -27,7 +27,7 @@
 
 
 class PendingAcknowledgement(NamedTuple):
-    """A message that its proxy has not acknowledged yet; `marker` is None without a sync marker."""
+    """A message that its proxy has not acknowledged yet; `marker` is None if it has no sync marker."""
 
     message: int
     marker: int | None
@@ -35,53 +35,53 @@
 
 
 class HeldMessage(NamedTuple):
-    """A message that validation holds back until a tick."""
+    """A message that validation holds back until the tick `until`."""
 
     until: int
     message: UpdateMessage
 
 
 class RefusedMessage(NamedTuple):
-    """A message that validation refused, when it is judged again, and the backoff after that in ticks."""
+    """A message that validation refused, the tick of its next validation, and the backoff after that."""
 
-    judge_at: int
+    revalidate_at: int
     backoff_ticks: int
     message: UpdateMessage
 
     def postponed(self, now: int) -> RefusedMessage:
-        """The message after another refusal."""
+        """Returns the message with its next validation scheduled after another refusal."""
         backoff_ticks = min(2 * self.backoff_ticks, MAX_REFUSAL_BACKOFF_TICKS)
         return RefusedMessage(now + self.backoff_ticks, backoff_ticks, self.message)
 
 
 class RewriteTimer(NamedTuple):
-    """When unacknowledged files are written again, and the backoff before it in ticks."""
+    """When unacknowledged files are written again, and the backoff that the next one doubles."""
 
     due_at: int
-    pause_ticks: int
+    backoff_ticks: int
 
 
 @dataclass(slots=True)
 class PublisherSession:
-    """A joined proxy that updates are sent to.
+    """The publisher's state of one joined proxy.
 
     Attributes:
-        number: the number by which events and commands name the proxy.
-        name: the name in the status of the proxy.
+        number: the proxy's number in events and commands.
+        name: the proxy's name in its status.
         term: the number of its session, counted over all controllers.
-        initial: what it held when it joined.
-        sink: where its updates go.
+        initial: the resources that it held when it joined.
+        sink: the destination of its updates.
         uses_discovery: whether it calls the discovery server; otherwise it reads files.
-        pending: messages that it has not acknowledged.
-        written: the number of the message that it can read now.
+        pending: the messages that it has not acknowledged.
+        written: the number of the last message that was written for it.
         acknowledged: the number of the newest message that it has applied.
         unwritten: the newest message, if writing it failed.
-        held: a message that validation holds back, if any.
-        refused: the message that validation refused last, if none went out since.
-        rewrite: when its files are written again, if they wait to be acknowledged.
-        newest: the last message that left the channel, as it was ordered.
-        contents: by message, the contents that the rollout chose for it.
-        is_substituted: whether the last message carried another content than was ordered.
+        held: the message that validation holds back, if any.
+        refused: the message that validation refused last, if no message was sent since.
+        rewrite: when its unacknowledged files are written again, if any.
+        newest: the last message that left the channel, before the rollout or validation changed it.
+        contents: by message number, the contents that the rollout chose.
+        is_substituted: whether the rollout replaced a content of the last message by another one.
     """
 
     number: int
@@ -102,42 +102,42 @@
     is_substituted: bool = False
 
     @property
-    def is_open(self) -> bool:
-        """Whether something of it is unwritten, held back, refused, or waits to be acknowledged."""
+    def has_unfinished_work(self) -> bool:
+        """Whether a message is unwritten, held back or refused, or files may have to be written again."""
         waiting = (self.unwritten, self.held, self.refused, self.rewrite)
         return any(each is not None for each in waiting)
 
     @property
     def newest_contents(self) -> Contents:
-        """What the newest message that went out carries."""
+        """The contents of the newest message that was sent."""
         return next(reversed(self.contents.values()), ())
 
     def remember_contents(self, message: int, contents: Contents) -> None:
-        """Keeps what a message carries; the oldest is dropped if there are too many."""
+        """Stores the contents of a message; the oldest entry is dropped if there are too many."""
         self.contents[message] = contents
         if len(self.contents) > MAX_REMEMBERED_MESSAGES:
             del self.contents[next(iter(self.contents))]
 
 
 class SessionRegistry:
-    """All sessions, and those of them that the publisher's loop has to check."""
+    """All sessions, and the set of those that the publisher's loop has to check."""
 
     def __init__(self) -> None:
-        """Starts empty."""
+        """Creates an empty registry."""
         self.by_number: dict[int, PublisherSession] = {}
-        self._open: dict[int, None] = {}
+        self._unfinished: dict[int, None] = {}
 
-    def mark_open(self, session: PublisherSession) -> None:
-        """Makes `open_sessions` return the session, as long as it is open."""
-        self._open[session.number] = None
+    def mark_unfinished(self, session: PublisherSession) -> None:
+        """Makes `unfinished_sessions` return the session as long as it has unfinished work."""
+        self._unfinished[session.number] = None
 
-    def open_sessions(self) -> list[PublisherSession]:
-        """Returns the open sessions, which are few unless proxies or disks fail."""
-        found = []
-        for proxy in list(self._open):
+    def unfinished_sessions(self) -> list[PublisherSession]:
+        """Returns the sessions with unfinished work, which are few unless proxies or disks fail."""
+        sessions = []
+        for proxy in list(self._unfinished):
             session = self.by_number.get(proxy)
-            if session is not None and session.is_open:
-                found.append(session)
+            if session is not None and session.has_unfinished_work:
+                sessions.append(session)
             else:
-                del self._open[proxy]
-        return found
+                del self._unfinished[proxy]
+        return sessions
--- a/willowhook/controlplane/publisher.py
+++ b/willowhook/controlplane/publisher.py
@@ -166,9 +166,9 @@
 
     def _requeue_refused(self, now: int) -> None:
         """Queues refused messages again that would not be refused any more."""
-        for session in self._registry.open_sessions():
+        for session in self._registry.unfinished_sessions():
             refused = session.refused
-            if refused is None or now < refused.judge_at:
+            if refused is None or now < refused.revalidate_at:
                 continue
             if self._validator.is_refused(now, session, refused.message, self.channel.waiting_entries):
                 session.refused = refused.postponed(now)
@@ -177,7 +177,7 @@
             self._queue.put_again_unless_superseded(now, refused.message)
 
     async def _retry_writes(self, now: int) -> None:
-        for session in self._registry.open_sessions():
+        for session in self._registry.unfinished_sessions():
             if session.unwritten is not None:
                 await self._publish(now, session, session.unwritten)
 
@@ -190,7 +190,7 @@
             session.unwritten = None
         else:
             session.unwritten = message
-            self._registry.mark_open(session)
+            self._registry.mark_unfinished(session)
             self._write_retry_at = now + WRITE_RETRY_TICKS
 
     def _wait_ticks(self, now: int) -> float:
@@ -199,11 +199,11 @@
         departure = self.channel.next_departure()
         if departure is not None:
             waits.append(departure - now)
-        for session in self._registry.open_sessions():
+        for session in self._registry.unfinished_sessions():
             if session.held is not None:
                 waits.append(session.held.until - now)
             if session.refused is not None:
-                waits.append(session.refused.judge_at - now)
+                waits.append(session.refused.revalidate_at - now)
             if session.unwritten is not None:
                 waits.append(self._write_retry_at - now)
         return min(waits)
--- a/willowhook/controlplane/report_processor.py
+++ b/willowhook/controlplane/report_processor.py
@@ -26,8 +26,8 @@
 
 NANOSECONDS_PER_MILLISECOND = 1e6
 NANOSECONDS_PER_MICROSECOND = 1000
-PACE_INTERVAL_TICKS = TICKS_PER_SECOND  # between two adaptations of the report interval
-MAX_HANDOVER_INTERVAL_TICKS = TICKS_PER_SECOND // 4
+INTERVAL_ADAPTATION_PERIOD_TICKS = TICKS_PER_SECOND  # between two adaptations of the report interval
+MAX_SUMS_FLUSH_INTERVAL_TICKS = TICKS_PER_SECOND // 4
 MEAN_RATE_SMOOTHING = 0.01  # the factor of the moving average of request rates
 
 
@@ -60,10 +60,10 @@
         settings, fleet = context.terms.intake, context.terms.fleet
         interval_ticks = ticks_from_milliseconds(fleet.report_every_ms)
         self._slice_nanoseconds = round(settings.slice_ms * NANOSECONDS_PER_MILLISECOND)
-        self._handover_interval_ticks = min(interval_ticks // 4, MAX_HANDOVER_INTERVAL_TICKS)
-        self._handed_over_at = 0
-        self._paced_at = 0
-        self._arrived_before = 0  # when the interval was last adapted
+        self._flush_interval_ticks = min(interval_ticks // 4, MAX_SUMS_FLUSH_INTERVAL_TICKS)
+        self._flushed_at = 0
+        self._interval_adapted_at = 0
+        self._previously_arrived = 0  # when the interval was last adapted
         self._read_at: dict[str, int] = {}  # by proxy: when its file was last read
         self._mean_rate_per_second = 1.0
         # a proxy that reports less often would count as inactive
@@ -73,9 +73,9 @@
             fleet.reports_per_s, settings.share, interval_ticks, max_interval_ticks, self._interval_changed
         )
         self.quarantine = Quarantine(self)
-        self.sums = ReportSums(ticks_from_milliseconds(settings.half_life_ms), self._hand_over)
+        self.sums = ReportSums(ticks_from_milliseconds(settings.half_life_ms), self._send_endpoint_report)
         self.processed = 0
-        self.handed_over = 0
+        self.sent_endpoint_reports = 0
         self.spent_nanoseconds = 0
 
     # What arrives.
@@ -158,17 +158,17 @@
 
     def maintain(self, now: int, proxies: int) -> None:
         """Hands sums to the controller, and adapts the report interval, when they are due."""
-        if now - self._handed_over_at >= self._handover_interval_ticks:
-            self._handed_over_at = now
-            self.handed_over += self.sums.flush()
-        if now - self._paced_at >= PACE_INTERVAL_TICKS:
-            elapsed_ticks = now - self._paced_at
-            self._paced_at = now
-            self._update_pace(now, elapsed_ticks, proxies)
-
-    def _update_pace(self, now: int, elapsed_ticks: int, proxies: int) -> None:
-        arrived = self.queue.arrived - self._arrived_before
-        self._arrived_before = self.queue.arrived
+        if now - self._flushed_at >= self._flush_interval_ticks:
+            self._flushed_at = now
+            self.sent_endpoint_reports += self.sums.flush()
+        if now - self._interval_adapted_at >= INTERVAL_ADAPTATION_PERIOD_TICKS:
+            elapsed_ticks = now - self._interval_adapted_at
+            self._interval_adapted_at = now
+            self._adapt_interval(now, elapsed_ticks, proxies)
+
+    def _adapt_interval(self, now: int, elapsed_ticks: int, proxies: int) -> None:
+        arrived = self.queue.arrived - self._previously_arrived
+        self._previously_arrived = self.queue.arrived
         ticks_per_report = 0.0
         if self.processed:
             ticks_per_report = self.spent_nanoseconds / NANOSECONDS_PER_TICK / self.processed
@@ -181,7 +181,7 @@
             came=self.queue.arrived,
             dropped=self.queue.dropped,
             looked_at=self.processed,
-            handed=self.handed_over,
+            handed=self.sent_endpoint_reports,
             repeats=self._intake.windows.repeats,
             waiting=len(self.queue),
             bytes=self.queue.waiting_bytes,
@@ -190,7 +190,7 @@
             aside=self.quarantine.skipped,
         )
 
-    def _hand_over(self, sums: FlushedSums) -> None:
+    def _send_endpoint_report(self, sums: FlushedSums) -> None:
         event = EndpointReport(
             sums.endpoint, sums.attempts, sums.failures, sums.mean_latency_ticks, sums.load.get("busy")
         )
--- a/willowhook/controlplane/session_manager.py
+++ b/willowhook/controlplane/session_manager.py
@@ -17,7 +17,7 @@
 
 
 class SessionManager:
-    """Notifies the controller and the other components of the proxies that join and leave."""
+    """Notifies the controller and the other components when a proxy joins or leaves."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         reports: ReportProcessor,
         handoff: HandoffPeers,
     ) -> None:
-        """Receives the components that are notified."""
+        """Stores the components that are notified."""
         self._context = context
         self._proxy_states = proxy_states
         self._publisher = publisher
@@ -80,5 +80,5 @@
             remove(self._context.ops, f"{self._context.folder.down}/{name}")
         except OSError as error:
             self._context.conditions.report(
-                "disk", True, "folder of a proxy cannot be removed", proxy=name, cause=str(error)
+                "disk", True, "cannot remove proxy folder", proxy=name, cause=str(error)
             )
--- a/willowhook/controlplane/session_timeouts.py
+++ b/willowhook/controlplane/session_timeouts.py
@@ -1,4 +1,4 @@
-"""Closes the sessions of proxies that show no sign of life, from whichever side they would come."""
+"""Closes the sessions of inactive proxies, whether they use files or the discovery server."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 
 
 class SessionTimeouts:
-    """Tells proxies that are silent from those that this controller has not read or answered yet."""
+    """Closes timed-out sessions, except of proxies whose input this controller has yet to process."""
 
     def __init__(
         self, intake: ProxyIntake, folder_feed: ProxyFolderFeed, discovery: DiscoveryFeed | None
     ) -> None:
-        """Receives the sessions and the two sides on which proxies are heard."""
+        """Stores the intake and the two feeds through which proxies are heard."""
         self._intake = intake
         self._folder_feed = folder_feed
         self._discovery = discovery
 
     def close_silent_sessions(self, now: int) -> None:
-        """Closes the sessions that have timed out; for the decision task."""
+        """Closes the sessions that have timed out; called by the decision task."""
         self._intake.close_silent_sessions(now, self._is_waiting_for_controller)
 
     def _is_waiting_for_controller(self, name: str) -> bool:
-        """Whether a proxy has sent something that was not read, or made a call that was not answered."""
+        """Whether a proxy has written a report that was not read, or made a request that was not answered."""
         if self._folder_feed.has_unread_report(name):
             return True
-        return self._discovery is not None and self._discovery.has_unanswered_call(name)
+        return self._discovery is not None and self._discovery.has_unanswered_request(name)
--- a/willowhook/controlplane/update_queue.py
+++ b/willowhook/controlplane/update_queue.py
@@ -63,7 +63,7 @@
 
     def put_held_messages(self, now: int) -> None:
         """Queues messages that validation held until now, unless a later, complete message waits."""
-        for session in self._sessions.open_sessions():
+        for session in self._sessions.unfinished_sessions():
             if session.held is None or now < session.held.until:
                 continue
             message = session.held.message
--- a/willowhook/controlplane/update_validator.py
+++ b/willowhook/controlplane/update_validator.py
@@ -114,7 +114,7 @@
         else:
             judge_at = now + FIRST_REFUSAL_BACKOFF_TICKS
             session.refused = RefusedMessage(judge_at, 2 * FIRST_REFUSAL_BACKOFF_TICKS, message)
-        self._sessions.mark_open(session)
+        self._sessions.mark_unfinished(session)
         if verdict.outcome is not Outcome.SPLIT:
             return None
         return replace(message, view=self.validation.first_step(message.view, verdict))
--- a/willowhook/controlplane/update_writer.py
+++ b/willowhook/controlplane/update_writer.py
@@ -96,7 +96,7 @@
                 self._channel.hold_until_fetched(session.number, message.cost_entries)
             elif session.rewrite is None:
                 session.rewrite = RewriteTimer(now + FIRST_REWRITE_TICKS, FIRST_REWRITE_TICKS)
-                self._sessions.mark_open(session)
+                self._sessions.mark_unfinished(session)
         # where nothing visible has changed, the answer to what is in place answers this message too
         written = session.written
         session.pending.append(PendingAcknowledgement(written, message.marker, message.ordered_at))
@@ -108,13 +108,13 @@
 
     async def rewrite_unacknowledged(self, now: int) -> None:
         """Writes unacknowledged files again: a late rename by another controller may have replaced them."""
-        for session in self._sessions.open_sessions():
+        for session in self._sessions.unfinished_sessions():
             if session.rewrite is None or now < session.rewrite.due_at:
                 continue
             if session.acknowledged >= session.written:
                 session.rewrite = None
                 continue
-            pause = 2 * session.rewrite.pause_ticks
+            pause = 2 * session.rewrite.backoff_ticks
             session.rewrite = RewriteTimer(now + pause, min(pause, MAX_REWRITE_TICKS))
             try:
                 has_written = await trio.to_thread.run_sync(session.sink.prepare_rewrite())
--- a/willowhook/controlplane/validation_context.py
+++ b/willowhook/controlplane/validation_context.py
@@ -231,12 +231,12 @@
         bound: dict[int, VersionedTable] = {}
         for route, table in view.bound.items():
             if table.number not in cut_tables:
-                cut_tables[table.number] = _cut_table(table, route, verdict)
+                cut_tables[table.number] = _first_step_table(table, route, verdict)
             bound[route] = cut_tables[table.number]
         return ProxyView(bound, view.excluded, view.is_sent_away)
 
 
-def _cut_table(table: VersionedTable, route: int, verdict: Verdict) -> VersionedTable:
+def _first_step_table(table: VersionedTable, route: int, verdict: Verdict) -> VersionedTable:
     weights = dict(table.weights)
     for step in verdict.steps[::2]:  # each endpoint in slow start has a first step of its own
         for endpoint, weight in table.weights.items():
