--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -69,7 +69,7 @@
         ("eds.json", answer("2.3.7", type_url=forms.ROUTES), "type_url is"),
         ("eds.json", answer("2.3.7", node=forms.Node("p2")), "node.id is 'p2'"),
         ("eds.json", answer("2.3.7", node=forms.Node("p1", metadata={"term": 2.5})), "not a whole number"),
-        ("eds.json", answer("2.3.51"), "message 51, but the last one is 50"),
+        ("eds.json", answer("2.3.51"), "message 51, but 50 is the last one"),
         ("eds.json", answer("2.4.1"), "2.4.1, but this is term 2, epoch 3"),
         ("eds.json", answer("3.3.1"), "3.3.1, but this is term 2, epoch 3"),
         ("eds.json", answer("x"), "no TERM.EPOCH.NUMBER"),
--- a/tests/test_publisher.py
+++ b/tests/test_publisher.py
@@ -1,4 +1,4 @@
-"""The publisher: messages are staged, validated, written, and followed until they are applied."""
+"""Tests of the publisher: messages are staged, validated, written, and tracked until they are applied."""
 
 from __future__ import annotations
 
@@ -21,18 +21,23 @@
 EVEN = {"a": 1.0, "b": 1.0, "c": 1.0}
 
 
-def run(play: Callable[[], Awaitable[None]]) -> None:
-    trio.run(play, clock=MockClock(autojump_threshold=0))
+def run(scenario: Callable[[], Awaitable[None]]) -> None:
+    trio.run(scenario, clock=MockClock(autojump_threshold=0))
 
 
 def verdict_of(outcome: Outcome, until: int | None = None) -> Callable[[int, Candidate], Verdict]:
-    """A judge that finds the same of every candidate."""
+    """Returns a validation function that gives every candidate the same verdict."""
 
     def judge(now: int, candidate: Candidate) -> Verdict:
         verdict = Verdict()
         verdict.add(
             Finding(
-                check="queue", outcome=outcome, rule=Rule.QUEUE, text="as told", remedy="nothing", until=until
+                check="queue",
+                outcome=outcome,
+                rule=Rule.QUEUE,
+                text="as configured",
+                remedy="nothing",
+                until=until,
             )
         )
         return verdict
@@ -41,7 +46,7 @@
 
 
 def test_a_message_is_written_and_its_marker_acknowledged_once_applied() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         harness = PublisherHarness()
         harness.order(EVEN, marker=7)
         await harness.publish(TICKS_PER_SECOND)
@@ -54,10 +59,10 @@
         cost = 1 + len(EVEN) + MESSAGE_OVERHEAD + SYNC_MARKER_ENTRIES
         assert (order["message"], order["mark"], order["lines"]) == (1, 7, cost)
 
-    run(play)
+    run(scenario)
 
 
-def test_a_message_without_marker_is_recorded_as_before() -> None:
+def test_a_message_without_marker_is_recorded_with_marker_minus_one() -> None:
     harness = PublisherHarness()
     harness.order(EVEN)
     assert [row["mark"] for row in harness.records.rows if row["kind"] == "order"] == [-1]
@@ -72,7 +77,7 @@
 
 
 def test_failed_writes_are_retried_until_they_succeed() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         harness = PublisherHarness()
         harness.sink.outcome = OSError("disk full")
         harness.order(EVEN)
@@ -85,11 +90,11 @@
         assert harness.listener.conditions["disk"] is False
         assert [number for number, _ in harness.sink.written] == [1]
 
-    run(play)
+    run(scenario)
 
 
 def test_a_message_that_changes_nothing_is_acknowledged_by_the_answer_to_the_one_before() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         harness = PublisherHarness()
         harness.order(EVEN, marker=1)
         await harness.publish(TICKS_PER_SECOND)
@@ -101,11 +106,11 @@
         harness.listener.events[0](harness.listener.time)
         assert harness.listener.acknowledged == [(0, 1), (0, 2)]
 
-    run(play)
+    run(scenario)
 
 
 def test_unacknowledged_files_are_rewritten_after_a_growing_pause() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         harness = PublisherHarness()
         harness.order(EVEN)
         await harness.publish(TICKS_PER_SECOND)
@@ -122,11 +127,11 @@
         assert harness.sink.rewrites == 2
         assert harness.session.rewrite is None
 
-    run(play)
+    run(scenario)
 
 
 def test_rejected_files_are_not_rewritten() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         harness = PublisherHarness()
         harness.order(EVEN)
         await harness.publish(TICKS_PER_SECOND)
@@ -134,11 +139,11 @@
         await harness.publish(30 * TICKS_PER_SECOND)
         assert harness.sink.rewrites == 0
 
-    run(play)
+    run(scenario)
 
 
 def test_a_held_message_goes_out_later_under_a_new_number_without_its_marker() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         harness = PublisherHarness()
         validator = harness.publisher.validation.validator
         judge = validator.judge
@@ -149,17 +154,17 @@
         assert harness.sink.written == []
         assert harness.session.held is not None and harness.session.held.until == until
         validator.judge = judge  # type: ignore[method-assign]
-        await harness.publish(TICKS_PER_SECOND)  # it is queued again
+        await harness.publish(TICKS_PER_SECOND)  # queues the message again
         await harness.publish(TICKS_PER_SECOND)
         assert [number for number, _ in harness.sink.written] == [2]
         marks = [row["mark"] for row in harness.records.rows if row["kind"] == "order"]
         assert marks == [3, -1]
 
-    run(play)
+    run(scenario)
 
 
 def test_a_held_message_is_dropped_when_a_later_one_leaves() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         harness = PublisherHarness()
         validator = harness.publisher.validation.validator
         judge = validator.judge
@@ -172,11 +177,11 @@
         assert harness.session.held is None
         assert [number for number, _ in harness.sink.written] == [2]
 
-    run(play)
+    run(scenario)
 
 
 def test_a_hold_without_a_time_lasts_the_default() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         harness = PublisherHarness()
         validator = harness.publisher.validation.validator
         validator.judge = verdict_of(Outcome.HELD)  # type: ignore[method-assign]
@@ -185,11 +190,11 @@
         assert harness.session.held is not None
         assert harness.session.held.until == 2 * TICKS_PER_SECOND > harness.listener.time + MIN_HOLD_TICKS
 
-    run(play)
+    run(scenario)
 
 
 def test_a_refused_message_is_not_written_and_not_queued_again() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         harness = PublisherHarness()
         validator = harness.publisher.validation.validator
         validator.judge = verdict_of(Outcome.REFUSED)  # type: ignore[method-assign]
@@ -200,13 +205,13 @@
         assert harness.session.held is None
         assert len(harness.publisher.channel) == 0
 
-    run(play)
+    run(scenario)
 
 
 def test_a_refused_message_goes_out_once_it_would_not_be_refused() -> None:
-    """Guards against a refusal that nothing judges again."""
+    """Guards against a refused message that is never validated again."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         harness = PublisherHarness()
         validator = harness.publisher.validation.validator
         judge = validator.judge
@@ -221,17 +226,19 @@
         assert [number for number, _ in harness.sink.written] == [2]
         assert harness.session.refused is None
 
-    run(play)
+    run(scenario)
 
 
 def test_a_message_refused_for_slow_start_goes_out_once_the_endpoint_is_warm() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         harness = PublisherHarness()
-        hosts = [
+        endpoints = [
             DiscoveredEndpoint(name, "127.0.0.1", 80 + ord(name), False, 0.0, 1.0, "", "", "north")
             for name in "abcdef"
         ]
-        harness.publisher.validation.update_endpoints(0, hosts, lambda host: 1 if host.id == "c" else 0)
+        harness.publisher.validation.update_endpoints(
+            0, endpoints, lambda endpoint: 1 if endpoint.id == "c" else 0
+        )
         harness.order({"a": 1.0, "b": 1.0, "c": 50.0})
         warm_at = 1 + harness.settings.rules.slow_start_ticks
         while harness.listener.time < warm_at - TICKS_PER_SECOND:
@@ -242,11 +249,11 @@
         assert [number for number, _ in harness.sink.written] == [2]
         assert harness.publisher.validation.counts["refused"] == 1
 
-    run(play)
+    run(scenario)
 
 
 def test_a_refused_message_is_dropped_when_a_later_one_leaves() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         harness = PublisherHarness()
         validator = harness.publisher.validation.validator
         judge = validator.judge
@@ -260,14 +267,14 @@
         assert [number for number, _ in harness.sink.written] == [2]
         assert harness.session.refused is None
 
-    run(play)
+    run(scenario)
 
 
 def test_validation_that_raises_is_disabled_and_messages_go_out() -> None:
     def raises(now: int, candidate: Candidate) -> Verdict:
         raise KeyError("on purpose")
 
-    async def play() -> None:
+    async def scenario() -> None:
         harness = PublisherHarness()
         harness.publisher.validation.validator.judge = raises  # type: ignore[method-assign]
         harness.order(EVEN)
@@ -275,14 +282,14 @@
         assert [number for number, _ in harness.sink.written] == [1]
         assert harness.listener.conditions["no guard"] is True
 
-    run(play)
+    run(scenario)
 
 
 @pytest.mark.parametrize("removed", [set(), {"a"}])
 def test_a_halted_table_is_replaced_by_the_last_good_one(removed: set[str]) -> None:
-    """Endpoints that were removed meanwhile are left out of it."""
+    """Endpoints that were removed meanwhile are left out of the good table."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         harness = PublisherHarness()
         harness.join(1)
         harness.publisher.rollout.record_offered(0, 1, ("t", 0), 1)  # a second proxy, so that two can reject
@@ -303,7 +310,7 @@
         for proxy in (0, 1):
             rollout.record_offered(1, proxy, unit, bad)
             rollout.record_rejected(1, proxy, unit, bad, "bad weights")
-        await harness.publish(TICKS_PER_SECOND)  # the proxies that ran it are queued again
+        await harness.publish(TICKS_PER_SECOND)  # queues updates to the proxies that ran the halted table
         await harness.publish(TICKS_PER_SECOND)
         assert harness.session.newest_contents == good
         assert harness.session.is_substituted
@@ -314,11 +321,11 @@
             (f'"{name}"'.encode() in body) != (name in removed) for body in tables.values() for name in EVEN
         )
 
-    run(play)
+    run(scenario)
 
 
 def test_a_good_table_without_an_endpoint_in_service_replaces_nothing() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         harness = PublisherHarness()
         harness.order({"a": 1.0})
         await harness.publish(TICKS_PER_SECOND)
@@ -332,11 +339,11 @@
         assert harness.session.newest_contents[0].content == content + 1  # type: ignore[operator]
         assert not harness.session.is_substituted
 
-    run(play)
+    run(scenario)
 
 
 def test_messages_of_a_proxy_that_left_are_dropped() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         harness = PublisherHarness()
         harness.order(EVEN)
         harness.publisher.remove_session(0)
@@ -345,4 +352,4 @@
         assert harness.sink.written == []
         assert harness.publisher.channel.waiting_entries == 0
 
-    run(play)
+    run(scenario)
--- a/tests/test_update_channel.py
+++ b/tests/test_update_channel.py
@@ -1,4 +1,4 @@
-"""The update channel: its rate, its order, and the limits that it measures."""
+"""Tests of the update channel: its rate, its order, and the limits that it checks."""
 
 from __future__ import annotations
 
--- a/tests/test_update_sinks.py
+++ b/tests/test_update_sinks.py
@@ -1,4 +1,4 @@
-"""Rendered resources in the files of a file sink."""
+"""Tests of the files that a file sink makes of rendered resources."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def default_resources() -> ProxyResources:
-    """A proxy with a default table for one route, which holds one endpoint."""
+    """The resources of a proxy with a default table for one route, which holds one endpoint."""
     table = tables.assignment("standing", [("a", "127.0.0.1", 81, "north", 1.0, False)])
     entry = tables.route("load", "/load-task", "load@standing", 1, tables.retry(1, 0), {})
     cluster = tables.cluster("load@standing", "standing", "", "pair", 1, 0)
--- a/willowhook/controlplane/acknowledgements.py
+++ b/willowhook/controlplane/acknowledgements.py
@@ -1,4 +1,4 @@
-"""Handles the answers of proxies to the messages that they received: acknowledged, or rejected."""
+"""Handles the answers of proxies to update messages: acknowledgements and rejections."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Acknowledgements:
-    """Follows acknowledgements and rejections of proxies; proxies that have left are ignored."""
+    """Tracks acknowledgements and rejections of proxies; those of proxies that have left are ignored."""
 
     def __init__(self, context: PublisherContext, validator: UpdateValidator, rollout: TableRollout) -> None:
         """The validator and the rollout are notified of each answer."""
@@ -25,9 +25,9 @@
         self._rollout = rollout
 
     def handle_acknowledged(self, now: int, proxy: int, number: int) -> None:
-        """Notes that a proxy has applied all messages up to this number.
+        """Records that a proxy has applied all messages up to this number.
 
-        The newest sync marker among them, if the last one carried any, goes to the listener.
+        If the last of them carried a sync marker, the listener is notified of it.
         """
         session = self._sessions.by_number.get(proxy)
         if session is None:
@@ -48,7 +48,7 @@
             self._listener.handle_acknowledged(now, proxy, last.marker)
 
     def _acknowledge_contents(self, now: int, session: PublisherSession, number: int) -> None:
-        """Drops the contents that are applied, except those of the newest message, which are still in use."""
+        """Records the applied contents and drops them, except those of the newest message, still in use."""
         for message in [message for message in session.contents if message <= number]:
             contents = session.contents[message]
             if message != next(reversed(session.contents)):
@@ -56,7 +56,7 @@
             self._rollout.record_acknowledged(now, session.number, contents)
 
     def handle_group_rejected(self, now: int, proxy: int, kind: str, number: int, cause: str) -> None:
-        """Notes that a proxy has rejected the files of a message, which are not written again."""
+        """Records that a proxy has rejected the files of a message; they are not written again."""
         session = self._sessions.by_number.get(proxy)
         if session is None:
             return
@@ -68,7 +68,7 @@
             self._rollout.record_rejected(now, proxy, session.contents.get(number, ()), cause)
 
     def handle_resource_rejected(self, now: int, proxy: int, resource: Resource, cause: str) -> None:
-        """Notes that a proxy has rejected one resource, which it is not offered again."""
+        """Records that a proxy has rejected one resource; it is not offered to the proxy again."""
         session = self._sessions.by_number.get(proxy)
         if session is None:
             return
@@ -82,13 +82,13 @@
             self._rollout.record_resource_rejected(now, proxy, resource, cause)
 
     def handle_part_acknowledged(self, now: int, proxy: int, resources: ResourceSet) -> None:
-        """Notes that a proxy that calls has applied all resources of one type."""
+        """Records that a proxy that uses the discovery server has applied all resources of one type."""
         if resources.kind != TABLES:
             for resource in resources.resources.values():
                 self._rollout.record_resource_acknowledged(now, proxy, resource)
 
     def record_known_version(self, session: PublisherSession, part: str, version: str, state: str) -> None:
-        """Records the version that a proxy is known to run; empty if it is not certain."""
+        """Records the version that a proxy is known to run; empty if it is uncertain."""
         self._listener.record_known_version(session.name, part, version)
         self._records.record_known_version(self._listener.now(), session, part, version, state)
 
--- a/willowhook/controlplane/channel.py
+++ b/willowhook/controlplane/channel.py
@@ -1,7 +1,7 @@
 """The update channel of one controller: messages leave one after the other, at a limited rate. No I/O.
 
-The decisions keep the queue limit and the message cap by estimates. Here both are measured, so that a breach
-is reported and not hidden. Costs and rates are in endpoint entries, times in ticks.
+The decisions keep within the queue limit and the message cap by estimates. The channel counts both, so that
+a breach is reported. Costs and rates are in table entries, times in ticks.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from ..ticks import TICKS_PER_SECOND
 from .proxy_state import UpdateMessage
 
-LOW_QUEUE_DIVISOR = 6  # the queue is low up to its limit divided by this
+LOW_QUEUE_DIVISOR = 6  # the queue counts as low up to its limit divided by this
 
 
 class Departure(NamedTuple):
@@ -24,23 +24,23 @@
 
 
 class RateLimitedChannel:
-    """The queue of messages that wait to leave, and the entries that left but have not been fetched.
+    """The queue of messages that wait to leave, and the entries that left but were not fetched yet.
 
     Attributes:
-        peak_waiting_entries: the most entries that have ever waited at one time.
+        peak_waiting_entries: the largest number of entries that waited at one time.
         peak_messages_in_window: the most messages to one proxy within the window of the message cap.
     """
 
     def __init__(self, settings: ChannelSettings) -> None:
-        """Starts empty and idle."""
+        """Creates an empty, idle channel."""
         self._settings = settings
         self._entries_per_tick = settings.entries_per_second / TICKS_PER_SECOND
         self._queue: deque[UpdateMessage] = deque()
         self._queued_entries = 0
-        self._unfetched: dict[int, int] = {}  # by proxy: entries that wait for its next call
+        self._unfetched: dict[int, int] = {}  # by proxy: entries that wait for its next request
         self._unfetched_entries = 0
-        self._idle_at = 0.0  # when the last departure ended
-        self._departures: dict[int, deque[int]] = {}  # by proxy, within the cap's window
+        self._idle_at = 0.0  # the tick at which the last message had left
+        self._departures: dict[int, deque[int]] = {}  # by proxy: departures within the cap's window
         self.peak_waiting_entries = 0
         self.peak_messages_in_window = 0
 
@@ -51,17 +51,17 @@
 
     @property
     def is_low(self) -> bool:
-        """Whether so few entries wait that messages that can wait may be queued too."""
+        """Whether so few entries wait that messages without urgency may be queued too."""
         return self.waiting_entries <= self._settings.queue_limit_entries / LOW_QUEUE_DIVISOR
 
     def hold_until_fetched(self, proxy: int, entries: int) -> None:
-        """Counts entries that left until the proxy fetches them; they replace any that it did not fetch."""
+        """Counts sent entries as waiting until the proxy fetches them, in place of its earlier ones."""
         self.release_fetched(proxy)
         self._unfetched[proxy] = entries
         self._unfetched_entries += entries
 
     def release_fetched(self, proxy: int) -> None:
-        """Stops counting what the proxy has fetched."""
+        """Stops counting the entries that the proxy has fetched."""
         self._unfetched_entries -= self._unfetched.pop(proxy, 0)
 
     def put(self, message: UpdateMessage) -> bool:
@@ -90,13 +90,13 @@
         return Departure(message, self._count_departure(message.proxy, now))
 
     def drop_proxy(self, proxy: int) -> int:
-        """Drops what waits for a proxy that left. Returns the number of its messages."""
-        before = len(self._queue)
+        """Drops the messages and entries of a proxy that left. Returns the number of dropped messages."""
+        previous_length = len(self._queue)
         self._queue = deque(message for message in self._queue if message.proxy != proxy)
         self._queued_entries = sum(message.cost_entries for message in self._queue)
         self.release_fetched(proxy)
         self._departures.pop(proxy, None)
-        return before - len(self._queue)
+        return previous_length - len(self._queue)
 
     def has_message_for(self, proxy: int) -> bool:
         """Whether a message to this proxy waits to leave."""
@@ -107,7 +107,7 @@
         return len(self._queue)
 
     def _count_departure(self, proxy: int, now: int) -> bool:
-        """Returns whether the proxy stays within the message cap, with one more message now."""
+        """Counts one more message to the proxy; returns whether the proxy stays within the message cap."""
         settings = self._settings
         if not settings.message_cap:
             return True
--- a/willowhook/controlplane/discovery_feed.py
+++ b/willowhook/controlplane/discovery_feed.py
@@ -77,9 +77,9 @@
 
     Attributes:
         gate: the limits on connections and requests.
-        bodies: the cache of responses.
-        front: the discovery protocol.
-        server: the HTTP server.
+        response_cache: the encoded and compressed bodies of responses.
+        discovery_server: serves the discovery protocol.
+        http_server: serves the HTTP connections.
     """
 
     def __init__(
--- a/willowhook/controlplane/intake.py
+++ b/willowhook/controlplane/intake.py
@@ -58,7 +58,7 @@
         number: the number of the proxy in the control plane.
         name: the name of the proxy, as in its folder or its requests.
         term: the number of its session, counted over all controllers.
-        heard_at: the tick of the last activity of the proxy.
+        last_activity_at: the tick of the last activity of the proxy.
         uses_discovery: whether it calls the discovery server; otherwise it reads files.
         applied: the newest update message that it is known to have applied.
         rejected: by kind of file, the newest update message that it rejected.
@@ -259,7 +259,7 @@
         message = version.number
         newest = self._newest_message()
         if message > newest:
-            raise MessageFormatError(f"response_nonce is of message {message}, but the last one is {newest}")
+            raise MessageFormatError(f"response_nonce is of message {message}, but {newest} is the last one")
         if request.error_detail is not None:
             if proxy.rejected.get(kind) != message:
                 proxy.rejected[kind] = message
--- a/willowhook/controlplane/load_recorder.py
+++ b/willowhook/controlplane/load_recorder.py
@@ -1,4 +1,4 @@
-"""Passes the attempts and requests that proxies report to all components that need them."""
+"""Passes the attempts and requests that proxies report to the components that use them."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class EndpointAttempts:
-    """Attempts at one endpoint, over all routes; estimates, so they need not be whole numbers."""
+    """Attempts at one endpoint over all routes; the numbers are estimates and may have fractions."""
 
     attempts: float = 0.0
     failures: float = 0.0
@@ -32,7 +32,7 @@
 
 
 class LoadRecorder:
-    """Hands reported load to the aggregation, update validation, tiers, memory and peers."""
+    """Passes reported load to aggregation, rollout, update validation, priority tiers, memory and peers."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         directory: EndpointDirectory,
         handoff: HandoffPeers,
     ) -> None:
-        """Receives the components that are notified."""
+        """Stores the components that are notified."""
         routes = context.terms.routes
         self._priority_weights = {route.name: route.importance for route in routes}
         self._route_indexes = {route.name: index for index, route in enumerate(routes)}
@@ -55,44 +55,48 @@
         self._handoff = handoff
 
     def record_attempts(self, event: AttemptsReported) -> None:
-        """Handles the attempts of a proxy; those at endpoints whose address is not known are left out."""
-        member = self._proxy_states.proxies.get(event.proxy)
-        if member is None:
+        """Handles the attempts of a proxy; attempts at unknown endpoint addresses are left out."""
+        connected = self._proxy_states.proxies.get(event.proxy)
+        if connected is None:
             return
         now = self._context.now()
-        by_endpoint = self._aggregate(now, member.zone, event.sample)
+        by_endpoint = self._aggregate(now, connected.zone, event.sample)
         attempts = sum(each.attempts for each in by_endpoint.values())
         failures = sum(each.failures for each in by_endpoint.values())
         self._publisher.rollout.record_requests(now, event.proxy, round(attempts), round(failures))
-        for endpoint, met in by_endpoint.items():
-            self._record_endpoint(now, event.proxy, member.zone, endpoint, met)
+        for endpoint, endpoint_attempts in by_endpoint.items():
+            self._record_endpoint(now, event.proxy, connected.zone, endpoint, endpoint_attempts)
 
     def _aggregate(self, now: int, zone: str, sample: SampleSums) -> Mapping[str, EndpointAttempts]:
-        """Adds a sample to the aggregation; the result is its sum over routes, by endpoint."""
+        """Adds a sample to the aggregation. Returns the sample's sums over routes, by endpoint."""
         names = self._directory.names_by_address
         cells = {}
         by_endpoint: dict[str, EndpointAttempts] = {}
-        for (address, route), row in sample.cells.items():
+        for (address, route), reported in sample.cells.items():
             endpoint = names.get(address)
             if endpoint is None:
                 continue
-            cells[endpoint, route] = row
-            met = by_endpoint.setdefault(endpoint, EndpointAttempts())
-            met.attempts += row.attempts
-            met.failures += row.failures
-            met.latency_sum_ticks += row.latency_sum
-        loads = {names[at]: load for at, load in sample.loads.items() if at in names}
+            cells[endpoint, route] = reported
+            endpoint_attempts = by_endpoint.setdefault(endpoint, EndpointAttempts())
+            endpoint_attempts.attempts += reported.attempts
+            endpoint_attempts.failures += reported.failures
+            endpoint_attempts.latency_sum_ticks += reported.latency_sum
+        loads = {names[address]: load for address, load in sample.loads.items() if address in names}
         self._reports.sums.add(now, zone, sample.since, sample.until, cells, loads)
         return by_endpoint
 
-    def _record_endpoint(self, now: int, proxy: int, zone: str, endpoint: str, met: EndpointAttempts) -> None:
-        attempts, failures = round(met.attempts), round(met.failures)
+    def _record_endpoint(
+        self, now: int, proxy: int, zone: str, endpoint: str, reported: EndpointAttempts
+    ) -> None:
+        attempts, failures = round(reported.attempts), round(reported.failures)
         self._directory.record_attempts(now, endpoint, attempts, failures)
         memory = self._context.memory
         if memory is not None:
-            mean = met.mean_latency_ticks()
-            memory.record_attempts(now, endpoint, zone, attempts, failures, mean)
-        self._handoff.record_attempts(now, proxy, endpoint, met.attempts, met.failures, met.latency_sum_ticks)
+            mean_latency_ticks = reported.mean_latency_ticks()
+            memory.record_attempts(now, endpoint, zone, attempts, failures, mean_latency_ticks)
+        self._handoff.record_attempts(
+            now, proxy, endpoint, reported.attempts, reported.failures, reported.latency_sum_ticks
+        )
 
     def record_requests(self, event: RequestsReported) -> None:
         """Handles the requests of one route that reached a proxy."""
--- a/willowhook/controlplane/proxy_session.py
+++ b/willowhook/controlplane/proxy_session.py
@@ -103,7 +103,7 @@
 
     @property
     def has_unfinished_work(self) -> bool:
-        """Whether a message is unwritten, held back or refused, or files may have to be written again."""
+        """Whether a message is unwritten, held back or refused, or files may need a rewrite."""
         waiting = (self.unwritten, self.held, self.refused, self.rewrite)
         return any(each is not None for each in waiting)
 
--- a/willowhook/controlplane/publisher.py
+++ b/willowhook/controlplane/publisher.py
@@ -1,12 +1,12 @@
-"""Sends all updates: messages leave the channel in turn, are validated, and are written.
+"""Publishes updates: messages leave the channel in order, are validated, and are written.
 
-`Publisher` joins the parts and runs their loop:
+`Publisher` connects these components and runs their loop:
 
-- `update_queue`: queue and pacing,
-- `table_rollout`: which content of a table may go to which proxy,
-- `update_validator`: whether a message may go out now,
-- `update_writer`: files or answers, and files that are written again,
-- `acknowledgements`: the answers of proxies.
+- `update_queue`: the update queue and its pacing,
+- `table_rollout`: which content of a table may be sent to which proxy,
+- `update_validator`: whether a message may be sent now,
+- `update_writer`: writes messages, and writes unacknowledged files again,
+- `acknowledgements`: handles the answers of proxies.
 """
 
 from __future__ import annotations
@@ -38,8 +38,8 @@
 from .update_writer import UpdateWriter
 from .validation_context import ValidationContext, validation_settings
 
-MAX_WAIT_TICKS = TICKS_PER_SECOND  # between two rounds of the loop
-RESEND_WAIT_TICKS = TICKS_PER_SECOND / 4  # the same, while proxies wait to be sent their state again
+MAX_WAIT_TICKS = TICKS_PER_SECOND  # between two iterations of the loop
+RESEND_WAIT_TICKS = TICKS_PER_SECOND / 4  # the same, while resends to proxies wait
 WRITE_RETRY_TICKS = TICKS_PER_SECOND // 5
 
 P = ParamSpec("P")
@@ -48,7 +48,7 @@
 class Publisher:
     """Receives update messages, delivers them to their proxies, and handles the answers of the proxies.
 
-    `run` is a task; all other methods are called by the deciding task.
+    `run` is a task; all other methods are called by the decision task.
     """
 
     def __init__(
@@ -62,7 +62,7 @@
         epoch: int,
         proxy_states: ProxyStateBook,
     ) -> None:
-        """Joins the parts; nothing is sent before `run`."""
+        """Connects the components; nothing is sent before `run`."""
         self.renderer = renderer
         self._listener = listener
         self._registry = SessionRegistry()
@@ -96,7 +96,7 @@
 
     @property
     def validation_micros(self) -> deque[int]:
-        """How long the last validations took, in microseconds, of messages that passed."""
+        """The durations of the last validations of messages that passed, in microseconds."""
         return self._validator.timings_micros
 
     @property
@@ -115,7 +115,7 @@
         self.sessions[session.number] = session
 
     def remove_session(self, proxy: int) -> None:
-        """Forgets a proxy that has left, and what waits for it."""
+        """Removes a proxy that has left, and drops the messages that wait for it."""
         session = self.sessions.pop(proxy, None)
         if session is not None:
             session.sink.close()
@@ -126,19 +126,19 @@
     # Updates.
 
     def enqueue(self, message: UpdateMessage) -> None:
-        """Queues a message; `wake` is to be called after the last one of a flush."""
+        """Queues a message; `wake` must be called after the last one of a flush."""
         self._queue.put(message)
 
     def wake(self) -> None:
-        """Makes the loop run its next round at once."""
+        """Makes the loop run its next iteration at once."""
         self._woken.set()
 
-    def update_validation(self, step: Callable[P, None], *args: P.args, **kwargs: P.kwargs) -> None:
+    def update_validation(self, method: Callable[P, None], *args: P.args, **kwargs: P.kwargs) -> None:
         """Calls a method of `validation`; never raises."""
-        self._validator.update(step, *args, **kwargs)
+        self._validator.update(method, *args, **kwargs)
 
     async def run(self) -> None:
-        """Delivers messages to their proxies in turn, until it is cancelled."""
+        """Delivers messages to their proxies in order, until cancelled."""
         while True:
             now = await self._publish_departed()
             if now >= self._write_retry_at:
@@ -153,19 +153,19 @@
                 await self._woken.wait()
 
     async def _publish_departed(self) -> int:
-        """Publishes all messages that have left the channel. Returns the tick at which none was left."""
+        """Publishes all messages that have left the channel. Returns the tick at which none remained."""
         now = self._listener.now()
         while (message := self._queue.take(now)) is not None:
             session = self.sessions.get(message.proxy)
             if session is not None:
-                session.held = session.refused = None  # the later message holds all of it
+                session.held = session.refused = None  # superseded: a message holds the complete state
                 session.newest = message
                 await self._publish(now, session, message)
             now = self._listener.now()
         return now
 
     def _requeue_refused(self, now: int) -> None:
-        """Queues refused messages again that would not be refused any more."""
+        """Queues refused messages again that validation would no longer refuse."""
         for session in self._registry.unfinished_sessions():
             refused = session.refused
             if refused is None or now < refused.revalidate_at:
@@ -182,7 +182,7 @@
                 await self._publish(now, session, session.unwritten)
 
     async def _publish(self, now: int, session: PublisherSession, message: UpdateMessage) -> None:
-        """Writes what rollout and validation allow of a message; a failed write is retried."""
+        """Writes the part of a message that rollout and validation allow; a failed write is retried."""
         staged = self._table_rollout.choose(now, session, message)
         waiting = self.channel.waiting_entries
         allowed = self._validator.validate(now, session, staged.message, waiting)
@@ -194,7 +194,7 @@
             self._write_retry_at = now + WRITE_RETRY_TICKS
 
     def _wait_ticks(self, now: int) -> float:
-        """How long the loop may wait, in ticks; less than 0 if something is due."""
+        """How long the loop may wait, in ticks; negative if work is overdue."""
         waits = [RESEND_WAIT_TICKS if self._table_rollout.has_resends else MAX_WAIT_TICKS]
         departure = self.channel.next_departure()
         if departure is not None:
@@ -211,7 +211,7 @@
     # Answers of proxies.
 
     def handle_delivered(self, proxy: int) -> None:
-        """Notes that a proxy that calls has fetched what waited for it."""
+        """Records that a proxy has fetched its update from the discovery server."""
         self.channel.release_fetched(proxy)
 
     def handle_acknowledged(self, now: int, proxy: int, number: int) -> None:
--- a/willowhook/controlplane/publisher_context.py
+++ b/willowhook/controlplane/publisher_context.py
@@ -1,4 +1,4 @@
-"""What the parts of the publisher share."""
+"""State and services that the components of the publisher share."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PublisherContext:
-    """What the parts of the publisher share.
+    """State and services that the components of the publisher share.
 
     Attributes:
-        epoch: the epoch of this run of the controller, which is the second part of message versions.
+        epoch: the epoch of this controller process, which is the second part of message versions.
         renderer: renders views as resources.
         sessions: the joined proxies.
-        listener: the listener that is notified of events.
+        listener: the listener that is notified of the publisher's events.
         records: the writer of records.
         log: the log.
     """
--- a/willowhook/controlplane/publisher_events.py
+++ b/willowhook/controlplane/publisher_events.py
@@ -12,10 +12,10 @@
 
 
 class PublisherEvents:
-    """Hands acknowledgements to the controller and versions to the memory; the publisher's listener."""
+    """The publisher's listener: passes acknowledgements to the controller and versions to the memory."""
 
     def __init__(self, context: ServiceContext, directory: EndpointDirectory) -> None:
-        """Receives the shared context and the endpoints."""
+        """Stores the shared context and the endpoint directory."""
         self._context = context
         self._directory = directory
 
@@ -24,23 +24,23 @@
         return self._context.now()
 
     def report_condition(self, name: str, on: bool, text: str, **parts: Any) -> None:
-        """Reports that a condition holds or has ended."""
+        """Reports that a condition has begun or ended; only changes are logged."""
         self._context.conditions.report(name, on, text, **parts)
 
-    def is_in_service(self, host: str) -> bool:
+    def is_in_service(self, endpoint: str) -> bool:
         """Whether an endpoint is listed, not draining, and of a tier in use."""
-        return self._directory.is_in_service(host)
+        return self._directory.is_in_service(endpoint)
 
     def handle_acknowledged(self, now: int, proxy: int, marker: int) -> None:
-        """Hands the controller the sync marker that a proxy has acknowledged."""
+        """Passes the sync marker that a proxy has acknowledged to the controller."""
         self._context.handle(now, MessageAcknowledged(proxy, marker))
 
     async def post_event(self, event: Callable[[int], None]) -> None:
-        """Requests a call in the decision task."""
+        """Has the decision task call `event` with the current tick."""
         await self._context.queue.send(PublisherCallDue(event))
 
     def record_known_version(self, proxy: str, part: str, version: str) -> None:
-        """Stores which version of a part of its resources a proxy runs."""
+        """Stores the version of a part of its resources that a proxy runs."""
         if self._context.memory is not None:
             self._context.memory.record_version(proxy, part, version)
 
--- a/willowhook/controlplane/publisher_records.py
+++ b/willowhook/controlplane/publisher_records.py
@@ -1,4 +1,4 @@
-"""The records that the publisher writes. Their words and fields are fixed, and known here only."""
+"""The records that the publisher writes. Their kinds and fields are a fixed format, defined only here."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 
 class PublisherRecords:
-    """Writes one kind of record a method; `now` is a tick."""
+    """Writes the publisher's records, one method for each kind; `now` is the current tick."""
 
     def __init__(self, records: Records) -> None:
-        """`records` is the file of records."""
+        """`records` writes the records file."""
         self._records = records
 
     # Messages.
 
     def record_queued(self, message: UpdateMessage, proxy_name: str) -> None:
-        """A message waits in the channel."""
+        """A message was queued in the channel."""
         self._records.note(
             message.ordered_at,
             "order",
@@ -35,10 +35,10 @@
     def record_validated(
         self, now: int, session: PublisherSession, message: UpdateMessage, verdict: Verdict, micros: int
     ) -> None:
-        """Validation took `micros` microseconds and found something."""
+        """Validation took `micros` microseconds and had findings, exemptions or errors."""
         data = verdict.data()
         for step in data["steps"]:
-            del step["lines"]  # too long for a record
+            del step["lines"]  # the table entries of a step are too long for a record
         self._records.note(now, "guard", message=message.number, proxy=session.name, took_us=micros, **data)
 
     def record_written(
@@ -49,7 +49,7 @@
         waiting_entries: int,
         has_changed: bool,
     ) -> None:
-        """A message is where its proxy reads it; `waiting_entries` are left in the channel."""
+        """A message was written for its proxy; `waiting_entries` are left in the channel."""
         self._records.note(
             now,
             "sent",
@@ -61,13 +61,13 @@
         )
 
     def record_rewritten(self, now: int, session: PublisherSession) -> None:
-        """Files that were not acknowledged have been written again."""
+        """Unacknowledged files were written again."""
         self._records.note(now, "again", proxy=session.name, message=session.written)
 
     # Answers.
 
     def record_acknowledged(self, now: int, session: PublisherSession, number: int, ordered_at: int) -> None:
-        """A proxy has applied all messages up to this number; the last of them was ordered then."""
+        """A proxy has applied all messages up to `number`; the last one was ordered at `ordered_at`."""
         self._records.note(now, "applied", message=number, proxy=session.name, after=now - ordered_at)
 
     def record_rejected(self, now: int, session: PublisherSession, kind: str, what: str, cause: str) -> None:
@@ -92,14 +92,14 @@
     # Rollout.
 
     def record_halted(self, now: int, unit: Unit, bad: Content, good: Content | None, cause: str) -> None:
-        """A content is not offered any more."""
+        """The content `bad` is no longer offered; `good` is the last good one, if any."""
         shortened = cause[:MAX_CAUSE_LENGTH]
         self._records.note(now, "halted", unit=str(unit), content=bad, good=good, why=shortened)
 
     def record_rolled_back(self, now: int, unit: Unit, bad: Content, proxy_count: int) -> None:
-        """`proxy_count` proxies are sent something else in place of a halted content."""
+        """A halted content is replaced at `proxy_count` proxies."""
         self._records.note(now, "rollback", unit=str(unit), content=bad, readers=proxy_count)
 
     def record_released(self, now: int, unit: Unit) -> None:
-        """The newest content of a unit may go to all proxies."""
+        """The newest content of a unit may be sent to all proxies."""
         self._records.note(now, "released", unit=str(unit))
--- a/willowhook/controlplane/report_interval.py
+++ b/willowhook/controlplane/report_interval.py
@@ -1,4 +1,4 @@
-"""Publishes how often proxies are to send load reports."""
+"""Publishes the interval at which proxies are to send load reports."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 
 
 def clear_report_interval(folder: Folder, ops: FileOps) -> None:
-    """Removes the report interval that an earlier start published."""
+    """Removes the report interval that an earlier process of this controller published."""
     with contextlib.suppress(FileNotFoundError):
         ops.unlink(f"{folder.path}/{PACE}")
 
 
 class ReportIntervalPublisher:
-    """Notifies proxies that call through the discovery server, and all others by one file."""
+    """Publishes the report interval through the discovery server, and in one file for all other proxies."""
 
     def __init__(self, context: ServiceContext, discovery: DiscoveryFeed | None) -> None:
-        """Receives the shared context, and the discovery server if there is one."""
+        """Stores the shared context, and the discovery server if there is one."""
         self._folder = context.folder
         self._ops = context.ops
         self._conditions = context.conditions
         self._discovery = discovery
 
     def publish(self, interval_ticks: int) -> None:
-        """Publishes an interval; a file that cannot be written is reported."""
+        """Publishes an interval; a failed write of the file is reported as a condition."""
         interval_seconds = interval_ticks / TICKS_PER_SECOND
         if self._discovery is not None:
             self._discovery.set_report_interval(interval_seconds)
@@ -39,7 +39,7 @@
         try:
             swap_file(self._ops, self._folder.path, PACE, data)
         except OSError as error:
-            event = "report interval cannot be published"
+            event = "cannot publish report interval"
             self._conditions.report("pace", True, event, cause=str(error))
         else:
             self._conditions.report("pace", False, "report interval published again")
--- a/willowhook/controlplane/report_processor.py
+++ b/willowhook/controlplane/report_processor.py
@@ -1,7 +1,7 @@
-"""Processes load reports within a budget: reports wait here until the budget allows to read them.
+"""Processes load reports within a budget: reports are queued here until the budget allows to read them.
 
-Reading tasks offer reports; the decision task processes them between its flushes, for a few milliseconds at a
-time. Nothing here waits.
+The tasks that receive reports offer them; the decision task processes them between its flushes, for a few
+milliseconds at a time. No method here blocks.
 """
 
 from __future__ import annotations
@@ -26,22 +26,22 @@
 
 NANOSECONDS_PER_MILLISECOND = 1e6
 NANOSECONDS_PER_MICROSECOND = 1000
-INTERVAL_ADAPTATION_PERIOD_TICKS = TICKS_PER_SECOND  # between two adaptations of the report interval
+INTERVAL_ADAPTATION_PERIOD_TICKS = TICKS_PER_SECOND  # how often the report interval is adapted
 MAX_SUMS_FLUSH_INTERVAL_TICKS = TICKS_PER_SECOND // 4
 MEAN_RATE_SMOOTHING = 0.01  # the factor of the moving average of request rates
 
 
 class ReportProcessor:
-    """Queues load reports, reads them within a budget, and hands their sums to the controller.
+    """Queues load reports, reads them within a budget, and sends their sums to the controller.
 
     Attributes:
-        queue: the reports that wait.
-        budget: how many may be read now.
+        queue: the reports that wait to be read.
+        budget: the limit on the reports that may be read now.
         quarantine: the proxies whose reports are not read for a while.
-        sums: the sums of the reports since they were last handed to the controller.
+        sums: the sums of the reports since the last flush to the controller.
         processed: the number of reports that have been read.
-        handed_over: the number of events that were handed to the controller.
-        spent_nanoseconds: the time that reading has taken.
+        sent_endpoint_reports: the number of events that were sent to the controller.
+        spent_nanoseconds: the time that reading reports has taken.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         Args:
             context: the shared context.
             intake: reads the reports.
-            set_interval: receives another interval for proxies, in ticks.
+            set_interval: is called with each new report interval, in ticks.
         """
         self._context = context
         self._intake = intake
@@ -63,10 +63,10 @@
         self._flush_interval_ticks = min(interval_ticks // 4, MAX_SUMS_FLUSH_INTERVAL_TICKS)
         self._flushed_at = 0
         self._interval_adapted_at = 0
-        self._previously_arrived = 0  # when the interval was last adapted
+        self._previously_arrived = 0  # reports that had arrived when the interval was last adapted
         self._read_at: dict[str, int] = {}  # by proxy: when its file was last read
         self._mean_rate_per_second = 1.0
-        # a proxy that reports less often would count as inactive
+        # a proxy that reported less often could exceed the session timeout
         max_interval_ticks = ticks_from_milliseconds(context.terms.files.proxy_lost_after_ms) * 2 // 5
         self.queue = ReportQueue(random.Random(context.seed).randrange)
         self.budget = ReportBudget(
@@ -81,7 +81,7 @@
     # What arrives.
 
     def offer(self, now: int, name: str, data: bytes) -> None:
-        """Queues a report; one of a proxy that has no session or is in quarantine is dropped."""
+        """Queues a report, or drops it if its proxy has no session or is in quarantine."""
         if name not in self._intake.sessions or self.quarantine.should_skip(now, name):
             return
         self._intake.record_activity(now, name)
@@ -94,12 +94,12 @@
         return self.quarantine.should_skip(self._context.now(), name)
 
     def readable_at(self, now: int, name: str) -> int:
-        """The tick from which a proxy's report file may be read: hardly more often than it should report."""
-        last = self._read_at.get(name)
-        return now if last is None else last + self.budget.interval * 3 // 4
+        """The tick from which a proxy's report file may be read again: 3/4 of the interval after the last."""
+        last_read_at = self._read_at.get(name)
+        return now if last_read_at is None else last_read_at + self.budget.interval * 3 // 4
 
     def record_read(self, now: int, name: str) -> None:
-        """Notes that a proxy's report file is read now."""
+        """Records that a proxy's report file is read now."""
         self._read_at[name] = now
 
     def reject_unreadable(self, now: int, name: str, cause: str) -> None:
@@ -115,26 +115,26 @@
     # Processing, in the decision task.
 
     def has_waiting(self) -> bool:
-        """Whether any report waits."""
+        """Whether any report waits to be read."""
         return len(self.queue) > 0
 
     def process_waiting(self) -> bool:
         """Reads reports as the budget allows, for one slice of time at most.
 
         Returns:
-            Whether some are left.
+            Whether reports are left.
         """
-        began = last = time.perf_counter_ns()
+        started_at = last_ended_at = time.perf_counter_ns()
         while self.has_waiting():
             now = self._context.now()
             if not self.budget.spend(now, 1) or not self._process_next(now):
                 break
-            ended = time.perf_counter_ns()
-            self.budget.record_time((ended - last) / NANOSECONDS_PER_TICK)
-            last = ended
-            if ended - began > self._slice_nanoseconds:
+            ended_at = time.perf_counter_ns()
+            self.budget.record_time((ended_at - last_ended_at) / NANOSECONDS_PER_TICK)
+            last_ended_at = ended_at
+            if ended_at - started_at > self._slice_nanoseconds:
                 break
-        self.spent_nanoseconds += last - began
+        self.spent_nanoseconds += last_ended_at - started_at
         return self.has_waiting()
 
     def _process_next(self, now: int) -> bool:
@@ -157,7 +157,7 @@
         self.queue.set_share(name, rate_per_second / max(self._mean_rate_per_second, 1e-9))
 
     def maintain(self, now: int, proxies: int) -> None:
-        """Hands sums to the controller, and adapts the report interval, when they are due."""
+        """Flushes the sums to the controller and adapts the report interval, each when it is due."""
         if now - self._flushed_at >= self._flush_interval_ticks:
             self._flushed_at = now
             self.sent_endpoint_reports += self.sums.flush()
@@ -196,7 +196,7 @@
         )
         self._context.handle(self._context.now(), event)
 
-    # What the budget and the quarantine decide.
+    # Callbacks of the budget and the quarantine.
 
     def _interval_changed(self, interval_ticks: int) -> None:
         self._context.log.info("report interval changed", interval_ms=interval_ticks / TICKS_PER_MILLISECOND)
@@ -204,17 +204,20 @@
         self._set_interval(interval_ticks)
 
     def quarantined(self, proxy: str, duration: int, cause: str, evidence: bytes) -> None:
-        """Is called by the quarantine: the reports of a proxy are not read for `duration` ticks."""
+        """Called by the quarantine when the reports of a proxy are not to be read for `duration` ticks."""
         seconds = duration / TICKS_PER_SECOND
-        self._context.log.warning(
-            "reports of a proxy quarantined", proxy=proxy, cause=cause, duration_s=seconds
-        )
-        shown = evidence.decode("latin-1")
+        self._context.log.warning("proxy reports quarantined", proxy=proxy, cause=cause, duration_s=seconds)
+        evidence_text = evidence.decode("latin-1")
         self._context.records.note(
-            self._context.now(), "quarantined", proxy=proxy, rest=duration, cause=cause, evidence=shown
+            self._context.now(),
+            "quarantined",
+            proxy=proxy,
+            rest=duration,
+            cause=cause,
+            evidence=evidence_text,
         )
 
     def released(self, proxy: str) -> None:
-        """Is called by the quarantine: the reports of a proxy are read again."""
-        self._context.log.info("reports of a proxy released from quarantine", proxy=proxy)
+        """Called by the quarantine when the reports of a proxy are to be read again."""
+        self._context.log.info("proxy reports released from quarantine", proxy=proxy)
         self._context.records.note(self._context.now(), "released", proxy=proxy)
--- a/willowhook/controlplane/update_queue.py
+++ b/willowhook/controlplane/update_queue.py
@@ -1,4 +1,4 @@
-"""The queue in front of the channel: messages leave at the rate of the channel, and some are sent again."""
+"""The update queue: messages leave at the rate of the channel, and some are queued again."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 class UpdateQueue:
-    """Puts messages into the channel, takes them out when they have left, and reports breached limits."""
+    """Puts messages into the channel, takes out those that have left it, and reports breached limits."""
 
     def __init__(
         self, context: PublisherContext, settings: ChannelSettings, proxy_states: ProxyStateBook
     ) -> None:
-        """`proxy_states` assigns the numbers of messages that are sent again."""
+        """`proxy_states` assigns the numbers of messages that are queued again."""
         self.channel = RateLimitedChannel(settings)
         self._settings = settings
         self._proxy_states = proxy_states
@@ -28,11 +28,11 @@
 
     @property
     def has_room_for_resends(self) -> bool:
-        """Whether the queue is so low that messages may be sent again."""
+        """Whether so few entries wait that messages may be queued again."""
         return self.channel.is_low
 
     def put(self, message: UpdateMessage) -> None:
-        """Queues a message, and records it."""
+        """Queues a message and records it."""
         is_within_limit = self.channel.put(message)
         self._listener.report_condition(
             Condition.QUEUE_OVER_LIMIT,
@@ -62,7 +62,7 @@
         return message
 
     def put_held_messages(self, now: int) -> None:
-        """Queues messages that validation held until now, unless a later, complete message waits."""
+        """Queues messages that validation held until now, unless superseded by a later message."""
         for session in self._sessions.unfinished_sessions():
             if session.held is None or now < session.held.until:
                 continue
@@ -71,11 +71,11 @@
             self.put_again_unless_superseded(now, message)
 
     def put_again_unless_superseded(self, now: int, message: UpdateMessage) -> None:
-        """Queues a message again, unless a later message of its proxy waits, which holds all of it."""
+        """Queues a message again unless a later one of its proxy waits, which holds the complete state."""
         if not self.channel.has_message_for(message.proxy):
             self.put_again(now, message, message.cost_entries)
 
     def put_newest_again(self, now: int, session: PublisherSession, cost_entries: int) -> None:
-        """Queues the newest state of a proxy again, unless a later message waits."""
+        """Queues the newest message of a proxy again, unless a later one waits."""
         if session.newest is not None and not self.channel.has_message_for(session.number):
             self.put_again(now, session.newest, cost_entries)
--- a/willowhook/controlplane/update_sink_factory.py
+++ b/willowhook/controlplane/update_sink_factory.py
@@ -1,4 +1,4 @@
-"""Makes the sink that receives the updates of a proxy that joins."""
+"""Creates the sink that receives the updates of a proxy that joins."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class UpdateSinkFactory:
-    """Makes a folder of files or, for a proxy that calls, an entry of the discovery server."""
+    """Creates file sinks and, for proxies that use the discovery server, sinks with a discovery session."""
 
     def __init__(
         self,
@@ -20,15 +20,15 @@
         store: ResourceStore,
         discovery: DiscoveryFeed | None,
     ) -> None:
-        """Receives the class that writes files, the resources, and the discovery server if there is one."""
+        """Stores the class that writes files, the resource store, and the discovery server if any."""
         self._context = context
         self._file_writer_type = file_writer_type
         self._store = store
         self._discovery = discovery
-        self._count = 0  # of sessions: no two may use the same names for versions of files
+        self._count = 0  # of sessions; keeps the names of file versions unique to one session
 
     def make(self, session: ProxySessionOpened) -> UpdateSink:
-        """Makes the sink of a session. A folder that cannot be used is reported, and is tried again later."""
+        """Creates the sink of a session. A folder that cannot be opened is reported and retried later."""
         self._count += 1
         if session.uses_discovery and self._discovery is not None:
             return self._discovery.make_sink(session.proxy, session.name, session.held)
--- a/willowhook/controlplane/update_sinks.py
+++ b/willowhook/controlplane/update_sinks.py
@@ -1,6 +1,6 @@
-"""Where the updates of one proxy go: a folder of atomically swapped files, or a session answering its calls.
+"""The destinations of one proxy's updates: a folder of atomically replaced files, or a discovery session.
 
-Both publish sets of the one resource store.
+Both publish resource sets of the same resource store.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
     """Receives the updates of one proxy.
 
     Attributes:
-        may_block: whether what `prepare` and `prepare_rewrite` return may wait for a disk.
+        may_block: whether the functions that `prepare` and `prepare_rewrite` return may wait for a disk.
     """
 
     may_block: bool
@@ -32,26 +32,26 @@
     def prepare(
         self, number: int, resources: ResourcesByType, excluded: frozenset[str]
     ) -> Callable[[], bool]:
-        """Returns what makes this the proxy's newest message when it is called, in whatever thread.
+        """Returns a function that publishes this as the proxy's newest message; any thread may call it.
 
-        The call returns False if nothing that the proxy can see has changed, and may raise OSError.
+        The function returns False if nothing that the proxy can see has changed. It may raise OSError.
         """
 
     def prepare_rewrite(self) -> Callable[[], bool]:
-        """Returns what, when called, puts the newest message in place again, where it may have been lost.
+        """Returns a function that writes the newest message again, in case it was lost.
 
-        The call returns whether it wrote anything, and may raise OSError.
+        The function returns whether it wrote anything. It may raise OSError.
         """
 
     def send_away(self, resource: bytes) -> None:
-        """Makes the proxy join another controller; `resource` says so in the next message."""
+        """Makes the next message ask the proxy to join another controller, by including `resource`."""
 
     def close(self) -> None:
         """Called when the proxy has left."""
 
 
 class FileUpdateSink:
-    """A folder of files. A file whose resources are as before keeps its version, so it is not swapped."""
+    """A folder of files. A file whose resources have not changed keeps its version and is not replaced."""
 
     def __init__(
         self, file_writer: Shelf, store: ResourceStore, term: int, epoch: int, may_block: bool
@@ -62,19 +62,19 @@
         self._store = store
         self._term = term
         self._epoch = epoch
-        self._sets: dict[str, ResourceSet] = {}  # by type, as last written
+        self._sets: dict[str, ResourceSet] = {}  # by type, as last published
         self._files: dict[str, bytes] = {}
         self._send_away_resource: bytes | None = None
 
     def files(self, number: int, resources: ResourcesByType) -> dict[str, bytes]:
-        """Returns the files of a message by name; the unchanged ones as they were."""
+        """Returns the files of a message by name; unchanged files keep their version."""
         version = str(Version(self._term, self._epoch, number))
-        for kind, rows in resources.items():
-            last = self._sets.get(kind)
-            resource_set = self._store.make_set(kind, self._with_send_away(kind, rows), last)
-            if resource_set is not last:
+        for kind, named_bodies in resources.items():
+            previous_set = self._sets.get(kind)
+            resource_set = self._store.make_set(kind, self._with_send_away(kind, named_bodies), previous_set)
+            if resource_set is not previous_set:
                 self._sets[kind] = resource_set
-                bodies = [each.body for each in resource_set.resources.values()]
+                bodies = [resource.body for resource in resource_set.resources.values()]
                 self._files[kind + FILE_SUFFIX] = encode_response(
                     version, forms.TYPE_URLS[kind], version, bodies
                 )
@@ -87,7 +87,7 @@
         return partial(self.file_writer.put, self.files(number, resources))
 
     def prepare_rewrite(self) -> Callable[[], bool]:
-        """See `UpdateSink.prepare_rewrite`; the files are written whole."""
+        """See `UpdateSink.prepare_rewrite`; all files are written, whether changed or not."""
         files = self.file_writer.held
         self.file_writer.held = {}
         return partial(self.file_writer.put, files) if files else _write_nothing
@@ -97,23 +97,23 @@
         self._send_away_resource = resource
 
     def close(self) -> None:
-        """Does nothing: the component that made the folder removes it."""
+        """Does nothing: the session manager removes the folder."""
 
-    def _with_send_away(self, kind: str, rows: list[tuple[str, bytes]]) -> list[tuple[str, bytes]]:
+    def _with_send_away(self, kind: str, named_bodies: list[tuple[str, bytes]]) -> list[tuple[str, bytes]]:
         if kind != TABLES or not self._send_away_resource:
-            return rows
-        return [*rows, (CONTROLLERS_RESOURCE, self._send_away_resource)]
+            return named_bodies
+        return [*named_bodies, (CONTROLLERS_RESOURCE, self._send_away_resource)]
 
 
 class HttpUpdateSink:
-    """A session that answers a proxy's calls."""
+    """A discovery session, which answers a proxy's requests."""
 
     may_block = False
 
     def __init__(
         self, session: DiscoverySession, store: ResourceStore, notify: Callable[[DiscoverySession], None]
     ) -> None:
-        """`notify` is called when a waiting call may have its answer."""
+        """`notify` is called when a waiting request can be answered."""
         self.session = session
         self.is_sent_away = False
         self._store = store
@@ -122,10 +122,10 @@
     def prepare(
         self, number: int, resources: ResourcesByType, excluded: frozenset[str]
     ) -> Callable[[], bool]:
-        """See `UpdateSink.prepare`; the message is offered at once."""
+        """See `UpdateSink.prepare`; the message is offered to the session at once."""
         sets = {
-            kind: self._store.make_set(kind, rows, self.session.newest(kind))
-            for kind, rows in resources.items()
+            kind: self._store.make_set(kind, named_bodies, self.session.newest(kind))
+            for kind, named_bodies in resources.items()
         }
         has_changed = self.session.want(number, sets, excluded)
         if has_changed or self.is_sent_away:
@@ -133,22 +133,22 @@
         return lambda: has_changed
 
     def halt(self, resource: Resource) -> bool:
-        """Offers what the proxy ran before in place of this version. Returns whether it can."""
+        """Offers the previous version of a halted resource. Returns whether the session has one."""
         if self.session.halt(resource):
             self._notify(self.session)
             return True
         return False
 
     def prepare_rewrite(self) -> Callable[[], bool]:
-        """Nothing is written: a proxy repeats a call that had no answer."""
+        """See `UpdateSink.prepare_rewrite`; nothing is written, as a proxy repeats unanswered requests."""
         return _write_nothing
 
     def send_away(self, resource: bytes) -> None:
-        """See `UpdateSink.send_away`; the answer to the proxy's next call says so."""
+        """See `UpdateSink.send_away`; the answer to the proxy's next request includes it."""
         self.is_sent_away = True
 
     def close(self) -> None:
-        """Ends the call that is waiting."""
+        """Ends the waiting request, if any."""
         self._notify(self.session)
 
 
--- a/willowhook/controlplane/update_validator.py
+++ b/willowhook/controlplane/update_validator.py
@@ -1,4 +1,4 @@
-"""Validation of messages: each is judged by its effect just before it is written."""
+"""Update validation: each message is checked by its effect just before it is written."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 from .publisher_listener import Condition
 from .validation_context import ValidationContext
 
-SLOW_VALIDATION_MICROS = 50_000  # a longer validation is reported
+SLOW_VALIDATION_MICROS = 50_000  # a validation that takes longer is reported
 MAX_TIMINGS = 10_000
 MIN_HOLD_TICKS = TICKS_PER_SECOND // 10
-DEFAULT_HOLD_TICKS = TICKS_PER_SECOND  # where a verdict names no time
+DEFAULT_HOLD_TICKS = TICKS_PER_SECOND  # if a verdict states no time
 
 P = ParamSpec("P")
 
 
 class UpdateValidator:
-    """Asks validation about each message and follows its verdict.
+    """Validates each message and acts on the verdict.
 
-    It fails open: the controller's commands keep the rules without validation as well, and to send none of
-    them would break the rules for certain.
+    It fails open: if validation raises, updates are sent without it. The controller's commands keep the
+    rules without validation as well, whereas sending no updates would certainly break them.
     """
 
     def __init__(self, context: PublisherContext, validation: ValidationContext, is_enabled: bool) -> None:
@@ -43,11 +43,11 @@
         self._records = context.records
         self._log = context.log
 
-    def update(self, step: Callable[P, None], *args: P.args, **kwargs: P.kwargs) -> None:
+    def update(self, method: Callable[P, None], *args: P.args, **kwargs: P.kwargs) -> None:
         """Calls a method of `validation`. If it raises, validation is disabled, as its state may be wrong."""
         if self.is_enabled:
             try:
-                step(*args, **kwargs)
+                method(*args, **kwargs)
             except Exception as error:
                 self._disable(error)
 
@@ -58,17 +58,17 @@
     def validate(
         self, now: int, session: PublisherSession, message: UpdateMessage, waiting_entries: int
     ) -> UpdateMessage | None:
-        """Returns the message as it may be written now; None if it may not, or not yet."""
+        """Returns the message as it may be written now; None if it is refused or held back."""
         if not self.is_enabled:
             return message
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         try:
             version = self._version(session, message)
             verdict = self.validation.judge(now, message, version, waiting_entries)
         except Exception as error:
             self._disable(error)
             return message
-        micros = round((time.perf_counter() - began) * 1e6)
+        micros = round((time.perf_counter() - started_at) * 1e6)
         self._report_timing(micros)
         if verdict.has_passed and not verdict.exemption and not verdict.faults:
             self.timings_micros.append(micros)
@@ -85,7 +85,7 @@
     def is_refused(
         self, now: int, session: PublisherSession, message: UpdateMessage, waiting_entries: int
     ) -> bool:
-        """Whether a message would be refused now. Nothing is recorded."""
+        """Whether validation would refuse a message now. Nothing is recorded."""
         if not self.is_enabled:
             return False
         try:
@@ -112,8 +112,8 @@
             until = verdict.held_until() or last_step
             session.held = HeldMessage(max(until, now + MIN_HOLD_TICKS), message)
         else:
-            judge_at = now + FIRST_REFUSAL_BACKOFF_TICKS
-            session.refused = RefusedMessage(judge_at, 2 * FIRST_REFUSAL_BACKOFF_TICKS, message)
+            revalidate_at = now + FIRST_REFUSAL_BACKOFF_TICKS
+            session.refused = RefusedMessage(revalidate_at, 2 * FIRST_REFUSAL_BACKOFF_TICKS, message)
         self._sessions.mark_unfinished(session)
         if verdict.outcome is not Outcome.SPLIT:
             return None
--- a/willowhook/controlplane/update_writer.py
+++ b/willowhook/controlplane/update_writer.py
@@ -1,4 +1,4 @@
-"""Writes messages to where their proxies read, and writes unacknowledged files again."""
+"""Writes messages to the sinks of their proxies, and writes unacknowledged files again."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from .update_sinks import UpdateSink
 from .update_validator import UpdateValidator
 
-FIRST_REWRITE_TICKS = 2 * TICKS_PER_SECOND  # files that are not acknowledged by then are written again
+FIRST_REWRITE_TICKS = 2 * TICKS_PER_SECOND  # after which unacknowledged files are written again
 MAX_REWRITE_TICKS = 30 * TICKS_PER_SECOND
 
 
 class UpdateWriter:
-    """Puts messages in place for their proxies and notes what went out."""
+    """Writes messages for their proxies and notifies the other components of what was sent."""
 
     def __init__(
         self,
@@ -43,15 +43,15 @@
         self._acknowledgements = acknowledgements
 
     async def write(self, session: PublisherSession, message: UpdateMessage, contents: Contents) -> bool:
-        """Puts a message in place. Returns False if its files cannot be written now.
+        """Writes a message. Returns False if its files cannot be written now.
 
-        True also if the proxy has left meanwhile: the message is nobody's any more.
+        Also returns True if the proxy has left meanwhile, as the message then needs no retry.
         """
-        place = self._prepare(session, message)
+        publish = self._prepare(session, message)
         if not session.uses_discovery:
             self._acknowledgements.record_known_version(session, "group", "", "sent")
         try:
-            has_changed = await _run(place, session.sink)
+            has_changed = await _run(publish, session.sink)
         except OSError as error:
             self._listener.report_condition(
                 Condition.FILES_UNWRITABLE,
@@ -66,7 +66,7 @@
         )
         now = self._listener.now()
         self._records.record_written(now, session, message, self._channel.waiting_entries, has_changed)
-        # the proxy may have left, or joined again, while the disk worked
+        # the proxy may have left, or joined again, while the files were written
         if self._sessions.by_number.get(session.number) is session:
             self._record_sent(now, session, message, contents)
             await self._expect_acknowledgement(now, session, message, has_changed)
@@ -97,7 +97,7 @@
             elif session.rewrite is None:
                 session.rewrite = RewriteTimer(now + FIRST_REWRITE_TICKS, FIRST_REWRITE_TICKS)
                 self._sessions.mark_unfinished(session)
-        # where nothing visible has changed, the answer to what is in place answers this message too
+        # if nothing visible has changed, the acknowledgement of the last written message covers this one
         written = session.written
         session.pending.append(PendingAcknowledgement(written, message.marker, message.ordered_at))
         if not has_changed and session.acknowledged >= written:
@@ -114,16 +114,16 @@
             if session.acknowledged >= session.written:
                 session.rewrite = None
                 continue
-            pause = 2 * session.rewrite.backoff_ticks
-            session.rewrite = RewriteTimer(now + pause, min(pause, MAX_REWRITE_TICKS))
+            backoff_ticks = 2 * session.rewrite.backoff_ticks
+            session.rewrite = RewriteTimer(now + backoff_ticks, min(backoff_ticks, MAX_REWRITE_TICKS))
             try:
                 has_written = await trio.to_thread.run_sync(session.sink.prepare_rewrite())
             except OSError:
-                continue  # a disk that fails is reported where messages are written
+                continue  # `write` reports a failing disk
             if has_written:
                 self._records.record_rewritten(now, session)
 
 
-async def _run(place: Callable[[], bool], sink: UpdateSink) -> bool:
-    """Calls `place`, in a thread if it may wait for a disk: the loop must not wait."""
-    return await trio.to_thread.run_sync(place) if sink.may_block else place()
+async def _run(publish: Callable[[], bool], sink: UpdateSink) -> bool:
+    """Calls `publish`, in a thread if it may wait for a disk, so that the loop is not blocked."""
+    return await trio.to_thread.run_sync(publish) if sink.may_block else publish()
--- a/willowhook/controlplane/validation_context.py
+++ b/willowhook/controlplane/validation_context.py
@@ -1,6 +1,6 @@
 """The state that update validation needs: endpoints, proxies, and the effect of each message.
 
-`ValidationContext` keeps the validator's world up to date and turns messages into its candidates.
+`ValidationContext` keeps the validator's world up to date and converts messages to candidates.
 """
 
 from __future__ import annotations
@@ -27,9 +27,9 @@
 from .proxy_resources import ProxyResources
 from .proxy_state import UNVERSIONED, ProxyView, UpdateMessage, VersionedTable
 
-MAX_LEARNT_CAPACITY = 2.5  # times the mean: a wrong estimate must not open an endpoint's budget wide
-MIN_RATE_CHANGE = 0.2  # of the rate before; smaller ones are not followed, as each moves a proxy's class
-MIN_RATE_PER_SECOND = 0.5  # below this, changes count as if the rate were this
+MAX_LEARNT_CAPACITY = 2.5  # times the mean; bounds an endpoint's budget if the estimate is wrong
+MIN_RATE_CHANGE = 0.2  # of the previous rate; smaller changes are ignored, as each moves a proxy's class
+MIN_RATE_PER_SECOND = 0.5  # changes of lower rates are compared with this rate
 MAX_CACHED_TABLES = 500
 
 
@@ -77,10 +77,10 @@
 
 
 class ValidationContext:
-    """Keeps the validator's world, and asks the validator about messages."""
+    """Keeps the validator's world up to date, and validates messages."""
 
     def __init__(self, settings: DeploymentSettings, validation: ValidationSettings, shadow: bool) -> None:
-        """`shadow`: whether updates that fail pass nevertheless, marked as such."""
+        """`shadow`: whether updates that fail validation pass nevertheless, marked as such."""
         self._settings = settings
         self.world = World(validation)
         self.validator = Validator(self.world, shadow)
@@ -88,34 +88,38 @@
         self._cached_tables: dict[object, ProxyTables] = {}  # by content
         self._initial: dict[int, ProxyResources] = {}
         self._rates_per_second: dict[int, list[float]] = {}  # by proxy: by route index
-        self._unacknowledged: dict[
-            int, list[tuple[int, ProxyTables]]
-        ] = {}  # by proxy: message number and effect
+        # by proxy: the numbers and effects of its unacknowledged messages
+        self._unacknowledged: dict[int, list[tuple[int, ProxyTables]]] = {}
         self.counts: dict[str, int] = {}  # verdicts, by kind
 
     # The world.
 
     def update_endpoints(
-        self, now: int, hosts: list[DiscoveredEndpoint], started_at: Callable[[DiscoveredEndpoint], int]
+        self, now: int, discovered: list[DiscoveredEndpoint], started_at: Callable[[DiscoveredEndpoint], int]
     ) -> None:
         """Handles the complete endpoint list; `started_at` returns the tick of an endpoint's start."""
-        self.world.endpoints.update_list(now, [self._endpoint(now, host, started_at(host)) for host in hosts])
+        self.world.endpoints.update_list(
+            now, [self._endpoint(now, endpoint, started_at(endpoint)) for endpoint in discovered]
+        )
 
-    def _endpoint(self, now: int, host: DiscoveredEndpoint, started_at: int) -> ValidatedEndpoint:
+    def _endpoint(self, now: int, discovered: DiscoveredEndpoint, started_at: int) -> ValidatedEndpoint:
         capacity = 1.0
         if self._settings.lists_capacity:
-            capacity = host.weight
-        elif host.id in self.world.endpoints.by_name:
-            capacity = self.world.endpoints.by_name[host.id].capacity
-        mode = EndpointMode.DRAINING if host.draining else EndpointMode.IN_SERVICE
-        return ValidatedEndpoint(host.id, mode, now, started_at, capacity, host.endpoint_class, host.zone)
+            capacity = discovered.weight
+        elif discovered.id in self.world.endpoints.by_name:
+            capacity = self.world.endpoints.by_name[discovered.id].capacity
+        mode = EndpointMode.DRAINING if discovered.draining else EndpointMode.IN_SERVICE
+        return ValidatedEndpoint(
+            discovered.id, mode, now, started_at, capacity, discovered.endpoint_class, discovered.zone
+        )
 
     def update_capacities(self, capacities: Mapping[str, float]) -> None:
         """Sets the capacities that the decisions learnt, if the endpoint list states none."""
         if not self._settings.lists_capacity:
             min_capacity = 1 / MAX_LEARNT_CAPACITY
             bounded = {
-                name: min(max(each, min_capacity), MAX_LEARNT_CAPACITY) for name, each in capacities.items()
+                name: min(max(capacity, min_capacity), MAX_LEARNT_CAPACITY)
+                for name, capacity in capacities.items()
             }
             self.world.endpoints.update_capacities(bounded)
 
@@ -134,14 +138,14 @@
         )
 
     def remove_proxy(self, proxy: int) -> None:
-        """Forgets a proxy that has left."""
+        """Removes a proxy that has left."""
         self.world.remove_proxy(proxy)
         self._initial.pop(proxy, None)
         self._rates_per_second.pop(proxy, None)
         self._unacknowledged.pop(proxy, None)
 
     def update_rate(self, proxy: int, route: int, rate_per_second: float) -> None:
-        """Sets the rate of a route's requests at a proxy, if it has changed enough."""
+        """Sets the rate of a route's requests at a proxy, if the change is large enough."""
         rates = self._rates_per_second.get(proxy)
         if rates is None:
             return
@@ -150,15 +154,15 @@
             self.world.update_rates(proxy, tuple(rates))
 
     def record_acknowledged(self, proxy: int, number: int) -> None:
-        """Notes that a proxy has applied all messages up to this number."""
-        waiting = self._unacknowledged.get(proxy, [])
-        applied = [tables for sent, tables in waiting if sent <= number]
+        """Records that a proxy has applied all messages up to this number."""
+        unacknowledged = self._unacknowledged.get(proxy, [])
+        applied = [tables for sent, tables in unacknowledged if sent <= number]
         if applied:
-            self._unacknowledged[proxy] = [(sent, tables) for sent, tables in waiting if sent > number]
+            self._unacknowledged[proxy] = [(sent, tables) for sent, tables in unacknowledged if sent > number]
             self.world.record_applied(proxy, applied[-1])
 
     def record_sent(self, now: int, message: UpdateMessage, version: UpdateVersion) -> None:
-        """Notes that a message is on its way: its proxy may hold its effect from now on."""
+        """Records that a message was sent: its proxy may hold its effect from now on."""
         if message.proxy in self._unacknowledged:
             tables = self.effect_of(message.proxy, message.view)
             self.world.record_sent(now, message.proxy, tables, version)
@@ -167,7 +171,7 @@
     # Messages.
 
     def effect_of(self, proxy: int, view: ProxyView) -> ProxyTables:
-        """Returns the tables that a view results in; computed once for all proxies with the same view."""
+        """Returns the tables that a view results in; cached for all proxies with the same view."""
         key = self._content_key(view)
         if key is None:
             return self._make_tables(proxy, view, None)
@@ -180,10 +184,10 @@
         return tables
 
     def _content_key(self, view: ProxyView) -> tuple[int, ...] | None:
-        """Returns a key of the effect of a view; None if the effect depends on what the proxy joined with."""
-        count = len(self._settings.routes)
-        versions = [view.bound[route].version for route in range(count) if route in view.bound]
-        if len(versions) < count or UNVERSIONED in versions:
+        """Returns a key of a view's effect; None if the effect depends on the proxy's initial resources."""
+        route_count = len(self._settings.routes)
+        versions = [view.bound[route].version for route in range(route_count) if route in view.bound]
+        if len(versions) < route_count or UNVERSIONED in versions:
             return None
         return (*versions, view.exclusions_version)
 
@@ -210,7 +214,7 @@
     def judge(
         self, now: int, message: UpdateMessage, version: UpdateVersion, waiting_entries: int
     ) -> Verdict:
-        """Judges a message that has left the channel, in which `waiting_entries` still wait."""
+        """Validates a message that has left the channel, in which `waiting_entries` still wait."""
         verdict = self.preview(now, message, version, waiting_entries)
         self.counts[verdict.outcome.value] = self.counts.get(verdict.outcome.value, 0) + 1
         return verdict
@@ -218,7 +222,7 @@
     def preview(
         self, now: int, message: UpdateMessage, version: UpdateVersion, waiting_entries: int
     ) -> Verdict:
-        """Judges a message without counting the verdict."""
+        """Validates a message without counting the verdict."""
         self.world.update_queue(now, waiting_entries)
         tables = self.effect_of(message.proxy, message.view)
         candidate = Candidate(message.proxy, tables, version, message.cost_entries, True)
@@ -227,20 +231,20 @@
     @staticmethod
     def first_step(view: ProxyView, verdict: Verdict) -> ProxyView:
         """Returns a view with the tables of the first step of a split."""
-        cut_tables: dict[int, VersionedTable] = {}
+        first_step_tables: dict[int, VersionedTable] = {}
         bound: dict[int, VersionedTable] = {}
         for route, table in view.bound.items():
-            if table.number not in cut_tables:
-                cut_tables[table.number] = _first_step_table(table, route, verdict)
-            bound[route] = cut_tables[table.number]
+            if table.number not in first_step_tables:
+                first_step_tables[table.number] = _first_step_table(table, route, verdict)
+            bound[route] = first_step_tables[table.number]
         return ProxyView(bound, view.excluded, view.is_sent_away)
 
 
 def _first_step_table(table: VersionedTable, route: int, verdict: Verdict) -> VersionedTable:
     weights = dict(table.weights)
-    for step in verdict.steps[::2]:  # each endpoint in slow start has a first step of its own
+    for step in verdict.steps[::2]:  # every other step is the first step of one endpoint in slow start
         for endpoint, weight in table.weights.items():
             weights[endpoint] = min(weights[endpoint], step.weights[route].get(endpoint, weight))
-    cut = VersionedTable(table.number, weights, table.limits)
-    cut.is_shared = True
-    return cut
+    first_step = VersionedTable(table.number, weights, table.limits)
+    first_step.is_shared = True
+    return first_step
