--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -157,11 +157,11 @@
     book.bind(0, 0, ALL_ROUTES)
     book.flush(0)
     previous = file_sink(2, 2).files(9, renderer.render(sent[-1].view, ProxyResources()))
-    for term, hosts in ((2, {"a"}), (3, set())):
+    for term, endpoints in ((2, {"a"}), (3, set())):
         events, intake = make_intake()
         assert intake.open_session(0, "p1", {"status.json": encode(forms.ClientConfig(node(term)))}, previous)
         (event,) = events
-        assert isinstance(event, ProxySessionOpened) and set(event.held.endpoints_of("load")) == hosts
+        assert isinstance(event, ProxySessionOpened) and set(event.held.endpoints_of("load")) == endpoints
 
 
 def test_silent_session_is_closed_and_a_foreign_or_malformed_one_never_opens() -> None:
--- a/tests/test_publisher.py
+++ b/tests/test_publisher.py
@@ -28,7 +28,7 @@
 def verdict_of(outcome: Outcome, until: int | None = None) -> Callable[[int, Candidate], Verdict]:
     """Returns a validation function that gives every candidate the same verdict."""
 
-    def judge(now: int, candidate: Candidate) -> Verdict:
+    def validate(now: int, candidate: Candidate) -> Verdict:
         verdict = Verdict()
         verdict.add(
             Finding(
@@ -42,7 +42,7 @@
         )
         return verdict
 
-    return judge
+    return validate
 
 
 def test_a_message_is_written_and_its_marker_acknowledged_once_applied() -> None:
--- a/willowhook/controlplane/update_validator.py
+++ b/willowhook/controlplane/update_validator.py
@@ -52,7 +52,7 @@
                 self._disable(error)
 
     def record_sent(self, now: int, session: PublisherSession, message: UpdateMessage) -> None:
-        """Notes that a message is on its way to its proxy."""
+        """Records that a message is on its way to its proxy."""
         self.update(self.validation.record_sent, now, message, self._version(session, message))
 
     def validate(
