--- a/tests/test_controlplane_components.py
+++ b/tests/test_controlplane_components.py
@@ -90,7 +90,7 @@
         def handle(self, now: int, event: Any) -> None:
             handled.append((now, event))
 
-    with pytest.raises(AssertionError, match="EvaluationDue before the controller was made"):
+    with pytest.raises(AssertionError, match="EvaluationDue before the controller was attached"):
         port.handle(1, EvaluationDue())
     port.attach(Decider())  # type: ignore[arg-type]
     port.handle(2, EvaluationDue())
--- a/willowhook/controlplane/__init__.py
+++ b/willowhook/controlplane/__init__.py
@@ -1,1 +1,1 @@
-"""The file and HTTP control plane: runs a controller, feeds it events and carries out its commands."""
+"""The file and HTTP control plane: runs a controller, passes it events and executes its commands."""
--- a/willowhook/controlplane/clock.py
+++ b/willowhook/controlplane/clock.py
@@ -8,7 +8,7 @@
 from ..roster.forms import DiscoveredEndpoint
 from ..ticks import TICKS_PER_SECOND, ticks_from_seconds
 
-# Endpoints may have started before the machine booted: their start still has to be a positive time.
+# Keeps the start of an endpoint positive even if it started before this machine booted.
 CLOCK_ORIGIN_TICKS = 100_000 * TICKS_PER_SECOND
 
 
@@ -16,17 +16,17 @@
     """The machine's monotonic clock, to which the wall-clock start times of endpoints are converted."""
 
     def __init__(self) -> None:
-        """Creates a clock that has converted nothing yet."""
+        """Creates a clock without any converted start times."""
         self._starts: dict[str, tuple[float, int]] = {}  # by endpoint: Unix seconds, ticks of this clock
 
     def now(self) -> int:
-        """The current time in ticks."""
+        """Returns the current time in ticks."""
         return CLOCK_ORIGIN_TICKS + monotonic_ticks()
 
     def start_of(self, endpoint: DiscoveredEndpoint) -> int:
-        """When an endpoint's process started, in ticks of this clock; 0 if it is not known.
+        """Returns when an endpoint's process started, in ticks of this clock; 0 if unknown.
 
-        A start is converted once, so a later step of the wall clock does not move it.
+        Each start time is converted once, so a later step of the wall clock does not change the result.
         """
         known_seconds, known_ticks = self._starts.get(endpoint.id, (0.0, 0))
         if known_seconds == endpoint.started:
--- a/willowhook/controlplane/condition_log.py
+++ b/willowhook/controlplane/condition_log.py
@@ -1,4 +1,4 @@
-"""Logs persisting conditions: one line when a condition begins and one when it ends."""
+"""Logs persistent conditions: one line when a condition starts and one when it ends."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class BindableLogger(Logger, Protocol):
-    """A logger to which fields can be bound that all its lines carry."""
+    """A logger that can bind fields to all of its lines."""
 
     def bind(self, **fields: Any) -> Logger:
-        """Returns a logger whose lines carry these fields."""
+        """Returns a logger that adds these fields to each line."""
 
 
 class ConditionLog:
@@ -36,9 +36,9 @@
         self._active: dict[str, bool] = {}
 
     def report(self, name: str, active: bool, event: str, **fields: Any) -> None:
-        """Sets a condition's state; a change is logged as `event` and noted in the records file.
+        """Sets a condition's state; a change is logged as `event` and written to the records file.
 
-        The beginning of a condition is logged as a warning, its end as information. A condition that was
+        The start of a condition is logged as a warning, its end at the info level. A condition that was
         never reported counts as inactive.
         """
         if self._active.get(name, False) == active:
@@ -46,10 +46,10 @@
         self._active[name] = active
         log = self._log.warning if active else self._log.info
         log(event, **fields)
-        shown = {key: str(value) for key, value in fields.items()}
-        self._records.note(self._now(), "mode", name=name, on=active, **shown)
+        field_texts = {key: str(value) for key, value in fields.items()}
+        self._records.note(self._now(), "mode", name=name, on=active, **field_texts)
 
     def announce(self, text: str) -> None:
-        """Logs a line for the operator and notes it in the records file."""
+        """Logs a line for the operator and writes it to the records file."""
         self._log.info(text)
         self._records.note(self._now(), "said", text=text)
--- a/willowhook/controlplane/context.py
+++ b/willowhook/controlplane/context.py
@@ -1,4 +1,4 @@
-"""What the components of a running controller share."""
+"""The shared context of the components of a running controller."""
 
 from __future__ import annotations
 
@@ -17,25 +17,25 @@
 from .decision_queue import DecisionQueue
 from .memory import ControllerMemory
 
-SEED_STRIDE = 1000  # between the seeds of two controllers: each start of a controller adds 1
+SEED_STRIDE = 1000  # distance between the seeds of two controllers; each start of one adds 1
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceContext:
-    """What the components of a running controller share.
+    """The objects that all components of a running controller share.
 
     Attributes:
         terms: the configuration.
-        settings: the configuration, as the decisions read it.
-        folder: the controller's folder; it is open.
+        settings: the settings of the decisions, derived from the configuration.
+        folder: the controller's folder, already opened.
         ops: file operations.
         clock: the clock of this process.
         records: the records file.
         log: the log.
-        conditions: the log of persisting conditions, such as a full disk.
+        conditions: the log of persistent conditions, such as a full disk.
         queue: the queue of events for the decision task.
-        handle: hands an event to the controller; only the decision task may call it.
-        memory: what is stored for the next start; None: there is no store.
+        handle: passes an event to the controller; only the decision task may call it.
+        memory: the controller's persistent state; None if no store is configured or usable.
     """
 
     terms: Terms
@@ -62,7 +62,7 @@
         log: Logger,
         handle: EventHandler,
     ) -> ServiceContext:
-        """Makes the context of a controller whose folder is open; also opens the store of the controller."""
+        """Creates the context of a controller whose folder is open, and opens its store."""
         conditions = ConditionLog(log, records, clock.now)
         memory = _open_memory(terms, folder.epoch, conditions)
         queue = DecisionQueue()
@@ -70,21 +70,21 @@
 
     @property
     def epoch(self) -> int:
-        """How often this controller has been started."""
+        """The number of starts of this controller, including the current one."""
         return self.folder.epoch
 
     @property
     def seed(self) -> int:
-        """The seed of random numbers: another one for each controller and each of its starts."""
+        """The random seed, which differs between controllers and between starts of one controller."""
         return self.terms.seed * SEED_STRIDE + self.epoch
 
     def now(self) -> int:
-        """The current tick."""
+        """Returns the current tick."""
         return self.clock.now()
 
 
 def _open_memory(terms: Terms, epoch: int, conditions: ConditionLog) -> ControllerMemory | None:
-    """Returns the memory; None if none is configured or it cannot be used, as a controller needs none."""
+    """Opens the persistent state; None if there is no usable store, as a controller runs without one."""
     store = terms.store
     if not store.folder:
         return None
--- a/willowhook/controlplane/controller_runtime.py
+++ b/willowhook/controlplane/controller_runtime.py
@@ -1,4 +1,4 @@
-"""Carries out the commands of a controller by way of files and HTTP."""
+"""Executes the commands of a controller in the file and HTTP control plane."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 class FileControllerRuntime:
     """The `ControllerRuntime` of the file and HTTP control plane.
 
-    Commands that concern proxies change the desired state of the proxies, from which update messages are
-    made. All other commands go to the endpoint list reader, the health checker and the evaluation timer.
+    Commands that concern proxies change their desired state, from which update messages are built. All
+    other commands go to the endpoint list reader, the health checker and the evaluation timer.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
     # Commands that concern the controller itself.
 
     def schedule_evaluation(self, delay_ticks: int) -> None:
-        """Hands the controller an `EvaluationDue` after this delay, of a tick at least."""
+        """Schedules an `EvaluationDue` event for the controller after this delay, at least one tick."""
         self._evaluations.schedule(max(delay_ticks, 1))
 
     def log(self, text: str) -> None:
@@ -45,15 +45,15 @@
         self._context.conditions.announce(text)
 
     def watch_endpoints(self) -> None:
-        """Asks for the endpoint list and, from then on, for its changes."""
+        """Requests the endpoint list and subscribes to its changes."""
         self._endpoint_list.watch()
 
     def fetch_endpoint_list(self) -> None:
-        """Asks for the complete endpoint list once."""
+        """Requests the complete endpoint list once."""
         self._endpoint_list.fetch()
 
     def check_health(self, endpoint: str) -> None:
-        """Starts a health check, unless too many are running or the endpoint is not listed."""
+        """Starts a health check unless too many are running or the endpoint is not listed."""
         self._health_checker.check(endpoint)
 
     # Commands that concern proxies.
@@ -67,17 +67,17 @@
         self._proxy_states.clear_table(table)
 
     def bind(self, proxy: int, table: int, routes: Sequence[int]) -> None:
-        """Makes a proxy use a table for these routes."""
+        """Binds a proxy to a table for these routes."""
         self._proxy_states.bind(proxy, table, routes)
 
     def set_admission(self, table: int, route: int, admission: AdmissionLimit) -> None:
-        """Sets what the proxies that use a table admit of a route."""
+        """Sets the admission limit of a route for the proxies that use a table."""
         self._proxy_states.set_admission(table, route, admission)
 
     def exclude_endpoint(self, endpoint: str) -> None:
-        """Excludes an endpoint at all proxies, and writes that to the records and to the store.
+        """Excludes an endpoint at all proxies, and writes the exclusion to the records and to the store.
 
-        Nothing reads the entry of the store back at the next start.
+        A restarted controller does not read the stored exclusion back.
         """
         self._proxy_states.exclude_endpoint(endpoint)
         self._record_exclusion(endpoint, True)
@@ -96,10 +96,10 @@
         self._proxy_states.readmit_for_proxy(proxy, endpoints)
 
     def end_session(self, proxy: int) -> None:
-        """Does nothing: silent proxies are given up, and files written again until they are acknowledged."""
+        """Does nothing: silent sessions time out, and files are rewritten until they are acknowledged."""
 
     def forget_endpoint(self, endpoint: str) -> None:
-        """Drops the state that is kept about an endpoint."""
+        """Drops the state of an endpoint."""
         self._proxy_states.forget_endpoint(endpoint)
 
     def send_sync_marker(self, marker: int) -> None:
--- a/willowhook/controlplane/decider.py
+++ b/willowhook/controlplane/decider.py
@@ -1,4 +1,4 @@
-"""The interface of the decisions, as the control plane runs them."""
+"""The interface between the control plane and the controller that makes the decisions."""
 
 from __future__ import annotations
 
@@ -11,40 +11,40 @@
 
 
 class Decider(Protocol):
-    """What makes the decisions: a `Controller`, or a stand-in for it in a test."""
+    """Makes the decisions: a `Controller`, or a test double."""
 
     def handle(self, now: int, event: Event) -> None:
         """Processes one event."""
 
     def flush(self, now: int) -> None:
-        """Issues the commands that follow from the events since the last flush."""
+        """Issues the commands that result from the events since the last flush."""
 
     def queue_estimate(self) -> float:
-        """The entries that wait on the channel, as the decider estimates them."""
+        """Returns the estimated number of entries that wait in the channel."""
 
     def learnt_capacities(self) -> Mapping[str, float]:
-        """The capacities learnt from load reports, by the name of the endpoint."""
+        """Returns the capacities learnt from load reports, by endpoint name."""
 
 
 class ControllerPort:
-    """Hands events to the controller, which is made last: its first commands need the other components."""
+    """Forwards events to the controller, which is created last: its first commands need all components."""
 
     def __init__(self) -> None:
         """Creates a port without a controller."""
         self._controller: Decider | None = None
 
     def attach(self, controller: Decider) -> None:
-        """Sets the controller that events go to."""
+        """Sets the controller that receives the events."""
         self._controller = controller
 
     def handle(self, now: int, event: Event) -> None:
-        """Hands on an event."""
-        assert self._controller is not None, f"{type(event).__name__} before the controller was made"
+        """Forwards an event."""
+        assert self._controller is not None, f"{type(event).__name__} before the controller was attached"
         self._controller.handle(now, event)
 
 
 DeciderFactory = Callable[[ControllerRuntime, DeploymentSettings, int, int], Decider]
-"""Makes a decider from its runtime, its settings, the seed of its random numbers and the current tick."""
+"""Creates a decider from its runtime, its settings, the seed of its random numbers and the current tick."""
 
 EventHandler = Callable[[int, Event], None]
-"""Hands an event to the decider, with the current tick; only the decision task may call it."""
+"""Passes the current tick and an event to the decider; only the decision task may call it."""
--- a/willowhook/controlplane/decision_loop.py
+++ b/willowhook/controlplane/decision_loop.py
@@ -1,4 +1,4 @@
-"""The loop that decides: the one task that calls the controller and the components that feed it."""
+"""The decision loop: the only task that calls the controller and the components that feed it."""
 
 from __future__ import annotations
 
@@ -20,13 +20,15 @@
 from .report_processor import ReportProcessor
 
 MAX_WAIT_TICKS = TICKS_PER_SECOND
-REPORT_POLL_TICKS = TICKS_PER_SECOND // 100  # between two attempts while reports wait for the budget
+REPORT_POLL_TICKS = (
+    TICKS_PER_SECOND // 100
+)  # between two passes while load reports wait for processing budget
 MAINTENANCE_INTERVAL_TICKS = TICKS_PER_SECOND // 10
-MAX_STALL_TICKS = 10 * TICKS_PER_SECOND  # without decisions for longer, the heartbeat is not renewed
+MAX_STALL_TICKS = 10 * TICKS_PER_SECOND  # the heartbeat is not renewed if the loop has not run for this long
 
 
 class DecisionLoop:
-    """Handles all events that wait, flushes the controller once, and passes its messages on."""
+    """Handles a batch of waiting events, flushes the controller once, and passes on its messages."""
 
     def __init__(
         self,
@@ -44,15 +46,15 @@
         """Receives the components that the loop calls.
 
         Args:
-            queue: the events that other tasks have sent.
+            queue: the events sent by other tasks.
             dispatch: handles an event of the queue.
-            evaluations: the times at which the controller is to be evaluated.
+            evaluations: the timer of the scheduled evaluations.
             controller: the controller that decides.
-            reports: the load reports that wait to be processed.
+            reports: processes the waiting load reports.
             directory: the directory of endpoints.
-            proxy_states: the desired states, which collect the commands of the controller to proxies.
-            publisher: the publisher, which is woken for new messages.
-            maintenance: functions that are called after a flush, ten times a second, with the current tick.
+            proxy_states: the desired states of proxies, to which the controller's commands are applied.
+            publisher: the publisher, which is woken after each flush.
+            maintenance: functions that are called with the current tick after a flush, ten times a second.
             clock: the clock of this process.
         """
         self._queue = queue
@@ -70,23 +72,23 @@
         self._has_budget_for_reports = False
 
     async def run(self) -> None:
-        """Decides until cancelled."""
+        """Runs the loop until cancelled."""
         self._decided_at = self._clock.now()
-        self._controller.flush(self._decided_at)  # its first command may ask for the endpoint list
+        self._controller.flush(self._decided_at)  # the first command may request the endpoint list
         while True:
             batch = await self._queue.receive_batch(self._wait_ticks() / TICKS_PER_SECOND)
             self._decide(batch)
             await trio.lowlevel.checkpoint()
 
     async def run_heartbeat(self, folder: Folder, interval_seconds: float) -> None:
-        """Renews the folder's heartbeat for as long as decisions are made."""
+        """Renews the folder's heartbeat as long as the loop makes progress."""
         while True:
             if self._clock.now() - self._decided_at < MAX_STALL_TICKS:
                 folder.beat()
             await trio.sleep(interval_seconds)
 
     def _wait_ticks(self) -> int:
-        """How long the loop may wait for an event."""
+        """Returns how long the loop may wait for an event."""
         now = self._clock.now()
         due = self._evaluations.next_due()
         if due is None:
@@ -104,7 +106,7 @@
         is_maintenance_due = now - self._maintained_at >= MAINTENANCE_INTERVAL_TICKS
         if is_maintenance_due:
             self._directory.update_tiers(now)
-        self._directory.show_tier_changes(now)
+        self._directory.publish_tier_changes(now)
         while self._evaluations.pop_due(now):
             self._controller.handle(now, EvaluationDue())
         self._controller.flush(now)
--- a/willowhook/controlplane/decision_queue.py
+++ b/willowhook/controlplane/decision_queue.py
@@ -1,4 +1,4 @@
-"""The queue from the tasks that do I/O to the one task that decides."""
+"""The event queue from the I/O tasks to the decision task."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 from .inbound_events import InboundEvent, WorkAvailable
 
-QUEUE_CAPACITY = 10_000  # events; a sender waits while it is full
-MAX_BATCH = 5000  # events that are handled before the controller is flushed
+QUEUE_CAPACITY = 10_000  # events; senders wait while the queue is full
+MAX_BATCH = 5000  # events handled before the controller is flushed
 
 
 class DecisionQueue:
     """Events for the decision task, in the order in which they were sent.
 
-    Only that task may use the controller, the proxy intake and their state; every other task sends its events
-    through this queue.
+    Only the decision task may use the controller, the proxy intake and their state; all other tasks send it
+    events through this queue.
     """
 
     def __init__(self) -> None:
@@ -29,11 +29,11 @@
 
     def wake(self) -> None:
         """Makes the decision task check for work that is not in this queue."""
-        with contextlib.suppress(trio.WouldBlock):  # a full queue wakes it anyway
+        with contextlib.suppress(trio.WouldBlock):  # events in a full queue wake the task anyway
             self._send.send_nowait(WorkAvailable())
 
     async def receive_batch(self, timeout_seconds: float) -> list[InboundEvent]:
-        """All events that are waiting; none if the first one does not come in time."""
+        """Returns all waiting events; an empty list if none arrives before the timeout."""
         batch: list[InboundEvent] = []
         with trio.move_on_after(timeout_seconds):
             batch.append(await self._receive.receive())
--- a/willowhook/controlplane/draining.py
+++ b/willowhook/controlplane/draining.py
@@ -1,4 +1,4 @@
-"""Drains this controller: its proxies are sent to other controllers, one by one."""
+"""Drains this controller: sends its proxies to other controllers one by one."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
         self._is_draining = False
 
     def step(self, now: int) -> None:
-        """Sends away at most one proxy, that of the lowest request rate, if the queue is low."""
-        is_wanted = os.path.exists(self._path)
-        if is_wanted != self._is_draining:
-            self._is_draining = is_wanted
-            event = "controller draining" if is_wanted else "controller draining cancelled"
-            self._conditions.report("drain", is_wanted, event, proxies=len(self._proxy_states.proxies))
-        if not is_wanted or not self._channel.is_low:
+        """Sends away at most one proxy, the one with the lowest request rate, if the queue is low."""
+        is_requested = os.path.exists(self._path)
+        if is_requested != self._is_draining:
+            self._is_draining = is_requested
+            event = "controller draining" if is_requested else "controller draining cancelled"
+            self._conditions.report("drain", is_requested, event, proxies=len(self._proxy_states.proxies))
+        if not is_requested or not self._channel.is_low:
             return
         proxies = self._proxy_states.proxies.items()
         candidates = [
--- a/willowhook/controlplane/endpoint_list_reader.py
+++ b/willowhook/controlplane/endpoint_list_reader.py
@@ -1,4 +1,4 @@
-"""Follows the endpoint list of service discovery for the decision task."""
+"""Reads the endpoint list of service discovery for the decision task."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from .inbound_events import EndpointListFetched
 
 MAX_LIST_BYTES = 1 << 26
-RETRY_SECONDS = 1.0  # after a failure, where the controller does not ask for the list itself
+RETRY_SECONDS = 1.0  # after a failure, if the controller does not request the list itself
 
 
 class EndpointListReader:
-    """Sends the decision task every endpoint list that has changed, and every failure to read one."""
+    """Sends the decision task each changed endpoint list and each failure to read it."""
 
     def __init__(self, context: ServiceContext) -> None:
         """Creates a reader that sends no request until one of its tasks runs."""
@@ -30,46 +30,46 @@
             self._watch_requested.set()
 
     def last_saved(self) -> list[DiscoveredEndpoint]:
-        """The list that an earlier start saved in this folder, which may be stale; empty if there is none."""
+        """Returns the list saved by an earlier start, which may be stale; empty if there is none."""
         try:
             return parse_endpoints(read_at(None, f"{self._context.folder.path}/{LIST}", MAX_LIST_BYTES))
         except (OSError, DiscoveryError):
             return []
 
     def watch(self) -> None:
-        """Asks for the list and, from then on, for its changes."""
+        """Requests the list and subscribes to its changes."""
         self._watch_requested.set()
 
     def fetch(self) -> None:
-        """Asks for the complete list once."""
+        """Requests the complete list once."""
         self._fetch_requested.set()
 
     async def run_watch(self) -> None:
-        """Follows the list for as long as it is asked for, until cancelled."""
-        client = self._client()
-        is_complete_wanted = True
+        """Watches the list while a watch is requested, until cancelled."""
+        client = self._make_client()
+        needs_complete_list = True
         while True:
             await self._watch_requested.wait()
-            if await self._poll(client, is_complete_wanted):
-                is_complete_wanted = False
+            if await self._poll(client, needs_complete_list):
+                needs_complete_list = False
                 continue
-            is_complete_wanted = True
-            if self._settings.subscribe:  # the controller decides when to ask again
+            needs_complete_list = True
+            if self._settings.subscribe:  # the controller decides when to request a watch again
                 self._watch_requested = trio.Event()
                 await self._context.queue.send(EndpointListLost())
             else:
                 await trio.sleep(RETRY_SECONDS)
 
     async def run_fetches(self) -> None:
-        """Gets one complete list each time that one is asked for, until cancelled."""
-        client = self._client()
+        """Fetches a complete list for each request, until cancelled."""
+        client = self._make_client()
         while True:
             await self._fetch_requested.wait()
             self._fetch_requested = trio.Event()
             if not await self._poll(client, True):
                 await self._context.queue.send(EndpointListLost())
 
-    def _client(self) -> DiscoveryClient:
+    def _make_client(self) -> DiscoveryClient:
         settings = self._settings
         wait_seconds = settings.wait_ms / 1000
         timeout_seconds = settings.timeout_ms / 1000
@@ -81,10 +81,10 @@
             client_name=self._context.terms.name,
         )
 
-    async def _poll(self, client: DiscoveryClient, is_complete_wanted: bool) -> bool:
-        """Sends one request; returns False if service discovery failed."""
+    async def _poll(self, client: DiscoveryClient, needs_complete_list: bool) -> bool:
+        """Sends one request to service discovery; returns whether it succeeded."""
         try:
-            endpoints = await client.fetch(is_complete_wanted)
+            endpoints = await client.fetch(needs_complete_list)
         except DiscoveryError as error:
             self._conditions.report("roster", True, "endpoint list unavailable", cause=str(error))
             return False
--- a/willowhook/controlplane/evidence_recovery.py
+++ b/willowhook/controlplane/evidence_recovery.py
@@ -1,4 +1,4 @@
-"""Hands a restarted controller the evidence that it stored before."""
+"""Restores the evidence that the controller stored before its restart."""
 
 from __future__ import annotations
 
@@ -24,11 +24,15 @@
         if memory is None or self._is_done or not endpoints:
             return
         self._is_done = True
-        evidence = memory.recent_evidence({each.id: each.started for each in endpoints if not each.draining})
-        for each in evidence:
-            sums = each.sums
-            self._context.handle(now, EndpointReport(each.endpoint, sums.tries, sums.errors, sums.mean, None))
+        evidence = memory.recent_evidence(
+            {endpoint.id: endpoint.started for endpoint in endpoints if not endpoint.draining}
+        )
+        for entry in evidence:
+            sums = entry.sums
+            self._context.handle(
+                now, EndpointReport(entry.endpoint, sums.tries, sums.errors, sums.mean, None)
+            )
         self._context.records.note(now, "recalled", hosts=len(evidence), life=memory.last_epoch)
         if evidence:
-            oldest_ms = max(each.age_ticks for each in evidence) // TICKS_PER_MILLISECOND
+            oldest_ms = max(entry.age_ticks for entry in evidence) // TICKS_PER_MILLISECOND
             self._context.log.info("stored evidence restored", endpoints=len(evidence), oldest_ms=oldest_ms)
