--- a/tests/test_controlplane_components.py
+++ b/tests/test_controlplane_components.py
@@ -108,7 +108,7 @@
     assert (read.sender, read.epoch, read.number) == ("c1", 4, 17)
     assert read.hint == Hint("p1", 3, 5 * TICKS_PER_SECOND, known)
     assert decode_packet(data, {"127.0.0.1:9001": "b"}).hint.endpoints == {"b": known["b"]}
-    with pytest.raises(MessageFormatError, match=r"node\.metadata has a director"):
+    with pytest.raises(MessageFormatError, match=r"node\.metadata must hold a director"):
         decode_packet(data.replace(b'"number":17', b'"number":-1'), names)
 
 
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -11,7 +11,7 @@
 from service_harness import FakeDiscovery, FileProxy, RecordingLog, wait_until
 
 from willowhook.config.example import EXAMPLE
-from willowhook.controlplane.memory import ControllerMemory, Sums
+from willowhook.controlplane.memory import AttemptSums, ControllerMemory
 from willowhook.controlplane.service import Service
 from willowhook.store.store import Op, Store
 from willowhook.ticks import TICKS_PER_SECOND
@@ -37,7 +37,7 @@
     # b started anew, c is not listed, z was never met
     found = memory.recent_evidence({"a": 0.0, "b": soon, "z": 0.0})
     assert [(each.endpoint, each.sums) for each in found] == [
-        ("a", Sums("north", 40, 4, 60, TICKS_PER_SECOND))
+        ("a", AttemptSums("north", 40, 4, 60, TICKS_PER_SECOND))
     ]
     assert 0 <= found[0].age_ticks < 5 * TICKS_PER_SECOND
     memory.close()
--- a/willowhook/controlplane/endpoint_directory.py
+++ b/willowhook/controlplane/endpoint_directory.py
@@ -30,7 +30,7 @@
         Args:
             context: the shared context.
             renderer: receives the addresses of all endpoints ever listed.
-            on_change: called with the current tick and the endpoints for the decisions, on endpoint change.
+            on_change: called with the current tick and the endpoints for the decisions, on each change.
         """
         self._context = context
         self._renderer = renderer
@@ -101,7 +101,7 @@
 
     @property
     def names_by_address(self) -> Mapping[str, str]:
-        """The name of the endpoint most recently listed with endpoint `ADDRESS:PORT`."""
+        """The name of the endpoint most recently listed with each `ADDRESS:PORT`."""
         return self._names_by_address
 
     # Priority tiers.
--- a/willowhook/controlplane/handoff_peers.py
+++ b/willowhook/controlplane/handoff_peers.py
@@ -1,6 +1,6 @@
-"""Sends the evidence of proxies that leave to the controllers that they may join, and receives theirs.
+"""Sends the evidence of a leaving proxy to the controllers that it may join, and receives theirs.
 
-A hint is evidence and nothing else: losing, doubling or reordering one does no harm.
+Hints carry nothing but evidence, so a lost, duplicated or reordered hint does no harm.
 """
 
 from __future__ import annotations
@@ -20,18 +20,18 @@
 from .inbound_events import HandoffAcknowledged, HandoffReceived
 from .links import PeerClient, serve_peers
 
-EVIDENCE_BUCKETS = 5  # the number of one-second buckets that are sent
+EVIDENCE_BUCKETS = 5  # one-second buckets of evidence in a packet
 FIRST_RETRY_TICKS = TICKS_PER_SECOND // 5
 
 
 class HandoffPeers:
-    """Keeps recent evidence by proxy, sends it when the proxy leaves, and uses what peers sent.
+    """Collects recent evidence by proxy, sends it when the proxy leaves, and uses the evidence of peers.
 
-    All but `run`, `serve` and the tasks they own is called by the decision task.
+    Only the decision task may call it, except for `run`, `serve` and the tasks that they start.
     """
 
     def __init__(self, context: ServiceContext, directory: EndpointDirectory) -> None:
-        """Creates the senders to all configured peers; nothing is sent before `run`."""
+        """Creates the senders to all configured peers; nothing is sent before `run` starts."""
         self._context = context
         self._directory = directory
         controller, epoch = context.terms.name, context.epoch
@@ -40,17 +40,19 @@
         self._hints = HintReceiver(lifetime_ticks)
         self._clients = [PeerClient(url, settings.timeout_ms / 1000) for url in settings.peers]
         self._senders = [
-            HintSender(controller, epoch, partial(self._start_sending, k), FIRST_RETRY_TICKS, lifetime_ticks)
-            for k in range(len(self._clients))
+            HintSender(
+                controller, epoch, partial(self._start_sending, peer), FIRST_RETRY_TICKS, lifetime_ticks
+            )
+            for peer in range(len(self._clients))
         ]
-        # by proxy and endpoint: attempts, failures, sum of latency in ticks
+        # by proxy and endpoint: attempts, failures, latency sum in ticks
         self._evidence: dict[int, dict[str, WindowedSums]] = {}
         self._nursery: trio.Nursery | None = None
 
     # Tasks.
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Owns the tasks that send packets, until cancelled."""
+        """Runs the tasks that send packets until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             task_status.started()
@@ -70,7 +72,7 @@
             await self._context.queue.send(HandoffAcknowledged(peer, packet.epoch, packet.number))
 
     async def _accept(self, body: bytes) -> bool:
-        """Receives a packet of a peer; returns whether it could be read."""
+        """Receives a packet of a peer; returns whether it could be decoded."""
         try:
             packet = decode_packet(body, self._directory.names_by_address)
         except MessageFormatError as error:
@@ -82,20 +84,20 @@
         await self._context.queue.send(HandoffReceived(packet))
         return True
 
-    # Evidence, in the decision task.
+    # Evidence; called by the decision task.
 
     def take_packet(self, now: int, packet: Packet) -> None:
-        """Keeps a packet of a peer until its proxy joins, or it is too old."""
+        """Keeps a packet of a peer until its proxy joins or the packet expires."""
         self._hints.take(now, packet)
 
     def acknowledge(self, event: HandoffAcknowledged) -> None:
-        """Ends the sending of a packet that a peer has accepted."""
+        """Stops resending a packet that a peer has accepted."""
         self._senders[event.peer].acknowledge(event.epoch, event.number)
 
     def record_attempts(
         self, now: int, proxy: int, endpoint: str, attempts: float, failures: float, latency_sum_ticks: float
     ) -> None:
-        """Keeps the attempts of a proxy at an endpoint, if there are peers to send them to."""
+        """Records the attempts of a proxy at an endpoint if any peers are configured."""
         if not self._clients:
             return
         by_endpoint = self._evidence.setdefault(proxy, {})
@@ -104,10 +106,10 @@
         by_endpoint[endpoint].add(now, attempts, failures, latency_sum_ticks)
 
     def send_evidence(self, now: int, proxy: int, name: str, term: int) -> None:
-        """Sends all peers the recent attempts of a proxy that leaves, met in the session of this term."""
+        """Sends all peers the recent attempts of a leaving proxy, from its session of this term."""
         endpoints = {}
-        for endpoint, ring in self._evidence.pop(proxy, {}).items():
-            attempts, failures, latency_sum_ticks = ring.total(now, EVIDENCE_BUCKETS)
+        for endpoint, sums in self._evidence.pop(proxy, {}).items():
+            attempts, failures, latency_sum_ticks = sums.total(now, EVIDENCE_BUCKETS)
             if attempts:
                 mean_latency_ticks = round(latency_sum_ticks / max(attempts - failures, 1))
                 endpoints[endpoint] = EndpointSums(int(attempts), int(failures), mean_latency_ticks)
@@ -117,12 +119,12 @@
                 sender.send(now, hint)
 
     def resend_unanswered(self, now: int) -> None:
-        """Sends packets that no peer has answered again, with exponential backoff."""
+        """Resends packets without an acknowledgement, with exponential backoff."""
         for sender in self._senders:
             sender.resend_due(now)
 
     def use_evidence(self, now: int, name: str, term: int) -> None:
-        """Hands the controller the attempts of a joining proxy that a peer sent, if any."""
+        """Passes the controller the attempts that a peer sent for a joining proxy, if any."""
         hint = self._hints.claim(now, name, term)
         if hint is None:
             return
--- a/willowhook/controlplane/health_checker.py
+++ b/willowhook/controlplane/health_checker.py
@@ -1,4 +1,4 @@
-"""Sends the health checks that the controller asks for."""
+"""Sends the health checks that the controller requests."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 
 class HealthChecker:
-    """Checks endpoints over HTTP, each in a task of its own."""
+    """Checks endpoints over HTTP, with one task for each check."""
 
     def __init__(
         self, context: ServiceContext, find_endpoint: Callable[[str], DiscoveredEndpoint | None]
     ) -> None:
-        """Creates a checker that checks nothing until it runs.
+        """Creates a checker that starts no checks before `run`.
 
         Args:
             context: the shared context.
-            find_endpoint: returns a listed endpoint by its name; None if it is not listed.
+            find_endpoint: returns the endpoint of this name; None if it is not listed.
         """
         self._context = context
         self._path = context.terms.fleet.probe_path.encode()
@@ -37,14 +37,14 @@
         self._running_checks = 0
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Owns the tasks of the checks, until cancelled."""
+        """Runs the tasks of the checks until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             task_status.started()
             await trio.sleep_forever()
 
     def check(self, endpoint_name: str) -> None:
-        """Starts a check, unless the endpoint is not listed or too many checks are running."""
+        """Starts a check unless the endpoint is not listed or too many checks are running."""
         endpoint = self._find_endpoint(endpoint_name)
         if endpoint is None or self._nursery is None or self._running_checks >= MAX_CONCURRENT_CHECKS:
             return
@@ -53,19 +53,19 @@
 
     async def _check(self, endpoint: DiscoveredEndpoint) -> None:
         outcome = HealthCheckOutcome.TIMED_OUT
-        load: dict[str, float] = {}
-        caller: ClientConnection | None = None
+        metrics: dict[str, float] = {}
+        connection: ClientConnection | None = None
         try:
             with trio.move_on_after(self._timeout_seconds):
-                caller = await open_connection(endpoint.address, endpoint.port)
-                reply = await caller.request(b"GET", self._path, max_body_bytes=MAX_RESPONSE_BYTES)
-                outcome = OUTCOME_BY_STATUS.get(reply.status, HealthCheckOutcome.FAILED)
-                load = orca.decision_metrics(orca.read(reply.header(orca.HEADER) or b""))
+                connection = await open_connection(endpoint.address, endpoint.port)
+                response = await connection.request(b"GET", self._path, max_body_bytes=MAX_RESPONSE_BYTES)
+                outcome = OUTCOME_BY_STATUS.get(response.status, HealthCheckOutcome.FAILED)
+                metrics = orca.decision_metrics(orca.read(response.header(orca.HEADER) or b""))
         except ConnectionLostError as error:
             outcome = HealthCheckOutcome.ABORTED if error.sent else HealthCheckOutcome.UNREACHABLE
         finally:
             self._running_checks -= 1
-            if caller is not None:
+            if connection is not None:
                 with trio.CancelScope(shield=True):
-                    await caller.close()
-        await self._context.queue.send(HealthCheckCompleted(endpoint.id, outcome, load.get("busy")))
+                    await connection.close()
+        await self._context.queue.send(HealthCheckCompleted(endpoint.id, outcome, metrics.get("busy")))
--- a/willowhook/controlplane/links.py
+++ b/willowhook/controlplane/links.py
@@ -1,6 +1,7 @@
-"""The HTTP link between controllers, where an installation has one.
+"""The optional HTTP link between controllers.
 
-A packet is the body of a POST. The answer is 204 if it could be read; anything else counts as no answer.
+A packet is the body of a POST request. The response has status 204 if the packet could be decoded; the sender
+treats any other status as a failure.
 """
 
 from __future__ import annotations
@@ -19,10 +20,10 @@
 
 
 class PeerClient:
-    """Sends packets to one peer; the caller sends again what fails."""
+    """Sends packets to one peer; the user of this class resends failed packets."""
 
     def __init__(self, url: str, timeout_seconds: float) -> None:
-        """`url` is the base URL of the peer, `timeout_seconds` the time limit of one request."""
+        """`url` is the base URL of the peer, `timeout_seconds` the timeout of one request."""
         parts = urlsplit(url)
         self._address = parts.hostname or ""
         self._port = parts.port or DEFAULT_PORT
@@ -30,18 +31,18 @@
 
     async def send(self, packet: bytes) -> bool:
         """Sends a packet; returns whether the peer has accepted it."""
-        caller: ClientConnection | None = None
+        connection: ClientConnection | None = None
         try:
             with trio.move_on_after(self._timeout_seconds):
-                caller = await open_connection(self._address, self._port, self._timeout_seconds)
-                reply = await caller.request(b"POST", HANDOFF_PATH, [], packet, MAX_RESPONSE_BYTES)
-                return reply.status == 204
+                connection = await open_connection(self._address, self._port, self._timeout_seconds)
+                response = await connection.request(b"POST", HANDOFF_PATH, [], packet, MAX_RESPONSE_BYTES)
+                return response.status == 204
         except ConnectionLostError:
             return False
         finally:
-            if caller is not None:
+            if connection is not None:
                 with trio.CancelScope(shield=True):
-                    await caller.close()
+                    await connection.close()
         return False
 
 
@@ -54,20 +55,20 @@
 
     Args:
         listen: `ADDRESS:PORT`; port 0 binds any free port.
-        accept: processes a packet and returns whether it could be read.
+        accept: processes a packet and returns whether it could be decoded.
         task_status: receives the port once the server listens.
 
     Raises:
         OSError: the address cannot be bound.
     """
 
-    async def answer(call: Call) -> Reply | None:
-        if call.method != b"POST" or call.target != HANDOFF_PATH:
+    async def handle_request(request: Call) -> Reply | None:
+        if request.method != b"POST" or request.target != HANDOFF_PATH:
             return Reply(404)
-        return Reply(204 if await accept(call.body) else 400)
+        return Reply(204 if await accept(request.body) else 400)
 
     async def serve(stream: trio.SocketStream) -> None:
-        await serve_connection(stream, answer, MAX_PACKET_BYTES)
+        await serve_connection(stream, handle_request, MAX_PACKET_BYTES)
 
     address, _, port = listen.rpartition(":")
     listeners = await trio.open_tcp_listeners(int(port), host=address)
--- a/willowhook/controlplane/main.py
+++ b/willowhook/controlplane/main.py
@@ -21,14 +21,14 @@
 
 
 class StandardErrorLogger:
-    """Writes log lines to standard error. A log that cannot be written must not end a controller."""
+    """Writes log lines to standard error; a failing write does not stop the controller."""
 
     def __init__(self) -> None:
-        """Creates a logger that has lost no lines."""
+        """Creates a logger without lost lines."""
         self._lost_lines = 0
 
     def msg(self, text: str) -> None:
-        """Writes a line, and before it how many were lost since the last one, if any."""
+        """Writes a line, preceded by the number of lines lost since the last successful write, if any."""
         try:
             lost = f"{self._lost_lines} log lines were lost\n" if self._lost_lines else ""
             sys.stderr.write(f"{lost}{text}\n")
@@ -41,10 +41,10 @@
 
 
 def open_log(log_format: str) -> Any:
-    """Makes a structlog logger that writes to standard error.
+    """Creates a structlog logger that writes to standard error.
 
     Args:
-        log_format: `json` for JSON objects, anything else for people.
+        log_format: `json` for JSON objects, anything else for human-readable lines.
     """
     renderer: Any
     if log_format == "json":
@@ -65,7 +65,7 @@
 
 
 def run(terms: Terms, log_format: str) -> int:
-    """Runs a controller until SIGTERM or SIGINT; the result is the exit code."""
+    """Runs a controller until SIGTERM or SIGINT and returns the exit code."""
     log = open_log(log_format)
     exit_code = 0
     try:
