--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -1,4 +1,4 @@
-"""What a controller stores for its next start: aged, never trusted over the list, never in the way."""
+"""Tests the stored state: evidence expires, the endpoint list overrides it, and the store is optional."""
 
 from __future__ import annotations
 
@@ -18,28 +18,28 @@
 from willowhook.web.wire import serve_connection
 
 
-def store_evidence(folder: Path, rows: list[tuple[int, str, str, int, int, int]]) -> None:
-    """One start in which this was met: when, endpoint, zone, attempts, failures, mean latency."""
+def store_evidence(folder: Path, evidence: list[tuple[int, str, str, int, int, int]]) -> None:
+    """Stores attempts in one start, each as tick, endpoint, zone, attempts, failures and mean latency."""
     memory = ControllerMemory(str(folder), "d", 1, 10 * TICKS_PER_SECOND, lambda text: None)
-    for row in rows:
-        memory.record_attempts(*row)
+    for attempts in evidence:
+        memory.record_attempts(*attempts)
     memory.close()
 
 
 def test_recent_evidence_is_restored_for_listed_endpoints_that_did_not_restart(
     tmp_path: Path,
 ) -> None:
-    rows = [(0, "a", "north", 30, 3, 50), (0, "b", "north", 9, 9, 0), (0, "c", "south", 5, 0, 7)]
-    store_evidence(tmp_path / "s", [*rows, (TICKS_PER_SECOND, "a", "north", 10, 1, 90)])
+    evidence = [(0, "a", "north", 30, 3, 50), (0, "b", "north", 9, 9, 0), (0, "c", "south", 5, 0, 7)]
+    store_evidence(tmp_path / "s", [*evidence, (TICKS_PER_SECOND, "a", "north", 10, 1, 90)])
     memory = ControllerMemory(str(tmp_path / "s"), "d", 2, 10 * TICKS_PER_SECOND, lambda text: None)
     assert memory.last_epoch == 1
-    soon = memory.wall_clock() / TICKS_PER_SECOND + 5
-    # b started anew, c is not listed, z was never met
-    found = memory.recent_evidence({"a": 0.0, "b": soon, "z": 0.0})
-    assert [(each.endpoint, each.sums) for each in found] == [
+    restarted_at = memory.wall_clock() / TICKS_PER_SECOND + 5
+    # b has restarted, c is not listed, z has no evidence
+    recent = memory.recent_evidence({"a": 0.0, "b": restarted_at, "z": 0.0})
+    assert [(entry.endpoint, entry.sums) for entry in recent] == [
         ("a", AttemptSums("north", 40, 4, 60, TICKS_PER_SECOND))
     ]
-    assert 0 <= found[0].age_ticks < 5 * TICKS_PER_SECOND
+    assert 0 <= recent[0].age_ticks < 5 * TICKS_PER_SECOND
     memory.close()
 
 
@@ -70,14 +70,14 @@
     store.close()
 
 
-@pytest.mark.parametrize("taken", [False, True])
+@pytest.mark.parametrize("is_locked", [False, True])
 def test_restarted_controller_restores_evidence_and_runs_without_a_locked_store(
-    tmp_path: Path, taken: bool
+    tmp_path: Path, is_locked: bool
 ) -> None:
     log = RecordingLog()
-    held: list[Any] = []
+    locked_stores: list[Any] = []
 
-    async def life(number: int) -> None:
+    async def run_epoch(number: int) -> None:
         discovery = FakeDiscovery()
 
         async def handler(stream: trio.SocketStream) -> None:
@@ -90,7 +90,7 @@
             replace = msgspec.structs.replace
             terms = replace(
                 EXAMPLE,
-                fleet=replace(EXAMPLE.fleet, standing=0),  # proxies played by hand start with nothing
+                fleet=replace(EXAMPLE.fleet, standing=0),  # the test's proxies have no initial tables
                 files=replace(EXAMPLE.files, folder=str(tmp_path / "d"), proxy_lost_after_ms=20_000),
                 roster=replace(EXAMPLE.roster, url=url, wait_ms=300, timeout_ms=200),
                 records=replace(EXAMPLE.records, file=str(tmp_path / "records")),
@@ -99,26 +99,26 @@
             service = Service(terms, log=log)
             with trio.fail_after(20):
                 await nursery.start(service.run)
-                one = FileProxy(service, f"p{number}")
-                one.join()
-                await wait_until(lambda: len(one.usable_endpoints()) == 3)
+                proxy = FileProxy(service, f"p{number}")
+                proxy.join()
+                await wait_until(lambda: len(proxy.usable_endpoints()) == 3)
                 if number == 1:
                     now = service.clock.now()
                     for k in range(3):
                         service.memory.record_attempts(now + k * TICKS_PER_SECOND, "a", "north", 20, 15, 100)  # type: ignore[union-attr]
-                    one.acknowledge()
+                    proxy.acknowledge()
                     await trio.sleep(0.5)
-                elif not taken:
+                elif not is_locked:
                     await wait_until(lambda: "stored evidence restored" in log.texts())
                     assert service.controller.endpoints["a"].attempts(service.clock.now(), 10).attempts > 0
             nursery.cancel_scope.cancel()
 
-    trio.run(life, 1)
-    if taken:
-        held.append(Store(str(tmp_path / "s")))
-    trio.run(life, 2)
-    assert ("store unavailable" in log.texts("warning")) == taken
-    for store in held:
+    trio.run(run_epoch, 1)
+    if is_locked:
+        locked_stores.append(Store(str(tmp_path / "s")))
+    trio.run(run_epoch, 2)
+    assert ("store unavailable" in log.texts("warning")) == is_locked
+    for store in locked_stores:
         store.close()
     store = Store(str(tmp_path / "s"))
     assert store.get("proxies", "p1") is not None and store.get("lives", EXAMPLE.name) is not None
--- a/tests/test_proxy_resources.py
+++ b/tests/test_proxy_resources.py
@@ -1,4 +1,4 @@
-"""What a proxy held when it joined, as read from its resources."""
+"""Tests reading the resources of a joining proxy."""
 
 from __future__ import annotations
 
@@ -28,32 +28,34 @@
         (forms.CLUSTER, encode(CLUSTER)),
         route_set(entry("/load"), entry("/more")),
     ]
-    found = read_proxy_resources(resources)
-    assert found.weights("load") == {"a": 1.0, "b": 0.5}
-    assert found.endpoints_of("load") == {"a", "b"}
-    assert found.excluded() == {"b"}
-    assert len(found.routes["load"].entries) == 2
-    assert found.weights("save") == {} and found.endpoints_of("save") == frozenset()
+    proxy_resources = read_proxy_resources(resources)
+    assert proxy_resources.weights("load") == {"a": 1.0, "b": 0.5}
+    assert proxy_resources.endpoints_of("load") == {"a", "b"}
+    assert proxy_resources.excluded() == {"b"}
+    assert len(proxy_resources.routes["load"].entries) == 2
+    assert proxy_resources.weights("save") == {} and proxy_resources.endpoints_of("save") == frozenset()
 
 
-def test_resources_read_back_are_the_same() -> None:
+def test_resources_are_encoded_again_unchanged() -> None:
     resources = [
         (forms.ASSIGNMENT, encode(TABLE)),
         (forms.CLUSTER, encode(CLUSTER)),
         route_set(entry("/load")),
     ]
-    found = read_proxy_resources(resources)
+    proxy_resources = read_proxy_resources(resources)
     urls = {"eds": forms.ASSIGNMENT, "cds": forms.CLUSTER, "rds": forms.ROUTES}
-    again = [(urls[kind], body) for kind, rows in found.resources().items() for _, body in rows]
-    assert again == resources
-    assert read_proxy_resources(again) == found
+    encoded = [(urls[kind], body) for kind, named in proxy_resources.resources().items() for _, body in named]
+    assert encoded == resources
+    assert read_proxy_resources(encoded) == proxy_resources
 
 
-def test_the_table_of_controllers_is_left_out() -> None:
+def test_table_of_controllers_is_left_out() -> None:
     table = forms.ClusterLoadAssignment(CONTROLLERS_RESOURCE)
     assert read_proxy_resources([(forms.ASSIGNMENT, encode(table))]).assignments == {}
 
 
-def test_a_route_to_a_missing_cluster_is_malformed() -> None:
-    with pytest.raises(MessageFormatError, match="names cluster 'gone@standing', which is not held"):
-        read_proxy_resources([(forms.CLUSTER, encode(CLUSTER)), route_set(entry("/load", "gone@standing"))])
+def test_route_to_a_missing_cluster_is_malformed() -> None:
+    with pytest.raises(MessageFormatError, match="refers to cluster 'unknown@standing', which is missing"):
+        read_proxy_resources(
+            [(forms.CLUSTER, encode(CLUSTER)), route_set(entry("/load", "unknown@standing"))]
+        )
--- a/tests/test_proxy_state.py
+++ b/tests/test_proxy_state.py
@@ -1,4 +1,4 @@
-"""The desired state of proxies, and the update messages that it is collected into."""
+"""Tests the desired state of proxies and the update messages built from it."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ReferenceModel:
-    """A plain model: each proxy's state is looked up anew from all commands given so far."""
+    """A reference model that derives the state of each proxy from all commands so far."""
 
     def __init__(self) -> None:
         self.weights: dict[int, dict[str, float]] = {}
@@ -53,7 +53,7 @@
 
 
 def play(book: ProxyStateBook, model: ReferenceModel, what: str, rest: list[Any]) -> None:
-    """One step, in the book and in the model."""
+    """Applies one step to the `ProxyStateBook` and to the model."""
     if what == "weight":
         table, endpoint, weight = rest
         book.set_weight(table, endpoint, weight)
@@ -91,7 +91,7 @@
         assert state_in(message) == expected
 
 
-def test_a_flush_sends_one_message_a_proxy_at_the_stated_cost() -> None:
+def test_flush_sends_one_message_a_proxy_at_the_stated_cost() -> None:
     sent: list[UpdateMessage] = []
     book = ProxyStateBook(SETTINGS, sent.append)
     for proxy in (0, 1, 2):
@@ -99,11 +99,11 @@
     book.set_weight(0, "a", 1.0)
     book.set_weight(0, "b", 1.0)
     book.set_admission(0, 0, AdmissionLimit(1, 5.0))
-    book.exclude_endpoint("a")  # only proxy 2 holds it, in its default table
+    book.exclude_endpoint("a")  # only proxy 2 has an entry for it, in its initial table
     book.bind(0, 0, ALL_ROUTES)
     book.send_sync_marker(7)
     book.flush(5)
-    # the binding, two entries, a limit, one excluded; the overhead and the marker
+    # one bind, two entries, one limit and one exclusion; the overhead and the marker
     assert [(m.proxy, m.cost_entries, m.marker) for m in sent] == [
         (2, 1 + MESSAGE_OVERHEAD + 1, 7),
         (0, 5 + MESSAGE_OVERHEAD + 1, 7),
--- a/tests/test_resource_renderer.py
+++ b/tests/test_resource_renderer.py
@@ -1,4 +1,4 @@
-"""Views rendered as resources: admission limits, addresses, and what is encoded once."""
+"""Tests rendering views as resources: admission limits, addresses and shared encodings."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def terms_with(admit: str, **route: float) -> Terms:
-    """The example with this unit of admission limits, and these settings of its first route."""
+    """Returns the example with this unit of admission limits and these settings of its first route."""
     fleet = msgspec.structs.replace(EXAMPLE.fleet, admit=admit)
     first = msgspec.structs.replace(EXAMPLE.routes[0], **route)
     return msgspec.structs.replace(EXAMPLE, fleet=fleet, routes=(first, *EXAMPLE.routes[1:]))
@@ -37,29 +37,29 @@
 
 
 @pytest.mark.parametrize(
-    ("ordered", "max_retries", "expected"),
+    ("commanded", "max_retries", "expected"),
     [(None, 3, EXAMPLE.fleet.usual_tries), (3, 3, 3), (3, 2, 2), (0, 3, 0)],
 )
-def test_retries_are_those_ordered_within_the_cap_of_the_route(
-    ordered: int | None, max_retries: int, expected: int
+def test_retries_are_those_commanded_within_the_cap_of_the_route(
+    commanded: int | None, max_retries: int, expected: int
 ) -> None:
     renderer = ResourceRenderer(terms_with("rps", tries=max_retries), 1)
-    limits = {} if ordered is None else {0: AdmissionLimit(ordered, 5.0)}
+    limits = {} if commanded is None else {0: AdmissionLimit(commanded, 5.0)}
     route = first_route(renderer, VersionedTable(0, {"a": 1.0}, limits))
     assert tables.tries_of(route.route.retry_policy) == expected
 
 
-@pytest.mark.parametrize(("ordered", "expected"), [(2.0, 2.0), (50.0, 10.0), (None, 10.0)])
-def test_rate_limits_are_those_ordered_within_the_cap_of_the_route(
-    ordered: float | None, expected: float
+@pytest.mark.parametrize(("commanded", "expected"), [(2.0, 2.0), (50.0, 10.0), (None, 10.0)])
+def test_rate_limits_are_those_commanded_within_the_cap_of_the_route(
+    commanded: float | None, expected: float
 ) -> None:
     renderer = ResourceRenderer(terms_with("rps", most_per_s=10.0), 1)
-    limits = {} if ordered is None else {0: AdmissionLimit(1, ordered)}
+    limits = {} if commanded is None else {0: AdmissionLimit(1, commanded)}
     route = first_route(renderer, VersionedTable(0, {"a": 1.0}, limits))
     assert tables.level_of(route.typed_per_filter_config)[1] == pytest.approx(expected)
 
 
-def test_a_fraction_is_not_capped_by_a_rate() -> None:
+def test_admitted_fraction_is_not_capped_by_a_rate() -> None:
     renderer = ResourceRenderer(terms_with("ratio", most_per_s=0.25), 1)
     route = first_route(renderer, VersionedTable(0, {"a": 1.0}, {0: AdmissionLimit(1, 0.5)}))
     assert tables.level_of(route.typed_per_filter_config)[0] == pytest.approx(0.5)
@@ -71,25 +71,27 @@
     for known in ("a", "ab"):
         renderer.set_addresses({name: ADDRESSES[name] for name in known})
         ((_, body),) = renderer.render(view_of(table, "a"), ProxyResources())[TABLES]
-        lines = tables.lines(decode(body, forms.ClusterLoadAssignment))
-        assert [(line[0], line[5]) for line in lines] == [(name, name == "a") for name in known]
+        entries = tables.lines(decode(body, forms.ClusterLoadAssignment))
+        assert [(entry[0], entry[5]) for entry in entries] == [(name, name == "a") for name in known]
 
 
-def test_a_table_is_encoded_once_for_all_views_with_the_same_exclusions() -> None:
+def test_table_is_encoded_once_for_all_views_with_the_same_exclusions() -> None:
     renderer = ResourceRenderer(EXAMPLE, 1)
     renderer.set_addresses(ADDRESSES)
     table = VersionedTable(0, {"a": 1.0}, {})
-    one = renderer.render(view_of(table), ProxyResources())
-    two = renderer.render(view_of(table, "b"), ProxyResources())  # not in the table
-    three = renderer.render(view_of(table, "a"), ProxyResources())
-    assert one[TABLES][0][1] is two[TABLES][0][1]
-    assert one[TABLES][0][1] != three[TABLES][0][1]
+    first = renderer.render(view_of(table), ProxyResources())
+    second = renderer.render(view_of(table, "b"), ProxyResources())  # not in the table
+    third = renderer.render(view_of(table, "a"), ProxyResources())
+    assert first[TABLES][0][1] is second[TABLES][0][1]
+    assert first[TABLES][0][1] != third[TABLES][0][1]
 
 
 def test_route_sets_refer_to_clusters_and_clusters_to_tables() -> None:
     store = ResourceStore(first_era(1, 1))
-    made = ResourceRenderer(EXAMPLE, 1).render(view_of(VersionedTable(4, {"a": 1.0}, {})), ProxyResources())
-    sets = {kind: store.make_set(kind, bodies) for kind, bodies in made.items()}
+    rendered = ResourceRenderer(EXAMPLE, 1).render(
+        view_of(VersionedTable(4, {"a": 1.0}, {})), ProxyResources()
+    )
+    sets = {kind: store.make_set(kind, bodies) for kind, bodies in rendered.items()}
     (routes,) = sets[ROUTES].resources.values()
     assert set(references(routes)) == set(sets[CLUSTERS].resources)
     tables_used = {name for cluster in sets[CLUSTERS].resources.values() for name in references(cluster)}
--- a/willowhook/controlplane/proxy_resources.py
+++ b/willowhook/controlplane/proxy_resources.py
@@ -1,4 +1,4 @@
-"""What a proxy held when it joined, read from the xDS resources in its own status."""
+"""The state of a proxy when it joined, read from the xDS resources in its status."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from ..xds import forms, tables
 from ..xds.codec import MessageFormatError, decode, encode
 
-CONTROLLERS_RESOURCE = "directors"  # a table of controllers, whose only entry is this one, draining
-ROUTE_SET_NAME = "calls"  # the one route configuration of a proxy
+CONTROLLERS_RESOURCE = "directors"  # a table whose only entry is this controller, draining
+ROUTE_SET_NAME = "calls"  # the only route configuration of a proxy
 
-ResourcesByType = dict[str, list[tuple[str, bytes]]]  # names and JSON bodies
+ResourcesByType = dict[str, list[tuple[str, bytes]]]  # names and JSON bodies by type
 
 
 @dataclass(frozen=True, slots=True)
 class InitialRoute:
-    """What a proxy held for one route.
+    """The state of one route of a proxy when the proxy joined.
 
     Attributes:
-        entries: the entries of its route configuration, in their order; all lead to one cluster.
-        cluster: the JSON body of that cluster.
+        entries: its entries of the route configuration, in order; all lead to the same cluster.
+        cluster: the JSON body of this cluster.
         table: the name of the cluster's endpoint table.
     """
 
@@ -32,13 +32,13 @@
 
     @property
     def cluster_name(self) -> str:
-        """The cluster to which the entries lead."""
+        """The name of the cluster to which the entries lead."""
         return self.entries[0].route.cluster
 
 
 @dataclass(slots=True)
 class ProxyResources:
-    """What a proxy held when it joined.
+    """The resources of a proxy when it joined.
 
     Attributes:
         routes: the routes by name.
@@ -51,20 +51,20 @@
     entries: list[forms.Route] = field(default_factory=list)
 
     def weights(self, route: str) -> dict[str, float]:
-        """Returns the weights of the route's endpoints; empty if it held no table for it."""
-        return {endpoint: weight for endpoint, _, _, _, weight, _ in self._lines(route)}
+        """Returns the weights of the route's endpoints; empty if the route had no table."""
+        return {endpoint: weight for endpoint, _, _, _, weight, _ in self._table_entries(route)}
 
     def endpoints_of(self, route: str) -> frozenset[str]:
-        """Returns the endpoints of the route's table; empty if it held none for it."""
-        return frozenset(endpoint for endpoint, *_ in self._lines(route))
+        """Returns the endpoints of the route's table; empty if the route had no table."""
+        return frozenset(endpoint for endpoint, *_ in self._table_entries(route))
 
     def excluded(self) -> frozenset[str]:
-        """Returns the endpoints that stand as draining in any table."""
-        lines = [line for table in self.assignments.values() for line in tables.lines(table)]
-        return frozenset(endpoint for endpoint, _, _, _, _, is_draining in lines if is_draining)
+        """Returns the endpoints that are marked as draining in any table."""
+        entries = [entry for table in self.assignments.values() for entry in tables.lines(table)]
+        return frozenset(endpoint for endpoint, _, _, _, _, is_draining in entries if is_draining)
 
     def resources(self) -> ResourcesByType:
-        """Returns all of it as resources again."""
+        """Returns all resources, encoded again."""
         clusters = {route.cluster_name: route.cluster for route in self.routes.values()}
         route_set = tables.route_configuration(ROUTE_SET_NAME, self.entries)
         return {
@@ -73,7 +73,7 @@
             ROUTES: [(ROUTE_SET_NAME, encode(route_set))] if self.routes else [],
         }
 
-    def _lines(self, route: str) -> list[tables.TableEntry]:
+    def _table_entries(self, route: str) -> list[tables.TableEntry]:
         initial = self.routes.get(route)
         table = self.assignments.get(initial.table) if initial is not None else None
         return tables.lines(table) if table is not None else []
@@ -87,36 +87,37 @@
 def read_proxy_resources(resources: Iterable[tuple[str, bytes]]) -> ProxyResources:
     """Reads resources, given as pairs of type URL and JSON body.
 
-    Raises FormError where one is no proper resource, or a route leads to a cluster that is missing.
+    Raises:
+        MessageFormatError: a resource is malformed, or a route leads to a missing cluster.
     """
-    found = ProxyResources()
+    proxy_resources = ProxyResources()
     clusters: dict[str, _Cluster] = {}
     for type_url, body in resources:
         if type_url == forms.ASSIGNMENT:
             table = decode(body, forms.ClusterLoadAssignment)
             if table.cluster_name != CONTROLLERS_RESOURCE:
-                tables.lines(table)  # raises if an entry could not be used
-                found.assignments[table.cluster_name] = table
+                tables.lines(table)  # raises if an entry is malformed
+                proxy_resources.assignments[table.cluster_name] = table
         elif type_url == forms.CLUSTER:
             cluster = decode(body, forms.Cluster)
             clusters[cluster.name] = _Cluster(body, cluster.eds_cluster_config.service_name or cluster.name)
         elif type_url == forms.ROUTES:
             for host in decode(body, forms.RouteConfiguration).virtual_hosts:
-                found.entries += host.routes
-    _group_entries(found, clusters)
-    return found
+                proxy_resources.entries += host.routes
+    _group_entries(proxy_resources, clusters)
+    return proxy_resources
 
 
-def _group_entries(found: ProxyResources, clusters: dict[str, _Cluster]) -> None:
-    """Collects entries by route; where a route's entries change cluster, the later cluster stands."""
-    for entry in tables.cluster_routes(found.entries):
+def _group_entries(proxy_resources: ProxyResources, clusters: dict[str, _Cluster]) -> None:
+    """Groups the entries by route. If a route changes its cluster, only entries after the change are kept."""
+    for entry in tables.cluster_routes(proxy_resources.entries):
         cluster = clusters.get(entry.route.cluster)
         if cluster is None:
             raise MessageFormatError(
-                f"route {entry.name!r} names cluster {entry.route.cluster!r}, which is not held"
+                f"route {entry.name!r} refers to cluster {entry.route.cluster!r}, which is missing"
             )
-        before = found.routes.get(entry.name)
-        if before is not None and before.cluster_name == entry.route.cluster:
-            before.entries.append(entry)
+        previous = proxy_resources.routes.get(entry.name)
+        if previous is not None and previous.cluster_name == entry.route.cluster:
+            previous.entries.append(entry)
         else:
-            found.routes[entry.name] = InitialRoute([entry], cluster.body, cluster.table)
+            proxy_resources.routes[entry.name] = InitialRoute([entry], cluster.body, cluster.table)
--- a/willowhook/controlplane/proxy_state.py
+++ b/willowhook/controlplane/proxy_state.py
@@ -1,8 +1,8 @@
-"""The desired state of each proxy: the controller's commands collected into one update message a proxy.
+"""The desired state of each proxy, to which the controller's commands are applied.
 
-Commands given between two flushes reach each proxy concerned as one message. A message carries the complete
-state that its proxy is to hold as of that flush; later commands go into later messages. A table that a
-message refers to is copied before it changes, so all messages of a flush share it. No I/O, no clock.
+The commands between two flushes reach each affected proxy as one message, which carries the complete desired
+state of the proxy as of that flush. A table that a message refers to is copied before it changes, so all
+messages of a flush share it. This module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class VersionedTable:
-    """The content of one endpoint table. It does not change once a message refers to it.
+    """The content of one endpoint table, immutable once a message refers to it.
 
     Attributes:
         number: the number by which commands name the table.
@@ -27,13 +27,13 @@
         limits: the admission limits by route index.
         is_shared: whether a message refers to it.
         version: the version of the content; `UNVERSIONED` until a message refers to it.
-        encoded: a cache of its encoded forms, by the other values that they depend on.
+        encoded: a cache of the encoded table, keyed by the other values that the encoding depends on.
     """
 
     __slots__ = ("encoded", "is_shared", "limits", "number", "version", "weights")
 
     def __init__(self, number: int, weights: dict[str, float], limits: dict[int, AdmissionLimit]) -> None:
-        """Keeps both dictionaries without a copy."""
+        """Keeps references to both dictionaries, without copying them."""
         self.number = number
         self.weights = weights
         self.limits = limits
@@ -42,17 +42,17 @@
         self.encoded: dict[object, bytes] = {}
 
     def copy(self) -> VersionedTable:
-        """Returns the same content as a table that may be changed."""
+        """Returns a modifiable copy."""
         return VersionedTable(self.number, dict(self.weights), dict(self.limits))
 
 
 @dataclass(frozen=True, slots=True)
 class ProxyView:
-    """The complete state that one proxy is to hold.
+    """The complete desired state of one proxy.
 
     Attributes:
-        bound: its table by route index; routes that are missing keep what the proxy joined with.
-        excluded: endpoints that it may not use, whatever its tables say.
+        bound: its table by route index; missing routes keep the table that the proxy joined with.
+        excluded: endpoints that it must not use, even if its tables have entries for them.
         is_sent_away: whether it is to join another controller.
         exclusions_version: the version of `excluded`.
     """
@@ -65,15 +65,15 @@
 
 @dataclass(frozen=True, slots=True)
 class UpdateMessage:
-    """One update on its way to one proxy.
+    """One update for one proxy.
 
     Attributes:
-        number: a number that rises over the run of the controller.
+        number: the message number, which rises over the run of the controller.
         marker: the sync marker whose acknowledgement the controller waits for, if any.
         proxy: the number of the proxy.
-        cost_entries: its cost in the channel, in entries, with the message overhead.
-        ordered_at: when the controller ordered it, in ticks.
-        view: what the proxy is to hold.
+        cost_entries: its cost in the channel, in entries, including the message overhead.
+        ordered_at: when the controller issued the commands, in ticks.
+        view: the desired state of the proxy.
     """
 
     number: int
@@ -86,14 +86,14 @@
 
 @dataclass(slots=True)
 class ConnectedProxy:
-    """A proxy that has joined, and what it is to hold.
+    """A proxy that has joined, and its desired state.
 
     Attributes:
         zone: its zone.
-        rate_per_second: the requests that usually reach it.
-        initial_endpoints: by route index, the endpoints that it held when it joined.
-        bound: by route index, the table that it is to use.
-        pending_entries: the cost of what was ordered since the last flush.
+        rate_per_second: its usual request rate.
+        initial_endpoints: by route index, the endpoints of its tables when it joined.
+        bound: by route index, the number of the table that it is bound to.
+        pending_entries: the cost of the commands since the last flush, in entries.
         is_sent_away: whether it is to join another controller.
     """
 
@@ -106,7 +106,7 @@
 
 
 class ProxyStateBook:
-    """Keeps the desired state of all joined proxies; the part of `ControllerRuntime` that concerns them."""
+    """Keeps the desired state of all joined proxies; implements the proxy commands of `ControllerRuntime`."""
 
     def __init__(self, settings: DeploymentSettings, send: Callable[[UpdateMessage], None]) -> None:
         """`send` is called with each message of a flush."""
@@ -115,7 +115,7 @@
         self.proxies: dict[int, ConnectedProxy] = {}
         self.tables: dict[int, VersionedTable] = {}
         self._excluded: dict[str, None] = {}
-        self._is_excluded_shared = False  # messages hold `_excluded`: it is copied before a change
+        self._is_excluded_shared = False  # messages refer to `_excluded`, so it is copied before a change
         self._exclusions_version = 0
         self._changed_proxies: dict[int, None] = {}
         self._marker: int | None = None
@@ -131,11 +131,11 @@
         initial_endpoints: dict[int, frozenset[str]],
         rate_per_second: float = 0.0,
     ) -> None:
-        """Registers a proxy that has joined; see `ConnectedProxy` for the arguments."""
+        """Adds a proxy that has joined; see `ConnectedProxy` for the arguments."""
         self.proxies[proxy] = ConnectedProxy(zone, rate_per_second, initial_endpoints)
 
     def remove_proxy(self, proxy: int) -> None:
-        """Forgets a proxy that has left, and what was ordered for it since the last flush."""
+        """Removes a proxy that has left, and its commands since the last flush."""
         self.proxies.pop(proxy, None)
         self._changed_proxies.pop(proxy, None)
 
@@ -157,7 +157,7 @@
         self._charge(self._proxies_using(table), UPDATE_ENTRIES)
 
     def exclude_endpoint(self, endpoint: str) -> None:
-        """Tells all proxies that may hold an entry for an endpoint not to use it, whatever the table says."""
+        """Excludes an endpoint at all proxies that may have an entry for it, regardless of the table."""
         self._prepare_exclusion_change()
         self._excluded[endpoint] = None
         self._charge(self._proxies_holding(endpoint), UPDATE_ENTRIES)
@@ -169,10 +169,10 @@
         self._charge(self._proxies_holding(endpoint), UPDATE_ENTRIES)
 
     def forget_endpoint(self, endpoint: str) -> None:
-        """Does nothing: a proxy's own files may still name the endpoint, so its exclusion stays."""
+        """Does nothing: a proxy's own files may still name the endpoint, so it stays excluded."""
 
     def bind(self, proxy: int, table: int, routes: Sequence[int]) -> None:
-        """Makes a proxy use a table for these routes; does nothing for a proxy that has left."""
+        """Binds a proxy to a table for these routes; does nothing for a proxy that has left."""
         connected = self.proxies.get(proxy)
         if connected is None:
             return
@@ -189,13 +189,13 @@
         """Does nothing: each message here carries the complete state of its proxy."""
 
     def set_admission(self, table: int, route: int, admission: AdmissionLimit) -> None:
-        """Sets what the proxies that use a table admit of a route."""
+        """Sets the admission limit of a route for the proxies that use a table."""
         state = self._table_for_change(table)
         state.limits[route] = admission
         self._charge(self._proxies_using(table), UPDATE_ENTRIES)
 
     def send_away(self, proxy: int) -> None:
-        """Tells a proxy, at the cost of one entry, to join another controller."""
+        """Makes a proxy join another controller, at the cost of one entry."""
         connected = self.proxies.get(proxy)
         if connected is not None and not connected.is_sent_away:
             connected.is_sent_away = True
@@ -206,14 +206,14 @@
         self._marker = marker
 
     def flush(self, now: int) -> None:
-        """Sends one message to each proxy concerned, in the order in which they were first concerned."""
+        """Sends one message to each affected proxy, in the order of their first commands."""
         for proxy in self._changed_proxies:
             self._send(self._make_message(proxy, now))
         self._changed_proxies.clear()
         self._marker = None
 
     def next_message_number(self) -> int:
-        """Returns a number for a message that is sent once more under a number of its own."""
+        """Returns a new message number, also for messages that are sent again."""
         self.message_count += 1
         return self.message_count
 
@@ -267,9 +267,9 @@
         return [proxy for proxy, connected in self.proxies.items() if self._may_hold(connected, endpoint)]
 
     def _may_hold(self, connected: ConnectedProxy, endpoint: str) -> bool:
-        """Whether an entry for this endpoint stands in anything that the proxy uses.
+        """Returns whether any table that the proxy uses may have an entry for this endpoint.
 
-        Two other places answer the same question, and all three must agree on the cost of an exclusion:
+        Two other places implement the same rule, and all three must agree on the cost of an exclusion:
         `decisions/exclusions.py` (`holders`) and `platform/proxy_updates.py` (`exclude_endpoint`).
         """
         if any(endpoint in self.tables[table].weights for table in connected.bound.values()):
--- a/willowhook/controlplane/queue_monitor.py
+++ b/willowhook/controlplane/queue_monitor.py
@@ -1,4 +1,4 @@
-"""Compares the controller's estimate of its channel with the measured queue."""
+"""Compares the controller's estimate of the channel's queue with the measured queue."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class QueueMonitor:
-    """Records the queue once a second, and reports when the controller's estimate is far from it."""
+    """Records the queue once a second and reports when the controller's estimate diverges from it."""
 
     def __init__(self, context: ServiceContext, controller: Decider, publisher: Publisher) -> None:
         """Receives the shared context and the two components to compare."""
@@ -25,7 +25,7 @@
         self._recorded_second = 0
 
     def check(self, now: int) -> None:
-        """Compares; once a second also records, and updates the learnt capacities of update validation."""
+        """Compares both; once a second, records them and updates the capacities of update validation."""
         estimate = self._controller.queue_estimate()
         channel = self._publisher.channel
         waiting = channel.waiting_entries
--- a/willowhook/controlplane/resource_renderer.py
+++ b/willowhook/controlplane/resource_renderer.py
@@ -1,6 +1,6 @@
-"""Renders what a proxy is to hold as xDS resources. A table is encoded once for all proxies that use it.
+"""Renders the desired state of proxies as xDS resources, without I/O.
 
-No I/O.
+A table is encoded once for all proxies that use it.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from .proxy_resources import CONTROLLERS_RESOURCE, ROUTE_SET_NAME, ProxyResources, ResourcesByType
 from .proxy_state import ProxyView, VersionedTable
 
-MAX_CACHED_BODIES = 5000  # of routes and clusters, also of earlier admission limits
+MAX_CACHED_BODIES = 5000  # bodies of routes and clusters, including those of earlier admission limits
 TABLE_FILE = "eds.json"  # the file from which a cluster's table is read
 
 Address = tuple[str, int, str]  # address, port, zone
@@ -35,24 +35,24 @@
     assignments: dict[str, bytes] = field(default_factory=dict)
     clusters: dict[str, bytes] = field(default_factory=dict)
     entries: list[bytes] = field(default_factory=list)
-    initial_routes: set[str] = field(default_factory=set)  # copied from what the proxy joined with
+    initial_routes: set[str] = field(default_factory=set)  # copied from the state that the proxy joined with
 
 
 class ResourceRenderer:
-    """Renders views as resources and keeps the encoded bodies for the next proxy that needs the same."""
+    """Renders views as resources and caches the encoded bodies, which many proxies share."""
 
     def __init__(self, terms: Terms, epoch: int) -> None:
         """`epoch` distinguishes the resource names of this run from those of earlier runs."""
         self._terms = terms
         self._prefix = f"{terms.name}.{epoch}"
         self._connect_timeout_ticks = ticks_from_milliseconds(terms.fleet.dial_ms)
-        self._bodies: dict[object, bytes] = {}  # of routes and clusters, by their content
+        self._bodies: dict[object, bytes] = {}  # of routes and clusters, keyed by what determines them
         self._paths = ordered_paths(terms)
         self._addresses: Mapping[str, Address] = {}
         self._addresses_version = 0
 
     def set_addresses(self, addresses: Mapping[str, Address]) -> None:
-        """Sets where endpoints are from now on; one that is missing has no entry in any table."""
+        """Sets the addresses of endpoints; an endpoint without one gets no entry in any table."""
         if addresses != self._addresses:
             self._addresses = addresses
             self._addresses_version += 1
@@ -64,36 +64,36 @@
     def render(self, view: ProxyView, initial: ProxyResources) -> ResourcesByType:
         """Renders a view for a proxy that joined with `initial`.
 
-        Types that the proxy keeps as they are, since it is bound to no table yet, are left out.
+        Clusters and routes are left out for a proxy that is not bound to any table yet, as it keeps its own.
         """
-        made = _Rendering()
+        rendering = _Rendering()
         for index, path in self._paths:
             if isinstance(path, ClosedTerms):
-                made.entries.append(self._closed_entry(path))
+                rendering.entries.append(self._closed_entry(path))
                 continue
-            assert index is not None  # as every path but a closed one has a route
+            assert index is not None  # only closed paths have no route
             if (table := view.bound.get(index)) is not None:
-                self._add_bound_route(made, index, path, table, view)
+                self._add_bound_route(rendering, index, path, table, view)
             else:
-                self._add_initial_route(made, self._terms.routes[index].name, initial, view)
-        resources = {TABLES: list(made.assignments.items())}
+                self._add_initial_route(rendering, self._terms.routes[index].name, initial, view)
+        resources = {TABLES: list(rendering.assignments.items())}
         if view.bound:
-            resources[CLUSTERS] = list(made.clusters.items())
-            resources[ROUTES] = [(ROUTE_SET_NAME, self._route_set(made.entries))]
+            resources[CLUSTERS] = list(rendering.clusters.items())
+            resources[ROUTES] = [(ROUTE_SET_NAME, self._route_set(rendering.entries))]
         return resources
 
     def render_send_away(self) -> bytes:
-        """Renders this controller as an entry that drains: the proxy is to join another."""
+        """Renders this controller as a draining entry, which makes the proxy join another controller."""
         address = forms.Address(pipe=forms.Pipe(self._terms.files.folder))
         entry = forms.LbEndpoint(forms.Endpoint(address, self._terms.name), forms.DRAINING)
         locality = forms.LocalityLbEndpoints(lb_endpoints=[entry])
         return encode(forms.ClusterLoadAssignment(CONTROLLERS_RESOURCE, [locality]))
 
     def exclude_from(self, resource: Resource, excluded: frozenset[str]) -> bytes:
-        """Returns a table's body with these endpoints draining; the body as it is if that changes nothing."""
+        """Returns a table's body with these endpoints marked as draining; unchanged if they already are."""
         table = decode(resource.body, forms.ClusterLoadAssignment)
-        lines = tables.lines(table)
-        if not any(endpoint in excluded and not is_draining for endpoint, _, _, _, _, is_draining in lines):
+        entries = tables.lines(table)
+        if not any(endpoint in excluded and not is_draining for endpoint, _, _, _, _, is_draining in entries):
             return resource.body
         return self._with_exclusions(table, excluded)
 
@@ -101,7 +101,7 @@
 
     def _add_bound_route(
         self,
-        made: _Rendering,
+        rendering: _Rendering,
         index: int,
         path: PathTerms | RouteTerms,
         table: VersionedTable,
@@ -109,37 +109,37 @@
     ) -> None:
         route = self._terms.routes[index]
         name = self.table_name(table.number)
-        if name not in made.assignments:
-            made.assignments[name] = self._assignment(name, table, view)
+        if name not in rendering.assignments:
+            rendering.assignments[name] = self._assignment(name, table, view)
         cluster = f"{route.name}@{name}"
         pick = "ring" if route.hash_by else self._terms.fleet.pick
-        made.clusters[cluster] = self._cluster(cluster, name, pick)
+        rendering.clusters[cluster] = self._cluster(cluster, name, pick)
         limit = self._admission(index, table)
-        made.entries.append(self._route_entry(route, path, cluster, limit))
+        rendering.entries.append(self._route_entry(route, path, cluster, limit))
 
     def _add_initial_route(
-        self, made: _Rendering, name: str, initial: ProxyResources, view: ProxyView
+        self, rendering: _Rendering, name: str, initial: ProxyResources, view: ProxyView
     ) -> None:
-        """Keeps all that the proxy held of a route, where the first of the route's paths stands."""
+        """Copies the route that the proxy joined with, at the position of the route's first path."""
         route = initial.routes.get(name)
-        if route is None or name in made.initial_routes:
+        if route is None or name in rendering.initial_routes:
             return
-        made.initial_routes.add(name)
-        if route.table not in made.assignments and route.table in initial.assignments:
+        rendering.initial_routes.add(name)
+        if route.table not in rendering.assignments and route.table in initial.assignments:
             table = initial.assignments[route.table]
-            made.assignments[route.table] = self._with_exclusions(table, view.excluded)
-        made.clusters[route.cluster_name] = route.cluster
-        made.entries += [encode(entry) for entry in route.entries]
+            rendering.assignments[route.table] = self._with_exclusions(table, view.excluded)
+        rendering.clusters[route.cluster_name] = route.cluster
+        rendering.entries += [encode(entry) for entry in route.entries]
 
     def _admission(self, index: int, table: VersionedTable) -> AdmissionLimit:
-        """Returns the ordered limit, within the caps of the configuration."""
+        """Returns the limit set by the controller, capped by the configuration."""
         route = self._terms.routes[index]
         fleet = self._terms.fleet
-        ordered = table.limits.get(index, AdmissionLimit(RetryMode(fleet.usual_tries), inf))
-        limit = ordered.limit
+        commanded = table.limits.get(index, AdmissionLimit(RetryMode(fleet.usual_tries), inf))
+        limit = commanded.limit
         if route.most_per_s and fleet.admit == "rps":
             limit = min(limit, route.most_per_s)
-        return AdmissionLimit(RetryMode(stricter_retries(ordered.retries, route.tries)), limit)
+        return AdmissionLimit(RetryMode(stricter_retries(commanded.retries, route.tries)), limit)
 
     # Bodies.
 
@@ -148,23 +148,23 @@
         key = (excluded, self._addresses_version)
         body = table.encoded.get(key)
         if body is None:
-            lines: list[tables.TableEntry] = []
+            entries: list[tables.TableEntry] = []
             for endpoint, weight in table.weights.items():
-                located = self._addresses.get(endpoint)
-                if located is not None:
-                    address, port, zone = located
-                    lines.append((endpoint, address, port, zone, weight, endpoint in view.excluded))
-            body = table.encoded[key] = encode(tables.assignment(name, lines))
+                known_address = self._addresses.get(endpoint)
+                if known_address is not None:
+                    address, port, zone = known_address
+                    entries.append((endpoint, address, port, zone, weight, endpoint in view.excluded))
+            body = table.encoded[key] = encode(tables.assignment(name, entries))
         return body
 
     @staticmethod
     def _with_exclusions(table: forms.ClusterLoadAssignment, excluded: Collection[str]) -> bytes:
-        """Returns a table that the proxy joined with, to which this controller only adds exclusions."""
-        lines = [
+        """Encodes a table that the proxy joined with; this controller only adds exclusions to it."""
+        entries = [
             (endpoint, address, port, zone, weight, endpoint in excluded or is_draining)
             for endpoint, address, port, zone, weight, is_draining in tables.lines(table)
         ]
-        return encode(tables.assignment(table.cluster_name, lines))
+        return encode(tables.assignment(table.cluster_name, entries))
 
     def _closed_entry(self, path: ClosedTerms) -> bytes:
         body = self._bodies.get(path)
@@ -212,12 +212,12 @@
     @staticmethod
     def _route_set(entries: list[bytes]) -> bytes:
         routes = [msgspec.Raw(entry) for entry in entries]
-        host = {"name": "all", "domains": ["*"], "routes": routes}
-        return encode({"@type": forms.ROUTES, "name": ROUTE_SET_NAME, "virtual_hosts": [host]})
+        virtual_host = {"name": "all", "domains": ["*"], "routes": routes}
+        return encode({"@type": forms.ROUTES, "name": ROUTE_SET_NAME, "virtual_hosts": [virtual_host]})
 
 
 def references(resource: Resource) -> tuple[str, ...]:
-    """Returns the names that a resource refers to: a route set's clusters, or a cluster's table."""
+    """Returns the names that a resource refers to: the clusters of a route set or the table of a cluster."""
     if resource.references is None:
         resource.references = _find_references(resource)
     return resource.references
@@ -225,8 +225,10 @@
 
 def _find_references(resource: Resource) -> tuple[str, ...]:
     if resource.kind == ROUTES:
-        hosts = decode(resource.body, forms.RouteConfiguration).virtual_hosts
-        clusters = [entry.route.cluster for host in hosts for entry in tables.cluster_routes(host.routes)]
+        virtual_hosts = decode(resource.body, forms.RouteConfiguration).virtual_hosts
+        clusters = [
+            entry.route.cluster for host in virtual_hosts for entry in tables.cluster_routes(host.routes)
+        ]
         return tuple(dict.fromkeys(clusters))
     if resource.kind == CLUSTERS:
         cluster = decode(resource.body, forms.Cluster)
--- a/willowhook/controlplane/service.py
+++ b/willowhook/controlplane/service.py
@@ -52,18 +52,18 @@
 from .update_sink_factory import UpdateSinkFactory
 
 RECORDS_FLUSH_SECONDS = 0.1
-ERA_BYTES = 3  # of random data in the name of a resource version
+ERA_BYTES = 3  # random bytes in the era of resource versions
 
 
 class Service:
     """The controller of one folder.
 
-    The components are made when it runs, as the epoch of the start is known only then. Each component owns
-    its state; this class has no other state.
+    The components are created in `run`, as the epoch is known only after the folder has been opened. Each
+    component owns its state; this class has no further state.
 
     Attributes:
-        handoff_port: the port on which peers are served; 0: none.
-        discovery_port: the port of the discovery server; 0: none.
+        handoff_port: the port that serves handoff packets of peers; 0 if there is none.
+        discovery_port: the port of the discovery server; 0 if there is none.
     """
 
     def __init__(
@@ -74,13 +74,13 @@
         decider: DeciderFactory = Controller,
         file_writer: type[Shelf] = Shelf,
     ) -> None:
-        """Creates a service that has not used any file or port yet.
+        """Creates a service without opening any file or port.
 
         Args:
             terms: the configuration.
             ops: file operations.
             log: the logger.
-            decider: makes the component that decides.
+            decider: creates the component that makes the decisions.
             file_writer: the class that writes the files of one proxy.
         """
         self.terms = terms
@@ -96,7 +96,7 @@
         self._file_writer_type = file_writer
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Serves until cancelled; has started once all ports are open.
+        """Serves until cancelled; the task counts as started once all ports are open.
 
         Raises:
             FolderTaken: another process holds the folder.
@@ -120,7 +120,7 @@
         finally:
             self._close(watch)
 
-    # Start and end.
+    # Start and stop.
 
     def _close(self, watch: Watch) -> None:
         log, messages = self.log, self.proxy_states.message_count
@@ -136,7 +136,7 @@
             self.memory.close()
 
     def _record_validation(self) -> None:
-        """Records the verdicts of update validation since the start, and how long validation took."""
+        """Records the results and durations of update validation since the start."""
         durations_us = sorted(self.publisher.validation_micros) or [0]
         self.records.note(
             self.clock.now(),
@@ -167,7 +167,7 @@
             port = await nursery.start(self.handoff.serve)
             self.handoff_port = int(port)
 
-    # The components, in the order in which they need each other.
+    # Creation of the components, in the order of their dependencies.
 
     def _make_context(self) -> None:
         self._port = ControllerPort()
@@ -184,12 +184,12 @@
         self.memory = self.context.memory
 
     def _make_publisher(self) -> None:
-        """Makes the components that turn the controller's commands into updates of proxies."""
+        """Creates the components that turn the controller's commands into updates of proxies."""
         context = self.context
         renderer = ResourceRenderer(self.terms, context.epoch)
         self.proxy_states = ProxyStateBook(self.settings, lambda message: self.publisher.enqueue(message))
         self.resources = ResourceStore(first_era(context.epoch, int.from_bytes(os.urandom(ERA_BYTES), "big")))
-        self.directory = EndpointDirectory(context, renderer, self._show_endpoints)
+        self.directory = EndpointDirectory(context, renderer, self._publish_endpoints)
         listener = PublisherEvents(context, self.directory)
         self.publisher = Publisher(
             self.terms,
@@ -205,7 +205,7 @@
         self.validation = self.publisher.validation
 
     def _make_intake(self) -> None:
-        """Makes the components that handle the input of proxies."""
+        """Creates the components that handle the input of proxies."""
         context, terms = self.context, self.terms
         self.intake = ProxyIntake(
             lambda event: self.proxy_events.handle(event),
@@ -224,7 +224,7 @@
         self.report_interval = ReportIntervalPublisher(context, self.discovery)
 
     def _make_controller(self) -> None:
-        """Makes the controller and the components that it commands, and hands it the saved endpoint list."""
+        """Creates the controller and the components that it commands, and loads the saved endpoint list."""
         context = self.context
         self.endpoint_list = EndpointListReader(context)
         self.health_checker = HealthChecker(context, self.directory.find)
@@ -242,7 +242,7 @@
         self._update_endpoints(context.now(), self.endpoint_list.last_saved())
 
     def _make_proxy_components(self, watch: Watch) -> None:
-        """Makes the components that read the folders of proxies and handle their events."""
+        """Creates the components that read the folders of proxies and handle their events."""
         context, proxy_states = self.context, self.proxy_states
         publisher, reports = self.publisher, self.reports
         self.handoff = HandoffPeers(context, self.directory)
@@ -255,7 +255,7 @@
         self.proxy_events = ProxyEventHandler(context, publisher, sessions, load)
 
     def _make_loop(self) -> None:
-        """Makes the loop, and the maintenance that it calls ten times a second."""
+        """Creates the decision loop and the maintenance functions that it calls ten times a second."""
         context = self.context
         drain = ControllerDrain(context, self.proxy_states, self.channel)
         timeouts = SessionTimeouts(self.intake, self.folder_feed, self.discovery)
@@ -288,16 +288,16 @@
             self.clock,
         )
 
-    # Endpoints, in the decision task.
+    # Endpoints; called by the decision task.
 
     def _update_endpoints(self, now: int, endpoints: Sequence[DiscoveredEndpoint]) -> None:
-        """Handles an endpoint list; with the first one, the stored evidence of its endpoints is restored."""
-        self.reports.sums.keep(frozenset(each.id for each in endpoints))
+        """Processes an endpoint list; the first one with endpoints also restores their stored evidence."""
+        self.reports.sums.keep(frozenset(endpoint.id for endpoint in endpoints))
         self.directory.update(now, endpoints)
         self.recovery.restore(now, endpoints)
 
-    def _show_endpoints(self, now: int, endpoints: list[DiscoveredEndpoint]) -> None:
-        """Shows the endpoints to update validation and the controller."""
+    def _publish_endpoints(self, now: int, endpoints: list[DiscoveredEndpoint]) -> None:
+        """Passes the endpoints to update validation and to the controller."""
         self.publisher.update_validation(
             self.validation.update_endpoints, now, endpoints, self.clock.start_of
         )
--- a/willowhook/controlplane/table_rollout.py
+++ b/willowhook/controlplane/table_rollout.py
@@ -1,7 +1,8 @@
-"""Staged rollout of tables: a content that was halted, or may go only to canaries yet, is replaced.
+"""Staged rollout of tables: replaces contents that a proxy may not have yet or any more.
 
-It is replaced by the last content that was good everywhere. `willowhook.versions.rollout` decides; here its
-decisions are applied to messages, and proxies that were sent a replacement are sent their state again.
+A content whose rollout was halted, or is limited to canaries, is replaced by the last content that was good
+at all proxies. `willowhook.versions.rollout` makes these decisions. This module applies them to messages, and
+resends the state of proxies that got a replacement.
 """
 
 from __future__ import annotations
@@ -24,17 +25,17 @@
 from .update_queue import UpdateQueue
 from .update_sinks import HttpUpdateSink
 
-MAX_KEPT_TABLES = 400  # contents that a rollback may return to
+MAX_KEPT_TABLES = 400  # contents that a rollback may restore
 MAX_REJECTED_RESOURCES = 1000
 
 
 def table_unit(number: int) -> Unit:
-    """Returns the rollout unit of the controller's table of this number."""
+    """Returns the rollout unit of the controller's table with this number."""
     return ("t", number)
 
 
 def rollout_settings(terms: RolloutTerms) -> RolloutSettings:
-    """Returns the settings of the rollout from those of the configuration."""
+    """Converts the rollout section of the configuration to rollout settings."""
     return RolloutSettings(
         mode=RolloutMode(terms.mode),
         max_rejected_fraction=terms.refuse_share,
@@ -47,7 +48,7 @@
 
 
 def table_number(unit: Unit) -> int:
-    """Returns the number of the table that is this rollout unit."""
+    """Returns the table number of a rollout unit that is a table."""
     assert isinstance(unit, tuple)
     number = unit[1]
     assert isinstance(number, int)
@@ -55,14 +56,14 @@
 
 
 class StagedMessage(NamedTuple):
-    """A message with tables that its proxy may have now, and which contents these are."""
+    """A message whose tables the rollout allows for its proxy, and the contents of these tables."""
 
     message: UpdateMessage
     contents: Contents
 
 
 class TableRollout:
-    """Chooses the tables of each message, and sends proxies their state again when a choice changes."""
+    """Chooses the tables of each message, and resends the state of proxies whose choice changes."""
 
     def __init__(
         self,
@@ -72,7 +73,7 @@
         queue: UpdateQueue,
         wake: Callable[[], None],
     ) -> None:
-        """`queue` receives what is sent again; `wake` is called when there is something to send."""
+        """`queue` receives the resends; `wake` is called when there is something to send."""
         self.rollout = Rollout(settings, self)
         self._message_overhead = message_overhead(channel_settings)
         self._queue = queue
@@ -81,14 +82,14 @@
         self._listener = context.listener
         self._records = context.records
         self._log = context.log
-        self._tables: dict[Content, VersionedTable] = {}  # that a rollback may return to
+        self._tables: dict[Content, VersionedTable] = {}  # that a rollback may restore
         self._rejected: dict[tuple[Unit, Content], Resource] = {}
-        self._resend: dict[int, None] = {}  # proxies that are to be sent their state again
+        self._resend: dict[int, None] = {}  # proxies whose state is to be resent
 
     # Choice.
 
     def choose(self, now: int, session: PublisherSession, message: UpdateMessage) -> StagedMessage:
-        """Replaces the tables of a message that its proxy may not have now."""
+        """Replaces the tables of a message that the rollout does not allow for its proxy."""
         view = message.view
         bound: dict[int, VersionedTable] = {}
         contents: dict[Unit, Content] = {}
@@ -107,13 +108,13 @@
         unit = table_unit(table.number)
         content = self.rollout.choose(now, session.number, unit, table.version)
         if content is not None and content != table.version and content in self._tables:
-            substitute = self._make_usable(self._tables[content], table, view)
+            substitute = self._without_removed_endpoints(self._tables[content], table, view)
             if substitute is not None:
                 return substitute, content
-        self._keep(table)
+        self._retain(table)
         return table, table.version
 
-    def _keep(self, table: VersionedTable) -> None:
+    def _retain(self, table: VersionedTable) -> None:
         if table.version in self._tables:
             return
         self._tables[table.version] = table
@@ -122,12 +123,12 @@
             used = {content for track in tracks for content in (*track.contents, track.good)}
             self._tables = {content: kept for content, kept in self._tables.items() if content in used}
 
-    def _make_usable(
+    def _without_removed_endpoints(
         self, good: VersionedTable, new: VersionedTable, view: ProxyView
     ) -> VersionedTable | None:
-        """The good content without endpoints that were removed; None if it has none in service.
+        """Returns the good content without removed endpoints; None if none of its endpoints is usable.
 
-        The new content may be what brings the endpoints that are left, so it is not kept back then.
+        None lets the new content through, as it may be what adds the usable endpoints.
         """
         is_in_service = self._listener.is_in_service
         listed = [name for name in good.weights if name in new.weights or is_in_service(name)]
@@ -142,7 +143,7 @@
     # The rollout's decisions.
 
     def handle_halted(self, unit: Unit, bad: Content, good: Content | None, cause: str) -> None:
-        """Rolls back the proxies that run a content."""
+        """Rolls back the proxies that run the halted content."""
         self._log.warning(
             "rollout halted",
             unit=str(unit),
@@ -154,7 +155,7 @@
         self._records.record_halted(now, unit, bad, good, cause)
         resource = self._rejected.get((unit, bad))
         if resource is not None:
-            count = self._ban(resource)
+            count = self._halt_resource(resource)
         elif good is not None:
             count = self._resend_to_users(RolloutContent(unit, bad))
         else:
@@ -163,14 +164,14 @@
         self._wake()
 
     def handle_released(self, unit: Unit) -> None:
-        """Sends the ordered content to proxies that were sent another one."""
+        """Sends the commanded content to the proxies that got a replacement."""
         self._records.record_released(self._listener.now(), unit)
         for session in self._sessions.by_number.values():
             if session.is_substituted:
                 self._resend[session.number] = None
         self._wake()
 
-    def _ban(self, resource: Resource) -> int:
+    def _halt_resource(self, resource: Resource) -> int:
         sinks = [session.sink for session in self._sessions.by_number.values()]
         return sum(isinstance(sink, HttpUpdateSink) and sink.halt(resource) for sink in sinks)
 
@@ -184,16 +185,16 @@
 
     @property
     def has_resends(self) -> bool:
-        """Whether proxies wait to be sent their state again."""
+        """Whether any proxies wait for a resend."""
         return bool(self._resend)
 
     def remove_proxy(self, proxy: int) -> None:
-        """Forgets a proxy that has left."""
+        """Removes a proxy that has left."""
         self.rollout.remove_proxy(proxy)
         self._resend.pop(proxy, None)
 
     def queue_resends(self, now: int) -> None:
-        """Queues resends as long as the queue is low."""
+        """Queues waiting resends while the update queue has room for them."""
         for proxy in list(self._resend):
             if not self._queue.has_room_for_resends:
                 return
@@ -206,31 +207,31 @@
         entries = {table.number: len(table.weights) for table in view.bound.values()}
         return self._message_overhead + sum(entries.values())
 
-    # Answers of proxies.
+    # Acknowledgements and rejections.
 
     def record_sent(self, now: int, proxy: int, contents: Contents) -> None:
-        """Notes that contents go out to a proxy."""
+        """Records that contents were sent to a proxy."""
         for unit, content in contents:
             self.rollout.record_offered(now, proxy, unit, content)
 
     def record_acknowledged(self, now: int, proxy: int, contents: Contents) -> None:
-        """Notes that a proxy has applied contents."""
+        """Records that a proxy has applied contents."""
         for unit, content in contents:
             self.rollout.record_acknowledged(now, proxy, unit, content)
 
     def record_rejected(self, now: int, proxy: int, contents: Contents, cause: str) -> None:
-        """Notes that a proxy has rejected contents."""
+        """Records that a proxy has rejected contents."""
         for unit, content in contents:
             self.rollout.record_rejected(now, proxy, unit, content, cause)
 
     def record_resource_acknowledged(self, now: int, proxy: int, resource: Resource) -> None:
-        """Notes that a proxy has applied a cluster or a route set, which is a unit by itself."""
+        """Records that a proxy has applied a cluster or a route set, each of which is a rollout unit."""
         unit = (resource.kind, resource.name)
         self.rollout.record_offered(now, proxy, unit, resource.version)
         self.rollout.record_acknowledged(now, proxy, unit, resource.version)
 
     def record_resource_rejected(self, now: int, proxy: int, resource: Resource, cause: str) -> None:
-        """Notes that a proxy has rejected a cluster or a route set, which is a unit by itself."""
+        """Records that a proxy has rejected a cluster or a route set, each of which is a rollout unit."""
         unit = (resource.kind, resource.name)
         self._rejected[unit, resource.version] = resource
         if len(self._rejected) > MAX_REJECTED_RESOURCES:
