--- a/tests/controlplane_fixtures.py
+++ b/tests/controlplane_fixtures.py
@@ -1,4 +1,4 @@
-"""Settings and builders that the tests of the control plane share."""
+"""Settings and test doubles for the tests of the control plane."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 from willowhook.versions.resources import ResourceStore, first_era
 
 SETTINGS = deployment_settings(EXAMPLE)
-ONE_ROUND_SECONDS = 0.2  # less than the loop of the publisher waits between two rounds
+ONE_ROUND_SECONDS = 0.2  # shorter than the wait of the publisher's loop between two rounds
 ALL_ROUTES = range(len(SETTINGS.routes))
 MESSAGE_OVERHEAD = int(SETTINGS.channel.message_overhead_entries)
 
 
 def file_sink(term: int, epoch: int) -> FileUpdateSink:
-    """A sink whose files are only made, not written."""
+    """Returns a sink that prepares files but is not used to write them."""
     return FileUpdateSink(Shelf("nowhere"), ResourceStore(first_era(epoch, 5)), term, epoch, False)
 
 
 class RecordingListener:
-    """Keeps what the publisher tells, in place of the service."""
+    """Records the notifications of the publisher, in place of the service."""
 
     def __init__(self) -> None:
         self.time = 0
@@ -45,11 +45,11 @@
     def now(self) -> int:
         return self.time
 
-    def report_condition(self, name: str, on: bool, text: str, **parts: Any) -> None:
+    def report_condition(self, name: str, on: bool, text: str, **fields: Any) -> None:
         self.conditions[name] = on
 
-    def is_in_service(self, host: str) -> bool:
-        return host not in self.out_of_service
+    def is_in_service(self, endpoint: str) -> bool:
+        return endpoint not in self.out_of_service
 
     def handle_acknowledged(self, now: int, proxy: int, marker: int) -> None:
         self.acknowledged.append((proxy, marker))
@@ -58,10 +58,10 @@
         self.events.append(event)
 
     def record_known_version(self, proxy: str, part: str, version: str) -> None:
-        """Nobody looks at it here."""
+        """Does nothing."""
 
     def record_sent(self, proxy: str, term: int, message: int) -> None:
-        """Nobody looks at it here."""
+        """Does nothing."""
 
 
 class RecordingRecords(Records):
@@ -71,12 +71,12 @@
         super().__init__("", 0)
         self.entries: list[dict[str, Any]] = []
 
-    def note(self, now: int, kind: str, **parts: Any) -> None:
-        self.entries.append({"kind": kind, **parts})
+    def note(self, now: int, kind: str, **fields: Any) -> None:
+        self.entries.append({"kind": kind, **fields})
 
 
 class FakeSink:
-    """A sink whose writes change something, change nothing, or fail, as told."""
+    """A sink whose writes return `outcome` (whether a file changed) or raise it."""
 
     may_block = False
 
@@ -104,14 +104,14 @@
         return place
 
     def send_away(self, resource: bytes) -> None:
-        """Nobody is sent away here."""
+        """Does nothing."""
 
     def close(self) -> None:
-        """Nothing is open."""
+        """Does nothing."""
 
 
 class PublisherHarness:
-    """A publisher with one proxy, whose loop is not run: each test takes the steps it needs."""
+    """A publisher with one proxy. Its loop runs only in `publish`, one round at a time."""
 
     def __init__(self, **channel: float) -> None:
         self.settings = SETTINGS._replace(channel=SETTINGS.channel._replace(**channel))
@@ -125,15 +125,15 @@
         self.publisher = Publisher(
             EXAMPLE, self.settings, self.listener, self.records, log, renderer, 1, self.proxy_states
         )
-        hosts = [
+        endpoints = [
             DiscoveredEndpoint(name, "127.0.0.1", 80 + ord(name), False, 0.0, 1.0, "", "", "north")
             for name in "abc"
         ]
-        self.publisher.validation.update_endpoints(0, hosts, lambda host: 0)
+        self.publisher.validation.update_endpoints(0, endpoints, lambda endpoint: 0)
         self.session = self.join(0)
 
     def join(self, proxy: int) -> PublisherSession:
-        """A proxy joins with nothing."""
+        """Adds a proxy without initial tables."""
         initial = ProxyResources()
         session = PublisherSession(proxy, f"p{proxy}", 1, initial, self.sink)
         self.publisher.add_session(session)
@@ -142,7 +142,7 @@
         return session
 
     def update_table(self, weights: dict[str, float], marker: int | None = None) -> None:
-        """Gives all routes of the proxy one table with these weights."""
+        """Sets these weights in table 0, binds all routes of proxy 0 to it, and flushes."""
         for name, weight in weights.items():
             self.proxy_states.set_weight(0, name, weight)
         self.proxy_states.bind(0, 0, ALL_ROUTES)
@@ -151,7 +151,7 @@
         self.proxy_states.flush(self.listener.time)
 
     async def publish(self, ticks: int) -> None:
-        """Lets the publisher do one round of its loop, so many ticks later; in a run with a mock clock."""
+        """Advances the time and runs one round of the publisher's loop; needs a mock clock."""
         self.listener.time += ticks
         with trio.move_on_after(ONE_ROUND_SECONDS):
             await self.publisher.run()
--- a/tests/service_harness.py
+++ b/tests/service_harness.py
@@ -1,4 +1,4 @@
-"""Runs one real controller in this process, with proxies played by hand and a fake service discovery."""
+"""Runs a real controller in this process, with proxies that the test plays and a fake service discovery."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class RecordingLog:
-    """Keeps the level, event and fields of each line."""
+    """A logger that keeps the level, event and fields of each line."""
 
     def __init__(self) -> None:
         self.lines: list[tuple[str, str, dict[str, Any]]] = []
@@ -30,18 +30,18 @@
     def bind(self, **_: Any) -> RecordingLog:
         return self
 
-    def info(self, text: str, **parts: Any) -> None:
-        self.lines.append(("info", text, parts))
+    def info(self, text: str, **fields: Any) -> None:
+        self.lines.append(("info", text, fields))
 
-    def warning(self, text: str, **parts: Any) -> None:
-        self.lines.append(("warning", text, parts))
+    def warning(self, text: str, **fields: Any) -> None:
+        self.lines.append(("warning", text, fields))
 
     def texts(self, level: str = "") -> list[str]:
-        return [text for each, text, _ in self.lines if level in ("", each)]
+        return [text for line_level, text, _ in self.lines if level in ("", line_level)]
 
 
 class FileProxy:
-    """A proxy's side of the folder, written as a test wants it."""
+    """Plays a proxy by reading and writing its files in the controller's folder."""
 
     def __init__(self, service: Service, name: str) -> None:
         self.name, self.root = name, Path(service.folder.path)
@@ -51,12 +51,12 @@
         )
 
     def join(self, status: bytes | None = None) -> None:
-        temp = self.root / "up" / f".{self.name}"
-        temp.mkdir()
-        (temp / "status.json").write_bytes(
+        temporary = self.root / "up" / f".{self.name}"
+        temporary.mkdir()
+        (temporary / "status.json").write_bytes(
             encode(forms.ClientConfig(self.node)) if status is None else status
         )
-        os.rename(temp, self.up)
+        os.rename(temporary, self.up)
 
     def put(self, file: str, data: bytes) -> None:
         swap_file(DiskOps(), str(self.up), file, data)
@@ -66,17 +66,19 @@
 
     def acknowledge(self) -> None:
         for name, data in read_group(str(self.down))[1].items():
-            got = read_response(data, forms.TYPE_URLS[name[:-5]])
-            said = forms.DiscoveryRequest(got.version_info, self.node, [], got.type_url, got.nonce)
-            self.put(name, encode(said))
+            response = read_response(data, forms.TYPE_URLS[name[:-5]])
+            acknowledgement = forms.DiscoveryRequest(
+                response.version_info, self.node, [], response.type_url, response.nonce
+            )
+            self.put(name, encode(acknowledgement))
 
     def weights(self) -> dict[str, float]:
-        rows = tables.read_tables(read_group(str(self.down))[1]["eds.json"])[1]
-        return {line[0]: line[4] for table in rows for line in tables.lines(table)}
+        assignments = tables.read_tables(read_group(str(self.down))[1]["eds.json"])[1]
+        return {entry[0]: entry[4] for table in assignments for entry in tables.lines(table)}
 
     def is_sent_away(self) -> bool:
-        rows = tables.read_tables(read_group(str(self.down))[1]["eds.json"])[1]
-        return any(table.cluster_name == "directors" for table in rows)
+        assignments = tables.read_tables(read_group(str(self.down))[1]["eds.json"])[1]
+        return any(table.cluster_name == "directors" for table in assignments)
 
     def message_number(self) -> int:
         return int(
@@ -88,13 +90,13 @@
             data = read_group(str(self.down))[1]["eds.json"]
         except FileNotFoundError:
             return set()
-        held = [table for table in tables.read_tables(data)[1] if table.cluster_name != "directors"]
-        rows = [line for table in held for line in tables.lines(table)]
-        return {line[0] for line in rows if not line[5]}
+        assignments = [table for table in tables.read_tables(data)[1] if table.cluster_name != "directors"]
+        entries = [entry for table in assignments for entry in tables.lines(table)]
+        return {entry[0] for entry in entries if not entry[5]}
 
 
 class FakeDiscovery:
-    """Answers for the endpoint list: well, with something else, or not at all."""
+    """Serves the endpoint list if `mode` is "good", nothing if it is "stall", else a malformed response."""
 
     def __init__(self) -> None:
         self.index, self.mode = 1, "good"
@@ -102,25 +104,27 @@
         self.started: dict[str, float] = {}
 
     def body(self) -> bytes:
-        rows = [
+        services = [
             {
                 "Service": {
                     "ID": name,
                     "Address": "127.0.0.1",
-                    "Port": 9000 + k,
+                    "Port": 9000 + position,
                     "Meta": {"started": str(self.started.get(name, 0))},
                 },
                 "Node": {"Datacenter": "north"},
-                "Checks": [{"CheckID": f"_service_maintenance:{name}", "Status": "critical"}] if out else [],
+                "Checks": [{"CheckID": f"_service_maintenance:{name}", "Status": "critical"}]
+                if is_draining
+                else [],
             }
-            for k, (name, out) in enumerate(self.endpoints.items())
+            for position, (name, is_draining) in enumerate(self.endpoints.items())
         ]
-        return json.dumps(rows).encode()
+        return json.dumps(services).encode()
 
-    async def answer(self, call: Call) -> Reply | None:
-        asked = self.index if b"index=" in call.target else 0
-        for _ in range(10):  # well within what the reader waits, also on a slow machine
-            if self.mode == "good" and asked == self.index:
+    async def answer(self, request: Call) -> Reply | None:
+        known_index = self.index if b"index=" in request.target else 0
+        for _ in range(10):  # well within the timeout of the reader, even on a slow machine
+            if self.mode == "good" and known_index == self.index:
                 await trio.sleep(0.02)
         if self.mode == "stall":
             await trio.sleep_forever()
@@ -137,9 +141,9 @@
     listen: str = "",
     decider: Any = Controller,
     store_folder: str = EXAMPLE.store.folder,
-    **parts: Any,
+    **files_settings: Any,
 ) -> RecordingLog:
-    """Runs a controller while `play` goes on."""
+    """Runs a controller until `play` returns; `files_settings` replace file settings of the example."""
     log = RecordingLog()
 
     async def run() -> None:
@@ -154,17 +158,17 @@
             nursery.start_soon(trio.serve_listeners, handler, listeners)
             replace = msgspec.structs.replace
             files = replace(
-                EXAMPLE.files, folder=str(tmp_path / "d"), **{"proxy_lost_after_ms": 20_000, **parts}
+                EXAMPLE.files, folder=str(tmp_path / "d"), **{"proxy_lost_after_ms": 20_000, **files_settings}
             )
-            asked = replace(EXAMPLE.roster, url=url, wait_ms=300, timeout_ms=200)
-            kept = replace(EXAMPLE.records, file=str(tmp_path / "records"))
+            discovery_settings = replace(EXAMPLE.roster, url=url, wait_ms=300, timeout_ms=200)
+            records_settings = replace(EXAMPLE.records, file=str(tmp_path / "records"))
             service = Service(
                 replace(
                     EXAMPLE,
-                    fleet=replace(EXAMPLE.fleet, standing=0),  # proxies played by hand start with nothing
+                    fleet=replace(EXAMPLE.fleet, standing=0),  # the test's proxies have no initial tables
                     files=files,
-                    roster=asked,
-                    records=kept,
+                    roster=discovery_settings,
+                    records=records_settings,
                     links=replace(EXAMPLE.links, listen=listen),
                     store=replace(EXAMPLE.store, folder=store_folder),
                 ),
--- a/tests/test_controlplane_components.py
+++ b/tests/test_controlplane_components.py
@@ -1,4 +1,4 @@
-"""The components of the service that need no proxies: clock, conditions, queue, timers, hand-off packets."""
+"""Tests the components of the service that need no proxies: clock, conditions, queue, handoff packets."""
 
 from __future__ import annotations
 
@@ -39,16 +39,18 @@
 
 
 def test_clock_converts_a_start_once_and_keeps_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    wall = [1000.0]
-    monkeypatch.setattr("willowhook.controlplane.clock.time.time", lambda: wall[0])
+    wall_clock = [1000.0]
+    monkeypatch.setattr("willowhook.controlplane.clock.time.time", lambda: wall_clock[0])
     clock = Clock()
     assert clock.start_of(ENDPOINT) == 0
     started = replace(ENDPOINT, started=990.0)
     start = clock.start_of(started)
     assert 0 <= clock.now() - start - 10 * TICKS_PER_SECOND < TICKS_PER_SECOND
-    wall[0] += 3600  # a step of the wall clock
+    wall_clock[0] += 3600  # a step of the wall clock
     assert clock.start_of(started) == start
-    assert clock.start_of(replace(ENDPOINT, started=wall[0] + 5)) <= clock.now()  # it is in the future
+    assert (
+        clock.start_of(replace(ENDPOINT, started=wall_clock[0] + 5)) <= clock.now()
+    )  # a start in the future
 
 
 def test_condition_log_reports_changes_only(tmp_path: Path) -> None:
@@ -60,14 +62,14 @@
     conditions.report("disk", False, "disk works again")
     records.flush()
     assert log.lines == [("warning", "disk failed", {"cause": "full"}), ("info", "disk works again", {})]
-    rows = [row for row in read_records(str(tmp_path / "records")) if row["kind"] == "mode"]
-    assert [(row["t"], row["name"], row["on"], row.get("cause")) for row in rows] == [
+    entries = [entry for entry in read_records(str(tmp_path / "records")) if entry["kind"] == "mode"]
+    assert [(entry["t"], entry["name"], entry["on"], entry.get("cause")) for entry in entries] == [
         (7, "disk", True, "full"),
         (7, "disk", False, None),
     ]
 
 
-def test_decision_queue_gives_all_waiting_events_and_none_after_the_timeout() -> None:
+def test_decision_queue_returns_all_waiting_events_and_none_after_the_timeout() -> None:
     async def run() -> None:
         queue = DecisionQueue()
         assert await queue.receive_batch(0.01) == []
@@ -83,7 +85,7 @@
     trio.run(run)
 
 
-def test_controller_port_refuses_events_before_there_is_a_controller() -> None:
+def test_controller_port_rejects_events_before_a_controller_is_attached() -> None:
     port, handled = ControllerPort(), list[Any]()
 
     class Decider:
@@ -97,16 +99,16 @@
     assert handled == [(2, EvaluationDue())]
 
 
-def test_handoff_packet_is_read_as_it_was_written_without_unknown_endpoints() -> None:
+def test_handoff_packet_is_decoded_as_encoded_without_unknown_endpoints() -> None:
     addresses = {"a": ("127.0.0.1", 9000, "north"), "b": ("127.0.0.1", 9001, "south")}
     known = {"a": EndpointSums(10, 2, 5000), "b": EndpointSums(3, 3, 0)}
     evidence = {**known, "no address": EndpointSums(1, 0, 1)}
     packet = Packet("c1", 4, 17, Hint("p1", 3, 5 * TICKS_PER_SECOND, evidence))
     data = encode_packet(packet, addresses)
     names = {"127.0.0.1:9000": "a", "127.0.0.1:9001": "b"}
-    read = decode_packet(data, names)
-    assert (read.sender, read.epoch, read.number) == ("c1", 4, 17)
-    assert read.hint == Hint("p1", 3, 5 * TICKS_PER_SECOND, known)
+    decoded = decode_packet(data, names)
+    assert (decoded.sender, decoded.epoch, decoded.number) == ("c1", 4, 17)
+    assert decoded.hint == Hint("p1", 3, 5 * TICKS_PER_SECOND, known)
     assert decode_packet(data, {"127.0.0.1:9001": "b"}).hint.endpoints == {"b": known["b"]}
     with pytest.raises(MessageFormatError, match=r"node\.metadata must hold a director"):
         decode_packet(data.replace(b'"number":17', b'"number":-1'), names)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""One real controller in this process, with proxies played by hand."""
+"""Tests a real controller in this process, with proxies that the test plays."""
 
 from __future__ import annotations
 
@@ -39,16 +39,16 @@
     tmp_path: Path, watch: str, durability: str
 ) -> None:
     async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
-        one = FileProxy(service, "p1")
-        one.join()
-        await wait_until(lambda: one.usable_endpoints() == {"a", "b", "c"})
-        one.acknowledge()
+        proxy = FileProxy(service, "p1")
+        proxy.join()
+        await wait_until(lambda: proxy.usable_endpoints() == {"a", "b", "c"})
+        proxy.acknowledge()
         await wait_until(lambda: not any(service.controller.channel.unacknowledged.values()))
         discovery.endpoints["b"], discovery.index = True, 2
-        await wait_until(lambda: one.usable_endpoints() == {"a", "c"})
-        one.write_load_report()
-        os.rename(one.up, one.root / "away")
-        await wait_until(lambda: not service.intake.sessions and not one.down.exists())
+        await wait_until(lambda: proxy.usable_endpoints() == {"a", "c"})
+        proxy.write_load_report()
+        os.rename(proxy.up, proxy.root / "away")
+        await wait_until(lambda: not service.intake.sessions and not proxy.down.exists())
 
     log = serve(tmp_path, play, watch=watch, durability=durability, poll_every_ms=20)
     assert log.texts("warning") == [] and "proxy left" in log.texts()
@@ -60,13 +60,13 @@
 
 def test_silent_proxy_session_is_closed_and_reopened(tmp_path: Path) -> None:
     async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
-        one = FileProxy(service, "p1")
-        one.join()
+        proxy = FileProxy(service, "p1")
+        proxy.join()
         await wait_until(lambda: "p1" in service.intake.sessions)
         await wait_until(lambda: "p1" not in service.intake.sessions)
-        one.write_load_report()
+        proxy.write_load_report()
         await wait_until(
-            lambda: "p1" in service.intake.sessions and one.usable_endpoints() == {"a", "b", "c"}
+            lambda: "p1" in service.intake.sessions and proxy.usable_endpoints() == {"a", "b", "c"}
         )
 
     log = serve(tmp_path, play, proxy_lost_after_ms=1200)
@@ -74,56 +74,59 @@
 
 
 def test_proxy_whose_reports_are_not_read_yet_is_not_silent(tmp_path: Path) -> None:
-    """Guards against a controller that is behind with reading and gives up proxies for it."""
+    """Guards against timing out sessions because the controller itself is late in reading reports."""
 
     async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
-        one = FileProxy(service, "p1")
-        one.join()
+        proxy = FileProxy(service, "p1")
+        proxy.join()
         await wait_until(lambda: "p1" in service.intake.sessions)
         term = service.intake.sessions["p1"].term
         for _ in range(20):  # nearly four times the timeout
-            one.write_load_report()
+            proxy.write_load_report()
             await trio.sleep(0.2)
             assert "p1" in service.intake.sessions and service.intake.sessions["p1"].term == term
         assert "proxy left" not in log.texts()
         await wait_until(lambda: "proxy left" in log.texts())
 
     async def read_nothing(_self: ProxyFolderFeed, _name: str) -> None:
-        """The reader is behind for good."""
+        """Plays a reader that never catches up."""
 
     with patch.object(ProxyFolderFeed, "_read_report", read_nothing):
         serve(tmp_path, play, proxy_lost_after_ms=1200)
 
 
-OF_BAD = forms.Node("bad", metadata={"term": 1})
+BAD_NODE = forms.Node("bad", metadata={"term": 1})
 
 
 def test_proxy_folder_replaced_under_the_same_inode_opens_a_new_session(tmp_path: Path) -> None:
-    """Found by a bad day: a folder was given the number of the one before, and the proxy was never bound
-    again.
+    """Guards against mistaking a new folder for the deleted one.
+
+    The file system may reuse the inode number; the proxy was then never bound again.
     """
 
     async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
-        one = FileProxy(service, "p1")
-        one.join()
-        await wait_until(lambda: len(one.usable_endpoints()) == 3)
-        for k in range(2, 12):
-            shutil.rmtree(one.up)
-            one.node.metadata["term"] = k
-            one.join()
-            await wait_until(lambda k=k: [p.term for p in service.intake.sessions.values()] == [k])  # type: ignore[misc]
-            one.write_load_report()
-            await wait_until(lambda: bool(one.usable_endpoints()))
+        proxy = FileProxy(service, "p1")
+        proxy.join()
+        await wait_until(lambda: len(proxy.usable_endpoints()) == 3)
+        for term in range(2, 12):
+            shutil.rmtree(proxy.up)
+            proxy.node.metadata["term"] = term
+            proxy.join()
+            await wait_until(
+                lambda term=term: [session.term for session in service.intake.sessions.values()] == [term]
+            )  # type: ignore[misc]
+            proxy.write_load_report()
+            await wait_until(lambda: bool(proxy.usable_endpoints()))
 
     serve(tmp_path, play)
 
 
-BAD = {
+MALFORMED = {
     "truncated": b'{"node": {"id": "bad"',
     "huge": b" " * (2 << 20),
     "wrong type": b"[1, 2, 3]",
-    "old version": encode(forms.DiscoveryRequest("0.1", OF_BAD, [], forms.ASSIGNMENT, "1.0.1")),
-    "a version never sent": encode(forms.DiscoveryRequest("", OF_BAD, [], forms.ASSIGNMENT, "1.1.99999")),
+    "old version": encode(forms.DiscoveryRequest("0.1", BAD_NODE, [], forms.ASSIGNMENT, "1.0.1")),
+    "a version never sent": encode(forms.DiscoveryRequest("", BAD_NODE, [], forms.ASSIGNMENT, "1.1.99999")),
     "foreign node": encode(forms.DiscoveryRequest("", forms.Node("p1"), [], forms.ASSIGNMENT, "1.1.1")),
     "binary": bytes(range(256)) * 40,
 }
@@ -135,27 +138,29 @@
         good.join()
         bad.join()
         await wait_until(lambda: good.usable_endpoints() == bad.usable_endpoints() == {"a", "b", "c"})
-        for k, (what, data) in enumerate(BAD.items()):
+        for step, (kind, data) in enumerate(MALFORMED.items()):
             before = len(log.texts("warning"))
             for _ in range(3):
                 bad.put("eds.json", data)
                 await trio.sleep(0.03)
-            wanted = 0 if what == "old version" else 1  # what another controller sent before is not malformed
+            # A version of an earlier controller is not malformed.
+            expected = 0 if kind == "old version" else 1
             await wait_until(
-                lambda before=before, wanted=wanted: len(log.texts("warning")) == before + wanted
+                lambda before=before, expected=expected: len(log.texts("warning")) == before + expected
             )  # type: ignore[misc]
-            bad.acknowledge()  # a good one again
+            bad.acknowledge()  # well formed again
             good.acknowledge()
             good.write_load_report()
             bad.write_load_report()
-            gone = "abc"[k % 2]
-            discovery.endpoints["a"], discovery.endpoints["b"] = gone == "a", gone == "b"
+            drained = "abc"[step % 2]
+            discovery.endpoints["a"], discovery.endpoints["b"] = drained == "a", drained == "b"
             discovery.index += 1
             await wait_until(
-                lambda gone=gone: gone not in good.usable_endpoints() and gone not in bad.usable_endpoints()
+                lambda drained=drained: drained not in good.usable_endpoints()
+                and drained not in bad.usable_endpoints()
             )  # type: ignore[misc]
         os.mkfifo(bad.up / ".pipe")
-        os.rename(bad.up / ".pipe", bad.up / "load.json")  # nothing that is read may block
+        os.rename(bad.up / ".pipe", bad.up / "load.json")  # reading must not block
         (bad.up / "rds.json").unlink()
         os.symlink("/dev/zero", bad.up / "rds.json")
         good.write_load_report()
@@ -171,9 +176,9 @@
         (up / "plain").write_bytes(b"")
         FileProxy(service, "empty").join(b"")
         FileProxy(service, "noise").join(b"\xff" * 1000)
-        one = FileProxy(service, "p1")
-        one.join()
-        await wait_until(lambda: bool(one.usable_endpoints()))
+        proxy = FileProxy(service, "p1")
+        proxy.join()
+        await wait_until(lambda: bool(proxy.usable_endpoints()))
         assert list(service.intake.sessions) == ["p1"]
 
     log = serve(tmp_path, play)
@@ -185,20 +190,20 @@
 
 def test_discovery_failure_is_reported_once_and_tables_stay(tmp_path: Path) -> None:
     async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
-        one = FileProxy(service, "p1")
-        one.join()
-        await wait_until(lambda: len(one.usable_endpoints()) == 3)
-        for how in ("lies", "stall"):
+        proxy = FileProxy(service, "p1")
+        proxy.join()
+        await wait_until(lambda: len(proxy.usable_endpoints()) == 3)
+        for mode in ("malformed", "stall"):
             before = log.texts("warning").count("endpoint list unavailable")
-            discovery.mode = how
+            discovery.mode = mode
             discovery.index += 1
             await wait_until(
                 lambda before=before: log.texts("warning").count("endpoint list unavailable") > before
             )  # type: ignore[misc]
             await trio.sleep(0.5)
-            one.write_load_report()
+            proxy.write_load_report()
             assert log.texts("warning").count("endpoint list unavailable") == before + 1
-            assert len(one.usable_endpoints()) == 3
+            assert len(proxy.usable_endpoints()) == 3
             discovery.mode = "good"
             await wait_until(lambda: log.texts()[-1] == "endpoint list available again", 15)
 
@@ -207,20 +212,20 @@
 
 def test_full_disk_is_reported_once_and_the_last_update_is_written_after_it(tmp_path: Path) -> None:
     async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
-        one = FileProxy(service, "p1")
-        one.join()
-        await wait_until(lambda: len(one.usable_endpoints()) == 3)
+        proxy = FileProxy(service, "p1")
+        proxy.join()
+        await wait_until(lambda: len(proxy.usable_endpoints()) == 3)
         limits = resource.getrlimit(resource.RLIMIT_FSIZE)
-        before = read_group(str(one.down))[1]
+        before = read_group(str(proxy.down))[1]
         resource.setrlimit(resource.RLIMIT_FSIZE, (10, limits[1]))
         try:
             discovery.endpoints["b"], discovery.index = True, 2
             await wait_until(lambda: "files cannot be swapped" in log.texts("warning"))
             await trio.sleep(0.5)
-            assert read_group(str(one.down))[1] == before
+            assert read_group(str(proxy.down))[1] == before
         finally:
             resource.setrlimit(resource.RLIMIT_FSIZE, limits)
-        await wait_until(lambda: one.usable_endpoints() == {"a", "c"})
+        await wait_until(lambda: proxy.usable_endpoints() == {"a", "c"})
 
     log = serve(tmp_path, play)
     assert log.texts("warning").count("files cannot be swapped") == 1
@@ -238,8 +243,8 @@
 def test_records_survive_a_disk_error_and_a_truncated_line(tmp_path: Path) -> None:
     path = tmp_path / "records"
     records = Records(str(path), 3)
-    for k in range(5):
-        records.note(k, "x", n=k)
+    for number in range(5):
+        records.note(number, "x", n=number)
     records.flush()
     limits = resource.getrlimit(resource.RLIMIT_FSIZE)
     resource.setrlimit(resource.RLIMIT_FSIZE, (path.stat().st_size + 10, limits[1]))
@@ -250,12 +255,18 @@
     records.flush()
     with path.open("ab") as file:
         file.write(b'{"t":1,"kin')
-    rows = read_records(str(path))
-    assert [row.get("n", row.get("records")) for row in rows] == [0, 1, 2, 2, None] and time.time() > 0
+    entries = read_records(str(path))
+    assert [entry.get("n", entry.get("records")) for entry in entries] == [
+        0,
+        1,
+        2,
+        2,
+        None,
+    ] and time.time() > 0
 
 
 def test_linked_controllers_hand_off_evidence_with_the_proxy(tmp_path: Path) -> None:
-    """The proxy goes from one to the other; what it met is heard there, and only by who it comes to."""
+    """Evidence of a proxy is used by the controller that the proxy moves to, and only once it has joined."""
 
     async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
         replace = msgspec.structs.replace
@@ -264,18 +275,18 @@
         other = Service(replace(service.terms, name="other", files=files, links=links), log=RecordingLog())
         async with trio.open_nursery() as nursery:
             await nursery.start(other.run)
-            one = FileProxy(other, "p1")
-            one.join()
-            await wait_until(lambda: len(one.usable_endpoints()) == 3)
-            at = forms.Address(forms.SocketAddress("127.0.0.1", 9001))
-            row = forms.UpstreamEndpointStats(
-                at, 8, 0, 2, 10, [forms.LoadMetricStats("latency_seconds", 8, 4.0)]
+            proxy = FileProxy(other, "p1")
+            proxy.join()
+            await wait_until(lambda: len(proxy.usable_endpoints()) == 3)
+            address = forms.Address(forms.SocketAddress("127.0.0.1", 9001))
+            endpoint_stats = forms.UpstreamEndpointStats(
+                address, 8, 0, 2, 10, [forms.LoadMetricStats("latency_seconds", 8, 4.0)]
             )
-            zone = forms.UpstreamLocalityStats(upstream_endpoint_stats=[row])
-            stats = forms.ClusterStats("load@t0", "", [zone], load_report_interval="1s")
-            one.put("load.json", encode(forms.LoadStatsRequest(one.node, [stats])))
+            locality = forms.UpstreamLocalityStats(upstream_endpoint_stats=[endpoint_stats])
+            stats = forms.ClusterStats("load@t0", "", [locality], load_report_interval="1s")
+            proxy.put("load.json", encode(forms.LoadStatsRequest(proxy.node, [stats])))
             await wait_until(lambda: bool(other.handoff._evidence))
-            shutil.rmtree(one.up)
+            shutil.rmtree(proxy.up)
             await wait_until(
                 lambda: bool(service.handoff._hints._hints) and "b" in service.controller.endpoints
             )
@@ -285,8 +296,8 @@
             moved.node.metadata["term"] = 2
             moved.join()
             await wait_until(lambda: len(moved.usable_endpoints()) == 3)
-            heard = service.controller.endpoints["b"].attempts(service.clock.now())
-            assert heard == (10, 2, 8 * 5000)
+            attempts = service.controller.endpoints["b"].attempts(service.clock.now())
+            assert attempts == (10, 2, 8 * 5000)
             await wait_until(lambda: len(other.handoff._senders[0]) == 0)
             nursery.cancel_scope.cancel()
 
@@ -307,14 +318,14 @@
 
 
 def test_update_split_by_validation_goes_out_in_steps_under_rising_versions(tmp_path: Path) -> None:
-    """A decider that gives a new host nearly everything: its share first, all of it when it is warm."""
+    """The decider gives a new endpoint nearly all weight: it gets a part first, and all once it is warm."""
 
-    class Eager:
-        def __init__(self, host: Any, settings: Any, seed: int, now: int) -> None:
-            self.host, self.hosts, self.joined = host, list[str](), list[int]()
+    class NewEndpointDecider:
+        def __init__(self, runtime: Any, settings: Any, seed: int, now: int) -> None:
+            self.runtime, self.endpoints, self.joined = runtime, list[str](), list[int]()
             self.routes = range(len(settings.routes))
-            host.watch_endpoints()
-            host.schedule_evaluation(100)
+            runtime.watch_endpoints()
+            runtime.schedule_evaluation(100)
 
         def queue_estimate(self) -> float:
             return 0.0
@@ -323,56 +334,58 @@
             return {}
 
         def handle(self, now: int, event: Any) -> None:
-            """What is heard of anything else changes nothing here."""
+            """Binds joining proxies and adds new endpoints; ignores all other events."""
             if isinstance(event, ProxyJoined):
-                self.host.bind(event.proxy, 0, self.routes)
+                self.runtime.bind(event.proxy, 0, self.routes)
             elif isinstance(event, EndpointListReceived):
-                for name in (entry.name for entry in event.entries if entry.name not in self.hosts):
-                    self.hosts.append(name)
-                    self.host.set_weight(0, name, 12.0 if name == "new" else 1.0)
+                for name in (entry.name for entry in event.entries if entry.name not in self.endpoints):
+                    self.endpoints.append(name)
+                    self.runtime.set_weight(0, name, 12.0 if name == "new" else 1.0)
 
         def flush(self, now: int) -> None:
-            """Nothing is put off."""
+            """Does nothing: commands are issued at once."""
 
     async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
-        one = FileProxy(service, "p1")
-        one.join()
-        await wait_until(lambda: one.usable_endpoints() == {"a", "b", "c"})
+        proxy = FileProxy(service, "p1")
+        proxy.join()
+        await wait_until(lambda: proxy.usable_endpoints() == {"a", "b", "c"})
         # Validation also counts unacknowledged updates and would reject the next one.
-        one.acknowledge()
+        proxy.acknowledge()
         await wait_until(lambda: service.intake.sessions["p1"].applied == service.proxy_states.message_count)
         discovery.endpoints["new"], discovery.started["new"], discovery.index = False, time.time() - 6.0, 2
-        await wait_until(lambda: "new" in one.usable_endpoints())
-        first = one.weights()
-        assert first["new"] < 12 and "update held by validation" in log.texts("warning")
-        one.acknowledge()
-        await wait_until(lambda: one.weights()["new"] == 12, 12)
-        assert one.message_number() > 0 and service.validation.counts["split"] >= 1
+        await wait_until(lambda: "new" in proxy.usable_endpoints())
+        first_weights = proxy.weights()
+        assert first_weights["new"] < 12 and "update held by validation" in log.texts("warning")
+        proxy.acknowledge()
+        await wait_until(lambda: proxy.weights()["new"] == 12, 12)
+        assert proxy.message_number() > 0 and service.validation.counts["split"] >= 1
 
-    serve(tmp_path, play, decider=Eager)
+    serve(tmp_path, play, decider=NewEndpointDecider)
 
 
-def test_unanswered_files_are_written_again(tmp_path: Path) -> None:
+def test_unacknowledged_files_are_written_again(tmp_path: Path) -> None:
     async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
-        one = FileProxy(service, "p1")
-        one.join()
-        await wait_until(lambda: len(one.usable_endpoints()) == 3)
-        ops, late = DiskOps(), one.down / "vlate"
-        late.mkdir()
-        (late / "eds.json").write_bytes(encode_response("0.1.9", forms.ASSIGNMENT, "0.1.9", []))
-        ops.symlink("vlate", str(one.down / ".late"))
-        ops.rename(str(one.down / ".late"), str(one.down / "current"))
-        assert one.usable_endpoints() == set()
-        await wait_until(lambda: len(one.usable_endpoints()) == 3)  # nobody ordered anything
-        one.acknowledge()
-        await wait_until(lambda: all(r.rewrite is None for r in service.publisher.sessions.values()))
+        proxy = FileProxy(service, "p1")
+        proxy.join()
+        await wait_until(lambda: len(proxy.usable_endpoints()) == 3)
+        ops, stale = DiskOps(), proxy.down / "vlate"
+        stale.mkdir()
+        (stale / "eds.json").write_bytes(encode_response("0.1.9", forms.ASSIGNMENT, "0.1.9", []))
+        ops.symlink("vlate", str(proxy.down / ".late"))
+        ops.rename(str(proxy.down / ".late"), str(proxy.down / "current"))
+        assert proxy.usable_endpoints() == set()
+        await wait_until(lambda: len(proxy.usable_endpoints()) == 3)  # without any command
+        proxy.acknowledge()
+        await wait_until(
+            lambda: all(session.rewrite is None for session in service.publisher.sessions.values())
+        )
 
     serve(tmp_path, play)
     assert any(row["kind"] == "again" for row in read_records(str(tmp_path / "records")))
 
 
 def test_signals_in_series_do_not_interrupt_the_stop(tmp_path: Path) -> None:
-    """Guards against a second SIGTERM that meets the default action while the controller stops."""
+    """Guards against a second SIGTERM that kills the controller by its default action during the stop."""
     replace = msgspec.structs.replace
     files = replace(EXAMPLE.files, folder=str(tmp_path / "d"))
     records = replace(EXAMPLE.records, file=str(tmp_path / "records"))
@@ -390,23 +403,25 @@
 
 def test_draining_controller_sends_its_proxies_away_one_by_one(tmp_path: Path) -> None:
     async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
-        fleet = [FileProxy(service, f"p{k}") for k in range(4)]
-        for k, one in enumerate(fleet):
-            one.node.metadata["usual_calls_per_s"] = 4 - k
-            one.join()
-        await wait_until(lambda: all(len(one.usable_endpoints()) == 3 for one in fleet))
+        proxies = [FileProxy(service, f"p{number}") for number in range(4)]
+        for number, proxy in enumerate(proxies):
+            proxy.node.metadata["usual_calls_per_s"] = 4 - number
+            proxy.join()
+        await wait_until(lambda: all(len(proxy.usable_endpoints()) == 3 for proxy in proxies))
         config = tmp_path / "d.json"
         config.write_bytes(msgspec.json.encode(service.terms))
-        got = await trio.to_thread.run_sync(
+        result = await trio.to_thread.run_sync(
             lambda: CliRunner().invoke(main, ["controller", "drain", "--config", str(config)])
         )
-        assert got.exit_code == 0 and "4 proxies are left" in got.output
-        told: list[str] = []
-        while len(told) < 4:
+        assert result.exit_code == 0 and "4 proxies are left" in result.output
+        sent_away: list[str] = []
+        while len(sent_away) < 4:
             await trio.sleep(0.02)
-            told += [one.name for one in fleet if one.name not in told and one.is_sent_away()]
-            assert len(told) < 4 or told[0] == "p3"  # the one of least traffic first
-        assert all(len(one.usable_endpoints()) == 3 for one in fleet)  # and their tables stay as they are
+            sent_away += [
+                proxy.name for proxy in proxies if proxy.name not in sent_away and proxy.is_sent_away()
+            ]
+            assert len(sent_away) < 4 or sent_away[0] == "p3"  # the lowest request rate first
+        assert all(len(proxy.usable_endpoints()) == 3 for proxy in proxies)  # their tables are unchanged
         CliRunner().invoke(main, ["controller", "drain", "--config", str(config), "--undo"])
         await wait_until(lambda: "controller draining cancelled" in log.texts())
 
@@ -414,7 +429,7 @@
 
 
 @pytest.mark.parametrize(
-    "where",
+    "method",
     [
         "judge",
         "record_sent",
@@ -425,21 +440,21 @@
         "remove_proxy",
     ],
 )
-def test_failed_validation_is_switched_off_and_updates_go_on(tmp_path: Path, where: str) -> None:
-    def breaks(*_: Any, **__: Any) -> None:
+def test_failed_validation_is_switched_off_and_updates_go_on(tmp_path: Path, method: str) -> None:
+    def fail(*_: Any, **__: Any) -> None:
         raise KeyError("on purpose")
 
     async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
-        setattr(service.validation, where, breaks)
-        one = FileProxy(service, "p1")
-        one.join()
-        await wait_until(lambda: len(one.usable_endpoints()) == 3)
-        one.acknowledge()
+        setattr(service.validation, method, fail)
+        proxy = FileProxy(service, "p1")
+        proxy.join()
+        await wait_until(lambda: len(proxy.usable_endpoints()) == 3)
+        proxy.acknowledge()
         stats = forms.ClusterStats("load@t0", load_report_interval="1s", total_dropped_requests=9)
-        one.put("load.json", encode(forms.LoadStatsRequest(one.node, [stats])))
+        proxy.put("load.json", encode(forms.LoadStatsRequest(proxy.node, [stats])))
         discovery.endpoints["b"], discovery.index = True, 2
-        await wait_until(lambda: one.usable_endpoints() == {"a", "c"})
-        shutil.rmtree(one.up)
+        await wait_until(lambda: proxy.usable_endpoints() == {"a", "c"})
+        shutil.rmtree(proxy.up)
         await wait_until(lambda: not service.intake.sessions)
 
     log = serve(tmp_path, play)
