--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -52,7 +52,7 @@
 
     log = serve(tmp_path, play, watch=watch, durability=durability, poll_every_ms=20)
     assert log.texts("warning") == [] and "proxy left" in log.texts()
-    kinds = [row["kind"] for row in read_records(str(tmp_path / "records"))]
+    kinds = [record["kind"] for record in read_records(str(tmp_path / "records"))]
     assert {"started", "list", "joined", "order", "sent", "applied", "withdraw", "left", "ended"} <= set(
         kinds
     )
@@ -70,7 +70,7 @@
         )
 
     log = serve(tmp_path, play, proxy_lost_after_ms=1200)
-    assert [row[2]["reason"][:6] for row in log.lines if row[1] == "proxy left"] == ["silent"]
+    assert [line[2]["reason"][:6] for line in log.lines if line[1] == "proxy left"] == ["silent"]
 
 
 def test_proxy_whose_reports_are_not_read_yet_is_not_silent(tmp_path: Path) -> None:
@@ -182,7 +182,7 @@
         assert list(service.intake.sessions) == ["p1"]
 
     log = serve(tmp_path, play)
-    assert sorted(row[2]["proxy"] for row in log.lines if row[1] == "input of a proxy rejected") == [
+    assert sorted(line[2]["proxy"] for line in log.lines if line[1] == "input of a proxy rejected") == [
         "empty",
         "noise",
     ]
@@ -381,7 +381,7 @@
         )
 
     serve(tmp_path, play)
-    assert any(row["kind"] == "again" for row in read_records(str(tmp_path / "records")))
+    assert any(record["kind"] == "again" for record in read_records(str(tmp_path / "records")))
 
 
 def test_signals_in_series_do_not_interrupt_the_stop(tmp_path: Path) -> None:
--- a/willowhook/controlplane/table_rollout.py
+++ b/willowhook/controlplane/table_rollout.py
@@ -126,7 +126,7 @@
     def _without_removed_endpoints(
         self, good: VersionedTable, new: VersionedTable, view: ProxyView
     ) -> VersionedTable | None:
-        """Returns the good content without removed endpoints; None if none of its endpoints is usable.
+        """Returns the good content without removed endpoints and with the new limits; None if none is usable.
 
         None lets the new content through, as it may be what adds the usable endpoints.
         """
