--- a/willowhook/controlplane/endpoint_directory.py
+++ b/willowhook/controlplane/endpoint_directory.py
@@ -69,7 +69,7 @@
             [endpoint.id, "draining" if endpoint.draining else "open", endpoint.started]
             for endpoint in endpoints
         ]
-        self._context.records.note(self._context.now(), "list", hosts=entries)
+        self._context.records.append(self._context.now(), "list", hosts=entries)
         memory = self._context.memory
         if memory is not None:
             memory.record_endpoints(
@@ -117,7 +117,7 @@
     def set_active(self, endpoint: str, is_active: bool, reason: str) -> None:
         """Called by `PriorityTiers` when it activates or deactivates an endpoint."""
         self._has_tier_changes = True
-        self._context.records.note(self._context.now(), "tier", host=endpoint, on=is_active, cause=reason)
+        self._context.records.append(self._context.now(), "tier", host=endpoint, on=is_active, cause=reason)
         event = "endpoint of a later tier activated" if is_active else "endpoint of a later tier deactivated"
         self._context.log.info(event, endpoint=endpoint, cause=reason)
 
--- a/willowhook/controlplane/evidence_recovery.py
+++ b/willowhook/controlplane/evidence_recovery.py
@@ -32,7 +32,7 @@
             self._context.handle(
                 now, EndpointReport(entry.endpoint, sums.tries, sums.errors, sums.mean, None)
             )
-        self._context.records.note(now, "recalled", hosts=len(evidence), life=memory.last_epoch)
+        self._context.records.append(now, "recalled", hosts=len(evidence), life=memory.last_epoch)
         if evidence:
             oldest_ms = max(entry.age_ticks for entry in evidence) // TICKS_PER_MILLISECOND
             self._context.log.info("stored evidence restored", endpoints=len(evidence), oldest_ms=oldest_ms)
