--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -53,24 +53,28 @@
 
 
 def log(count: int, safes: dict[int, int] | None = None) -> bytes:
-    rows = [frames.frame(7, n, (safes or {}).get(n, n - 1), 1, b"p%d" % n * 3) for n in range(1, count + 1)]
-    return frames.head(7, 1) + b"".join(rows)
+    rows = [
+        frames.encode_frame(7, n, (safes or {}).get(n, n - 1), 1, b"p%d" % n * 3) for n in range(1, count + 1)
+    ]
+    return frames.encode_header(7, 1) + b"".join(rows)
 
 
 def test_a_hole_is_damage_if_a_later_frame_says_that_it_was_safe_and_a_cut_tail_if_none_does() -> None:
     data = log(6)
-    whole = frames.scan(7, data, 1)
-    assert whole.verdict == frames.WHOLE and [f.number for f in whole.frames] == [1, 2, 3, 4, 5, 6]
-    at = whole.frames[2].at
+    whole = frames.scan_segment(7, data, 1)
+    assert whole.status == frames.COMPLETE and [f.number for f in whole.frames] == [1, 2, 3, 4, 5, 6]
+    at = whole.frames[2].start
     torn = data[: at + 5] + b"\0" * 10 + data[at + 15 :]
-    got = frames.scan(7, torn, 1)
-    assert got.verdict == frames.DAMAGED and [f.number for f in got.frames] == [1, 2, 4, 5, 6]
-    assert [(h.at, h.end, h.first, h.last) for h in got.holes] == [(at, whole.frames[3].at, 3, 3)]
+    got = frames.scan_segment(7, torn, 1)
+    assert got.status == frames.CORRUPTED and [f.number for f in got.frames] == [1, 2, 4, 5, 6]
+    assert [(h.start, h.end, h.first, h.last) for h in got.corrupt_ranges] == [
+        (at, whole.frames[3].start, 3, 3)
+    ]
     # of one group, none of which was acknowledged: what came to lie behind the hole is nobody's
     same = log(6, dict.fromkeys(range(3, 7), 2))
-    got = frames.scan(7, same[: at + 5] + b"\0" * 10 + same[at + 15 :], 1)
-    assert got.verdict == frames.CUT and [f.number for f in got.frames] == [1, 2] and got.end == at
-    assert frames.scan(8, data, 1).frames == []  # of another store
+    got = frames.scan_segment(7, same[: at + 5] + b"\0" * 10 + same[at + 15 :], 1)
+    assert got.status == frames.TRUNCATED and [f.number for f in got.frames] == [1, 2] and got.end == at
+    assert frames.scan_segment(8, data, 1).frames == []  # of another store
 
 
 def test_every_injury_of_a_small_history_is_recovered_or_told() -> None:
@@ -302,7 +306,7 @@
     disk.before = once
     store.flush()
     assert store.get("orders", "a") is not None and len(store.segments) == 2
-    assert any("given up" in text for text in store.events)
+    assert any("segment abandoned after a write error" in text for text in store.events)
 
 
 def test_group_commit_gives_each_its_own_answer_also_when_the_disk_fails(tmp_path: Path) -> None:
@@ -465,7 +469,7 @@
     assert held.has_lost_entries and told("repair", folder)[0] == 3
     held.close()
     code, text = told("repair", folder)
-    assert code == 0 and "put aside" in text
+    assert code == 0 and "a copy is saved in damaged" in text
     code, text = told("check", folder)
     assert code == 1 and "lost before" in text  # until somebody says that it is seen
     assert told("repair", folder, "--seen")[0] == 0 and told("check", folder)[0] == 0
--- a/willowhook/files/layout.py
+++ b/willowhook/files/layout.py
@@ -17,9 +17,9 @@
 import time
 
 from .ops import DiskOps, FileOps, remove
-from .swap import TEMP, clear_leftovers, read_file, swap_file
+from .swap import TEMP_PREFIX, clear_leftovers, read_file, swap_file
 
-LOCK, EPOCH, ENDPOINT_LIST_FILE, DRAIN_FILE, OUTBOUND_FOLDER, INBOUND_FOLDER = (
+LOCK_FILE, EPOCH_FILE, ENDPOINT_LIST_FILE, DRAIN_FILE, OUTBOUND_FOLDER, INBOUND_FOLDER = (
     "lock",
     "epoch",
     "list",
@@ -45,12 +45,12 @@
             f"{self.path}/{OUTBOUND_FOLDER}",
             f"{self.path}/{INBOUND_FOLDER}",
         )
-        self.epoch, self._lock = 0, -1
+        self.epoch, self._lock_handle = 0, -1
 
     def open(self) -> None:
         """Locks the folder, counts this start, and clears what a director that died left behind."""
         os.makedirs(self.path, exist_ok=True)
-        fd = os.open(f"{self.path}/{LOCK}", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o644)
+        fd = os.open(f"{self.path}/{LOCK_FILE}", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o644)
         try:
             fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError as fault:
@@ -59,12 +59,12 @@
             raise FolderInUseError(
                 f"{self.path} is in use by {owner}; one folder serves one director"
             ) from fault
-        self._lock = fd
+        self._lock_handle = fd
         for path in (self.outbound_path, self.inbound_path):
             with contextlib.suppress(FileExistsError):
                 self.ops.mkdir(path)
         for name in self.ops.listdir(self.path):
-            if name.startswith(TEMP):
+            if name.startswith(TEMP_PREFIX):
                 remove(self.ops, f"{self.path}/{name}")
         here = set(self.ops.listdir(self.inbound_path))
         for name in self.ops.listdir(self.outbound_path):
@@ -80,27 +80,27 @@
     def _next_epoch(self) -> int:
         """Rises at every start; on disk before anything is said under it."""
         try:
-            last = int(read_file(None, f"{self.path}/{EPOCH}", 100))
+            last = int(read_file(None, f"{self.path}/{EPOCH_FILE}", 100))
         except FileNotFoundError:
             last = 0
         except ValueError:  # damaged: the time is larger than any count of starts
             last = int(time.time())
-        swap_file(self.ops, self.path, EPOCH, f"{last + 1}\n".encode(), "file_and_folder")
+        swap_file(self.ops, self.path, EPOCH_FILE, f"{last + 1}\n".encode(), "file_and_folder")
         return last + 1
 
     def record_heartbeat(self) -> None:
         """The sign of life that proxies look at: the lock's time of change."""
-        os.utime(self._lock)
+        os.utime(self._lock_handle)
 
     def close(self) -> None:
-        if self._lock >= 0:
-            os.close(self._lock)
-            self._lock = -1
+        if self._lock_handle >= 0:
+            os.close(self._lock_handle)
+            self._lock_handle = -1
 
 
 def last_heartbeat(folder: str) -> float:
     """When the director of this folder last gave a sign of life, by the machine's clock; 0 if never."""
     try:
-        return os.stat(f"{folder}/{LOCK}").st_mtime
+        return os.stat(f"{folder}/{LOCK_FILE}").st_mtime
     except OSError:
         return 0.0
--- a/willowhook/files/swap.py
+++ b/willowhook/files/swap.py
@@ -14,14 +14,14 @@
 from .ops import DiskOps, FileOps, remove
 
 CURRENT = "current"
-TEMP = ".new-"  # prefix of what is not in place yet
-VERSION = "v"  # prefix of a group's folder
+TEMP_PREFIX = ".new-"  # prefix of what is not in place yet
+VERSION_PREFIX = "v"  # prefix of a group's folder
 DURABILITY = ("none", "file", "file_and_folder")  # what is on disk when a swap returns
 
 
 def swap_file(ops: FileOps, folder: str, name: str, data: bytes, durability: str = "none") -> None:
     """Puts `data` at `folder/name`; raises OSError, and then what was there is there still."""
-    temp = f"{folder}/{TEMP}{name}"
+    temp = f"{folder}/{TEMP_PREFIX}{name}"
     try:
         try:
             ops.write(temp, data, durability != "none")
@@ -44,7 +44,7 @@
         self, folder: str, ops: FileOps | None = None, durability: str = "none", series: str = ""
     ) -> None:
         self.folder, self.ops, self.durability = folder, ops or DiskOps(), durability
-        self.series, self.count = series, 0  # of folders; a name is never used twice by one director
+        self.series, self.version_count = series, 0  # of folders; a name is never used twice by one director
         self.files = dict[str, bytes]()
         self.place = ""  # the folder that `current` names
         self.swap_count, self._open = 0, False
@@ -79,13 +79,13 @@
 
     def _swap_group(self, files: Mapping[str, bytes], changed: list[str]) -> None:
         ops, old = self.ops, self.place
-        self.count += 1  # a number is used once, also if this fails
-        place, temp = f"{VERSION}{self.series}{self.count}", f"{self.folder}/{TEMP}{CURRENT}"
-        home = f"{self.folder}/{place}"
+        self.version_count += 1  # a number is used once, also if this fails
+        version_folder, temp = f"{VERSION_PREFIX}{self.series}{self.version_count}", f"{self.folder}/{TEMP_PREFIX}{CURRENT}"
+        home = f"{self.folder}/{version_folder}"
         try:
-            if place in (names := ops.listdir(self.folder)):
+            if version_folder in (names := ops.listdir(self.folder)):
                 remove(ops, home)
-            if TEMP + CURRENT in names:
+            if TEMP_PREFIX + CURRENT in names:
                 remove(ops, temp)
             ops.mkdir(home)
             for name, data in files.items():
@@ -95,19 +95,19 @@
                     ops.link(f"{self.folder}/{old}/{name}", f"{home}/{name}")
             if self.durability == "file_and_folder":
                 ops.sync_folder(home)
-            ops.symlink(place, temp)
+            ops.symlink(version_folder, temp)
             ops.rename(temp, f"{self.folder}/{CURRENT}")
         except OSError:
             with contextlib.suppress(OSError):
                 remove(ops, temp)
             with contextlib.suppress(OSError):
-                if ops.readlink(f"{self.folder}/{CURRENT}") == place:
-                    self.place = place
-            if self.place != place:
+                if ops.readlink(f"{self.folder}/{CURRENT}") == version_folder:
+                    self.place = version_folder
+            if self.place != version_folder:
                 with contextlib.suppress(OSError):
                     remove(ops, home)
             raise
-        self.place = place
+        self.place = version_folder
         if self.durability == "file_and_folder":
             ops.sync_folder(self.folder)
         if old:
@@ -122,12 +122,12 @@
     except (FileNotFoundError, OSError):
         place = ""
     for name in ops.listdir(folder):
-        if name.startswith(TEMP) or (name.startswith(VERSION) and name != place and name != CURRENT):
+        if name.startswith(TEMP_PREFIX) or (name.startswith(VERSION_PREFIX) and name != place and name != CURRENT):
             remove(ops, f"{folder}/{name}")
     if place:
         with contextlib.suppress(FileNotFoundError, NotADirectoryError):
             for name in ops.listdir(f"{folder}/{place}"):
-                if name.startswith(TEMP):
+                if name.startswith(TEMP_PREFIX):
                     remove(ops, f"{folder}/{place}/{name}")
     return place
 
@@ -145,7 +145,7 @@
         except FileNotFoundError:
             continue
         try:
-            names = [name for name in sorted(os.listdir(fd)) if not name.startswith(TEMP)]
+            names = [name for name in sorted(os.listdir(fd)) if not name.startswith(TEMP_PREFIX)]
             files = {name: read_file(fd, name, most) for name in names}
             if os.readlink(f"{folder}/{CURRENT}") == place:
                 return place, files
--- a/willowhook/files/watch.py
+++ b/willowhook/files/watch.py
@@ -8,7 +8,7 @@
 import trio
 from inotify_simple import INotify, flags
 
-SEEN = flags.MOVED_TO | flags.MOVED_FROM | flags.CREATE | flags.DELETE | flags.DELETE_SELF
+WATCHED_EVENTS = flags.MOVED_TO | flags.MOVED_FROM | flags.CREATE | flags.DELETE | flags.DELETE_SELF
 
 
 class Watch(Protocol):
@@ -30,7 +30,7 @@
         self._places: dict[str, int] = {}
 
     def add(self, path: str, key: str) -> None:
-        place = self._notify.add_watch(path, SEEN | flags.ONLYDIR)
+        place = self._notify.add_watch(path, WATCHED_EVENTS | flags.ONLYDIR)
         old = self._places.get(key)
         if old is not None and old != place:
             self._forget(old)
--- a/willowhook/records/states.py
+++ b/willowhook/records/states.py
@@ -10,19 +10,19 @@
 
 
 @dataclass
-class Known:
+class ProxyState:
     """Of one proxy."""
 
     term: int = 0
-    here: bool = False
+    is_joined: bool = False
     parts: dict[str, tuple[str, str, int]] = field(default_factory=dict)  # state, version, since when
-    refused: list[tuple[int, str, str]] = field(default_factory=list)  # when, what, why
+    refusals: list[tuple[int, str, str]] = field(default_factory=list)  # when, what, why
 
 
 @dataclass
 class ProxyStates:
-    proxies: dict[str, Known] = field(default_factory=dict)
-    stops: list[dict[str, Any]] = field(default_factory=list)
+    proxies: dict[str, ProxyState] = field(default_factory=dict)
+    rollout_events: list[dict[str, Any]] = field(default_factory=list)
     last: int = 0
 
     def add(self, row: dict[str, Any]) -> None:
@@ -30,27 +30,27 @@
         kind, name = row["kind"], row.get("proxy", "")
         if kind == "started":
             for known in self.proxies.values():
-                known.here, known.parts = False, {}
+                known.is_joined, known.parts = False, {}
         elif kind == "joined":
-            known = self.proxies.setdefault(name, Known())
-            known.here, known.term, known.parts = True, row["term"], {}
+            known = self.proxies.setdefault(name, ProxyState())
+            known.is_joined, known.term, known.parts = True, row["term"], {}
         elif kind == "left" and name in self.proxies:
-            self.proxies[name].here = False
+            self.proxies[name].is_joined = False
         elif kind == "belief":
-            known = self.proxies.setdefault(name, Known())
+            known = self.proxies.setdefault(name, ProxyState())
             known.parts[row["part"]] = (row["state"], row["version"], row["t"])
         elif kind == "refused":
-            known = self.proxies.setdefault(name, Known())
-            known.refused.append((row["t"], f"{row['form']} {row.get('what', '')}".strip(), row["cause"]))
-            del known.refused[:-5]
+            known = self.proxies.setdefault(name, ProxyState())
+            known.refusals.append((row["t"], f"{row['form']} {row.get('what', '')}".strip(), row["cause"]))
+            del known.refusals[:-5]
         elif kind in ("halted", "rollback", "released"):
-            self.stops.append(row)
+            self.rollout_events.append(row)
 
     def lines(self, which: str = "") -> list[str]:
         """For people: all in sum, or one proxy in full."""
         if which:
             return self._one(which)
-        here = {name: known for name, known in self.proxies.items() if known.here}
+        here = {name: known for name, known in self.proxies.items() if known.is_joined}
         counts = Counter(f"{part} {row[0]}" for known in here.values() for part, row in known.parts.items())
         shown = ", ".join(f"{count} {what}" for what, count in sorted(counts.items()))
         found = [f"{len(here)} proxies are here: {shown}"]
@@ -58,10 +58,10 @@
             for part, (state, version, since) in sorted(known.parts.items()):
                 old = (self.last - since) / TICKS_PER_SECOND
                 if state in ("refused", "lost") or (state == "sent" and old > 2):
-                    why = known.refused[-1][2] if state == "refused" and known.refused else ""
+                    why = known.refusals[-1][2] if state == "refused" and known.refusals else ""
                     told = version or "not certain"
                     found.append(f"  {name}: {part} {state} for {old:.1f} s, version {told} {why}".rstrip())
-        for row in self.stops[-10:]:
+        for row in self.rollout_events[-10:]:
             ago = (self.last - row["t"]) / TICKS_PER_SECOND
             what = {"halted": "stopped", "rollback": "taken back", "released": "released to all"}[row["kind"]]
             rest = f": {row['why']}" if "why" in row else ""
@@ -73,11 +73,11 @@
         known = self.proxies.get(name)
         if known is None:
             return [f"{name}: no record of it"]
-        found = [f"{name}: {'here' if known.here else 'has left'}, term {known.term}"]
+        found = [f"{name}: {'here' if known.is_joined else 'has left'}, term {known.term}"]
         for part, (state, version, since) in sorted(known.parts.items()):
             old = (self.last - since) / TICKS_PER_SECOND
             found.append(f"  {part} {state} for {old:.1f} s, version {version or 'not certain'}")
-        for t, what, why in known.refused:
+        for t, what, why in known.refusals:
             ago = (self.last - t) / TICKS_PER_SECOND
             found.append(f"  refused {ago:.1f} s before the end of the record: {what}: {why}")
         return found
--- a/willowhook/records/writer.py
+++ b/willowhook/records/writer.py
@@ -16,36 +16,36 @@
     """`note` never waits: what cannot be kept is counted, and the count is the next record."""
 
     def __init__(self, path: str, most_waiting: int) -> None:
-        self._path, self._most = path, most_waiting
-        self._waiting: deque[dict[str, Any]] = deque()
-        self._lost = 0
-        self._fd, self._left = -1, b""  # encoded, but not yet written
+        self._path, self._max_pending = path, most_waiting
+        self._pending: deque[dict[str, Any]] = deque()
+        self._lost_count = 0
+        self._fd, self._unwritten = -1, b""  # encoded, but not yet written
         self.write_error = ""  # why records cannot be written now
 
     def append(self, now: int, kind: str, **parts: Any) -> None:
         """`now` in tenths of a millisecond of the director's clock."""
         if not self._path:
             return
-        if len(self._waiting) >= self._most:
-            self._lost += 1
+        if len(self._pending) >= self._max_pending:
+            self._lost_count += 1
             return
-        if self._lost:
-            self._waiting.append({"t": now, "kind": "lost", "records": self._lost})
-            self._lost = 0
-        self._waiting.append({"t": now, "kind": kind, **parts})
+        if self._lost_count:
+            self._pending.append({"t": now, "kind": "lost", "records": self._lost_count})
+            self._lost_count = 0
+        self._pending.append({"t": now, "kind": kind, **parts})
 
     def flush(self) -> None:
         """Writes what waits; on a disk fault it goes on waiting."""
-        if not self._waiting and not self._left:
+        if not self._pending and not self._unwritten:
             return
         try:
             if self._fd < 0:
                 os.makedirs(os.path.dirname(os.path.abspath(self._path)), exist_ok=True)
                 self._fd = os.open(self._path, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o644)
-            self._left += b"".join(_encode(row) + b"\n" for row in self._waiting)
-            self._waiting.clear()
-            while self._left:
-                self._left = self._left[os.write(self._fd, self._left) :]
+            self._unwritten += b"".join(_encode(row) + b"\n" for row in self._pending)
+            self._pending.clear()
+            while self._unwritten:
+                self._unwritten = self._unwritten[os.write(self._fd, self._unwritten) :]
             self.write_error = ""
         except OSError as fault:
             self.write_error = str(fault)
--- a/willowhook/store/__init__.py
+++ b/willowhook/store/__init__.py
@@ -1,1 +1,1 @@
-"""An embedded store: what was acknowledged survives crashes of process and power."""
+"""An embedded store: acknowledged writes survive a crash of the process and a power failure."""
--- a/willowhook/store/commit.py
+++ b/willowhook/store/commit.py
@@ -1,4 +1,4 @@
-"""Group commit: one sync for all who wait, in a thread, with what arrives meanwhile as the next group."""
+"""Group commit: one sync in a thread for all waiting writes; those that come meanwhile are the next batch."""
 
 from __future__ import annotations
 
@@ -10,65 +10,78 @@
 
 
 class Committer:
-    """`commit` returns when it is on disk.  `say(text)` is told of what an operator is to know."""
+    """Commits operations in batches; `commit` returns when they are on disk.
 
-    def __init__(self, store: Store, say: Callable[[str], None] = lambda text: None) -> None:
-        self.store, self._say = store, say
-        self._news = trio.Event()
-        self._waits: dict[int, trio.Event] = {}
-        self._lost: dict[int, None] = {}
+    Attributes:
+        store: the store.
+        batch_count: the number of batches committed.
+        committed_count: the number of writes committed.
+    """
+
+    def __init__(self, store: Store, announce: Callable[[str], None] = lambda text: None) -> None:
+        """`announce` receives the store's messages for the operator."""
+        self.store, self._announce = store, announce
+        self._write_pending = trio.Event()
+        self._waiters: dict[int, trio.Event] = {}  # by the number of the write
+        self._dropped: dict[int, None] = {}  # the ids of the events whose write was dropped
         self.batch_count = self.committed_count = 0
 
     async def commit(self, ops: list[Op]) -> bool:
-        """False: it was dropped, as the disk is full and this is not dear enough.  Raises StoreError."""
+        """Returns False if the write was dropped because the disk is full and its rank is too low.
+
+        Raises:
+            StoreError: the store is read-only.
+        """
         number = self.store.write(ops)
         if number is None:
             return False
-        done = self._waits[number] = trio.Event()
-        self._news.set()
+        done = self._waiters[number] = trio.Event()
+        self._write_pending.set()
         await done.wait()
-        if id(done) in self._lost:
-            del self._lost[id(done)]
+        if id(done) in self._dropped:
+            del self._dropped[id(done)]
             if self.store.read_only:
-                raise StoreError(f"not kept: {self.store.read_only}")
+                raise StoreError(f"write not committed: {self.store.read_only}")
             return False
         return True
 
     async def run(self) -> None:
+        """Commits pending writes until cancelled."""
         while True:
-            await self._news.wait()
-            self._news = trio.Event()
+            await self._write_pending.wait()
+            self._write_pending = trio.Event()
             while batch := self.store.next_batch():
                 try:
                     await trio.to_thread.run_sync(self.store.write_batch, batch)
-                except OSError as fault:
-                    self._failed(fault)
+                except OSError as error:
+                    self._handle_write_error(error)
                     await trio.sleep(0.05)
                     continue
                 self.store.apply_batch(batch)
                 self.batch_count += 1
                 self.committed_count += len(batch)
-                for each in batch:
-                    if (event := self._waits.pop(each.number, None)) is not None:
+                for write in batch:
+                    if (event := self._waiters.pop(write.number, None)) is not None:
                         event.set()
-                self._tell()
+                self._announce_events()
 
-    def _failed(self, fault: OSError) -> None:
-        events = {id(each): self._waits.pop(each.number, None) for each in self.store._waiting}
-        waiting = list(self.store._waiting)
-        gone = self.store.handle_write_error(fault)
-        for each in waiting:
-            event = events[id(each)]
+    def _handle_write_error(self, error: OSError) -> None:
+        """Wakes the waiters of dropped writes; the other writes get new numbers, so their waiters move."""
+        events = {id(write): self._waiters.pop(write.number, None) for write in self.store._pending}
+        pending = list(self.store._pending)
+        dropped = self.store.handle_write_error(error)
+        for write in pending:
+            event = events[id(write)]
             if event is None:
                 continue
-            if any(each is row for row in gone):
-                self._lost[id(event)] = None
+            if any(write is dropped_write for dropped_write in dropped):
+                self._dropped[id(event)] = None
                 event.set()
             else:
-                self._waits[each.number] = event
-        self._tell()
+                self._waiters[write.number] = event
+        self._announce_events()
 
-    def _tell(self) -> None:
+    def _announce_events(self) -> None:
         for text in self.store.events:
-            self._say(text)
+            self._announce(text)
         self.store.events.clear()
--- a/willowhook/store/ledger.py
+++ b/willowhook/store/ledger.py
@@ -1,7 +1,7 @@
-"""Outcomes of calls, kept: what is about to be tried is on disk before it leaves, what became of it after.
+"""Stores the outcomes of requests: each attempt is on disk before it is sent, its result after it ended.
 
-For whoever makes the tries.  After a crash `pending` are the calls whose outcome was not told, each with what
-is known of it; `repeat` says what may be done about it.
+For a client that sends attempts. After a crash, `unreported` lists the requests whose outcome was not
+reported to the caller, and the `retry_decision` of a request's record says whether it may be attempted again.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 SPACE = "outcomes"
 
 
-class Line(msgspec.Struct, array_like=True):
-    """As it is written."""
+class StoredRequest(msgspec.Struct, array_like=True):
+    """The stored form of a request's record; the order and types of the fields are the format."""
 
     semantics: str
     group: str
@@ -25,70 +25,82 @@
     tries: dict[int, str]
     groups: dict[int, str]
     answer: bytes
-    told: bool = False  # to whoever made the call
+    reported: bool = False  # whether the caller has received the outcome
 
 
 _encode = msgspec.msgpack.Encoder().encode
-_line = msgspec.msgpack.Decoder(Line)
+_request_decoder = msgspec.msgpack.Decoder(StoredRequest)
 
 
 class RequestLedger:
-    """Raises StoreError where something cannot be kept: then nothing may leave."""
+    """The stored requests. Raises StoreError if a record cannot be stored: then nothing may be sent."""
 
     def __init__(self, store: Store, committer: Committer) -> None:
         self._store, self._committer = store, committer
-        self._calls: dict[str, tuple[RequestRecord, bool]] = {}
-
-    def request(self, call: str) -> RequestRecord:
-        """What is known of a call, now or after a recovery."""
-        held = self._calls.get(call)
-        if held is not None:
-            return held[0]
-        entry = self._store.get(SPACE, call)
+        self._requests: dict[str, tuple[RequestRecord, bool]] = {}
+
+    def request(self, key: str) -> RequestRecord:
+        """Returns what is known of a request, now or after a recovery."""
+        cached = self._requests.get(key)
+        if cached is not None:
+            return cached[0]
+        entry = self._store.get(SPACE, key)
         if entry is None:
-            made, told = after_recovery(None, self._store.has_lost_entries), False
+            record, reported = after_recovery(None, self._store.has_lost_entries), False
         else:
-            row = _line.decode(entry.value)
-            found = RequestRecord(
-                row.semantics, row.group, row.window, row.first_out, row.tries, row.groups, row.answer
+            stored = _request_decoder.decode(entry.value)
+            known = RequestRecord(
+                stored.semantics,
+                stored.group,
+                stored.window,
+                stored.first_out,
+                stored.tries,
+                stored.groups,
+                stored.answer,
             )
-            made, told = after_recovery(found, self._store.has_lost_entries), row.told
-        self._calls[call] = (made, told)
-        return made
+            record, reported = after_recovery(known, self._store.has_lost_entries), stored.reported
+        self._requests[key] = (record, reported)
+        return record
 
     def unreported(self) -> list[str]:
-        """Calls whose outcome was not told, in the order in which they were last written."""
-        return [key for key, entry in self._store.by_time(SPACE) if not _line.decode(entry.value).told]
-
-    async def begin(self, call: str, semantics: str, at: int, group: str = "", window: int = 0) -> None:
-        self._calls[call] = (RequestRecord(semantics, group, window), False)
-        await self._keep(call, at)
-
-    async def start_attempt(self, call: str, at: int, group: str = "") -> int:
-        """A try may leave when this returns; its number."""
-        known = self.request(call)
-        number = 1 + max(known.tries, default=-1)
-        known.start_attempt(number, at, group)
-        await self._keep(call, at)
+        """Returns the requests whose outcome was not reported, in the order of their last write."""
+        return [
+            key
+            for key, entry in self._store.by_time(SPACE)
+            if not _request_decoder.decode(entry.value).reported
+        ]
+
+    async def begin(self, key: str, semantics: str, now: int, group: str = "", window: int = 0) -> None:
+        """Stores a new request."""
+        self._requests[key] = (RequestRecord(semantics, group, window), False)
+        await self._commit(key, now)
+
+    async def start_attempt(self, key: str, now: int, group: str = "") -> int:
+        """Returns the number of a new attempt, which may be sent from then on."""
+        record = self.request(key)
+        number = 1 + max(record.tries, default=-1)
+        record.start_attempt(number, now, group)
+        await self._commit(key, now)
         return number
 
-    async def end_attempt(self, call: str, number: int, what: str, at: int, answer: bytes = b"") -> None:
-        self.request(call).end_attempt(number, what, answer)
-        await self._keep(call, at)
-
-    async def cancel_attempt(self, call: str, number: int, at: int) -> None:
-        """The try was written down and then did not leave after all."""
-        if self.request(call).tries.get(number) == IN_FLIGHT:
-            await self.end_attempt(call, number, NOT_EXECUTED, at)
-
-    async def mark_reported(self, call: str, at: int) -> None:
-        """Its outcome has been given to whoever made it."""
-        self._calls[call] = (self.request(call), True)
-        await self._keep(call, at)
-        self._calls.pop(call, None)
-
-    async def _keep(self, call: str, at: int) -> None:
-        known, told = self._calls[call]
-        row = Line(known.semantics, known.group, known.window, known.first_out, known.tries, known.groups,
-                   known.answer, told)  # fmt: skip
-        await self._committer.commit([Op(SPACE, call, at, _encode(row))])
+    async def end_attempt(self, key: str, number: int, state: str, now: int, response: bytes = b"") -> None:
+        """Stores the result of an attempt."""
+        self.request(key).end_attempt(number, state, response)
+        await self._commit(key, now)
+
+    async def cancel_attempt(self, key: str, number: int, now: int) -> None:
+        """Stores that an attempt was not sent after all."""
+        if self.request(key).tries.get(number) == IN_FLIGHT:
+            await self.end_attempt(key, number, NOT_EXECUTED, now)
+
+    async def mark_reported(self, key: str, now: int) -> None:
+        """Stores that the outcome was reported to the caller."""
+        self._requests[key] = (self.request(key), True)
+        await self._commit(key, now)
+        self._requests.pop(key, None)
+
+    async def _commit(self, key: str, now: int) -> None:
+        record, reported = self._requests[key]
+        stored = StoredRequest(record.semantics, record.group, record.window, record.first_out, record.tries,
+                               record.groups, record.answer, reported)  # fmt: skip
+        await self._committer.commit([Op(SPACE, key, now, _encode(stored))])
--- a/willowhook/store/tool.py
+++ b/willowhook/store/tool.py
@@ -1,6 +1,7 @@
-"""What an operator may ask of a store's folder: is it whole, what is in it, and to make it so again.
+"""The operator's commands on a store's folder: check, dump, statistics and repair.
 
-Repair never invents: it keeps what can be read, puts what cannot aside, and says which numbers are lost.
+A repair never makes up entries: it keeps what can be read, keeps copies of corrupt files, and reports which
+numbers are lost.
 """
 
 from __future__ import annotations
@@ -12,103 +13,136 @@
 from typing import Any
 
 from .disk import RealDisk
-from .store import LOST, MARKS, SEGMENT, SNAPSHOT, STORE_SPACE, Op, RecoveredStore, Store, StoreError, recover
+from .store import (
+    LOST_KEY,
+    SEGMENT_PREFIX,
+    SNAPSHOT_PREFIX,
+    STORE_SPACE,
+    WATERMARK_PREFIX,
+    Op,
+    RecoveredStore,
+    Store,
+    StoreError,
+    recover,
+)
 
-ASIDE = "damaged"
+COPIES_FOLDER = "damaged"
 
 
-def look(folder: str) -> RecoveredStore:
-    """Raises StoreError if there is no store."""
+def read_store(folder: str) -> RecoveredStore:
+    """Recovers the store in a folder without changing it. Raises StoreError if there is none."""
     if not os.path.isdir(folder):
         raise StoreError(f"{folder}: not a folder")
-    if not any(name.startswith((SEGMENT, SNAPSHOT)) for name in os.listdir(folder)):
-        raise StoreError(f"{folder}: no store")
+    if not any(name.startswith((SEGMENT_PREFIX, SNAPSHOT_PREFIX)) for name in os.listdir(folder)):
+        raise StoreError(f"{folder}: contains no store")
     return recover(RealDisk(), folder)
 
 
 def check(folder: str) -> tuple[bool, list[str]]:
-    """Whether all that was promised is there, and what there is to say."""
-    got = look(folder)
+    """Returns whether all committed entries are there, and the lines to print."""
+    recovered = read_store(folder)
     lines = [
-        f"store {got.store_id:016x}, number {got.number}, epoch {got.epoch}, {got.report.frames} frames read"
+        f"store {recovered.store_id:016x}, number {recovered.number}, epoch {recovered.epoch}, "
+        f"{recovered.report.frames} frames read"
     ]
-    if got.report.snapshot:
-        lines.append(f"  from {got.report.snapshot}")
+    if recovered.report.snapshot:
+        lines.append(f"  from {recovered.report.snapshot}")
     lines += [
-        f"  {name}: {size} bytes of a tail that nobody was promised" for name, size in got.report.cut.items()
+        f"  {name}: {size} bytes of an interrupted write that was never acknowledged"
+        for name, size in recovered.report.torn_tails.items()
     ]
-    lines += [f"  damage: {row.describe()}" for row in got.report.corruptions]
-    entry = got.state.get(STORE_SPACE, {}).get(LOST)
+    lines += [f"  damage: {corruption.describe()}" for corruption in recovered.report.corruptions]
+    entry = recovered.state.get(STORE_SPACE, {}).get(LOST_KEY)
     if entry is not None:
         lines.append(f"  lost before: {entry.value.decode(errors='replace')}")
-    return not got.report.corruptions and entry is None, lines
+    return not recovered.report.corruptions and entry is None, lines
 
 
 def stats(folder: str) -> dict[str, Any]:
-    got = look(folder)
+    """Returns counts and sizes of files and spaces, as printed."""
+    recovered = read_store(folder)
     sizes = {name: os.stat(f"{folder}/{name}").st_size for name in sorted(os.listdir(folder))}
-    kinds = {"segments": SEGMENT, "snapshots": SNAPSHOT, "marks": MARKS}
-    made: dict[str, Any] = {
-        what: {
+    kinds = {"segments": SEGMENT_PREFIX, "snapshots": SNAPSHOT_PREFIX, "marks": WATERMARK_PREFIX}
+    files: dict[str, Any] = {
+        kind: {
             "files": sum(n.startswith(p) for n in sizes),
             "bytes": sum(s for n, s in sizes.items() if n.startswith(p)),
         }
-        for what, p in kinds.items()
+        for kind, p in kinds.items()
     }
     spaces = {
         space: {
-            "entries": len(rows),
-            "bytes": sum(len(entry.value) for entry in rows.values()),
-            "oldest": min((entry.timestamp for entry in rows.values()), default=0),
-            "newest": max((entry.timestamp for entry in rows.values()), default=0),
+            "entries": len(entries),
+            "bytes": sum(len(entry.value) for entry in entries.values()),
+            "oldest": min((entry.timestamp for entry in entries.values()), default=0),
+            "newest": max((entry.timestamp for entry in entries.values()), default=0),
         }
-        for space, rows in sorted(got.state.items())
+        for space, entries in sorted(recovered.state.items())
     }
     return {
-        "number": got.number,
-        "epoch": got.epoch,
-        "damage": len(got.report.corruptions),
-        **made,
+        "number": recovered.number,
+        "epoch": recovered.epoch,
+        "damage": len(recovered.report.corruptions),
+        **files,
         "spaces": spaces,
     }
 
 
 def dump(folder: str, space: str = "", key: str = "") -> Iterator[dict[str, Any]]:
-    """Entries in the order of their keys; what is no text goes as base64."""
-    got = look(folder)
-    for name, rows in sorted(got.state.items()):
+    """Yields the entries in the order of their keys; a value that is not UTF-8 is in base64."""
+    recovered = read_store(folder)
+    for name, entries in sorted(recovered.state.items()):
         if space and name != space:
             continue
-        for each, entry in sorted(rows.items()):
-            if key and each != key:
+        for entry_key, entry in sorted(entries.items()):
+            if key and entry_key != key:
                 continue
-            row: dict[str, Any] = {"space": name, "key": each, "number": entry.number, "at": entry.timestamp}
+            printed: dict[str, Any] = {
+                "space": name,
+                "key": entry_key,
+                "number": entry.number,
+                "at": entry.timestamp,
+            }
             try:
-                row["value"] = entry.value.decode()
+                printed["value"] = entry.value.decode()
             except UnicodeDecodeError:
-                row["base64"] = base64.b64encode(entry.value).decode()
-            yield row
+                printed["base64"] = base64.b64encode(entry.value).decode()
+            yield printed
 
 
 def repair(folder: str, seen: bool) -> list[str]:
-    """Raises StoreInUseError, StoreError or OSError.  `seen`: the loss is known, and is no longer told."""
-    before = look(folder)
-    bad = list(dict.fromkeys(row.file for row in before.report.corruptions))
-    lines = [f"lost: {row.describe()}" for row in before.report.corruptions if row.last >= row.first]
+    """Rewrites a store as snapshots without corruption, and returns the lines to print.
+
+    Args:
+        folder: the folder of the store's files.
+        seen: whether the operator knows of the loss, so that it is no longer reported.
+
+    Raises:
+        StoreInUseError: another process is the writer.
+        StoreError: there is no store.
+        OSError: the folder cannot be used.
+    """
+    before = read_store(folder)
+    corrupt_files = list(dict.fromkeys(corruption.file for corruption in before.report.corruptions))
+    lines = [
+        f"lost: {corruption.describe()}"
+        for corruption in before.report.corruptions
+        if corruption.last >= corruption.first
+    ]
     store = Store(folder)
     try:
-        for name in bad:  # as it is, for whoever can read more of it
+        for name in corrupt_files:  # copied unchanged, in case another tool can read more of it
             if os.path.exists(f"{folder}/{name}"):
-                os.makedirs(f"{folder}/{ASIDE}", exist_ok=True)
-                shutil.copy2(f"{folder}/{name}", f"{folder}/{ASIDE}/{name}")
-                lines.append(f"{name}: a copy is put aside in {ASIDE}")
+                os.makedirs(f"{folder}/{COPIES_FOLDER}", exist_ok=True)
+                shutil.copy2(f"{folder}/{name}", f"{folder}/{COPIES_FOLDER}/{name}")
+                lines.append(f"{name}: a copy is saved in {COPIES_FOLDER}")
         if seen and store.has_lost_entries:
-            store.write([Op(STORE_SPACE, LOST, 0, None)])
+            store.write([Op(STORE_SPACE, LOST_KEY, 0, None)])
             store.flush()
-        for _ in range(2):  # the older of two snapshots is what segments are cleared by
+        for _ in range(2):  # segments are deleted only when the older of two snapshots covers them
             store.write([Op(STORE_SPACE, "repaired", 0, str(store.number).encode())])
             store.flush()
             list(store.compact())
     finally:
         store.close()
-    return lines or ["nothing was damaged"]
+    return lines or ["no corruption found"]
