--- a/willowhook/files/__init__.py
+++ b/willowhook/files/__init__.py
@@ -1,1 +1,1 @@
-"""Files that are swapped whole: writing, reading, watching, and the folder that one director owns."""
+"""Files that are replaced atomically: writing, reading, watching, and the folder that one controller owns."""
--- a/willowhook/files/follow.py
+++ b/willowhook/files/follow.py
@@ -1,4 +1,4 @@
-"""How a proxy reads what its director puts in place: many proxies of one process share one watch."""
+"""How proxies read the files that their controller writes: many proxies of one process share one watch."""
 
 from __future__ import annotations
 
@@ -8,47 +8,50 @@
 from .swap import CURRENT, read_group
 from .watch import Watch, open_watch
 
-Seen = Callable[[str, dict[str, bytes]], None]  # proxy, its files
+OnChange = Callable[[str, dict[str, bytes]], None]  # receives the proxy and the content of its files by name
 
 
 class FileGroupFollower:
-    """Gives each group of files once, when it has changed; whole, and of one version.
+    """Reads the file group of each followed proxy whenever it changes; all its files are of one version.
 
-    `seen` is called from the task that runs `run`; a proxy whose files cannot be read is left as it is.
+    `on_change` is called in the task of `run`, and once by `follow`. While the files of a proxy cannot be
+    read, it is not called for that proxy.
     """
 
-    def __init__(self, how: str, every: float, seen: Seen) -> None:
-        self._watch: Watch = open_watch(how, every)
-        self._seen = seen
-        self._paths: dict[str, str] = {}
-        self._parents: dict[str, dict[str, str]] = {}  # folder `down`: name there, proxy
-        self._last: dict[str, dict[str, bytes]] = {}
+    def __init__(self, watch_method: str, poll_interval_seconds: float, on_change: OnChange) -> None:
+        """Opens a watch: see `open_watch`."""
+        self._watch: Watch = open_watch(watch_method, poll_interval_seconds)
+        self._on_change = on_change
+        self._paths: dict[str, str] = {}  # the folder of each proxy's group
+        self._parents: dict[str, dict[str, str]] = {}  # by parent folder: the proxy of each name in it
+        self._last_files: dict[str, dict[str, bytes]] = {}
 
-    def follow(self, proxy: str, down: str, name: str) -> None:
-        """From now on `down/name` is where this proxy reads."""
+    def follow(self, proxy: str, parent: str, name: str) -> None:
+        """Follows the file group in the folder `parent/name` for this proxy, instead of any other."""
         self.unfollow(proxy)
-        self._paths[proxy] = f"{down}/{name}"
-        if down not in self._parents:
-            self._parents[down] = {}
-            self._watch.add(down, f"parent:{down}")
-        self._parents[down][name] = proxy
-        self._arm(proxy)
+        self._paths[proxy] = f"{parent}/{name}"
+        if parent not in self._parents:
+            self._parents[parent] = {}
+            self._watch.add(parent, f"parent:{parent}")
+        self._parents[parent][name] = proxy
+        self._watch_group(proxy)
         self._read(proxy)
 
     def unfollow(self, proxy: str) -> None:
+        """Stops following the file group of this proxy."""
         path = self._paths.pop(proxy, None)
-        self._last.pop(proxy, None)
+        self._last_files.pop(proxy, None)
         if path is not None:
-            down, _, name = path.rpartition("/")
-            self._parents[down].pop(name, None)
+            parent, _, name = path.rpartition("/")
+            self._parents[parent].pop(name, None)
             self._watch.drop(f"group:{proxy}")
             self._watch.drop(f"inner:{proxy}")
 
-    def _arm(self, proxy: str) -> None:
+    def _watch_group(self, proxy: str) -> None:
         try:
             self._watch.add(self._paths[proxy], f"group:{proxy}")
         except OSError:
-            return  # it is not there yet: `down` is watched
+            return  # it does not exist yet; the watch of its parent reports when it does
 
     def _read(self, proxy: str) -> None:
         path = self._paths.get(proxy)
@@ -56,28 +59,32 @@
             return
         try:
             for _ in range(8):
-                before = os.readlink(f"{path}/{CURRENT}")
-                self._watch.add(f"{path}/{before}", f"inner:{proxy}")  # first watch, then read
-                place, files = read_group(path)
-                if place == before:
+                expected_version = os.readlink(f"{path}/{CURRENT}")
+                # Watched before it is read, so that no change is missed.
+                self._watch.add(f"{path}/{expected_version}", f"inner:{proxy}")
+                version, files = read_group(path)
+                if version == expected_version:
                     break
         except OSError:
             return
-        if files != self._last.get(proxy):
-            self._last[proxy] = files
-            self._seen(proxy, files)
+        if files != self._last_files.get(proxy):
+            self._last_files[proxy] = files
+            self._on_change(proxy, files)
 
     async def run(self) -> None:
+        """Reads changed file groups until cancelled."""
         while True:
-            again: dict[str, None] = {}
+            changed: dict[str, None] = {}
             for key, name in await self._watch.changed():
-                form, _, rest = key.partition(":")
-                if form == "parent":
-                    here = self._parents.get(rest, {})
-                    for proxy in [here[name]] if name in here else [] if name else list(here.values()):
-                        self._arm(proxy)
-                        again[proxy] = None
+                kind, _, target = key.partition(":")
+                if kind == "parent":
+                    proxies = self._parents.get(target, {})
+                    for proxy in (
+                        [proxies[name]] if name in proxies else [] if name else list(proxies.values())
+                    ):
+                        self._watch_group(proxy)
+                        changed[proxy] = None
                 else:
-                    again[rest] = None
-            for proxy in again:
+                    changed[target] = None
+            for proxy in changed:
                 self._read(proxy)
--- a/willowhook/files/layout.py
+++ b/willowhook/files/layout.py
@@ -1,11 +1,11 @@
-"""Where things lie in a director's folder, and the lock that makes it one director's.
-
-FOLDER/lock                     held by the director; its time of change is the director's sign of life
-FOLDER/epoch                    how many directors started here
-FOLDER/pace.json                how often proxies are to report, if not as by themselves
-FOLDER/list                     the last list of hosts that the roster gave
-FOLDER/down/PROXY/current/      cds.json eds.json rds.json: what the director tells the proxy
-FOLDER/up/PROXY/                cds.json eds.json rds.json load.json status.json: what the proxy tells
+"""The layout of a controller's folder, and the lock that gives it to one controller.
+
+FOLDER/lock                     held by the controller; its modification time is the heartbeat
+FOLDER/epoch                    the number of starts of controllers here
+FOLDER/pace.json                the report interval of proxies, if it is not their own
+FOLDER/list                     the last endpoint list from service discovery
+FOLDER/down/PROXY/current/      cds.json eds.json rds.json: from the controller to the proxy
+FOLDER/up/PROXY/                cds.json eds.json rds.json load.json status.json: from the proxy
 """
 
 from __future__ import annotations
@@ -28,16 +28,24 @@
     "up",
 )
 LOAD_FILE, STATUS_FILE = "load.json", "status.json"
-REPORT_INTERVAL_FILE = "pace.json"  # how often proxies are to report, in the published form of that answer
+REPORT_INTERVAL_FILE = "pace.json"  # in the published form of a load report response
 PROXY_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_-]{0,63}\Z")
 
 
 class FolderInUseError(Exception):
-    """Another director holds this folder."""
+    """Another controller holds this folder."""
 
 
 class ControllerFolder:
-    """One director's folder.  `open` raises FolderInUseError, or OSError if it cannot be used."""
+    """The folder of one controller.
+
+    Attributes:
+        path: its absolute path.
+        ops: the file operations.
+        outbound_path: the folder of the files for proxies.
+        inbound_path: the folder of the files from proxies.
+        epoch: the epoch of this start.
+    """
 
     def __init__(self, path: str, ops: FileOps | None = None) -> None:
         self.path, self.ops = os.path.abspath(path), ops or DiskOps()
@@ -48,17 +56,22 @@
         self.epoch, self._lock_handle = 0, -1
 
     def open(self) -> None:
-        """Locks the folder, counts this start, and clears what a director that died left behind."""
+        """Locks the folder, counts this start, and deletes what a crashed controller left.
+
+        Raises:
+            FolderInUseError: another controller holds the folder.
+            OSError: the folder cannot be used.
+        """
         os.makedirs(self.path, exist_ok=True)
         fd = os.open(f"{self.path}/{LOCK_FILE}", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o644)
         try:
             fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        except BlockingIOError as fault:
+        except BlockingIOError as error:
             owner = os.pread(fd, 200, 0).decode("ascii", "replace").strip() or "another process"
             os.close(fd)
             raise FolderInUseError(
                 f"{self.path} is in use by {owner}; one folder serves one director"
-            ) from fault
+            ) from error
         self._lock_handle = fd
         for path in (self.outbound_path, self.inbound_path):
             with contextlib.suppress(FileExistsError):
@@ -66,11 +79,11 @@
         for name in self.ops.listdir(self.path):
             if name.startswith(TEMP_PREFIX):
                 remove(self.ops, f"{self.path}/{name}")
-        here = set(self.ops.listdir(self.inbound_path))
+        joined = set(self.ops.listdir(self.inbound_path))
         for name in self.ops.listdir(self.outbound_path):
-            if name in here:
+            if name in joined:
                 clear_leftovers(self.ops, f"{self.outbound_path}/{name}")
-            else:  # nobody reads it
+            else:  # no proxy reads it
                 remove(self.ops, f"{self.outbound_path}/{name}")
         self.epoch = self._next_epoch()
         os.ftruncate(fd, 0)
@@ -78,28 +91,29 @@
         self.record_heartbeat()
 
     def _next_epoch(self) -> int:
-        """Rises at every start; on disk before anything is said under it."""
+        """Returns an epoch above that of every earlier start. It is durable before it is used."""
         try:
             last = int(read_file(None, f"{self.path}/{EPOCH_FILE}", 100))
         except FileNotFoundError:
             last = 0
-        except ValueError:  # damaged: the time is larger than any count of starts
+        except ValueError:  # corrupt: the current time is larger than any count of starts
             last = int(time.time())
         swap_file(self.ops, self.path, EPOCH_FILE, f"{last + 1}\n".encode(), "file_and_folder")
         return last + 1
 
     def record_heartbeat(self) -> None:
-        """The sign of life that proxies look at: the lock's time of change."""
+        """Sets the modification time of the lock, from which proxies see that the controller is alive."""
         os.utime(self._lock_handle)
 
     def close(self) -> None:
+        """Releases the lock."""
         if self._lock_handle >= 0:
             os.close(self._lock_handle)
             self._lock_handle = -1
 
 
 def last_heartbeat(folder: str) -> float:
-    """When the director of this folder last gave a sign of life, by the machine's clock; 0 if never."""
+    """Returns the time of the last heartbeat in a folder, in seconds since 1970; 0 if there was none."""
     try:
         return os.stat(f"{folder}/{LOCK_FILE}").st_mtime
     except OSError:
