--- a/willowhook/records/__init__.py
+++ b/willowhook/records/__init__.py
@@ -1,1 +1,1 @@
-"""The director's own record: what it believed, ordered and saw applied, a JSON object a line."""
+"""The controller's event records: sessions, updates and acknowledgements, one JSON object per line."""
--- a/willowhook/records/writer.py
+++ b/willowhook/records/writer.py
@@ -1,4 +1,4 @@
-"""Appends records to a file, in batches, without ever holding up who makes them."""
+"""Appends event records to a file in batches, and reads them."""
 
 from __future__ import annotations
 
@@ -13,61 +13,69 @@
 
 
 class RecordWriter:
-    """`note` never waits: what cannot be kept is counted, and the count is the next record."""
+    """Appends event records to a file; only `flush` waits for the disk.
 
-    def __init__(self, path: str, most_waiting: int) -> None:
-        self._path, self._max_pending = path, most_waiting
+    Records that exceed the queue are dropped, and a record with their count follows.
+
+    Attributes:
+        write_error: why records cannot be written now; empty: they can.
+    """
+
+    def __init__(self, path: str, max_pending: int) -> None:
+        """`path` is the file; empty: nothing is recorded. `max_pending` limits the queue, in records."""
+        self._path, self._max_pending = path, max_pending
         self._pending: deque[dict[str, Any]] = deque()
-        self._lost_count = 0
-        self._fd, self._unwritten = -1, b""  # encoded, but not yet written
-        self.write_error = ""  # why records cannot be written now
+        self._dropped_count = 0
+        self._fd, self._unwritten = -1, b""  # encoded, but not written yet
+        self.write_error = ""
 
     def append(self, now: int, kind: str, **parts: Any) -> None:
-        """`now` in tenths of a millisecond of the director's clock."""
+        """Queues a record. `now` is in ticks of the controller's clock."""
         if not self._path:
             return
         if len(self._pending) >= self._max_pending:
-            self._lost_count += 1
+            self._dropped_count += 1
             return
-        if self._lost_count:
-            self._pending.append({"t": now, "kind": "lost", "records": self._lost_count})
-            self._lost_count = 0
+        if self._dropped_count:
+            self._pending.append({"t": now, "kind": "lost", "records": self._dropped_count})
+            self._dropped_count = 0
         self._pending.append({"t": now, "kind": kind, **parts})
 
     def flush(self) -> None:
-        """Writes what waits; on a disk fault it goes on waiting."""
+        """Writes the queued records; after a write error they stay queued."""
         if not self._pending and not self._unwritten:
             return
         try:
             if self._fd < 0:
                 os.makedirs(os.path.dirname(os.path.abspath(self._path)), exist_ok=True)
                 self._fd = os.open(self._path, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o644)
-            self._unwritten += b"".join(_encode(row) + b"\n" for row in self._pending)
+            self._unwritten += b"".join(_encode(record) + b"\n" for record in self._pending)
             self._pending.clear()
             while self._unwritten:
                 self._unwritten = self._unwritten[os.write(self._fd, self._unwritten) :]
             self.write_error = ""
-        except OSError as fault:
-            self.write_error = str(fault)
+        except OSError as error:
+            self.write_error = str(error)
 
-    async def run(self, every: float) -> None:
+    async def run(self, interval_seconds: float) -> None:
+        """Flushes once per interval, and a last time when it is cancelled."""
         try:
             while True:
-                await trio.sleep(every)
+                await trio.sleep(interval_seconds)
                 self.flush()
         finally:
             self.flush()
 
 
 def read_records(path: str) -> list[dict[str, Any]]:
-    """All whole records; a line that a dying director left in part is skipped."""
-    found = []
+    """Returns all complete records; a line that a crashed controller wrote in part is skipped."""
+    records = []
     with open(path, "rb") as file:
         for line in file:
             try:
-                row = msgspec.json.decode(line)
+                record = msgspec.json.decode(line)
             except msgspec.DecodeError:
                 continue
-            if isinstance(row, dict) and "kind" in row:
-                found.append(row)
-    return found
+            if isinstance(record, dict) and "kind" in record:
+                records.append(record)
+    return records
