--- a/tests/test_files.py
+++ b/tests/test_files.py
@@ -1,4 +1,4 @@
-"""Swaps that are cut short at every step, disks that fail, and folders that are taken."""
+"""File swaps that are interrupted at every step, disk errors, and the lock of a controller's folder."""
 
 from __future__ import annotations
 
@@ -24,39 +24,39 @@
 
 Files = dict[str, bytes]
 ONE: Files = {"cds.json": b"c1", "eds.json": b"e1" * 3000, "rds.json": b"r1"}
-EDS: Files = {**ONE, "eds.json": b"e2" * 3000}  # one file differs: renamed in place
+EDS: Files = {**ONE, "eds.json": b"e2" * 3000}  # differs in one file, which is renamed in place
 TWO: Files = {"cds.json": b"c2", "eds.json": b"e2" * 3000, "rds.json": b"r2"}
 
 
 class Killed(BaseException):
-    """As a SIGKILL: nothing after it runs."""
+    """Simulates a SIGKILL: no code of the writer runs after it."""
 
 
 class FaultyOps(DiskOps):
-    """Breaks at the nth operation: before it, half through it, or after it."""
+    """Fails at operation number `at`: before it, in the middle of it, or after it."""
 
-    def __init__(self, at: int, how: str, fault: Callable[[], BaseException]) -> None:
-        self.count, self.at, self.how, self.fault = 0, at, how, fault
-        self.dead = False
+    def __init__(self, at: int, how: str, make_error: Callable[[], BaseException]) -> None:
+        self.count, self.at, self.how, self.make_error = 0, at, how, make_error
+        self.is_killed = False
 
-    def step(self, work: Callable[[], None], half: Callable[[], None] | None = None) -> None:
-        if self.dead:
+    def step(self, operation: Callable[[], None], half: Callable[[], None] | None = None) -> None:
+        if self.is_killed:
             raise Killed
         self.count += 1
         if self.count != self.at:
-            work()
+            operation()
             return
-        made = self.fault()
-        self.dead = isinstance(made, Killed)
+        error = self.make_error()
+        self.is_killed = isinstance(error, Killed)
         if self.how == "half" and half is not None:
             half()
         elif self.how == "after":
-            work()
-        raise made
+            operation()
+        raise error
 
     def write(self, path: str, data: bytes, sync: bool) -> None:
-        whole, part = super().write, data[: len(data) // 2]
-        self.step(lambda: whole(path, data, sync), lambda: whole(path, part, False))
+        write, part = super().write, data[: len(data) // 2]
+        self.step(lambda: write(path, data, sync), lambda: write(path, part, False))
 
     def mkdir(self, path: str) -> None:
         self.step(lambda: os.mkdir(path))
@@ -80,11 +80,11 @@
         self.step(lambda: None)
 
 
-def stocked(folder: Path) -> FileGroupWriter:
-    shelf = FileGroupWriter(str(folder), series="1-")
-    shelf.open()
-    shelf.put(ONE)
-    return shelf
+def write_first_group(folder: Path) -> FileGroupWriter:
+    writer = FileGroupWriter(str(folder), series="1-")
+    writer.open()
+    writer.put(ONE)
+    return writer
 
 
 def names(folder: Path) -> list[str]:
@@ -92,65 +92,63 @@
 
 
 def steps_of(folder: Path, new: Files, durability: str) -> int:
-    shelf = stocked(folder)
-    shelf.ops, shelf.durability = FaultyOps(0, "before", Killed), durability
-    shelf.put(new)
-    assert isinstance(shelf.ops, FaultyOps)
-    return shelf.ops.count
+    writer = write_first_group(folder)
+    writer.ops, writer.durability = FaultyOps(0, "before", Killed), durability
+    writer.put(new)
+    assert isinstance(writer.ops, FaultyOps)
+    return writer.ops.count
 
 
 @pytest.mark.parametrize("new", [EDS, TWO], ids=["one file", "group"])
 @pytest.mark.parametrize("durability", ["none", "file_and_folder"])
 @pytest.mark.parametrize("how", ["before", "half", "after"])
-def test_killed_at_every_step_readers_see_old_or_new_and_nothing_is_left(
+def test_swap_killed_at_any_step_leaves_old_or_new_files_and_no_leftovers(
     tmp_path: Path, new: Files, durability: str, how: str
 ) -> None:
     steps = steps_of(tmp_path / "count", new, durability)
     assert steps >= 2
     for at in range(1, steps + 1):
-        home = tmp_path / f"{how}{at}"
-        shelf = stocked(home)
-        shelf.ops, shelf.durability = FaultyOps(at, how, Killed), durability
+        folder = tmp_path / f"{how}{at}"
+        writer = write_first_group(folder)
+        writer.ops, writer.durability = FaultyOps(at, how, Killed), durability
         with pytest.raises(Killed):
-            shelf.put(new)
-        seen = read_group(str(home))[1]
+            writer.put(new)
+        seen = read_group(str(folder))[1]
         assert seen in (ONE, new)
-        again = FileGroupWriter(str(home), series="2-")  # the next director
-        again.open()
-        assert read_group(str(home))[1] == seen  # untouched by the clearing
-        again.put(TWO)
-        assert read_group(str(home))[1] == TWO
-        assert len(names(home)) == 5  # `current`, its folder, three files: no leftover
+        next_writer = FileGroupWriter(str(folder), series="2-")  # of the next controller
+        next_writer.open()
+        assert read_group(str(folder))[1] == seen  # deleting leftovers does not change it
+        next_writer.put(TWO)
+        assert read_group(str(folder))[1] == TWO
+        assert len(names(folder)) == 5  # `current`, its version folder, three files: no leftovers
 
 
 @pytest.mark.parametrize("new", [EDS, TWO], ids=["one file", "group"])
 @pytest.mark.parametrize("code", [errno.ENOSPC, errno.EIO])
 @pytest.mark.parametrize("how", ["before", "half", "after"])
-def test_a_disk_that_fails_once_at_any_step_costs_one_swap(
-    tmp_path: Path, new: Files, code: int, how: str
-) -> None:
+def test_disk_error_at_any_step_fails_only_that_swap(tmp_path: Path, new: Files, code: int, how: str) -> None:
     for at in range(1, steps_of(tmp_path / "count", new, "file_and_folder") + 1):
-        home = tmp_path / f"{how}{at}"
-        shelf = stocked(home)
-        ops = shelf.ops = FaultyOps(at, how, lambda: OSError(code, os.strerror(code)))
-        shelf.durability = "file_and_folder"
+        folder = tmp_path / f"{how}{at}"
+        writer = write_first_group(folder)
+        ops = writer.ops = FaultyOps(at, how, lambda: OSError(code, os.strerror(code)))
+        writer.durability = "file_and_folder"
         try:
-            shelf.put(new)
+            writer.put(new)
             failed = False
-        except OSError as fault:
-            assert fault.errno == code
+        except OSError as error:
+            assert error.errno == code
             failed = True
-        assert read_group(str(home))[1] in ((ONE, new) if failed else (new,))
+        assert read_group(str(folder))[1] in ((ONE, new) if failed else (new,))
         assert ops.count >= at
-        shelf.put(new)  # the same again, now that the disk is well
-        assert read_group(str(home))[1] == new
-        shelf.put(ONE)
-        fresh = FileGroupWriter(str(home), series="2-")
-        fresh.open()
-        assert len(names(home)) == 5
+        writer.put(new)  # the same files again, now that the disk works
+        assert read_group(str(folder))[1] == new
+        writer.put(ONE)
+        next_writer = FileGroupWriter(str(folder), series="2-")
+        next_writer.open()
+        assert len(names(folder)) == 5
 
 
-def test_a_failed_swap_of_a_file_gives_its_room_back(tmp_path: Path) -> None:
+def test_failed_file_swap_frees_its_disk_space(tmp_path: Path) -> None:
     swap_file(DiskOps(), str(tmp_path), "a", b"old")
     with pytest.raises(OSError):
         swap_file(
@@ -172,57 +170,57 @@
 """
 
 
-def test_writers_killed_at_random_times_tear_nothing(tmp_path: Path) -> None:
-    home, stop, torn, reads = tmp_path / "p", threading.Event(), list[str](), [0]
+def test_writers_killed_at_random_times_leave_no_torn_files(tmp_path: Path) -> None:
+    folder, stop, torn, read_count = tmp_path / "p", threading.Event(), list[str](), [0]
 
     def read() -> None:
         while not stop.is_set():
             try:
-                files = read_group(str(home))[1]
+                files = read_group(str(folder))[1]
             except FileNotFoundError:
                 continue
             body = files["eds.json"]
-            reads[0] += 1
+            read_count[0] += 1
             if len(body) != 18_000 or len(set(body[k : k + 9] for k in range(0, 18_000, 9))) != 1:
-                torn.append("a file in part")
+                torn.append("part of a file")
             if files.get("cds.json") != files.get("rds.json"):
                 torn.append("files of two versions")
 
     reader = threading.Thread(target=read)
     reader.start()
-    for life in range(8):
-        child = subprocess.Popen([sys.executable, "-c", CHILD, str(home), str(life)], stdout=subprocess.PIPE)
+    for run in range(8):
+        child = subprocess.Popen([sys.executable, "-c", CHILD, str(folder), str(run)], stdout=subprocess.PIPE)
         assert child.stdout is not None and child.stdout.readline() == b"open\n"
-        time.sleep(0.05 + 0.013 * life)
+        time.sleep(0.05 + 0.013 * run)
         child.send_signal(signal.SIGKILL)
         child.wait()
         child.stdout.close()
     stop.set()
     reader.join()
-    assert not torn and reads[0] > 50
-    shelf = FileGroupWriter(str(home), series="z-")
-    shelf.open()
-    shelf.put(TWO)
-    assert len(names(home)) == 5
+    assert not torn and read_count[0] > 50
+    writer = FileGroupWriter(str(folder), series="z-")
+    writer.open()
+    writer.put(TWO)
+    assert len(names(folder)) == 5
 
 
-def test_a_real_limit_of_file_size_keeps_the_old_files(tmp_path: Path) -> None:
-    home = tmp_path / "p"
-    stocked(home)
+def test_file_size_limit_keeps_the_old_files(tmp_path: Path) -> None:
+    folder = tmp_path / "p"
+    write_first_group(folder)
     child = (
         "import sys\nfrom willowhook.files.swap import FileGroupWriter\n"
         "writer = FileGroupWriter(sys.argv[1], series='2-')\n"
         "try:\n writer.put({'eds.json': b'x' * 5000})\nexcept OSError as f:\n print(f.errno)"
     )
     limit = (2000, resource.RLIM_INFINITY)
-    got = subprocess.run(
-        [sys.executable, "-c", child, str(home)], capture_output=True, text=True, check=True,
+    result = subprocess.run(
+        [sys.executable, "-c", child, str(folder)], capture_output=True, text=True, check=True,
         preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_FSIZE, limit),
     )  # fmt: skip
-    assert int(got.stdout) == errno.EFBIG and read_group(str(home))[1] == ONE and len(names(home)) == 5
+    assert int(result.stdout) == errno.EFBIG and read_group(str(folder))[1] == ONE and len(names(folder)) == 5
 
 
-def test_one_folder_serves_one_director_and_counts_its_starts(tmp_path: Path) -> None:
+def test_folder_is_held_by_one_controller_and_counts_its_starts(tmp_path: Path) -> None:
     first = ControllerFolder(str(tmp_path / "d"))
     first.open()
     with pytest.raises(FolderInUseError, match=f"process {os.getpid()}, epoch 1"):
@@ -241,53 +239,53 @@
     (tmp_path / "d" / "epoch").write_bytes(b"\xff")
     third = ControllerFolder(str(tmp_path / "d"))
     third.open()
-    assert third.epoch > 1_000_000  # rises although the count was damaged
+    assert third.epoch > 1_000_000  # it increases although the count was corrupt
     third.close()
 
 
 @pytest.mark.parametrize("how", ["inotify", "poll"])
-def test_a_follower_sees_the_last_of_many_swaps_and_no_mix(tmp_path: Path, how: str) -> None:
+def test_follower_sees_the_last_of_many_swaps_and_no_mixed_versions(tmp_path: Path, how: str) -> None:
     seen: list[Files] = []
 
-    async def play() -> None:
-        followers = FileGroupFollower(how, 0.005, lambda _, files: seen.append(files))
-        down = tmp_path / "down"
-        down.mkdir()
-        followers.follow("p", str(down), "p1")  # before there is anything to read
+    async def run() -> None:
+        follower = FileGroupFollower(how, 0.005, lambda _, files: seen.append(files))
+        parent = tmp_path / "down"
+        parent.mkdir()
+        follower.follow("p", str(parent), "p1")  # before there are files to read
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(followers.run)
-            shelf = FileGroupWriter(str(down / "p1"), series="1-")
+            nursery.start_soon(follower.run)
+            writer = FileGroupWriter(str(parent / "p1"), series="1-")
             for k in range(60):
                 body = b"%d" % k
-                shelf.put({"eds.json": body} if k == 0 else {"eds.json": body, "cds.json": b"%d" % (k // 5)})
+                writer.put({"eds.json": body} if k == 0 else {"eds.json": body, "cds.json": b"%d" % (k // 5)})
                 await trio.sleep(0.002 if k % 3 else 0.02)
             with trio.fail_after(5):
                 while not seen or seen[-1]["eds.json"] != b"59":
                     await trio.sleep(0.01)
-            followers.unfollow("p")
-            shelf.put({"eds.json": b"unseen"})
+            follower.unfollow("p")
+            writer.put({"eds.json": b"unseen"})
             await trio.sleep(0.05)
             nursery.cancel_scope.cancel()
 
-    trio.run(play)
+    trio.run(run)
     assert len(seen) > 10 and seen[-1] == {"eds.json": b"59", "cds.json": b"11"}
     assert all(int(files["eds.json"]) // 5 == int(files.get("cds.json", b"0")) for files in seen)
 
 
 @pytest.mark.parametrize("make", [InotifyWatch, lambda: PollWatch(0.005)], ids=["inotify", "poll"])
-def test_a_watch_tells_of_swaps_and_of_what_goes(tmp_path: Path, make: Callable[[], Watch]) -> None:
-    async def play() -> list[tuple[str, str]]:
-        watch, found = make(), list[tuple[str, str]]()
+def test_watch_reports_swapped_and_deleted_files(tmp_path: Path, make: Callable[[], Watch]) -> None:
+    async def run() -> list[tuple[str, str]]:
+        watch, changes = make(), list[tuple[str, str]]()
         watch.add(str(tmp_path), "k")
         with pytest.raises(OSError):
             watch.add(str(tmp_path / "none"), "x")
         swap_file(DiskOps(), str(tmp_path), "a", b"1")
         with trio.fail_after(5):
-            found += await watch.changed()
+            changes += await watch.changed()
             os.unlink(tmp_path / "a")
-            found += await watch.changed()
+            changes += await watch.changed()
         watch.drop("k")
         watch.close()
-        return found
+        return changes
 
-    assert set(trio.run(play)) == {("k", "a")}
+    assert set(trio.run(run)) == {("k", "a")}
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store: damage told from a cut tail, every injury of a small history, a machine beside a plain dict."""
+"""The store: corruption against torn tails, disk errors, kills, power failures, and a model-based test."""
 
 from __future__ import annotations
 
@@ -52,44 +52,45 @@
 )
 
 
-def log(count: int, safes: dict[int, int] | None = None) -> bytes:
-    rows = [
-        frames.encode_frame(7, n, (safes or {}).get(n, n - 1), 1, b"p%d" % n * 3) for n in range(1, count + 1)
+def encode_log(count: int, committed: dict[int, int] | None = None) -> bytes:
+    encoded_frames = [
+        frames.encode_frame(7, n, (committed or {}).get(n, n - 1), 1, b"p%d" % n * 3)
+        for n in range(1, count + 1)
     ]
-    return frames.encode_header(7, 1) + b"".join(rows)
-
-
-def test_a_hole_is_damage_if_a_later_frame_says_that_it_was_safe_and_a_cut_tail_if_none_does() -> None:
-    data = log(6)
-    whole = frames.scan_segment(7, data, 1)
-    assert whole.status == frames.COMPLETE and [f.number for f in whole.frames] == [1, 2, 3, 4, 5, 6]
-    at = whole.frames[2].start
-    torn = data[: at + 5] + b"\0" * 10 + data[at + 15 :]
-    got = frames.scan_segment(7, torn, 1)
-    assert got.status == frames.CORRUPTED and [f.number for f in got.frames] == [1, 2, 4, 5, 6]
-    assert [(h.start, h.end, h.first, h.last) for h in got.corrupt_ranges] == [
-        (at, whole.frames[3].start, 3, 3)
+    return frames.encode_header(7, 1) + b"".join(encoded_frames)
+
+
+def test_scan_with_a_gap_reports_corruption_only_if_the_missing_frames_were_committed() -> None:
+    data = encode_log(6)
+    complete = frames.scan_segment(7, data, 1)
+    assert complete.status == frames.COMPLETE and [f.number for f in complete.frames] == [1, 2, 3, 4, 5, 6]
+    start = complete.frames[2].start
+    torn = data[: start + 5] + b"\0" * 10 + data[start + 15 :]
+    scan = frames.scan_segment(7, torn, 1)
+    assert scan.status == frames.CORRUPTED and [f.number for f in scan.frames] == [1, 2, 4, 5, 6]
+    assert [(gap.start, gap.end, gap.first, gap.last) for gap in scan.corrupt_ranges] == [
+        (start, complete.frames[3].start, 3, 3)
     ]
-    # of one group, none of which was acknowledged: what came to lie behind the hole is nobody's
-    same = log(6, dict.fromkeys(range(3, 7), 2))
-    got = frames.scan_segment(7, same[: at + 5] + b"\0" * 10 + same[at + 15 :], 1)
-    assert got.status == frames.TRUNCATED and [f.number for f in got.frames] == [1, 2] and got.end == at
-    assert frames.scan_segment(8, data, 1).frames == []  # of another store
+    # Frames of one batch that was never acknowledged: the frames after the gap are not used.
+    one_batch = encode_log(6, dict.fromkeys(range(3, 7), 2))
+    scan = frames.scan_segment(7, one_batch[: start + 5] + b"\0" * 10 + one_batch[start + 15 :], 1)
+    assert scan.status == frames.TRUNCATED and [f.number for f in scan.frames] == [1, 2] and scan.end == start
+    assert frames.scan_segment(8, data, 1).frames == []  # the frames belong to another store
 
 
-def test_every_injury_of_a_small_history_is_recovered_or_told() -> None:
+def test_every_corruption_of_a_small_history_is_recovered_or_reported() -> None:
     report = cuts(4, 14, 10, lambda text: None)
     assert not report.wrong, report.wrong[:5]
     assert report.cuts > 500 and report.failures > 200 and report.told > 500
 
 
-def test_the_trial_sees_a_store_that_does_not_sync(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_corruption_trial_detects_a_store_that_does_not_sync(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(PowerDisk, "sync", lambda self, handle: None)
     assert cuts(4, 10, 10, lambda text: None).wrong
 
 
-def put(key: str, value: bytes = b"v", space: str = "orders", at: int = 0) -> list[Op]:
-    return [Op(space, key, at, value)]
+def put(key: str, value: bytes = b"v", space: str = "orders", timestamp: int = 0) -> list[Op]:
+    return [Op(space, key, timestamp, value)]
 
 
 @seed(STORE_MACHINE_SEED)
@@ -174,7 +175,7 @@
 TestMachine.settings = settings(derandomize=True, max_examples=120, stateful_step_count=30, deadline=None)
 
 
-def test_one_writer_many_readers_and_what_is_read_is_on_disk(tmp_path: Path) -> None:
+def test_store_has_one_writer_and_readers_see_only_committed_entries(tmp_path: Path) -> None:
     store = Store(str(tmp_path / "s"))
     with pytest.raises(StoreInUseError, match=f"process {os.getpid()}"):
         Store(str(tmp_path / "s"))
@@ -184,7 +185,7 @@
     store.flush()
     assert reader.refresh() == 1 and reader.state["orders"]["a"].value == b"v"
     for k in range(50):
-        store.write(put(f"k{k:02}", b"x" * 100, at=100 - k))
+        store.write(put(f"k{k:02}", b"x" * 100, timestamp=100 - k))
         store.flush()
         for _ in store.compact(200):
             reader.refresh()
@@ -193,25 +194,27 @@
     assert reader.refresh() == 51 and len(reader.state["orders"]) == 51
     assert len(list((tmp_path / "s").glob("snap-*"))) == 2
     store.close()
-    again = Store(str(tmp_path / "s"))  # the lock of one that ended is nobody's
-    assert len(again.by_key("orders")) == 51 and not again.has_lost_entries and again.epoch == 2
-    again.close()
+    reopened = Store(str(tmp_path / "s"))  # the lock was released
+    assert len(reopened.by_key("orders")) == 51 and not reopened.has_lost_entries and reopened.epoch == 2
+    reopened.close()
 
 
-def test_retention_takes_the_oldest_and_they_do_not_come_back(tmp_path: Path) -> None:
+def test_compaction_with_retention_drops_the_oldest_entries_for_good(tmp_path: Path) -> None:
     store = Store(str(tmp_path / "s"))
     for k in range(30):
-        store.write(put(f"d{k:02}", space="debug", at=k) + put(f"o{k:02}", space="outcomes", at=k))
+        store.write(
+            put(f"d{k:02}", space="debug", timestamp=k) + put(f"o{k:02}", space="outcomes", timestamp=k)
+        )
         store.flush()
     list(store.compact(retain={"debug": (5, 20)}))
     assert [key for key, _ in store.by_key("debug")] == [f"d{k}" for k in range(25, 30)]
     store.close()
-    again = Store(str(tmp_path / "s"))
-    assert len(again.by_key("debug")) == 5 and len(again.by_key("outcomes")) == 30
-    again.close()
+    reopened = Store(str(tmp_path / "s"))
+    assert len(reopened.by_key("debug")) == 5 and len(reopened.by_key("outcomes")) == 30
+    reopened.close()
 
 
-def test_a_full_disk_drops_the_least_dear_first_and_outcomes_last() -> None:
+def test_full_disk_drops_the_lowest_rank_first_and_outcomes_last() -> None:
     disk = PowerDisk()
     store = Store("s", disk, ranks={"debug": DEBUG, "outcomes": OUTCOMES}, lock=False)
 
@@ -223,13 +226,13 @@
     store.write(put("b"))
     store.write(put("c", space="outcomes"))
     disk.before = full
-    gone = []
+    dropped = []
     for _ in range(2):
         batch = store.next_batch()
         with pytest.raises(OSError, match="full"):
             store.write_batch(batch)
-        gone += [each.ops[0].key for each in store.handle_write_error(OSError(errno.ENOSPC, "full"))]
-    assert gone == ["a"] and store.min_rank == 2 and store.write(put("d", space="debug")) is None
+        dropped += [write.ops[0].key for write in store.handle_write_error(OSError(errno.ENOSPC, "full"))]
+    assert dropped == ["a"] and store.min_rank == 2 and store.write(put("d", space="debug")) is None
     disk.before = lambda what: None
     store.flush()
     assert store.get("outcomes", "c") is not None and store.get("orders", "b") is not None
@@ -244,8 +247,8 @@
 
 
 @pytest.mark.parametrize("error", [errno.EIO, errno.ENOSPC, 0])
-def test_a_fault_at_each_call_loses_nothing_that_was_acknowledged(error: int) -> None:
-    """Once, at every operation in turn; 0: a short write instead."""
+def test_disk_error_at_any_operation_loses_no_acknowledged_write(error: int) -> None:
+    """The disk fails once, at each operation in turn; error 0: a short write instead."""
     for at in range(200):
         disk, count = PowerDisk(), [0]
         append = disk.append
@@ -258,10 +261,10 @@
         def short(
             handle: int, data: bytes, count: list[int] = count, at: int = at, append: Any = append
         ) -> int:
-            took: int = append(
+            written: int = append(
                 handle, data[: len(data) // 2] if count[0] + 1 == at and len(data) > 1 else data
             )
-            return took
+            return written
 
         disk.before = before
         if not error:
@@ -270,26 +273,27 @@
         try:
             store = Store("s", disk, segment_bytes=300, store_id=3, lock=False)
         except OSError:
-            continue  # not even begun: said so
+            continue  # the store was not opened, and the caller knows
         for k in range(12):
             try:
                 store.write(put(f"k{k % 4}", b"%d" % k * 20))
                 batch = store.next_batch()
                 store.write_batch(batch)
                 store.apply_batch(batch)
-                acked.update({each.ops[0].key: each.ops[0].value or b"" for each in batch})
+                acked.update({write.ops[0].key: write.ops[0].value or b"" for write in batch})
                 if k % 5 == 4:
                     list(store.compact(50))
             except (OSError, StoreError):
-                pass  # told; the next write tries again
+                pass  # reported; the next write is a retry
         if count[0] < at:
             return
         for files in disk.crashes(random.Random(at), 6):
-            again = Store("s", PowerDisk.load(files), lock=False, store_id=3)
+            recovered = Store("s", PowerDisk.load(files), lock=False, store_id=3)
             assert (
-                not again.recovery.corruptions and {k: e.value for k, e in again.by_key("orders")} == acked
+                not recovered.recovery.corruptions
+                and {k: e.value for k, e in recovered.by_key("orders")} == acked
             ), at
-    raise AssertionError("more operations than were looked at")
+    raise AssertionError("more operations than this test covers")
 
 
 def test_a_segment_whose_sync_failed_is_never_used_again() -> None:
@@ -298,57 +302,57 @@
     store.write(put("a"))
     failed = [0]
 
-    def once(what: str) -> None:
+    def fail_once(what: str) -> None:
         if what == "sync" and not failed[0]:
             failed[0] = 1
             raise OSError(errno.EIO, "lost")
 
-    disk.before = once
+    disk.before = fail_once
     store.flush()
     assert store.get("orders", "a") is not None and len(store.segments) == 2
     assert any("segment abandoned after a write error" in text for text in store.events)
 
 
-def test_group_commit_gives_each_its_own_answer_also_when_the_disk_fails(tmp_path: Path) -> None:
+def test_group_commit_reports_each_write_separately_when_the_disk_fails(tmp_path: Path) -> None:
     store = Store(str(tmp_path / "s"), ranks={"debug": DEBUG, "outcomes": OUTCOMES})
-    committer, answers = Committer(store), dict[str, Any]()
+    committer, results = Committer(store), dict[str, Any]()
 
-    async def one(key: str, space: str) -> None:
+    async def commit(key: str, space: str) -> None:
         try:
-            answers[key] = await committer.commit(put(key, space=space))
-        except StoreError as fault:
-            answers[key] = str(fault)
+            results[key] = await committer.commit(put(key, space=space))
+        except StoreError as error:
+            results[key] = str(error)
 
     async def run() -> None:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(committer.run)
-            async with trio.open_nursery() as many:
+            async with trio.open_nursery() as writers:
                 for k in range(200):
-                    many.start_soon(one, f"k{k}", "orders")
-            assert set(answers.values()) == {True} and committer.batch_count < 100
-            put_down, count = store.write_batch, [0]
+                    writers.start_soon(commit, f"k{k}", "orders")
+            assert set(results.values()) == {True} and committer.batch_count < 100
+            write_batch, count = store.write_batch, [0]
 
             def full(batch: Any) -> None:
                 count[0] += 1
                 if count[0] <= 2:
                     raise OSError(errno.ENOSPC, "full")
-                put_down(batch)
+                write_batch(batch)
 
             store.write_batch = full  # type: ignore[method-assign]
-            async with trio.open_nursery() as many:
-                many.start_soon(one, "debug", "debug")
-                many.start_soon(one, "outcome", "outcomes")
-            assert answers["debug"] is False and answers["outcome"] is True
+            async with trio.open_nursery() as writers:
+                writers.start_soon(commit, "debug", "debug")
+                writers.start_soon(commit, "outcome", "outcomes")
+            assert results["debug"] is False and results["outcome"] is True
             nursery.cancel_scope.cancel()
 
     trio.run(run)
     store.close()
-    again = Store(str(tmp_path / "s"))
-    assert len(again.by_key("orders")) == 200 and again.get("outcomes", "outcome") is not None
-    again.close()
+    reopened = Store(str(tmp_path / "s"))
+    assert len(reopened.by_key("orders")) == 200 and reopened.get("outcomes", "outcome") is not None
+    reopened.close()
 
 
-def _writes_on(folder: str, pipe: Any) -> None:
+def _write_forever(folder: str, pipe: Any) -> None:
     store = Store(folder, segment_bytes=2000)
     k = store.number
     while True:
@@ -360,29 +364,29 @@
             list(store.compact(100))
 
 
-def test_what_was_acknowledged_survives_kills_in_the_middle_of_it(tmp_path: Path) -> None:
-    folder, promised = str(tmp_path / "s"), 0
+def test_acknowledged_writes_survive_killing_the_writer(tmp_path: Path) -> None:
+    folder, acknowledged = str(tmp_path / "s"), 0
     for k in range(12):
-        ours, theirs = multiprocessing.Pipe(False)
-        process = multiprocessing.get_context("fork").Process(target=_writes_on, args=(folder, theirs))
+        receiver, sender = multiprocessing.Pipe(False)
+        process = multiprocessing.get_context("fork").Process(target=_write_forever, args=(folder, sender))
         process.start()
         time.sleep(0.05 + k * 0.007)
         assert process.pid is not None
         os.kill(process.pid, signal.SIGKILL)
         process.join()
-        theirs.close()
-        while ours.poll():
+        sender.close()
+        while receiver.poll():
             try:
-                promised = ours.recv()
+                acknowledged = receiver.recv()
             except EOFError:
                 break
         store = Store(folder)
-        assert store.number >= promised and not store.recovery.corruptions
+        assert store.number >= acknowledged and not store.recovery.corruptions
         for key, entry in store.by_key("orders"):
             number = int(entry.value[: len(entry.value) // 5])
             assert f"k{number % 40}" == key and number == entry.number
         store.close()
-    assert promised > 20
+    assert acknowledged > 20
 
 
 # Outcomes.
@@ -416,19 +420,19 @@
     assert crashed == (DONE if told == DONE else UNKNOWN)
 
 
-def test_a_repeat_is_decided_by_what_is_known() -> None:
-    call = RequestRecord("mutating")
-    assert call.retry_decision(0) == RETRY  # nothing ever left
-    call.start_attempt(0, 10)
-    assert call.retry_decision(20) == REPORT_UNKNOWN
-    call.end_attempt(0, NOT_EXECUTED)
-    assert call.retry_decision(20) == RETRY
-    call.start_attempt(1, 30)
-    call.end_attempt(1, FAILED)
-    call.end_attempt(0, FAILED)  # proof stands
-    assert call.tries[0] == NOT_EXECUTED and call.retry_decision(40) == REPORT_UNKNOWN
-    call.end_attempt(1, ANSWERED, b"yes")
-    assert call.retry_decision(40) == RETURN_RESPONSE and call.answer == b"yes"
+def test_retry_decision_depends_on_the_recorded_attempts() -> None:
+    request = RequestRecord("mutating")
+    assert request.retry_decision(0) == RETRY  # no attempt was sent
+    request.start_attempt(0, 10)
+    assert request.retry_decision(20) == REPORT_UNKNOWN
+    request.end_attempt(0, NOT_EXECUTED)
+    assert request.retry_decision(20) == RETRY
+    request.start_attempt(1, 30)
+    request.end_attempt(1, FAILED)
+    request.end_attempt(0, FAILED)  # a conclusive result is not replaced
+    assert request.tries[0] == NOT_EXECUTED and request.retry_decision(40) == REPORT_UNKNOWN
+    request.end_attempt(1, ANSWERED, b"yes")
+    assert request.retry_decision(40) == RETURN_RESPONSE and request.answer == b"yes"
     keyed = RequestRecord("keyed", window=100)
     keyed.start_attempt(0, 10, "north")
     keyed.end_attempt(0, FAILED)
@@ -436,44 +440,46 @@
         keyed.retry_decision(100, "north") == RETRY and keyed.retry_decision(100, "south") == REPORT_UNKNOWN
     )
     assert keyed.retry_decision(111, "north") == REPORT_UNKNOWN
-    free = RequestRecord("repeatable")
-    free.start_attempt(0, 0)
-    assert free.retry_decision(10**9) == RETRY
+    repeatable = RequestRecord("repeatable")
+    repeatable.start_attempt(0, 0)
+    assert repeatable.retry_decision(10**9) == RETRY
     assert after_recovery(None, False).state() == NOT_DONE and after_recovery(None, True).state() == UNKNOWN
 
 
-def test_an_operator_checks_dumps_and_repairs_and_nothing_is_invented(tmp_path: Path) -> None:
+def test_store_commands_check_dump_and_repair_a_corrupt_store(tmp_path: Path) -> None:
     folder = str(tmp_path / "s")
     store = Store(folder, segment_bytes=400)
     for k in range(30):
-        store.write(put(f"k{k:02}", b"value %d" % k, at=k))
+        store.write(put(f"k{k:02}", b"value %d" % k, timestamp=k))
         store.flush()
     store.close()
 
-    def told(*args: str) -> tuple[int, str]:
-        done = CliRunner().invoke(main, ["store", *args])
-        return done.exit_code, done.output
+    def run_command(*args: str) -> tuple[int, str]:
+        result = CliRunner().invoke(main, ["store", *args])
+        return result.exit_code, result.output
 
-    assert told("check", folder)[0] == 0 and told("check", str(tmp_path / "no"))[0] == 2
-    assert json.loads(told("stats", folder)[1])["spaces"]["orders"]["entries"] == 30
-    assert json.loads(told("dump", folder, "--key", "k07")[1])["value"] == "value 7"
-    bad = sorted((tmp_path / "s").glob("seg-*"))[2]
-    data = bytearray(bad.read_bytes())
+    assert run_command("check", folder)[0] == 0 and run_command("check", str(tmp_path / "no"))[0] == 2
+    assert json.loads(run_command("stats", folder)[1])["spaces"]["orders"]["entries"] == 30
+    assert json.loads(run_command("dump", folder, "--key", "k07")[1])["value"] == "value 7"
+    corrupt = sorted((tmp_path / "s").glob("seg-*"))[2]
+    data = bytearray(corrupt.read_bytes())
     data[60] ^= 4
-    bad.write_bytes(data)
-    code, text = told("check", folder)
-    assert code == 1 and f"{bad.name}: from byte 32" in text and "are lost" in text
-    before = {row["key"]: row["value"] for row in map(json.loads, told("dump", folder)[1].splitlines())}
+    corrupt.write_bytes(data)
+    code, text = run_command("check", folder)
+    assert code == 1 and f"{corrupt.name}: from byte 32" in text and "are lost" in text
+    before = {
+        row["key"]: row["value"] for row in map(json.loads, run_command("dump", folder)[1].splitlines())
+    }
     assert len(before) == 29
-    held = Store(folder)
-    assert held.has_lost_entries and told("repair", folder)[0] == 3
-    held.close()
-    code, text = told("repair", folder)
+    opened = Store(folder)
+    assert opened.has_lost_entries and run_command("repair", folder)[0] == 3
+    opened.close()
+    code, text = run_command("repair", folder)
     assert code == 0 and "a copy is saved in damaged" in text
-    code, text = told("check", folder)
-    assert code == 1 and "lost before" in text  # until somebody says that it is seen
-    assert told("repair", folder, "--seen")[0] == 0 and told("check", folder)[0] == 0
-    after = [json.loads(line) for line in told("dump", folder, "--space", "orders")[1].splitlines()]
+    code, text = run_command("check", folder)
+    assert code == 1 and "lost before" in text  # until the operator confirms it
+    assert run_command("repair", folder, "--seen")[0] == 0 and run_command("check", folder)[0] == 0
+    after = [json.loads(line) for line in run_command("dump", folder, "--space", "orders")[1].splitlines()]
     assert {row["key"]: row["value"] for row in after} == {
         k: v for k, v in before.items() if k[0] == "k"
     } | {}
@@ -482,22 +488,20 @@
 # The ledger.
 
 
-def test_a_ledger_has_each_try_on_disk_before_it_leaves_and_knows_after_a_crash_what_may_be_repeated() -> (
-    None
-):
-    disk, ledgers = PowerDisk(), dict[str, str]()
+def test_ledger_stores_attempts_before_they_are_sent_and_decides_retries_after_a_crash() -> None:
+    disk, decisions = PowerDisk(), dict[str, str]()
 
-    def power_fails() -> None:
-        """Whatever was written is there, or only what was synced: the call is never told to be not done."""
+    def check_after_power_failure() -> None:
+        """Unsynced writes may or may not survive; no request that may have been executed may be retried."""
         for files in disk.crashes(random.Random(1), 4):
             store = Store("s", PowerDisk.load(files), lock=False, store_id=3)
             ledger = RequestLedger(store, Committer(store))
-            for call in ("gone", "answered", "refused"):
-                ledgers[call] = ledger.request(call).retry_decision(0)
+            for key in ("gone", "answered", "refused"):
+                decisions[key] = ledger.request(key).retry_decision(0)
             assert (
-                ledgers["gone"] == REPORT_UNKNOWN
-                and ledgers["answered"] == RETURN_RESPONSE
-                and ledgers["refused"] == RETRY
+                decisions["gone"] == REPORT_UNKNOWN
+                and decisions["answered"] == RETURN_RESPONSE
+                and decisions["refused"] == RETRY
             )
             assert set(ledger.unreported()) == {"gone", "answered", "refused"}
 
@@ -507,25 +511,25 @@
         ledger = RequestLedger(store, committer)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(committer.run)
-            for call, what in (
+            for key, state in (
                 ("gone", ""),
                 ("answered", ANSWERED),
                 ("refused", NOT_EXECUTED),
                 ("known", ANSWERED),
             ):
-                await ledger.begin(call, "mutating", 1)
-                number = await ledger.start_attempt(call, 2)
-                if what:
-                    await ledger.end_attempt(call, number, what, 3, b"yes")
+                await ledger.begin(key, "mutating", 1)
+                number = await ledger.start_attempt(key, 2)
+                if state:
+                    await ledger.end_attempt(key, number, state, 3, b"yes")
             await ledger.mark_reported("known", 4)
-            again = await ledger.start_attempt("refused", 5)
-            await ledger.cancel_attempt("refused", again, 6)
-            power_fails()
+            retry = await ledger.start_attempt("refused", 5)
+            await ledger.cancel_attempt("refused", retry, 6)
+            check_after_power_failure()
             nursery.cancel_scope.cancel()
 
     trio.run(run)
 
 
-def test_a_program_that_submits_and_is_killed_repeats_nothing_that_may_have_run(tmp_path: Path) -> None:
-    done = submits(tmp_path, 3, 2, lambda text: None)
-    assert done.good and done.told["done"] > 10, done.lines()
+def test_killed_client_repeats_no_request_that_may_have_been_executed(tmp_path: Path) -> None:
+    report = submits(tmp_path, 3, 2, lambda text: None)
+    assert report.good and report.told["done"] > 10, report.lines()
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -1,8 +1,9 @@
 """Files written by commit 06ecd3e are read to the same content, and printed formats keep their bytes.
 
-The fixtures are in `data/stored`: the folder `store` (segments, marks and two snapshots, of two runs of a
-writer), a `records` file whose last line was cut off, a configuration, and the output of two commands.
-Beside them `expected.json` tells what they hold.  They are not to be written anew: their use is their age.
+The fixtures are in `data/stored`: the folder `store` (segments, watermark files and two snapshots, written by
+two runs of a writer), a `records` file with an incomplete last line, a configuration, and the output of two
+commands. `expected.json` holds their expected content. Do not regenerate them: they must stay files of that
+commit, to show that later versions read them.
 """
 
 from __future__ import annotations
@@ -29,37 +30,46 @@
 STORED = Path(__file__).parent / "data" / "stored"
 Content = dict[str, dict[str, list[Any]]]  # by space and key: number, time, value in base64
 
-# Adapter: the project's names are in the imports above and in these functions.
+# Adapter: only the imports above and these functions use names of the code under test.
 
 
 def content_of(state: Any) -> Content:
-    """What `store dump` prints, in one object; a space without entries is as good as none."""
+    """The content as `store dump` prints it, in one object. Spaces without entries are omitted."""
     return {
         space: {
             key: [entry.number, entry.timestamp, base64.b64encode(entry.value).decode()]
-            for key, entry in sorted(rows.items())
+            for key, entry in sorted(entries.items())
         }
-        for space, rows in sorted(state.items())
-        if rows
+        for space, entries in sorted(state.items())
+        if entries
     }
 
 
 def read_store(folder: Path) -> tuple[int, list[str], Content]:
-    """Last number, damage, content, as a reader beside the writer sees it."""
+    """The last number, the corruptions and the content, as a reader beside the writer sees them."""
     reader = Reader(str(folder))
     number = reader.refresh()
-    return number, [row.describe() for row in reader.recovery.corruptions], content_of(reader.state)
+    return (
+        number,
+        [corruption.describe() for corruption in reader.recovery.corruptions],
+        content_of(reader.state),
+    )
 
 
 def recovered_store(folder: Path) -> dict[str, Any]:
-    got = recover(RealDisk(), str(folder))
-    segments = [[row.name, row.first, row.last] for row in got.segments]
-    counts = {"id": got.store_id, "epoch": got.epoch, "number": got.number, "frames": got.report.frames}
-    return {**counts, "snapshots": got.snapshots, "segments": segments}
+    recovered = recover(RealDisk(), str(folder))
+    segments = [[segment.name, segment.first, segment.last] for segment in recovered.segments]
+    counts = {
+        "id": recovered.store_id,
+        "epoch": recovered.epoch,
+        "number": recovered.number,
+        "frames": recovered.report.frames,
+    }
+    return {**counts, "snapshots": recovered.snapshots, "segments": segments}
 
 
 def write_to_store(folder: Path, space: str, key: str, value: bytes) -> Content:
-    """Opens it as the one writer, adds an entry, and gives the content after."""
+    """Opens the store as its writer, adds an entry, and returns the content afterwards."""
     store = Store(str(folder))
     try:
         store.write([Op(space, key, 99, value)])
@@ -69,14 +79,17 @@
         store.close()
 
 
-def calls_of(folder: Path) -> dict[str, Any]:
-    """What the ledger of calls in a copy of the folder knows of each; which outcomes were not told."""
+def ledger_content(folder: Path) -> dict[str, Any]:
+    """The records of all requests in the ledger, and the requests whose outcome was not reported."""
     store = Store(str(folder))
     try:
         ledger = RequestLedger(store, Committer(store))
-        calls = {key: ledger.request(key) for key, _ in store.by_key("outcomes")}
-        known = {key: {**msgspec.to_builtins(call), "state": call.state()} for key, call in calls.items()}
-        return {"known": json.loads(json.dumps(known)), "not told": ledger.unreported()}
+        requests = {key: ledger.request(key) for key, _ in store.by_key("outcomes")}
+        records = {
+            key: {**msgspec.to_builtins(request), "state": request.state()}
+            for key, request in requests.items()
+        }
+        return {"known": json.loads(json.dumps(records)), "not told": ledger.unreported()}
     finally:
         store.close()
 
@@ -85,24 +98,24 @@
     return read_records(str(path))
 
 
-def told_of_records(path: Path, proxy: str) -> list[str]:
+def proxy_lines(path: Path, proxy: str) -> list[str]:
     states = ProxyStates()
-    for row in read_records(str(path)):
-        states.add(row)
+    for record in read_records(str(path)):
+        states.add(record)
     return states.lines(proxy)
 
 
 def configuration(data: bytes) -> Any:
-    """All values, defaults too, as plain data."""
+    """All values, including defaults, as plain data."""
     return json.loads(msgspec.json.encode(parse_config(data)))
 
 
 def command(*arguments: str) -> tuple[int, bytes]:
-    got = CliRunner().invoke(main, list(arguments))
-    return got.exit_code, got.stdout_bytes
+    result = CliRunner().invoke(main, list(arguments))
+    return result.exit_code, result.stdout_bytes
 
 
-# Nothing below uses names of the project.
+# Nothing below uses names of the code under test.
 
 
 def expected() -> dict[str, Any]:
@@ -128,7 +141,7 @@
         assert read_store(folder)[1:] == ([], want)
 
 
-def test_store_is_written_on_where_it_ended(tmp_path: Path) -> None:
+def test_store_continues_after_its_last_number(tmp_path: Path) -> None:
     folder = shutil.copytree(STORED / "store", tmp_path / "store")
     want = expected()["store"]
     number = want["recovered"]["number"] + 1
@@ -138,10 +151,10 @@
     assert read_store(folder) == (number, [], content)
 
 
-def test_ledger_of_calls_is_read_to_the_same_outcomes(tmp_path: Path) -> None:
+def test_request_ledger_is_read_to_the_same_outcomes(tmp_path: Path) -> None:
     want = expected()["store"]["ledger"]
-    assert calls_of(shutil.copytree(STORED / "store", tmp_path / "store")) == want
-    assert {call["state"] for call in want["known"].values()} == {"done", "not done", "unknown"}
+    assert ledger_content(shutil.copytree(STORED / "store", tmp_path / "store")) == want
+    assert {request["state"] for request in want["known"].values()} == {"done", "not done", "unknown"}
 
 
 def flip_a_bit(segment: Path, at: int) -> None:
@@ -150,16 +163,18 @@
     segment.write_bytes(data)
 
 
-def test_damage_of_the_last_entry_is_told(tmp_path: Path) -> None:
+def test_corruption_of_the_last_entry_is_reported(tmp_path: Path) -> None:
     folder = shutil.copytree(STORED / "store", tmp_path / "store")
     segment, number = sorted(folder.glob("seg-*"))[-1], expected()["store"]["recovered"]["number"]
     flip_a_bit(segment, -1)
-    found, damage, content = read_store(folder)
-    assert len(damage) == 1 and segment.name in damage[0] and f"{number} to {number}" in damage[0]
-    assert found == number and "lives" not in content and command("store", "check", str(folder))[0] == 1
+    last_number, corruptions, content = read_store(folder)
+    assert (
+        len(corruptions) == 1 and segment.name in corruptions[0] and f"{number} to {number}" in corruptions[0]
+    )
+    assert last_number == number and "lives" not in content and command("store", "check", str(folder))[0] == 1
 
 
-def test_damage_of_an_entry_that_a_snapshot_holds_loses_nothing(tmp_path: Path) -> None:
+def test_corruption_of_an_entry_in_a_snapshot_loses_nothing(tmp_path: Path) -> None:
     folder = shutil.copytree(STORED / "store", tmp_path / "store")
     flip_a_bit(sorted(folder.glob("seg-*"))[-1], 60)
     assert read_store(folder)[1:] == ([], expected()["store"]["content"])
@@ -176,7 +191,7 @@
     want = expected()["records"]
     assert read_record_file(STORED / "records") == want["rows"] and len(want["rows"]) > 10
     for proxy, lines in want["told"].items():
-        assert told_of_records(STORED / "records", proxy) == lines
+        assert proxy_lines(STORED / "records", proxy) == lines
         code, output = command("versions", str(STORED / "records"), "--proxy", proxy)
         assert (code, output.decode().splitlines()) == (0, lines)
 
