--- a/willowhook/controlplane/discovery_feed.py
+++ b/willowhook/controlplane/discovery_feed.py
@@ -109,18 +109,18 @@
         self._pending: list[InboundEvent] = []  # the events of the call that is being served
         settings = self._settings = context.terms.front
         self.gate = _gate(settings)
-        self.bodies = ResponseCache(settings.cache_bytes, settings.compress_from_bytes)
-        self.front = DiscoveryServer(
+        self.response_cache = ResponseCache(settings.cache_bytes, settings.compress_from_bytes)
+        self.discovery_server = DiscoveryServer(
             context.terms.name,
             self,
             identity_of(settings),
             self.gate,
-            self.bodies,
+            self.response_cache,
             settings.come_back_ms / 1000,
             context.terms.fleet.report_every_ms / 1000,
         )
-        handle, ended = self.front.handle_request, self.front.handle_connection_closed
-        self.server = Server(self.gate, _times(settings), settings.largest_ask_bytes, handle, ended)
+        handle, ended = self.discovery_server.handle_request, self.discovery_server.handle_connection_closed
+        self.http_server = Server(self.gate, _times(settings), settings.largest_ask_bytes, handle, ended)
 
     async def run(self, task_status: trio.TaskStatus[int] = trio.TASK_STATUS_IGNORED) -> None:
         """Serves proxies until cancelled; the task's start value is the port.
@@ -130,13 +130,13 @@
         address, _, port = self._settings.listen.rpartition(":")
         listeners = await trio.open_tcp_listeners(int(port), host=address, backlog=LISTEN_BACKLOG)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self.front.run)
+            nursery.start_soon(self.discovery_server.run)
             task_status.started(listeners[0].socket.getsockname()[1])
-            await trio.serve_listeners(self.server.serve, listeners)
+            await trio.serve_listeners(self.http_server.serve, listeners)
 
     def set_report_interval(self, interval_seconds: float) -> None:
         """Tells proxies how often to send load reports."""
-        self.front.set_report_interval(interval_seconds)
+        self.discovery_server.set_report_interval(interval_seconds)
 
     # Sessions, in the decision task.
 
@@ -146,7 +146,7 @@
             proxy, self._store, self, references, self._publisher.renderer.exclude_from, held.resources()
         )
         self._discovery_sessions[name] = session
-        return HttpUpdateSink(session, self._store, self.front.notify_session)
+        return HttpUpdateSink(session, self._store, self.discovery_server.notify_session)
 
     def open_session(self, now: int, request: SessionRequested) -> None:
         """Opens the session of a proxy that calls, unless it has this one already."""
@@ -162,12 +162,12 @@
         """Ends the calls of a proxy that has left."""
         session = self._discovery_sessions.pop(name, None)
         if session is not None:
-            self.front.remove_session(session)
+            self.discovery_server.remove_session(session)
 
     def has_unanswered_call(self, name: str) -> bool:
         """Whether a call of a proxy waits on an open connection; `wait_ms` at the most."""
         session = self._discovery_sessions.get(name)
-        return session is not None and self.front.has_waiting_call(session)
+        return session is not None and self.discovery_server.has_waiting_call(session)
 
     # The interface that the discovery server calls, `Hall`.
 
--- a/willowhook/trial/herd.py
+++ b/willowhook/trial/herd.py
@@ -226,21 +226,24 @@
         assert web is not None
         need = callers - len(slow)
         with trio.fail_after(120):
-            while len(web.front) < need or len(service.publisher.sessions) < callers:
+            while len(web.discovery_server) < need or len(service.publisher.sessions) < callers:
                 await trio.sleep(0.05)
         report.joined_s = time.perf_counter() - began
         await trio.sleep(1.0)
-        sent_at, made, packed = [], web.bodies.encoded, web.bodies.compressed
+        sent_at, made, packed = [], web.response_cache.encoded, web.response_cache.compressed
         cpu = time.process_time()
         for change in range(1, CHANGES + 1):
             OnDemand.go = change
             sent_at.append(monotonic_ticks())
             await trio.sleep(3.0 if hosts <= 200 else 8.0)
         report.cpu_ms = (time.process_time() - cpu) / CHANGES * 1000
-        report.encoded, report.packed = web.bodies.encoded - made, web.bodies.compressed - packed
+        report.encoded, report.packed = (
+            web.response_cache.encoded - made,
+            web.response_cache.compressed - packed,
+        )
         report.rss_mb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
-        report.cut = web.server.slow_readers
-        kept = web.bodies._cache
+        report.cut = web.http_server.slow_readers
+        kept = web.response_cache._cache
         report.body = max(
             (len(body) for (_, coded), body in kept.items() if bool(coded) == bool(encoding)), default=0
         )
