--- a/tests/controlplane_fixtures.py
+++ b/tests/controlplane_fixtures.py
@@ -69,10 +69,10 @@
 
     def __init__(self) -> None:
         super().__init__("", 0)
-        self.rows: list[dict[str, Any]] = []
+        self.entries: list[dict[str, Any]] = []
 
     def note(self, now: int, kind: str, **parts: Any) -> None:
-        self.rows.append({"kind": kind, **parts})
+        self.entries.append({"kind": kind, **parts})
 
 
 class FakeSink:
@@ -121,9 +121,9 @@
         renderer = ResourceRenderer(EXAMPLE, 1)
         renderer.set_addresses({name: ("127.0.0.1", 80 + ord(name), "north") for name in "abc"})
         log = structlog.get_logger()
-        self.book = ProxyStateBook(self.settings, lambda message: self.publisher.enqueue(message))
+        self.proxy_states = ProxyStateBook(self.settings, lambda message: self.publisher.enqueue(message))
         self.publisher = Publisher(
-            EXAMPLE, self.settings, self.listener, self.records, log, renderer, 1, self.book
+            EXAMPLE, self.settings, self.listener, self.records, log, renderer, 1, self.proxy_states
         )
         hosts = [
             DiscoveredEndpoint(name, "127.0.0.1", 80 + ord(name), False, 0.0, 1.0, "", "", "north")
@@ -137,18 +137,18 @@
         initial = ProxyResources()
         session = PublisherSession(proxy, f"p{proxy}", 1, initial, self.sink)
         self.publisher.add_session(session)
-        self.book.add_proxy(proxy, "north", {})
+        self.proxy_states.add_proxy(proxy, "north", {})
         self.publisher.validation.add_proxy(proxy, "north", 5.0, initial)
         return session
 
-    def order(self, weights: dict[str, float], marker: int | None = None) -> None:
+    def update_table(self, weights: dict[str, float], marker: int | None = None) -> None:
         """Gives all routes of the proxy one table with these weights."""
         for name, weight in weights.items():
-            self.book.set_weight(0, name, weight)
-        self.book.bind(0, 0, ALL_ROUTES)
+            self.proxy_states.set_weight(0, name, weight)
+        self.proxy_states.bind(0, 0, ALL_ROUTES)
         if marker is not None:
-            self.book.send_sync_marker(marker)
-        self.book.flush(self.listener.time)
+            self.proxy_states.send_sync_marker(marker)
+        self.proxy_states.flush(self.listener.time)
 
     async def publish(self, ticks: int) -> None:
         """Lets the publisher do one round of its loop, so many ticks later; in a run with a mock clock."""
--- a/tests/service_harness.py
+++ b/tests/service_harness.py
@@ -25,19 +25,19 @@
     """Keeps the level, event and fields of each line."""
 
     def __init__(self) -> None:
-        self.rows: list[tuple[str, str, dict[str, Any]]] = []
+        self.lines: list[tuple[str, str, dict[str, Any]]] = []
 
     def bind(self, **_: Any) -> RecordingLog:
         return self
 
     def info(self, text: str, **parts: Any) -> None:
-        self.rows.append(("info", text, parts))
+        self.lines.append(("info", text, parts))
 
     def warning(self, text: str, **parts: Any) -> None:
-        self.rows.append(("warning", text, parts))
+        self.lines.append(("warning", text, parts))
 
     def texts(self, level: str = "") -> list[str]:
-        return [text for each, text, _ in self.rows if level in ("", each)]
+        return [text for each, text, _ in self.lines if level in ("", each)]
 
 
 class FileProxy:
@@ -61,10 +61,10 @@
     def put(self, file: str, data: bytes) -> None:
         swap_file(DiskOps(), str(self.up), file, data)
 
-    def load(self) -> None:
+    def write_load_report(self) -> None:
         self.put("load.json", encode(forms.LoadStatsRequest(self.node)))
 
-    def answer(self) -> None:
+    def acknowledge(self) -> None:
         for name, data in read_group(str(self.down))[1].items():
             got = read_response(data, forms.TYPE_URLS[name[:-5]])
             said = forms.DiscoveryRequest(got.version_info, self.node, [], got.type_url, got.nonce)
@@ -74,16 +74,16 @@
         rows = tables.read_tables(read_group(str(self.down))[1]["eds.json"])[1]
         return {line[0]: line[4] for table in rows for line in tables.lines(table)}
 
-    def sent_away(self) -> bool:
+    def is_sent_away(self) -> bool:
         rows = tables.read_tables(read_group(str(self.down))[1]["eds.json"])[1]
         return any(table.cluster_name == "directors" for table in rows)
 
-    def number(self) -> int:
+    def message_number(self) -> int:
         return int(
             read_response(read_group(str(self.down))[1]["eds.json"], forms.ASSIGNMENT).nonce.split(".")[2]
         )
 
-    def hosts(self) -> set[str]:
+    def usable_endpoints(self) -> set[str]:
         try:
             data = read_group(str(self.down))[1]["eds.json"]
         except FileNotFoundError:
@@ -97,8 +97,8 @@
     """Answers for the endpoint list: well, with something else, or not at all."""
 
     def __init__(self) -> None:
-        self.index, self.how = 1, "good"
-        self.hosts = {"a": False, "b": False, "c": False}
+        self.index, self.mode = 1, "good"
+        self.endpoints = {"a": False, "b": False, "c": False}
         self.started: dict[str, float] = {}
 
     def body(self) -> bytes:
@@ -113,18 +113,18 @@
                 "Node": {"Datacenter": "north"},
                 "Checks": [{"CheckID": f"_service_maintenance:{name}", "Status": "critical"}] if out else [],
             }
-            for k, (name, out) in enumerate(self.hosts.items())
+            for k, (name, out) in enumerate(self.endpoints.items())
         ]
         return json.dumps(rows).encode()
 
     async def answer(self, call: Call) -> Reply | None:
         asked = self.index if b"index=" in call.target else 0
         for _ in range(10):  # well within what the reader waits, also on a slow machine
-            if self.how == "good" and asked == self.index:
+            if self.mode == "good" and asked == self.index:
                 await trio.sleep(0.02)
-        if self.how == "stall":
+        if self.mode == "stall":
             await trio.sleep_forever()
-        body = self.body() if self.how == "good" else b"<h1>maintenance</h1>"
+        body = self.body() if self.mode == "good" else b"<h1>maintenance</h1>"
         return Reply(200, [(b"x-consul-index", b"%d" % self.index)], body)
 
 
@@ -180,7 +180,7 @@
     return log
 
 
-async def wait_until(what: Callable[[], bool], patience: float = 8.0) -> None:
-    with trio.fail_after(patience):
-        while not what():
+async def wait_until(condition: Callable[[], bool], timeout_seconds: float = 8.0) -> None:
+    with trio.fail_after(timeout_seconds):
+        while not condition():
             await trio.sleep(0.02)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -442,7 +442,7 @@
         await wait_until(lambda: session.acknowledged > 0)
         # the controller handles the acknowledgement a turn later
         await wait_until(lambda: not any(service.controller.channel.unacknowledged.values()))
-        discovery.hosts["b"], discovery.index = True, 2
+        discovery.endpoints["b"], discovery.index = True, 2
         news: dict[str, forms.DiscoveryResponse] = {}
         while "eds" not in news or "b" in hosts_of(news["eds"]):
             reply = await one.whole("eds", got["eds"].version_info, got["eds"].nonce)
@@ -559,14 +559,15 @@
             await wait_until(lambda: decider.left == -1, 20)
             with trio.fail_after(5):
                 while not (
-                    read_files(by_files).rows == one.rows == two.rows and is_final(one, len(discovery.hosts))
+                    read_files(by_files).rows == one.rows == two.rows
+                    and is_final(one, len(discovery.endpoints))
                 ):
                     await trio.sleep(0.1)
-                    by_files.answer()
+                    by_files.acknowledge()
             final = copy.deepcopy(one.rows)
             for _ in range(10):  # nothing may follow: the decider keeps still
                 await trio.sleep(0.1)
-                by_files.answer()
+                by_files.acknowledge()
                 assert decider.left == -1
                 assert read_files(by_files).rows == one.rows == two.rows == final
             assert len(final["cds"]) == len(service.terms.routes) and final["rds"]
@@ -647,7 +648,7 @@
             nursery.cancel_scope.cancel()
         await proxy.close()
         await wait_until(lambda: "proxy left" in log.texts())
-        assert [parts["reason"][:6] for _, text, parts in log.rows if text == "proxy left"] == ["silent"]
+        assert [parts["reason"][:6] for _, text, parts in log.lines if text == "proxy left"] == ["silent"]
 
     directed(tmp_path, play, proxy_lost_after_ms=LOST_AFTER_S * 1000, wait_ms=10_000)
 
@@ -676,7 +677,7 @@
     async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
         one = ByCalls(service, "p1")
         got = await one.settle()
-        discovery.hosts["b"], discovery.index = True, 2
+        discovery.endpoints["b"], discovery.index = True, 2
         reply = await one.whole("eds", got["eds"].version_info, got["eds"].nonce)
         while reply.status != 200:
             reply = await one.whole("eds", got["eds"].version_info)
@@ -690,7 +691,7 @@
                 now = decode(reply.body, forms.DiscoveryResponse)
                 assert now.resources != bad.resources  # never the same content again
         assert "update rejected by proxy" in log.texts("warning")
-        discovery.hosts["b"], discovery.hosts["c"], discovery.index = False, True, 3
+        discovery.endpoints["b"], discovery.endpoints["c"], discovery.index = False, True, 3
         while reply.status != 200 or "c" in hosts_of(decode(reply.body, forms.DiscoveryResponse)):
             reply = await one.whole("eds", got["eds"].version_info)
         await one.close()
@@ -716,7 +717,7 @@
     async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
         one = ByCalls(service, "p1")
         got = await one.settle()
-        discovery.hosts["b"], discovery.index = True, 2
+        discovery.endpoints["b"], discovery.index = True, 2
         reply = await one.whole("eds", got["eds"].version_info, got["eds"].nonce)
         while reply.status != 200:
             reply = await one.whole("eds", got["eds"].version_info)
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -101,12 +101,12 @@
                 await nursery.start(service.run)
                 one = FileProxy(service, f"p{number}")
                 one.join()
-                await wait_until(lambda: len(one.hosts()) == 3)
+                await wait_until(lambda: len(one.usable_endpoints()) == 3)
                 if number == 1:
                     now = service.clock.now()
                     for k in range(3):
                         service.memory.record_attempts(now + k * TICKS_PER_SECOND, "a", "north", 20, 15, 100)  # type: ignore[union-attr]
-                    one.answer()
+                    one.acknowledge()
                     await trio.sleep(0.5)
                 elif not taken:
                     await wait_until(lambda: "stored evidence restored" in log.texts())
--- a/tests/test_publisher.py
+++ b/tests/test_publisher.py
@@ -43,14 +43,14 @@
 def test_a_message_is_written_and_its_marker_acknowledged_once_applied() -> None:
     async def play() -> None:
         harness = PublisherHarness()
-        harness.order(EVEN, marker=7)
+        harness.update_table(EVEN, marker=7)
         await harness.publish(TICKS_PER_SECOND)
         assert [number for number, _ in harness.sink.written] == [1]
         assert harness.session.written == 1
         harness.publisher.handle_acknowledged(harness.listener.time, 0, 1)
         assert harness.listener.acknowledged == [(0, 7)]
         assert harness.session.acknowledged == 1
-        order = next(row for row in harness.records.rows if row["kind"] == "order")
+        order = next(row for row in harness.records.entries if row["kind"] == "order")
         cost = 1 + len(EVEN) + MESSAGE_OVERHEAD + SYNC_MARKER_ENTRIES
         assert (order["message"], order["mark"], order["lines"]) == (1, 7, cost)
 
@@ -59,15 +59,15 @@
 
 def test_a_message_without_marker_is_recorded_as_before() -> None:
     harness = PublisherHarness()
-    harness.order(EVEN)
-    assert [row["mark"] for row in harness.records.rows if row["kind"] == "order"] == [-1]
+    harness.update_table(EVEN)
+    assert [row["mark"] for row in harness.records.entries if row["kind"] == "order"] == [-1]
 
 
 def test_a_queue_over_its_limit_is_reported_until_it_is_within() -> None:
     harness = PublisherHarness(queue_limit_entries=MESSAGE_OVERHEAD + 1 + len(EVEN))
-    harness.order(EVEN)
+    harness.update_table(EVEN)
     assert harness.listener.conditions["queue"] is False
-    harness.order({"a": 2.0})
+    harness.update_table({"a": 2.0})
     assert harness.listener.conditions["queue"] is True
 
 
@@ -75,7 +75,7 @@
     async def play() -> None:
         harness = PublisherHarness()
         harness.sink.outcome = OSError("disk full")
-        harness.order(EVEN)
+        harness.update_table(EVEN)
         await harness.publish(TICKS_PER_SECOND)
         assert harness.session.unwritten is not None
         assert harness.listener.conditions["disk"] is True
@@ -91,11 +91,11 @@
 def test_a_message_that_changes_nothing_is_acknowledged_by_the_answer_to_the_one_before() -> None:
     async def play() -> None:
         harness = PublisherHarness()
-        harness.order(EVEN, marker=1)
+        harness.update_table(EVEN, marker=1)
         await harness.publish(TICKS_PER_SECOND)
         harness.publisher.handle_acknowledged(harness.listener.time, 0, 1)
         harness.sink.outcome = False
-        harness.order(EVEN, marker=2)
+        harness.update_table(EVEN, marker=2)
         await harness.publish(TICKS_PER_SECOND)
         assert len(harness.listener.events) == 1
         harness.listener.events[0](harness.listener.time)
@@ -107,7 +107,7 @@
 def test_unacknowledged_files_are_rewritten_after_a_growing_pause() -> None:
     async def play() -> None:
         harness = PublisherHarness()
-        harness.order(EVEN)
+        harness.update_table(EVEN)
         await harness.publish(TICKS_PER_SECOND)
         await harness.publish(FIRST_REWRITE_TICKS - 1)
         assert harness.sink.rewrites == 0
@@ -128,7 +128,7 @@
 def test_rejected_files_are_not_rewritten() -> None:
     async def play() -> None:
         harness = PublisherHarness()
-        harness.order(EVEN)
+        harness.update_table(EVEN)
         await harness.publish(TICKS_PER_SECOND)
         harness.publisher.handle_group_rejected(harness.listener.time, 0, "eds", 1, "no such table")
         await harness.publish(30 * TICKS_PER_SECOND)
@@ -144,7 +144,7 @@
         judge = validator.judge
         until = 2 * TICKS_PER_SECOND
         validator.judge = verdict_of(Outcome.HELD, until)  # type: ignore[method-assign]
-        harness.order(EVEN, marker=3)
+        harness.update_table(EVEN, marker=3)
         await harness.publish(TICKS_PER_SECOND)
         assert harness.sink.written == []
         assert harness.session.held is not None and harness.session.held.until == until
@@ -152,7 +152,7 @@
         await harness.publish(TICKS_PER_SECOND)  # it is queued again
         await harness.publish(TICKS_PER_SECOND)
         assert [number for number, _ in harness.sink.written] == [2]
-        marks = [row["mark"] for row in harness.records.rows if row["kind"] == "order"]
+        marks = [row["mark"] for row in harness.records.entries if row["kind"] == "order"]
         assert marks == [3, -1]
 
     run(play)
@@ -164,10 +164,10 @@
         validator = harness.publisher.validation.validator
         judge = validator.judge
         validator.judge = verdict_of(Outcome.HELD, 60 * TICKS_PER_SECOND)  # type: ignore[method-assign]
-        harness.order(EVEN)
+        harness.update_table(EVEN)
         await harness.publish(TICKS_PER_SECOND)
         validator.judge = judge  # type: ignore[method-assign]
-        harness.order({"a": 2.0})
+        harness.update_table({"a": 2.0})
         await harness.publish(TICKS_PER_SECOND)
         assert harness.session.held is None
         assert [number for number, _ in harness.sink.written] == [2]
@@ -180,7 +180,7 @@
         harness = PublisherHarness()
         validator = harness.publisher.validation.validator
         validator.judge = verdict_of(Outcome.HELD)  # type: ignore[method-assign]
-        harness.order(EVEN)
+        harness.update_table(EVEN)
         await harness.publish(TICKS_PER_SECOND)
         assert harness.session.held is not None
         assert harness.session.held.until == 2 * TICKS_PER_SECOND > harness.listener.time + MIN_HOLD_TICKS
@@ -193,7 +193,7 @@
         harness = PublisherHarness()
         validator = harness.publisher.validation.validator
         validator.judge = verdict_of(Outcome.REFUSED)  # type: ignore[method-assign]
-        harness.order(EVEN)
+        harness.update_table(EVEN)
         await harness.publish(TICKS_PER_SECOND)
         await harness.publish(TICKS_PER_SECOND)
         assert harness.sink.written == []
@@ -211,7 +211,7 @@
         validator = harness.publisher.validation.validator
         judge = validator.judge
         validator.judge = verdict_of(Outcome.REFUSED)  # type: ignore[method-assign]
-        harness.order(EVEN)
+        harness.update_table(EVEN)
         for _ in range(10):
             await harness.publish(TICKS_PER_SECOND)
         assert harness.sink.written == [] and harness.publisher.validation.counts == {"refused": 1}
@@ -232,7 +232,7 @@
             for name in "abcdef"
         ]
         harness.publisher.validation.update_endpoints(0, hosts, lambda host: 1 if host.id == "c" else 0)
-        harness.order({"a": 1.0, "b": 1.0, "c": 50.0})
+        harness.update_table({"a": 1.0, "b": 1.0, "c": 50.0})
         warm_at = 1 + harness.settings.rules.slow_start_ticks
         while harness.listener.time < warm_at - TICKS_PER_SECOND:
             await harness.publish(TICKS_PER_SECOND)
@@ -251,10 +251,10 @@
         validator = harness.publisher.validation.validator
         judge = validator.judge
         validator.judge = verdict_of(Outcome.REFUSED)  # type: ignore[method-assign]
-        harness.order(EVEN)
+        harness.update_table(EVEN)
         await harness.publish(TICKS_PER_SECOND)
         validator.judge = judge  # type: ignore[method-assign]
-        harness.order({"a": 2.0})
+        harness.update_table({"a": 2.0})
         for _ in range(6):
             await harness.publish(TICKS_PER_SECOND)
         assert [number for number, _ in harness.sink.written] == [2]
@@ -270,7 +270,7 @@
     async def play() -> None:
         harness = PublisherHarness()
         harness.publisher.validation.validator.judge = raises  # type: ignore[method-assign]
-        harness.order(EVEN)
+        harness.update_table(EVEN)
         await harness.publish(TICKS_PER_SECOND)
         assert [number for number, _ in harness.sink.written] == [1]
         assert harness.listener.conditions["no guard"] is True
@@ -286,7 +286,7 @@
         harness = PublisherHarness()
         harness.join(1)
         harness.publisher.rollout.record_offered(0, 1, ("t", 0), 1)  # a second proxy, so that two can reject
-        harness.order(EVEN)
+        harness.update_table(EVEN)
         await harness.publish(TICKS_PER_SECOND)
         good = harness.session.newest_contents
         unit, content = good[0]
@@ -295,7 +295,7 @@
             rollout.record_offered(0, proxy, unit, content)
             rollout.record_acknowledged(0, proxy, unit, content)
         assert rollout.tracks[unit].good == content
-        harness.order({"b": 5.0} | {name: 0.0 for name in removed})
+        harness.update_table({"b": 5.0} | {name: 0.0 for name in removed})
         await harness.publish(TICKS_PER_SECOND)
         bad = harness.session.newest_contents[0].content
         assert bad != content
@@ -307,7 +307,7 @@
         await harness.publish(TICKS_PER_SECOND)
         assert harness.session.newest_contents == good
         assert harness.session.is_substituted
-        kinds = [row["kind"] for row in harness.records.rows]
+        kinds = [row["kind"] for row in harness.records.entries]
         assert "halted" in kinds and "rollback" in kinds
         tables = dict(harness.sink.written[-1][1]["eds"])
         assert all(
@@ -320,13 +320,13 @@
 def test_a_good_table_without_an_endpoint_in_service_replaces_nothing() -> None:
     async def play() -> None:
         harness = PublisherHarness()
-        harness.order({"a": 1.0})
+        harness.update_table({"a": 1.0})
         await harness.publish(TICKS_PER_SECOND)
         unit, content = harness.session.newest_contents[0]
         rollout = harness.publisher.rollout
         rollout.record_acknowledged(0, 0, unit, content)
         harness.listener.out_of_service = {"a"}
-        harness.order({"a": 0.0, "b": 1.0})
+        harness.update_table({"a": 0.0, "b": 1.0})
         rollout.tracks[unit].halted[content + 1] = "on purpose"  # type: ignore[operator]
         await harness.publish(TICKS_PER_SECOND)
         assert harness.session.newest_contents[0].content == content + 1  # type: ignore[operator]
@@ -338,9 +338,9 @@
 def test_messages_of_a_proxy_that_left_are_dropped() -> None:
     async def play() -> None:
         harness = PublisherHarness()
-        harness.order(EVEN)
+        harness.update_table(EVEN)
         harness.publisher.remove_session(0)
-        harness.book.remove_proxy(0)
+        harness.proxy_states.remove_proxy(0)
         await harness.publish(TICKS_PER_SECOND)
         assert harness.sink.written == []
         assert harness.publisher.channel.waiting_entries == 0
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -25,23 +25,23 @@
 
     async def exclude(service: Service, discovery: FakeDiscovery, _log: RecordingLog) -> None:
         proxies = await _join_all(service)
-        discovery.hosts["a"] = True
+        discovery.endpoints["a"] = True
         discovery.index += 1
-        await wait_until(lambda: all("a" not in proxy.hosts() for proxy in proxies))
+        await wait_until(lambda: all("a" not in proxy.usable_endpoints() for proxy in proxies))
         _answer_all(proxies)
         await trio.sleep(0.5)
 
     async def watch(service: Service, discovery: FakeDiscovery, _log: RecordingLog) -> None:
         if is_removed:
-            del discovery.hosts["a"]
+            del discovery.endpoints["a"]
         else:
-            discovery.hosts["a"] = True
+            discovery.endpoints["a"] = True
         discovery.index = 7
-        discovery.how = discovery_mode
+        discovery.mode = discovery_mode
         proxies = [FileProxy(service, name) for name in PROXIES]
         with trio.move_on_after(WATCHED_S):
             while True:
-                assert all(proxy.hosts() == {"b", "c"} for proxy in proxies)
+                assert all(proxy.usable_endpoints() == {"b", "c"} for proxy in proxies)
                 await trio.sleep(0.05)
                 _answer_all(proxies)
 
@@ -57,14 +57,16 @@
         await trio.sleep(0.5)
 
     async def watch(service: Service, discovery: FakeDiscovery, _log: RecordingLog) -> None:
-        del discovery.hosts["a"]
+        del discovery.endpoints["a"]
         discovery.index = 7
         proxies = [FileProxy(service, name) for name in PROXIES]
-        await wait_until(lambda: all("a" not in proxy.hosts() for proxy in proxies), DRAIN_GRACE_S)
+        await wait_until(lambda: all("a" not in proxy.usable_endpoints() for proxy in proxies), DRAIN_GRACE_S)
         with trio.move_on_after(WATCHED_S):
             while True:
                 _answer_all(proxies)
-                assert all("a" not in proxy.hosts() and proxy.hosts() for proxy in proxies)
+                assert all(
+                    "a" not in proxy.usable_endpoints() and proxy.usable_endpoints() for proxy in proxies
+                )
                 await trio.sleep(0.05)
 
     serve(tmp_path, serve_all, store_folder=str(tmp_path / "s"))
@@ -75,11 +77,11 @@
     proxies = [FileProxy(service, name) for name in PROXIES]
     for proxy in proxies:
         proxy.join()
-    await wait_until(lambda: all(proxy.hosts() == {"a", "b", "c"} for proxy in proxies))
+    await wait_until(lambda: all(proxy.usable_endpoints() == {"a", "b", "c"} for proxy in proxies))
     _answer_all(proxies)
     return proxies
 
 
 def _answer_all(proxies: list[FileProxy]) -> None:
     for proxy in proxies:
-        proxy.answer()
+        proxy.acknowledge()
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -41,12 +41,12 @@
     async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
         one = FileProxy(service, "p1")
         one.join()
-        await wait_until(lambda: one.hosts() == {"a", "b", "c"})
-        one.answer()
+        await wait_until(lambda: one.usable_endpoints() == {"a", "b", "c"})
+        one.acknowledge()
         await wait_until(lambda: not any(service.controller.channel.unacknowledged.values()))
-        discovery.hosts["b"], discovery.index = True, 2
-        await wait_until(lambda: one.hosts() == {"a", "c"})
-        one.load()
+        discovery.endpoints["b"], discovery.index = True, 2
+        await wait_until(lambda: one.usable_endpoints() == {"a", "c"})
+        one.write_load_report()
         os.rename(one.up, one.root / "away")
         await wait_until(lambda: not service.intake.sessions and not one.down.exists())
 
@@ -64,11 +64,13 @@
         one.join()
         await wait_until(lambda: "p1" in service.intake.sessions)
         await wait_until(lambda: "p1" not in service.intake.sessions)
-        one.load()
-        await wait_until(lambda: "p1" in service.intake.sessions and one.hosts() == {"a", "b", "c"})
+        one.write_load_report()
+        await wait_until(
+            lambda: "p1" in service.intake.sessions and one.usable_endpoints() == {"a", "b", "c"}
+        )
 
     log = serve(tmp_path, play, proxy_lost_after_ms=1200)
-    assert [row[2]["reason"][:6] for row in log.rows if row[1] == "proxy left"] == ["silent"]
+    assert [row[2]["reason"][:6] for row in log.lines if row[1] == "proxy left"] == ["silent"]
 
 
 def test_proxy_whose_reports_are_not_read_yet_is_not_silent(tmp_path: Path) -> None:
@@ -80,7 +82,7 @@
         await wait_until(lambda: "p1" in service.intake.sessions)
         term = service.intake.sessions["p1"].term
         for _ in range(20):  # nearly four times the timeout
-            one.load()
+            one.write_load_report()
             await trio.sleep(0.2)
             assert "p1" in service.intake.sessions and service.intake.sessions["p1"].term == term
         assert "proxy left" not in log.texts()
@@ -104,14 +106,14 @@
     async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
         one = FileProxy(service, "p1")
         one.join()
-        await wait_until(lambda: len(one.hosts()) == 3)
+        await wait_until(lambda: len(one.usable_endpoints()) == 3)
         for k in range(2, 12):
             shutil.rmtree(one.up)
             one.node.metadata["term"] = k
             one.join()
             await wait_until(lambda k=k: [p.term for p in service.intake.sessions.values()] == [k])  # type: ignore[misc]
-            one.load()
-            await wait_until(lambda: bool(one.hosts()))
+            one.write_load_report()
+            await wait_until(lambda: bool(one.usable_endpoints()))
 
     serve(tmp_path, play)
 
@@ -132,7 +134,7 @@
         good, bad = FileProxy(service, "p1"), FileProxy(service, "bad")
         good.join()
         bad.join()
-        await wait_until(lambda: good.hosts() == bad.hosts() == {"a", "b", "c"})
+        await wait_until(lambda: good.usable_endpoints() == bad.usable_endpoints() == {"a", "b", "c"})
         for k, (what, data) in enumerate(BAD.items()):
             before = len(log.texts("warning"))
             for _ in range(3):
@@ -142,19 +144,21 @@
             await wait_until(
                 lambda before=before, wanted=wanted: len(log.texts("warning")) == before + wanted
             )  # type: ignore[misc]
-            bad.answer()  # a good one again
-            good.answer()
-            good.load()
-            bad.load()
+            bad.acknowledge()  # a good one again
+            good.acknowledge()
+            good.write_load_report()
+            bad.write_load_report()
             gone = "abc"[k % 2]
-            discovery.hosts["a"], discovery.hosts["b"] = gone == "a", gone == "b"
+            discovery.endpoints["a"], discovery.endpoints["b"] = gone == "a", gone == "b"
             discovery.index += 1
-            await wait_until(lambda gone=gone: gone not in good.hosts() and gone not in bad.hosts())  # type: ignore[misc]
+            await wait_until(
+                lambda gone=gone: gone not in good.usable_endpoints() and gone not in bad.usable_endpoints()
+            )  # type: ignore[misc]
         os.mkfifo(bad.up / ".pipe")
         os.rename(bad.up / ".pipe", bad.up / "load.json")  # nothing that is read may block
         (bad.up / "rds.json").unlink()
         os.symlink("/dev/zero", bad.up / "rds.json")
-        good.load()
+        good.write_load_report()
         assert {"p1", "bad"} <= set(service.intake.sessions)
 
     serve(tmp_path, play)
@@ -169,11 +173,11 @@
         FileProxy(service, "noise").join(b"\xff" * 1000)
         one = FileProxy(service, "p1")
         one.join()
-        await wait_until(lambda: bool(one.hosts()))
+        await wait_until(lambda: bool(one.usable_endpoints()))
         assert list(service.intake.sessions) == ["p1"]
 
     log = serve(tmp_path, play)
-    assert sorted(row[2]["proxy"] for row in log.rows if row[1] == "input of a proxy rejected") == [
+    assert sorted(row[2]["proxy"] for row in log.lines if row[1] == "input of a proxy rejected") == [
         "empty",
         "noise",
     ]
@@ -183,19 +187,19 @@
     async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
         one = FileProxy(service, "p1")
         one.join()
-        await wait_until(lambda: len(one.hosts()) == 3)
+        await wait_until(lambda: len(one.usable_endpoints()) == 3)
         for how in ("lies", "stall"):
             before = log.texts("warning").count("endpoint list unavailable")
-            discovery.how = how
+            discovery.mode = how
             discovery.index += 1
             await wait_until(
                 lambda before=before: log.texts("warning").count("endpoint list unavailable") > before
             )  # type: ignore[misc]
             await trio.sleep(0.5)
-            one.load()
+            one.write_load_report()
             assert log.texts("warning").count("endpoint list unavailable") == before + 1
-            assert len(one.hosts()) == 3
-            discovery.how = "good"
+            assert len(one.usable_endpoints()) == 3
+            discovery.mode = "good"
             await wait_until(lambda: log.texts()[-1] == "endpoint list available again", 15)
 
     serve(tmp_path, play)
@@ -205,18 +209,18 @@
     async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
         one = FileProxy(service, "p1")
         one.join()
-        await wait_until(lambda: len(one.hosts()) == 3)
+        await wait_until(lambda: len(one.usable_endpoints()) == 3)
         limits = resource.getrlimit(resource.RLIMIT_FSIZE)
         before = read_group(str(one.down))[1]
         resource.setrlimit(resource.RLIMIT_FSIZE, (10, limits[1]))
         try:
-            discovery.hosts["b"], discovery.index = True, 2
+            discovery.endpoints["b"], discovery.index = True, 2
             await wait_until(lambda: "files cannot be swapped" in log.texts("warning"))
             await trio.sleep(0.5)
             assert read_group(str(one.down))[1] == before
         finally:
             resource.setrlimit(resource.RLIMIT_FSIZE, limits)
-        await wait_until(lambda: one.hosts() == {"a", "c"})
+        await wait_until(lambda: one.usable_endpoints() == {"a", "c"})
 
     log = serve(tmp_path, play)
     assert log.texts("warning").count("files cannot be swapped") == 1
@@ -262,7 +266,7 @@
             await nursery.start(other.run)
             one = FileProxy(other, "p1")
             one.join()
-            await wait_until(lambda: len(one.hosts()) == 3)
+            await wait_until(lambda: len(one.usable_endpoints()) == 3)
             at = forms.Address(forms.SocketAddress("127.0.0.1", 9001))
             row = forms.UpstreamEndpointStats(
                 at, 8, 0, 2, 10, [forms.LoadMetricStats("latency_seconds", 8, 4.0)]
@@ -280,7 +284,7 @@
             moved = FileProxy(service, "p1")
             moved.node.metadata["term"] = 2
             moved.join()
-            await wait_until(lambda: len(moved.hosts()) == 3)
+            await wait_until(lambda: len(moved.usable_endpoints()) == 3)
             heard = service.controller.endpoints["b"].attempts(service.clock.now())
             assert heard == (10, 2, 8 * 5000)
             await wait_until(lambda: len(other.handoff._senders[0]) == 0)
@@ -333,16 +337,16 @@
     async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
         one = FileProxy(service, "p1")
         one.join()
-        await wait_until(lambda: one.hosts() == {"a", "b", "c"})
-        one.answer()  # taken before the list is news: what is in flight counts with the guard, and refuses
+        await wait_until(lambda: one.usable_endpoints() == {"a", "b", "c"})
+        one.acknowledge()  # taken before the list is news: what is in flight counts with the guard, and refuses
         await wait_until(lambda: service.intake.sessions["p1"].applied == service.proxy_states.message_count)
-        discovery.hosts["new"], discovery.started["new"], discovery.index = False, time.time() - 6.0, 2
-        await wait_until(lambda: "new" in one.hosts())
+        discovery.endpoints["new"], discovery.started["new"], discovery.index = False, time.time() - 6.0, 2
+        await wait_until(lambda: "new" in one.usable_endpoints())
         first = one.weights()
         assert first["new"] < 12 and "update held by validation" in log.texts("warning")
-        one.answer()
+        one.acknowledge()
         await wait_until(lambda: one.weights()["new"] == 12, 12)
-        assert one.number() > 0 and service.validation.counts["split"] >= 1
+        assert one.message_number() > 0 and service.validation.counts["split"] >= 1
 
     serve(tmp_path, play, decider=Eager)
 
@@ -351,15 +355,15 @@
     async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
         one = FileProxy(service, "p1")
         one.join()
-        await wait_until(lambda: len(one.hosts()) == 3)
+        await wait_until(lambda: len(one.usable_endpoints()) == 3)
         ops, late = DiskOps(), one.down / "vlate"
         late.mkdir()
         (late / "eds.json").write_bytes(encode_response("0.1.9", forms.ASSIGNMENT, "0.1.9", []))
         ops.symlink("vlate", str(one.down / ".late"))
         ops.rename(str(one.down / ".late"), str(one.down / "current"))
-        assert one.hosts() == set()
-        await wait_until(lambda: len(one.hosts()) == 3)  # nobody ordered anything
-        one.answer()
+        assert one.usable_endpoints() == set()
+        await wait_until(lambda: len(one.usable_endpoints()) == 3)  # nobody ordered anything
+        one.acknowledge()
         await wait_until(lambda: all(r.rewrite is None for r in service.publisher.sessions.values()))
 
     serve(tmp_path, play)
@@ -389,7 +393,7 @@
         for k, one in enumerate(fleet):
             one.node.metadata["usual_calls_per_s"] = 4 - k
             one.join()
-        await wait_until(lambda: all(len(one.hosts()) == 3 for one in fleet))
+        await wait_until(lambda: all(len(one.usable_endpoints()) == 3 for one in fleet))
         config = tmp_path / "d.json"
         config.write_bytes(msgspec.json.encode(service.terms))
         got = await trio.to_thread.run_sync(
@@ -399,9 +403,9 @@
         told: list[str] = []
         while len(told) < 4:
             await trio.sleep(0.02)
-            told += [one.name for one in fleet if one.name not in told and one.sent_away()]
+            told += [one.name for one in fleet if one.name not in told and one.is_sent_away()]
             assert len(told) < 4 or told[0] == "p3"  # the one of least traffic first
-        assert all(len(one.hosts()) == 3 for one in fleet)  # and their tables stay as they are
+        assert all(len(one.usable_endpoints()) == 3 for one in fleet)  # and their tables stay as they are
         CliRunner().invoke(main, ["controller", "drain", "--config", str(config), "--undo"])
         await wait_until(lambda: "controller draining cancelled" in log.texts())
 
@@ -428,12 +432,12 @@
         setattr(service.validation, where, breaks)
         one = FileProxy(service, "p1")
         one.join()
-        await wait_until(lambda: len(one.hosts()) == 3)
-        one.answer()
+        await wait_until(lambda: len(one.usable_endpoints()) == 3)
+        one.acknowledge()
         stats = forms.ClusterStats("load@t0", load_report_interval="1s", total_dropped_requests=9)
         one.put("load.json", encode(forms.LoadStatsRequest(one.node, [stats])))
-        discovery.hosts["b"], discovery.index = True, 2
-        await wait_until(lambda: one.hosts() == {"a", "c"})
+        discovery.endpoints["b"], discovery.index = True, 2
+        await wait_until(lambda: one.usable_endpoints() == {"a", "c"})
         shutil.rmtree(one.up)
         await wait_until(lambda: not service.intake.sessions)
 
