--- a/benchmarks/guard.py
+++ b/benchmarks/guard.py
@@ -78,7 +78,7 @@
         ) -> None:
             number[0] += 1
             proxy = number[0] % len(validator.world.proxies)
-            validator.judge(
+            validator.validate(
                 now, Candidate(proxy, made[number[0] % len(made)], UpdateVersion(9, 1, number[0]))
             )
 
--- a/tests/test_publisher.py
+++ b/tests/test_publisher.py
@@ -141,14 +141,14 @@
     async def play() -> None:
         harness = PublisherHarness()
         validator = harness.publisher.validation.validator
-        judge = validator.judge
+        judge = validator.validate
         until = 2 * TICKS_PER_SECOND
-        validator.judge = verdict_of(Outcome.HELD, until)  # type: ignore[method-assign]
+        validator.validate = verdict_of(Outcome.HELD, until)  # type: ignore[method-assign]
         harness.update_table(EVEN, marker=3)
         await harness.publish(TICKS_PER_SECOND)
         assert harness.sink.written == []
         assert harness.session.held is not None and harness.session.held.until == until
-        validator.judge = judge  # type: ignore[method-assign]
+        validator.validate = judge  # type: ignore[method-assign]
         await harness.publish(TICKS_PER_SECOND)  # it is queued again
         await harness.publish(TICKS_PER_SECOND)
         assert [number for number, _ in harness.sink.written] == [2]
@@ -162,11 +162,11 @@
     async def play() -> None:
         harness = PublisherHarness()
         validator = harness.publisher.validation.validator
-        judge = validator.judge
-        validator.judge = verdict_of(Outcome.HELD, 60 * TICKS_PER_SECOND)  # type: ignore[method-assign]
+        judge = validator.validate
+        validator.validate = verdict_of(Outcome.HELD, 60 * TICKS_PER_SECOND)  # type: ignore[method-assign]
         harness.update_table(EVEN)
         await harness.publish(TICKS_PER_SECOND)
-        validator.judge = judge  # type: ignore[method-assign]
+        validator.validate = judge  # type: ignore[method-assign]
         harness.update_table({"a": 2.0})
         await harness.publish(TICKS_PER_SECOND)
         assert harness.session.held is None
@@ -179,7 +179,7 @@
     async def play() -> None:
         harness = PublisherHarness()
         validator = harness.publisher.validation.validator
-        validator.judge = verdict_of(Outcome.HELD)  # type: ignore[method-assign]
+        validator.validate = verdict_of(Outcome.HELD)  # type: ignore[method-assign]
         harness.update_table(EVEN)
         await harness.publish(TICKS_PER_SECOND)
         assert harness.session.held is not None
@@ -192,7 +192,7 @@
     async def play() -> None:
         harness = PublisherHarness()
         validator = harness.publisher.validation.validator
-        validator.judge = verdict_of(Outcome.REFUSED)  # type: ignore[method-assign]
+        validator.validate = verdict_of(Outcome.REFUSED)  # type: ignore[method-assign]
         harness.update_table(EVEN)
         await harness.publish(TICKS_PER_SECOND)
         await harness.publish(TICKS_PER_SECOND)
@@ -209,13 +209,13 @@
     async def play() -> None:
         harness = PublisherHarness()
         validator = harness.publisher.validation.validator
-        judge = validator.judge
-        validator.judge = verdict_of(Outcome.REFUSED)  # type: ignore[method-assign]
+        judge = validator.validate
+        validator.validate = verdict_of(Outcome.REFUSED)  # type: ignore[method-assign]
         harness.update_table(EVEN)
         for _ in range(10):
             await harness.publish(TICKS_PER_SECOND)
         assert harness.sink.written == [] and harness.publisher.validation.counts == {"refused": 1}
-        validator.judge = judge  # type: ignore[method-assign]
+        validator.validate = judge  # type: ignore[method-assign]
         for _ in range(6):
             await harness.publish(TICKS_PER_SECOND)
         assert [number for number, _ in harness.sink.written] == [2]
@@ -249,11 +249,11 @@
     async def play() -> None:
         harness = PublisherHarness()
         validator = harness.publisher.validation.validator
-        judge = validator.judge
-        validator.judge = verdict_of(Outcome.REFUSED)  # type: ignore[method-assign]
+        judge = validator.validate
+        validator.validate = verdict_of(Outcome.REFUSED)  # type: ignore[method-assign]
         harness.update_table(EVEN)
         await harness.publish(TICKS_PER_SECOND)
-        validator.judge = judge  # type: ignore[method-assign]
+        validator.validate = judge  # type: ignore[method-assign]
         harness.update_table({"a": 2.0})
         for _ in range(6):
             await harness.publish(TICKS_PER_SECOND)
@@ -269,7 +269,7 @@
 
     async def play() -> None:
         harness = PublisherHarness()
-        harness.publisher.validation.validator.judge = raises  # type: ignore[method-assign]
+        harness.publisher.validation.validator.validate = raises  # type: ignore[method-assign]
         harness.update_table(EVEN)
         await harness.publish(TICKS_PER_SECOND)
         assert [number for number, _ in harness.sink.written] == [1]
--- a/tests/test_validation.py
+++ b/tests/test_validation.py
@@ -76,7 +76,7 @@
 
 
 def judged(made: World, weights: dict[str, float], now: int = 10 * TICKS_PER_SECOND, **parts: Any) -> Verdict:
-    return Validator(made).judge(now, Candidate(0, tables(weights, **parts), UpdateVersion(1, 1, 1)))
+    return Validator(made).validate(now, Candidate(0, tables(weights, **parts), UpdateVersion(1, 1, 1)))
 
 
 def test_all_kinds_of_bad_tables_are_stopped_and_no_good_table_is() -> None:
@@ -104,7 +104,7 @@
     seen = []
     for proxy in range(4):
         candidate = Candidate(proxy, tables(much), UpdateVersion(1, 2, proxy))
-        verdict = Validator(made).judge(10 * TICKS_PER_SECOND, candidate)
+        verdict = Validator(made).validate(10 * TICKS_PER_SECOND, candidate)
         seen.append(verdict.outcome)
         if verdict.has_passed:
             made.record_sent(10 * TICKS_PER_SECOND, proxy, candidate.tables, candidate.version)
@@ -115,11 +115,11 @@
     now = 10 * TICKS_PER_SECOND
     version = UpdateVersion(1, 2, 9)
     whole = Candidate(3, tables(much), version)
-    last = Validator(made).judge(now, whole)
+    last = Validator(made).validate(now, whole)
     if last.outcome is Outcome.SPLIT:
         first = ProxyTables(last.steps[0].weights, frozenset(), (1, 1), (math.inf,) * 2)
-        assert Validator(made).judge(now, Candidate(3, first, version)).has_passed
-        assert Validator(made).judge(last.steps[1].not_before + 1, whole).has_passed
+        assert Validator(made).validate(now, Candidate(3, first, version)).has_passed
+        assert Validator(made).validate(last.steps[1].not_before + 1, whole).has_passed
 
 
 def test_update_that_needs_a_whole_slow_start_budget_is_split_at_every_age() -> None:
@@ -137,7 +137,7 @@
     made.endpoints.update_list(0, [*endpoints, ValidatedEndpoint("d", EndpointMode.IN_SERVICE, 0, 1)])
     made.add_proxy(0, "", (4 / 3,) * 3, candidate(warm))
     eager = Candidate(0, candidate({**warm, "d": 12.0}), UpdateVersion(1, 1, 1))
-    outcomes = {Validator(made).judge(age, eager).outcome for age in range(40_000, 79_000, 13)}
+    outcomes = {Validator(made).validate(age, eager).outcome for age in range(40_000, 79_000, 13)}
     assert outcomes == {Outcome.SPLIT}
 
 
@@ -164,7 +164,7 @@
 
 
 def test_shadow_mode_passes_and_says_what_it_would_have_done() -> None:
-    verdict = Validator(world(), shadow=True).judge(0, Candidate(0, tables({}), UpdateVersion(1, 1, 1)))
+    verdict = Validator(world(), shadow=True).validate(0, Candidate(0, tables({}), UpdateVersion(1, 1, 1)))
     assert verdict.has_passed and verdict.exemption == "shadow: it would be refused" and verdict.findings
 
 
@@ -176,8 +176,8 @@
         raise ZeroDivisionError("on purpose")
 
     validator.checks[name] = breaks
-    verdict = validator.judge(10 * TICKS_PER_SECOND, Candidate(0, tables(EVEN), UpdateVersion(1, 1, 1)))
-    assert verdict.has_passed != FAILS_CLOSED[name] and "on purpose" in verdict.faults[0]
+    verdict = validator.validate(10 * TICKS_PER_SECOND, Candidate(0, tables(EVEN), UpdateVersion(1, 1, 1)))
+    assert verdict.has_passed != FAILS_CLOSED[name] and "on purpose" in verdict.check_errors[0]
     assert set(validator.checks) == set(FAILS_CLOSED)
 
 
--- a/willowhook/cli/guard.py
+++ b/willowhook/cli/guard.py
@@ -22,12 +22,12 @@
 @click.option("--json", "as_json", is_flag=True, help="Verdicts as data.")
 def check(tables: str, state: str, as_json: bool) -> None:
     """Judge TABLES.  Exit code: 0 passed, 3 split, 4 held, 5 refused (the worst of all), 2 a bad file."""
-    from ..validation.state_file import State, StateFileError, read
-    from ..validation.state_file import check as judge
+    from ..validation.state_file import State, StateFileError, decode_file
+    from ..validation.state_file import validate_candidates as judge
 
     try:
         world = Path(state).read_bytes()
-        read(world, State)
+        decode_file(world, State)
     except (OSError, StateFileError) as fault:
         click.echo(f"{state}: {fault}", err=True)
         sys.exit(2)
--- a/willowhook/controlplane/table_rollout.py
+++ b/willowhook/controlplane/table_rollout.py
@@ -41,7 +41,7 @@
         min_rejections=terms.refuse_least,
         canary_fraction=terms.canary_share,
         settle_ticks=ticks_from_milliseconds(terms.settle_ms),
-        canary_patience_ticks=ticks_from_milliseconds(terms.patience_ms),
+        canary_timeout_ticks=ticks_from_milliseconds(terms.patience_ms),
         max_failure_increase=terms.worse_share,
     )
 
--- a/willowhook/controlplane/update_validator.py
+++ b/willowhook/controlplane/update_validator.py
@@ -70,11 +70,11 @@
             return message
         micros = round((time.perf_counter() - began) * 1e6)
         self._report_timing(micros)
-        if verdict.has_passed and not verdict.exemption and not verdict.faults:
+        if verdict.has_passed and not verdict.exemption and not verdict.check_errors:
             self.timings_micros.append(micros)
             return message
         self._records.record_validated(now, session, message, verdict, micros)
-        for fault in verdict.faults:
+        for fault in verdict.check_errors:
             self._listener.report_condition(
                 Condition.VALIDATION_CHECK_FAILED, True, "validation check failed", cause=fault
             )
--- a/willowhook/controlplane/validation_context.py
+++ b/willowhook/controlplane/validation_context.py
@@ -35,7 +35,7 @@
 
 def validation_settings(
     settings: DeploymentSettings,
-    cold_budget_fraction: float,
+    slow_start_budget_fraction: float,
     max_share_factor: float,
     capacity_per_second: Mapping[str, float],
 ) -> ValidationSettings:
@@ -60,7 +60,7 @@
         message_cap=channel.message_cap,
         message_cap_window_ticks=channel.message_cap_window_ticks,
         proxy_count=settings.fleet.proxy_count,
-        cold_budget_fraction=cold_budget_fraction,
+        slow_start_budget_fraction=slow_start_budget_fraction,
         max_share_factor=max_share_factor,
         capacity_per_second=capacity_per_second,
     )
@@ -222,7 +222,7 @@
         self.world.update_queue(now, waiting_entries)
         tables = self.effect_of(message.proxy, message.view)
         candidate = Candidate(message.proxy, tables, version, message.cost_entries, True)
-        return self.validator.judge(now, candidate)
+        return self.validator.validate(now, candidate)
 
     @staticmethod
     def first_step(view: ProxyView, verdict: Verdict) -> ProxyView:
--- a/willowhook/trial/guard_cases.py
+++ b/willowhook/trial/guard_cases.py
@@ -420,7 +420,7 @@
             raise RuntimeError(f"the oracle never agrees that a table is {name}: {play(s)}")
         now, validator, candidate = candidate_of(s)
         began = time.perf_counter()
-        verdict = validator.judge(now, candidate)
+        verdict = validator.validate(now, candidate)
         result.took_us.append((time.perf_counter() - began) * 1e6)
         row = result.kinds.setdefault(name, {})
         row[verdict.outcome.value] = row.get(verdict.outcome.value, 0) + 1
--- a/willowhook/validation/model.py
+++ b/willowhook/validation/model.py
@@ -89,7 +89,7 @@
     message_cap: int
     message_cap_window_ticks: int
     proxy_count: int
-    cold_budget_fraction: float = 0.8
+    slow_start_budget_fraction: float = 0.8
     max_share_factor: float = 6.0
     capacity_per_second: Mapping[str, float] = field(default_factory=dict)
     max_capacity_fraction: float = 1.0
--- a/willowhook/validation/state_file.py
+++ b/willowhook/validation/state_file.py
@@ -120,7 +120,7 @@
     cost_lines: int = 0
 
 
-def read(data: bytes, kind: type[T]) -> T:
+def decode_file(data: bytes, kind: type[T]) -> T:
     """Reads a file of this form. Raises StateFileError."""
     try:
         made: T = msgspec.json.decode(data, type=kind)
@@ -129,7 +129,7 @@
     return made
 
 
-def check(candidates: bytes, state: bytes) -> list[tuple[str, Verdict]]:
+def validate_candidates(candidates: bytes, state: bytes) -> list[tuple[str, Verdict]]:
     """Judges each candidate in turn; one that passes is taken as sent before the next is judged.
 
     Args:
@@ -142,18 +142,18 @@
     Raises:
         StateFileError: a file is malformed, or names do not fit together.
     """
-    made = read(state, State)
+    made = decode_file(state, State)
     world = build_world(made)
     validator = Validator(world)
     now = ticks_from_seconds(made.now_s)
     names = [row.name for row in made.routes]
     verdicts = []
-    for index, row in enumerate(read(candidates, list[StateCandidate])):
+    for index, row in enumerate(decode_file(candidates, list[StateCandidate])):
         _check_names(names, (*row.lines, *row.tries, *row.levels), f"[{index}]")
         proxy = world.proxies.get(row.proxy)
         version = _candidate_version(row, proxy.newest if proxy is not None else NO_VERSION)
         tables = _tables(names, row.lines, row.withdrawn, row.tries, row.levels)
-        verdict = validator.judge(now, Candidate(row.proxy, tables, version, row.cost_lines))
+        verdict = validator.validate(now, Candidate(row.proxy, tables, version, row.cost_lines))
         if verdict.has_passed and proxy is not None:
             world.record_sent(now, row.proxy, tables, version)
             world.update_queue(now, world.waiting_entries(now) + row.cost_lines)
@@ -187,7 +187,7 @@
         message_cap=terms.messages_most,
         message_cap_window_ticks=ticks_from_seconds(terms.messages_over_s),
         proxy_count=terms.fleet,
-        cold_budget_fraction=terms.cold_part,
+        slow_start_budget_fraction=terms.cold_part,
         max_share_factor=terms.swing,
         capacity_per_second=terms.capacity_calls_per_s,
     )
--- a/willowhook/validation/validator.py
+++ b/willowhook/validation/validator.py
@@ -67,7 +67,7 @@
         # by content and zone: the endpoint list under which the content checks found nothing
         self._accepted: dict[tuple[ContentKey, str], int] = {}
 
-    def judge(self, now: int, candidate: Candidate) -> Verdict:
+    def validate(self, now: int, candidate: Candidate) -> Verdict:
         """Judges a candidate. Never raises: a check that does fails in its stated direction."""
         verdict = Verdict()
         try:
@@ -90,7 +90,7 @@
                 _run_check(name, check, case, verdict)
         if not verdict.has_passed:
             _exempt_rescue(case, verdict)
-        elif not verdict.faults:
+        elif not verdict.check_errors:
             self._accept(case)
         if self._shadow and not verdict.has_passed:
             verdict.exempt(verdict.exemption or f"shadow: it would be {verdict.outcome.value}")
@@ -117,7 +117,7 @@
     except Exception as error:
         is_closed = FAILS_CLOSED[name]
         direction = "closed" if is_closed else "open"
-        verdict.faults.append(f"check {name} raised an error and fails {direction}: {error!r}")
+        verdict.check_errors.append(f"check {name} raised an error and fails {direction}: {error!r}")
         if is_closed:
             remedy = "report it with the record"
             verdict.add(
--- a/willowhook/validation/verdict.py
+++ b/willowhook/validation/verdict.py
@@ -121,7 +121,7 @@
     findings: list[Finding] = field(default_factory=list)
     steps: list[Step] = field(default_factory=list)
     exemption: str = ""
-    faults: list[str] = field(default_factory=list)
+    check_errors: list[str] = field(default_factory=list)
 
     @property
     def has_passed(self) -> bool:
@@ -150,7 +150,7 @@
             "findings": [finding.data() for finding in self.findings],
             "steps": [step.data() for step in self.steps],
             "rescue": self.exemption,
-            "faults": list(self.faults),
+            "faults": list(self.check_errors),
             "exit_code": EXIT_CODES[self.outcome],
         }
 
@@ -162,4 +162,4 @@
             lines.append(f"step {number}, not before {step.not_before}: {step.text}")
         if self.exemption:
             lines.append(f"passes all the same: {self.exemption}")
-        return [*lines, *self.faults]
+        return [*lines, *self.check_errors]
--- a/willowhook/validation/world.py
+++ b/willowhook/validation/world.py
@@ -177,7 +177,7 @@
         """Returns what all proxies together may send an endpoint that is warming up."""
         settings = self.settings
         return (
-            settings.cold_budget_fraction
+            settings.slow_start_budget_fraction
             * settings.recovery_overload_factor
             * self.endpoints.warmth(now, endpoint)
             * endpoint.capacity
--- a/willowhook/versions/rollout.py
+++ b/willowhook/versions/rollout.py
@@ -53,7 +53,7 @@
     min_rejections: int = 2
     canary_fraction: float = 0.05
     settle_ticks: int = 2 * TICKS_PER_SECOND
-    canary_patience_ticks: int = 15 * TICKS_PER_SECOND
+    canary_timeout_ticks: int = 15 * TICKS_PER_SECOND
     max_failure_increase: float = 0.05
     min_attempts: int = 20
 
@@ -184,7 +184,7 @@
         if track.canary_answered_at is None:
             # canaries that do not answer must not hold up all others
             waited = now - track.stage_began_at
-            if waited >= self._settings.canary_patience_ticks or not track.canaries:
+            if waited >= self._settings.canary_timeout_ticks or not track.canaries:
                 self._release(unit, track)
             return
         if now - track.canary_answered_at < self._settings.settle_ticks:
