--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -37,9 +37,9 @@
     after_recovery,
 )  # fmt: skip
 from willowhook.store.store import DEBUG, OUTCOMES, Op, Reader, Store, StoreError, StoreInUseError
-from willowhook.trial.cuts import cuts
+from willowhook.trial.cuts import run_cuts
 from willowhook.trial.power import PowerDisk
-from willowhook.trial.submits import submits
+from willowhook.trial.submits import run_submits
 
 # Keep the examples of 06ecd3e: derandomized tests would otherwise derive seeds from their source.
 STORE_MACHINE_SEED = int(
@@ -79,14 +79,14 @@
 
 
 def test_every_corruption_of_a_small_history_is_recovered_or_reported() -> None:
-    report = cuts(4, 14, 10, lambda text: None)
+    report = run_cuts(4, 14, 10, lambda text: None)
     assert not report.wrong, report.wrong[:5]
-    assert report.cuts > 500 and report.failures > 200 and report.told > 500
+    assert report.cuts > 500 and report.failures > 200 and report.reported_damage > 500
 
 
 def test_corruption_trial_detects_a_store_that_does_not_sync(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(PowerDisk, "sync", lambda self, handle: None)
-    assert cuts(4, 10, 10, lambda text: None).wrong
+    assert run_cuts(4, 10, 10, lambda text: None).wrong
 
 
 def put(key: str, value: bytes = b"v", space: str = "orders", timestamp: int = 0) -> list[Op]:
@@ -531,5 +531,5 @@
 
 
 def test_killed_client_repeats_no_request_that_may_have_been_executed(tmp_path: Path) -> None:
-    report = submits(tmp_path, 3, 2, lambda text: None)
-    assert report.good and report.told["done"] > 10, report.lines()
+    report = run_submits(tmp_path, 3, 2, lambda text: None)
+    assert report.passed and report.reported_outcomes["done"] > 10, report.lines()
