--- a/willowhook/trial/fuzz.py
+++ b/willowhook/trial/fuzz.py
@@ -69,7 +69,8 @@
     ]
     body = chance.choice(bodies)
     lines = [
-        b"POST " + chance.choice(PATHS) + b" HTTP/1.1", b"host: a", b"authorization: Bearer " + bearer_token(name),
+        b"POST " + chance.choice(PATHS) + b" HTTP/1.1", b"host: a",
+        b"authorization: Bearer " + bearer_token(name),
         b"accept-encoding: " + chance.choice([b"gzip", b"zstd;q=0.5, *", b"", b";;;", b"," * 200]),
         b"content-length: %d" % len(body),
     ]  # fmt: skip
--- a/willowhook/trial/guard_cases.py
+++ b/willowhook/trial/guard_cases.py
@@ -56,8 +56,8 @@
         fleet=len(proxies) * chance.choice((1, 1, 2)), tables=[], excluded=set(),
         retry_modes=[chance.choice((0, 1, 2, 3)), chance.choice((0, 1)), chance.choice((0, 1))],
         admission_limits=[chance.choice((0.0, 0.5, 1.0, 30.0, math.inf)) for _ in SEMANTICS],
-        version=(2, 1, 8), newest=(2, 1, 7), update_cost=chance.uniform(10, 60), waiting=chance.uniform(0, 500),
-        most_waiting=3200, rate=1600,
+        version=(2, 1, 8), newest=(2, 1, 7), update_cost=chance.uniform(10, 60),
+        waiting=chance.uniform(0, 500), most_waiting=3200, rate=1600,
     )  # fmt: skip
     near = table(hosts, places, proxies[0].zone)
     s.tables = [{host: weight * chance.uniform(0.7, 1.4) for host, weight in row.items()} for row in near]
--- a/willowhook/trial/takeover.py
+++ b/willowhook/trial/takeover.py
@@ -183,7 +183,8 @@
             f"from a death to ruled again: median {statistics.median(ranked):.2f} s, p99 {late:.2f} s"
             f" over {len(ranked)}; a death shows within {self.detection_s:.2f} s",
             f"{self.joins} joins, at most {self.peak_joins} in one second",
-            f"service {self.outcome.service_level:.3f}; {self.outcome.answered} answered of {self.outcome.calls}",
+            f"service {self.outcome.service_level:.3f};"
+            f" {self.outcome.answered} answered of {self.outcome.calls}",
         ]
 
 
