--- a/tests/test_export.py
+++ b/tests/test_export.py
@@ -1,4 +1,4 @@
-"""Tables as upstream and location blocks and back: the same hosts, shares, backups, paths and answers."""
+"""Export of tables as nginx blocks: importing them again gives the same hosts, shares, paths and answers."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 from willowhook.cli.main import main
 from willowhook.files.swap import Shelf, read_group
-from willowhook.nginx.export import LOCATIONS, UPSTREAMS, anchored, export
+from willowhook.nginx.export import LOCATIONS, UPSTREAMS, anchored_regex, export
 from willowhook.nginx.follow import Follower
 from willowhook.nginx.plan import ImportOptions, ImportPlan
 from willowhook.nginx.result import controller_config, table_files
@@ -32,7 +32,7 @@
 def group(
     made: dict[str, dict[str, tuple[int, bool, int]]], picks: dict[str, str], routes: list[Route]
 ) -> dict[str, bytes]:
-    """Files of a proxy: by table its hosts with weight, draining, tier; picks by table; routes in order."""
+    """A proxy's table files: weight, draining, tier of endpoints and the pick by table; routes in order."""
     eds, cds, rds = [], [], []
     for name, rows in made.items():
         lines = [(h, h, 80, "z", w / tables.SCALE, out) for h, (w, out, _) in rows.items()]
@@ -56,7 +56,7 @@
 
 
 def again(files: dict[str, bytes]) -> dict[str, bytes]:
-    """Exported, and imported from the blocks; nothing where no route is left."""
+    """Exports the files and imports the blocks again; empty if no route is left."""
     made = export(files)
     text = made.files[UPSTREAMS].decode() + "server {" + made.files[LOCATIONS].decode() + "}"
     plan = ImportPlan(NginxConfig(parse(text)), ImportOptions())
@@ -66,7 +66,7 @@
 
 
 def says(files: dict[str, bytes], path: str) -> Any:
-    """All that becomes of a call of this path."""
+    """Everything that decides how a request for this path is served."""
     assignments = {row.cluster_name: row for row in tables.read_tables(files["eds.json"])[1]}
     clusters = {row.name: row for row in tables.read_clusters(files["cds.json"])[1]}
     routes = tables.read_routes(files["rds.json"])[1][0].virtual_hosts[0].routes
@@ -144,7 +144,7 @@
         assert says(back, path) == says(files, path), (path, export(files).files[LOCATIONS].decode())
 
 
-def test_what_cannot_be_said_is_told() -> None:
+def test_remarks_name_what_blocks_cannot_express() -> None:
     def remarks(pick: str, rows: dict[str, tuple[int, bool, int]], tries: int = 0) -> str:
         files = group({"t": rows}, {"t": pick}, [("below", "/", "t", 1000, math.inf, "")])
         if tries:
@@ -160,10 +160,10 @@
     assert "after proof" in remarks("wheel", {"a": (1, False, 0)}, 1)
     with pytest.raises(MessageFormatError, match="eds.json is missing"):
         export({"cds.json": b"", "rds.json": b""})
-    assert anchored("(?s)a|b") == "(?s)^(?:a|b)$"
+    assert anchored_regex("(?s)a|b") == "(?s)^(?:a|b)$"
 
 
-def test_a_group_is_followed_and_what_is_no_group_leaves_what_was_there(tmp_path: Path) -> None:
+def test_follower_exports_changes_and_keeps_files_after_an_invalid_group(tmp_path: Path) -> None:
     def files(weight: int) -> dict[str, bytes]:
         rows = {"a": (weight, False, 0), "b": (10, False, 0)}
         return group({"t": rows}, {"t": "wheel"}, [("below", "/", "t", 1000, math.inf, "")])
--- a/tests/test_nginx.py
+++ b/tests/test_nginx.py
@@ -1,4 +1,4 @@
-"""The configuration language, and which location a URI falls to, beside a brute-force reading."""
+"""Parsing of nginx configurations, location matching, import, --explain and --diff."""
 
 from __future__ import annotations
 
@@ -17,8 +17,14 @@
 from willowhook.files.swap import read_group
 from willowhook.nginx.after import left_after
 from willowhook.nginx.locations import Location, LocationMatcher, read_locations
-from willowhook.nginx.syntax import ConfigSyntaxError, Directive, Loader, parse, text_of
-from willowhook.nginx.upstreams import Retry, Upstream, passed_to, retry_of, upstream_of
+from willowhook.nginx.syntax import ConfigSyntaxError, Directive, Loader, decode_text, parse
+from willowhook.nginx.upstreams import (
+    RetryPolicy,
+    Upstream,
+    parse_proxy_pass,
+    parse_retry_policy,
+    parse_upstream,
+)
 from willowhook.nginx.verdicts import CARRIED, DIFFERS, NOT_CARRIED, REFUSED
 from willowhook.roster.forms import parse_endpoints
 from willowhook.trial import nginx_check
@@ -49,7 +55,7 @@
     ]  # fmt: skip
 
 
-def test_words_quotes_escapes_variables_comments_and_places() -> None:
+def test_words_quotes_escapes_variables_comments_and_positions() -> None:
     rows = parse(GOOD.replace("it''s", "it\\'s"), "a.conf")
     assert shown(rows) == [
         ["upstream", "tasks", [["server", "10.0.0.1:80", "weight=3"], ["server", "10.0.0.2:80", "backup"]]],
@@ -66,16 +72,16 @@
     [("a {\n b;\n", "x:3:1", "within a block that begins in line 1"), ("a b", "x:1:4", "';' is missing"),
      ("a }", "x:1:3", "is ';' missing?"), ("a;\n {", "x:2:2", "without a directive's name"),
      ("a; ;", "x:1:4", "';'"),
-     ("a 'b", "x:1:3", "a quote that does not end"), ('a "b"c;', "x:1:3", "no space after one that does"),
-     ("a {" * 200 + "}" * 200, "x:1:1", "blocks 200 deep, 100 are read")],
+     ("a 'b", "x:1:3", "an unterminated quote"), ('a "b"c;', "x:1:3", "no space after a closing quote"),
+     ("a {" * 200 + "}" * 200, "x:1:1", "blocks nested 200 deep, 100 are allowed")],
 )  # fmt: skip
-def test_errors_name_place_and_cause(text: str, place: str, cause: str) -> None:
+def test_syntax_errors_name_position_and_cause(text: str, place: str, cause: str) -> None:
     with pytest.raises(ConfigSyntaxError) as caught:
         parse(text, "x")
     assert str(caught.value).startswith(f"{place}: ") and cause in str(caught.value)
 
 
-def test_includes_are_read_in_place_and_cycles_and_bad_bytes_are_told(tmp_path: Path) -> None:
+def test_includes_are_expanded_and_cycles_and_invalid_utf8_are_reported(tmp_path: Path) -> None:
     (tmp_path / "d").mkdir()
     (tmp_path / "main").write_bytes(b"\xef\xbb\xbfa;\nhttp { include d/*.conf; }\nz;")
     (tmp_path / "d" / "2.conf").write_text("two;")
@@ -85,13 +91,13 @@
     assert [row.name for row in rows[1].block or []] == ["include", "one", "include", "tail", "two"]
     assert (rows[1].block or [])[3].position.file.endswith("tail")
     (tmp_path / "tail").write_text("include main;")
-    with pytest.raises(ConfigSyntaxError, match="it includes itself: .*main -> .*1.conf -> .*tail -> .*main"):
+    with pytest.raises(ConfigSyntaxError, match="include cycle: .*main -> .*1.conf -> .*tail -> .*main"):
         Loader().load(str(tmp_path / "main"))
     (tmp_path / "tail").unlink()
     with pytest.raises(ConfigSyntaxError, match=r"1.conf:2:1: .*tail: No such file"):
         Loader().load(str(tmp_path / "main"))
-    with pytest.raises(ConfigSyntaxError, match="x:2:3: no UTF-8: byte 0xff"):
-        text_of(b"a;\nb \xff;", "x")
+    with pytest.raises(ConfigSyntaxError, match="x:2:3: invalid UTF-8: byte 0xff"):
+        decode_text(b"a;\nb \xff;", "x")
 
 
 @seed(ARBITRARY_TEXT_SEED)
@@ -119,7 +125,7 @@
     return LocationMatcher(rows), rows
 
 
-def test_the_published_example() -> None:
+def test_location_search_follows_the_published_example() -> None:
     found, _ = matcher(
         "location = / { A; } location / { B; } location /documents/ { C; } location ^~ /images/ { D; }"
         r" location ~* \.(gif|jpg|jpeg)$ { E; } location @down { F; }"
@@ -133,22 +139,24 @@
     assert named is not None and found.find("nothing") is None
 
 
-def test_the_matcher_beside_a_brute_force_reading() -> None:
+def test_matcher_agrees_with_a_brute_force_search() -> None:
     assert nginx_check.match(20_000) == (20_000, [])
 
 
-def test_a_list_that_says_other_than_the_search_is_told_of() -> None:
+def test_differences_between_flat_list_and_search_are_reported() -> None:
     made = nginx_check.lists(10_000)
     assert made.asked == 10_000 and made.differ > 0 and not made.untold
 
 
 @pytest.mark.parametrize(
     ("text", "cause"),
-    [("location /a {} location ^~ /a {}", "stands twice, first at"), ("location ~ ( {}", "no regular"),
+    [("location /a {} location ^~ /a {}", "is defined twice, first at"),
+     ("location ~ ( {}", "invalid regular"),
      ("location = /a { location /a {} }", "which is exact"), ("location /a { location /b {} }", "is outside"),
-     ("location /a { location @b {} }", "in the server alone"), ("location a b c {}", "here are 3 words")],
+     ("location /a { location @b {} }", "only allowed at server level"),
+     ("location a b c {}", "got 3 words")],
 )  # fmt: skip
-def test_locations_that_cannot_be_are_told(text: str, cause: str) -> None:
+def test_invalid_locations_are_reported(text: str, cause: str) -> None:
     with pytest.raises(ConfigSyntaxError, match=re.escape(cause)):
         matcher(text)
 
@@ -157,7 +165,7 @@
 
 
 def upstream(text: str) -> Upstream:
-    return upstream_of(parse(f"upstream u {{ {text} }}")[0])
+    return parse_upstream(parse(f"upstream u {{ {text} }}")[0])
 
 
 def test_servers_and_their_parameters() -> None:
@@ -168,41 +176,43 @@
     rows = [(s.address, s.port, s.weight, s.max_fails, s.fail_timeout_ms) for s in got.servers]
     assert rows[:2] == [("a", 80, 3, 0, 90_000), ("[::1]", 81, 1, 1, 10_000)]
     assert got.servers[1].max_conns == 7 and got.servers[1].slow_start_ms == 500
-    assert got.shares() == {"a:80": 0.75, "[::1]:81": 0.25} and got.pick == "pair"
+    assert got.shares() == {"a:80": 0.75, "[::1]:81": 0.25} and got.load_balancing == "pair"
     assert [s.address for s in got.backups()] == ["b"]
     assert upstream("server b backup; server c down;").shares() == {"b:80": 1.0}
     ring = upstream("hash $request_uri consistent; server a; server b;")
-    assert (ring.pick, ring.key, ring.ring) == ("hash", "$request_uri", True)
-    assert upstream("random two least_conn; server a;").pick == "pair"
+    assert (ring.load_balancing, ring.hash_key, ring.consistent_hash) == ("hash", "$request_uri", True)
+    assert upstream("random two least_conn; server a;").load_balancing == "pair"
 
 
 @pytest.mark.parametrize(
     ("text", "cause"),
-    [("", "has no server"), ("server;", "without an address"), ("server a weight=0;", "whole number of 1"),
-     ("server a fail_timeout=3x;", "no time"), ("server a fast;", "no parameter"),
-     ("server a x=1;", "no parameter"), ("hash; server a;", "without a key"),
-     ("server unix:/s;", "no host of a fleet"), ("server a:99999;", "no address"),
-     ("ip_hash; server a; server b backup;", "a backup server goes with no ip_hash")],
+    [("", "has no server"), ("server;", "without an address"), ("server a weight=0;", "not an integer of 1"),
+     ("server a fail_timeout=3x;", "not a valid time"), ("server a fast;", "not a parameter of server"),
+     ("server a x=1;", "not a parameter of server"), ("hash; server a;", "without a key"),
+     ("server unix:/s;", "cannot be an endpoint of a fleet"), ("server a:99999;", "not a valid address"),
+     ("ip_hash; server a; server b backup;", "backup servers cannot be combined with ip_hash")],
 )  # fmt: skip
-def test_upstreams_that_cannot_be_are_told(text: str, cause: str) -> None:
+def test_invalid_upstreams_are_reported(text: str, cause: str) -> None:
     with pytest.raises(ConfigSyntaxError, match=cause):
         upstream(text)
 
 
-def test_what_is_tried_again_is_inherited_and_said_by_condition() -> None:
-    outer = retry_of(parse("proxy_next_upstream error http_503; proxy_next_upstream_tries 3;"), Retry())
-    inner = retry_of(parse("proxy_next_upstream_timeout 5s;"), outer)
-    assert (inner.conditions, inner.tries, inner.timeout_ms) == (("error", "http_503"), 3, 5000)
-    assert inner.may_run_twice() == ("error", "http_503")
-    off = retry_of(parse("proxy_next_upstream off;"), outer)
-    assert off.off and off.may_run_twice() == ()
-    assert retry_of(parse("proxy_next_upstream error non_idempotent;"), outer).non_idempotent
-    with pytest.raises(ConfigSyntaxError, match="'http_999' is no condition"):
-        retry_of(parse("proxy_next_upstream http_999;"), outer)
-    assert passed_to(parse("proxy_pass http://tasks/new/;")[0]) == ("tasks", "/new/")
-    assert passed_to(parse("proxy_pass https://tasks;")[0]) == ("tasks", "")
+def test_retry_policy_is_inherited_and_lists_its_conditions() -> None:
+    outer = parse_retry_policy(
+        parse("proxy_next_upstream error http_503; proxy_next_upstream_tries 3;"), RetryPolicy()
+    )
+    inner = parse_retry_policy(parse("proxy_next_upstream_timeout 5s;"), outer)
+    assert (inner.conditions, inner.max_attempts, inner.timeout_ms) == (("error", "http_503"), 3, 5000)
+    assert inner.retried_conditions() == ("error", "http_503")
+    off = parse_retry_policy(parse("proxy_next_upstream off;"), outer)
+    assert off.disabled and off.retried_conditions() == ()
+    assert parse_retry_policy(parse("proxy_next_upstream error non_idempotent;"), outer).non_idempotent
+    with pytest.raises(ConfigSyntaxError, match="'http_999' is not a condition"):
+        parse_retry_policy(parse("proxy_next_upstream http_999;"), outer)
+    assert parse_proxy_pass(parse("proxy_pass http://tasks/new/;")[0]) == ("tasks", "/new/")
+    assert parse_proxy_pass(parse("proxy_pass https://tasks;")[0]) == ("tasks", "")
     with pytest.raises(ConfigSyntaxError, match="neither http"):
-        passed_to(parse("proxy_pass tasks;")[0])
+        parse_proxy_pass(parse("proxy_pass tasks;")[0])
 
 
 CONF = """
@@ -218,7 +228,7 @@
 """
 
 
-def test_a_call_is_explained_with_location_upstream_shares_and_tries(tmp_path: Path) -> None:
+def test_explain_shows_location_upstream_shares_and_attempts(tmp_path: Path) -> None:
     path = tmp_path / "nginx.conf"
     path.write_text(CONF)
 
@@ -241,11 +251,11 @@
 
 
 @pytest.mark.parametrize("sample", samples(), ids=lambda sample: sample.name)
-def test_each_directive_has_its_verdict(sample: Sample) -> None:
+def test_each_directive_has_its_expected_outcome(sample: Sample) -> None:
     assert wrong(sample) == []
 
 
-def test_the_corpus_is_whole_and_a_wrong_mark_is_seen() -> None:
+def test_corpus_covers_all_outcomes_and_a_wrong_expectation_is_detected() -> None:
     rows = samples()
     assert len(rows) >= 120 and len({row.name for row in rows}) == len(rows)
     assert {mark for row in rows for mark in row.wanted} == {CARRIED, DIFFERS, NOT_CARRIED, REFUSED}
@@ -255,7 +265,7 @@
     )
 
 
-def test_mutated_samples_are_read_with_a_verdict_each_or_told() -> None:
+def test_mutated_samples_are_diagnosed_or_rejected_without_a_crash() -> None:
     made = nginx_check.fuzz(1500)
     assert (made.crashes, made.unaccounted) == ([], []) and 0 < made.read < 1500 and made.slowest_s < 2
 
@@ -284,16 +294,16 @@
     return CliRunner().invoke(main, args), out
 
 
-def test_what_is_made_passes_the_check_and_says_what_was_meant(tmp_path: Path) -> None:
+def test_import_makes_a_valid_configuration_with_the_same_routing(tmp_path: Path) -> None:
     done, out = imported(tmp_path, A_CONF, "--mutating", "/submit-task", "--repeatable", "/api")
     assert done.exit_code == 0, done.output
     terms = parse_config((out / "director.json").read_bytes())
     hosts = {host.id: host for host in parse_endpoints((out / "hosts.json").read_bytes())}
-    assert [hosts[f"127.0.0.1:900{k}"].weight for k in (1, 2, 4)] == [675, 225, 100]  # 9 to 1 in the split
+    assert [hosts[f"127.0.0.1:900{k}"].weight for k in (1, 2, 4)] == [675, 225, 100]  # shares of 90% and 10%
     assert hosts["127.0.0.1:9003"].tier == 1 and hosts["127.0.0.1:9005"].draining
     assert {host.tier for host in hosts.values()} == {0, 1}
     assert terms.fleet.weights == "nominal"
-    for route in terms.routes:  # the kinds of a route name its hosts, and no others
+    for route in terms.routes:  # a route's classes select exactly its endpoints
         named = {host.id[-4:] for host in hosts.values() if host.endpoint_class in route.kinds}
         assert named in ({"9001", "9002", "9003"}, {"9004", "9005"}, {"9001", "9002", "9003", "9004", "9005"})
     place, files = read_group(str(out / "tables"))
@@ -323,7 +333,7 @@
     assert len(report) == len(re.findall(r"[;{]", A_CONF)) == len({row["place"] for row in report})
 
 
-def test_nothing_is_written_where_no_service_comes_out(tmp_path: Path) -> None:
+def test_nothing_is_written_if_no_service_can_be_made(tmp_path: Path) -> None:
     for text, cause in (
         ("server { location / { return 204; } }", "no route is left"),
         ("server { location / { proxy_pass http://a; } } server { location / { proxy_pass http://b; } }",
@@ -339,27 +349,27 @@
 
 T = "server { location / { proxy_pass http://t; } }"
 BROKEN = [
-    (T.replace("t;", "t"), "1:43: '}' without a directive or block before it ends: is ';' missing?"),
+    (T.replace("t;", "t"), "1:43: unexpected '}' before the end of a directive: is ';' missing?"),
     (T[:-1] + "\n", "the file ends within a block that begins in line 1"),
-    ("upstream t { server a:eighty; }" + T, "refused: 1:21: 'a:eighty' is no address"),
+    ("upstream t { server a:eighty; }" + T, "refused: 1:21: 'a:eighty' is not a valid address"),
     (T.replace("t;", "tasks;") + "upstream task { server a; }", "is 'task' meant?"),
     ("include missing.conf;", "1:1: "),
-    ("server { location ~ ^/(a|b { return 404; } }", "no regular expression"),
-    ("upstream t { server a wieght=3; }" + T, "'wieght' is no parameter of server"),
-    (T.replace("http", '"http'), "a quote that does not end"),
+    ("server { location ~ ^/(a|b { return 404; } }", "invalid regular expression"),
+    ("upstream t { server a wieght=3; }" + T, "'wieght' is not a parameter of server"),
+    (T.replace("http", '"http'), "an unterminated quote"),
     (T + T, "name one with --host"),
-    (T.replace("t;", "t; proxy_read_timeout soon;"), "1:63: 'soon' is no time"),
+    (T.replace("t;", "t; proxy_read_timeout soon;"), "1:63: 'soon' is not a valid time"),
 ]
 
 
 @pytest.mark.parametrize(("text", "told"), BROKEN)
-def test_ten_broken_files_are_told_with_place_and_cause(tmp_path: Path, text: str, told: str) -> None:
+def test_broken_files_are_reported_with_position_and_cause(tmp_path: Path, text: str, told: str) -> None:
     done, _ = imported(tmp_path, text)
     assert told in done.output, done.output
     assert "Traceback" not in done.output
 
 
-def test_what_changes_for_calls_and_no_more(tmp_path: Path) -> None:
+def test_diff_reports_only_changes_that_requests_meet(tmp_path: Path) -> None:
     old, new = tmp_path / "old.conf", tmp_path / "new.conf"
     base = "upstream t { server a; server b; } server { location / { proxy_pass http://t; } %s }"
     old.write_text(base % "")
--- a/tests/test_nginx_served.py
+++ b/tests/test_nginx_served.py
@@ -1,4 +1,4 @@
-"""Blocks and what was imported of them, on sockets; and each check seen to fail where it must."""
+"""Compares nginx blocks with their import over sockets, and shows that each check detects a difference."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from willowhook.trial.nginx_same import Same, apart, one, same
 
 
-def test_some_samples_are_served_alike() -> None:
+def test_samples_are_served_alike_by_blocks_and_tables() -> None:
     found = same(60, only=14)
     assert found.good, found.lines()
     assert found.paths > 20 and found.deaths > 5 and found.repeats["blocks"] > 0
@@ -24,7 +24,7 @@
 def played(
     text: str, asked: ImportOptions, monkeypatch: pytest.MonkeyPatch, change: tuple[bytes, bytes]
 ) -> Same:
-    """A sample whose imported tables are falsified on their way to the proxy."""
+    """Runs a sample whose imported tables are modified before the proxy gets them."""
     real = nginx_same.table_files
 
     def false(*args: object) -> dict[str, bytes]:
@@ -48,26 +48,26 @@
      ((b'"priority":1', b'"priority":0'), "10.0.0.9:80"), ((b'"status":410', b'"status":200'), "answers"),
      ((b'"prefix":"/"', b'"prefix":"/never"'), "reached hosts")],
 )  # fmt: skip
-def test_tables_that_serve_otherwise_are_seen(
+def test_modified_tables_are_detected(
     change: tuple[bytes, bytes], told: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     found = played(CONF, ImportOptions(), monkeypatch, change)
     assert not found.good and any(told in line for line in found.differ), found.lines()
 
 
-def test_a_retry_that_repeats_an_effect_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_retry_that_repeats_an_effect_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     change = (b'"connect-failure,refused-stream,retriable-headers"', b'"5xx,reset,connect-failure"')
     found = played(CONF, ImportOptions(mutating=("/submit-task",)), monkeypatch, change)
     assert found.repeats["tables"] > 0 and not found.good
 
 
-def test_shares_apart_by_chance_are_the_same_and_others_not() -> None:
+def test_shares_that_differ_by_chance_are_accepted_and_others_reported() -> None:
     assert apart(Counter(a=100, b=100), Counter(a=108, b=92)) == ""
     assert "a" in apart(Counter(a=100, b=100), Counter(a=150, b=50))
     assert "reached hosts" in apart(Counter(a=1), Counter())
 
 
-def test_a_director_on_an_import_uses_backups_when_it_must(tmp_path: Path) -> None:
+def test_controller_on_an_imported_configuration_uses_backups_only_when_needed(tmp_path: Path) -> None:
     seen = director_day(tmp_path)
     assert seen.good, seen.lines()
     assert seen.waits["a primary alone again"] >= 4.5
--- a/willowhook/nginx/__init__.py
+++ b/willowhook/nginx/__init__.py
@@ -1,1 +1,1 @@
-"""Reads upstream and location blocks in the published configuration language."""
+"""Import, comparison and export of nginx upstream and location blocks."""
--- a/willowhook/nginx/after.py
+++ b/willowhook/nginx/after.py
@@ -1,9 +1,9 @@
-"""What of an expression is left once a path is known to begin with a prefix.
+"""Derivative of a regular expression by a path prefix.
 
-A list of which the first match wins cannot say "begins with this and matches that expression somewhere":
-the expression may match within the prefix, beyond it, or across its end.  So the expression is derived by the
-characters of the prefix, one by one (Brzozowski, Derivatives of regular expressions, 1964), and what remains
-is written down again.  Only what the language's parser makes of an expression is looked at, never its text.
+A first-match list cannot express "begins with this prefix and matches that regex somewhere": the regex may
+match within the prefix, beyond it, or across its end.  So the regex is derived by the characters of the
+prefix, one by one (Brzozowski, Derivatives of regular expressions, 1964), and what remains is written as a
+regex again.  This works on the tree of Python's regex parser, never on the text.
 """
 
 from __future__ import annotations
@@ -15,38 +15,38 @@
 from typing import Any
 
 Node = tuple[Any, Any]
-Seq = tuple[Node, ...]  # one after the other
-MOST = 64  # alternatives; beyond that the prefix is not worked into the expression
-MOST_TEXT = 4000
+NodeSequence = tuple[Node, ...]  # concatenated nodes
+MAX_ALTERNATIVES = 64  # of one derivative; above that left_after() returns None
+MAX_REGEX_LENGTH = 4000
 
 
-class TooMuch(Exception):
-    """It has a part that is not derived, or grows too large."""
+class UnsupportedRegexError(Exception):
+    """The regex has a construct that cannot be derived, or its derivative is too large."""
 
 
-def _seq(parsed: Any) -> Seq:
-    return tuple((code, _value(code, value)) for code, value in parsed)
+def _node_sequence(parsed: Any) -> NodeSequence:
+    return tuple((code, _node_value(code, value)) for code, value in parsed)
 
 
-def _value(code: Any, value: Any) -> Any:
+def _node_value(code: Any, value: Any) -> Any:
     if code is op.SUBPATTERN:
         _, added, removed, inner = value
         if added or removed:
-            raise TooMuch("flags within")
-        return _seq(inner)
+            raise UnsupportedRegexError("flags within")
+        return _node_sequence(inner)
     if code is op.BRANCH:
-        return tuple(_seq(each) for each in value[1])
+        return tuple(_node_sequence(branch) for branch in value[1])
     if code in (op.MAX_REPEAT, op.MIN_REPEAT):
-        return value[0], value[1], _seq(value[2])
+        return value[0], value[1], _node_sequence(value[2])
     if code is op.IN:
-        return tuple((kind, tuple(what) if isinstance(what, list) else what) for kind, what in value)
+        return tuple((kind, tuple(item) if isinstance(item, list) else item) for kind, item in value)
     if code in (op.LITERAL, op.NOT_LITERAL, op.ANY, op.AT):
         return value
-    raise TooMuch(str(code))
+    raise UnsupportedRegexError(str(code))
 
 
-def nullable(seq: Seq, at_start: bool) -> bool:
-    """Whether nothing at all is matched by it, where more may follow."""
+def nullable(seq: NodeSequence, at_start: bool) -> bool:
+    """Whether it matches the empty string, where more characters may follow."""
     for code, value in seq:
         if code is op.AT:
             if value is not op.AT_BEGINNING or not at_start:
@@ -55,7 +55,7 @@
             if not nullable(value, at_start):
                 return False
         elif code is op.BRANCH:
-            if not any(nullable(each, at_start) for each in value):
+            if not any(nullable(branch, at_start) for branch in value):
                 return False
         elif code in (op.MAX_REPEAT, op.MIN_REPEAT):
             if value[0] and not nullable(value[2], at_start):
@@ -65,117 +65,128 @@
     return True
 
 
-def _takes(node: Node, letter: str, nocase: bool) -> bool:
+def _matches_character(node: Node, character: str, nocase: bool) -> bool:
     code, value = node
     if code is op.LITERAL and not nocase:
-        return chr(value) == letter
-    return re.fullmatch(_shown_node(node), letter, re.DOTALL | (re.IGNORECASE if nocase else 0)) is not None
+        return chr(value) == character
+    return re.fullmatch(_node_text(node), character, re.DOTALL | (re.IGNORECASE if nocase else 0)) is not None
 
 
-def derive(seq: Seq, letter: str, at_start: bool, nocase: bool) -> list[Seq]:
-    """What may follow `letter`, as alternatives."""
-    found: list[Seq] = []
-    for k, (code, value) in enumerate(seq):
-        rest = seq[k + 1 :]
+def derive(seq: NodeSequence, character: str, at_start: bool, nocase: bool) -> list[NodeSequence]:
+    """The derivative by `letter`: what may follow it, as alternatives."""
+    alternatives: list[NodeSequence] = []
+    for index, (code, value) in enumerate(seq):
+        following = seq[index + 1 :]
         if code is op.AT:
             if value is op.AT_BEGINNING and at_start:
                 continue
             if value in (op.AT_BEGINNING, op.AT_END, op.AT_BEGINNING_STRING, op.AT_END_STRING):
-                return found
-            raise TooMuch(str(value))
+                return alternatives
+            raise UnsupportedRegexError(str(value))
         if code is op.SUBPATTERN:
-            found += [each + rest for each in derive(value, letter, at_start, nocase)]
+            alternatives += [
+                alternative + following for alternative in derive(value, character, at_start, nocase)
+            ]
         elif code is op.BRANCH:
             for branch in value:
-                found += [each + rest for each in derive(branch, letter, at_start, nocase)]
+                alternatives += [
+                    alternative + following for alternative in derive(branch, character, at_start, nocase)
+                ]
         elif code in (op.MAX_REPEAT, op.MIN_REPEAT):
-            least, most, inner = value
-            left = most if most is op.MAXREPEAT or most == _parser.MAXREPEAT else most - 1
-            if most:
-                again: Seq = ((code, (max(least - 1, 0), left, inner)),) if left else ()
-                found += [each + again + rest for each in derive(inner, letter, at_start, nocase)]
-        elif _takes((code, value), letter, nocase):
-            found.append(rest)
-            return found
+            minimum, maximum, inner = value
+            remaining = maximum if maximum is op.MAXREPEAT or maximum == _parser.MAXREPEAT else maximum - 1
+            if maximum:
+                repeated: NodeSequence = (
+                    ((code, (max(minimum - 1, 0), remaining, inner)),) if remaining else ()
+                )
+                alternatives += [
+                    alternative + repeated + following
+                    for alternative in derive(inner, character, at_start, nocase)
+                ]
+        elif _matches_character((code, value), character, nocase):
+            alternatives.append(following)
+            return alternatives
         else:
-            return found
+            return alternatives
         if not nullable(((code, value),), at_start):
-            return found
-    return found
+            return alternatives
+    return alternatives
 
 
 def left_after(pattern: str, prefix: str, nocase: bool) -> str | None:
-    """An expression that, behind `prefix`, matches the whole paths in which `pattern` is found; empty if they
-    are all that begin with it; None if this cannot be said.
+    """A regex for the rest of a path after `prefix`, such that `pattern` is found in the path as a whole.
+
+    Empty if `pattern` is found in every path that begins with `prefix`; None if this cannot be expressed.
     """
     try:
-        start = _seq(_parser.parse(pattern))
-        now: dict[Seq, None] = {start: None}
-        for k, letter in enumerate(prefix):
-            if any(nullable(each, k == 0) for each in now):
+        start = _node_sequence(_parser.parse(pattern))
+        current: dict[NodeSequence, None] = {start: None}
+        for index, character in enumerate(prefix):
+            if any(nullable(alternative, index == 0) for alternative in current):
                 return ""
-            after: dict[Seq, None] = {}
-            for each in now:
-                after.update(dict.fromkeys(derive(each, letter, k == 0, nocase)))
-            after[start] = None  # it may begin at any character
-            if len(after) > MOST:
+            following: dict[NodeSequence, None] = {}
+            for alternative in current:
+                following.update(dict.fromkeys(derive(alternative, character, index == 0, nocase)))
+            following[start] = None  # a match may begin at any character
+            if len(following) > MAX_ALTERNATIVES:
                 return None
-            now = after
-        if any(nullable(each, not prefix) for each in now):
+            current = following
+        if any(nullable(alternative, not prefix) for alternative in current):
             return ""
-        del now[start]
-        rows = [f"{shown(each)}.*" for each in now]
-        rows.append(f".*(?:{shown(start)}).*")
-    except (TooMuch, RecursionError):
+        del current[start]
+        alternatives = [f"{pattern_text(alternative)}.*" for alternative in current]
+        alternatives.append(f".*(?:{pattern_text(start)}).*")
+    except (UnsupportedRegexError, RecursionError):
         return None
-    text = "|".join(rows)
-    return f"(?:{text})" if len(text) <= MOST_TEXT else None
+    text = "|".join(alternatives)
+    return f"(?:{text})" if len(text) <= MAX_REGEX_LENGTH else None
 
 
-# Writing down.
+# Conversion back to text.
 
 
-def shown(seq: Iterable[Node]) -> str:
-    return "".join(_shown_node(node) for node in seq)
+def pattern_text(seq: Iterable[Node]) -> str:
+    """The regex that a sequence of nodes stands for."""
+    return "".join(_node_text(node) for node in seq)
 
 
-def _letter(value: int) -> str:
-    return re.escape(chr(value))
+def _literal_text(codepoint: int) -> str:
+    return re.escape(chr(codepoint))
 
 
-CATEGORIES = {op.CATEGORY_DIGIT: r"\d", op.CATEGORY_NOT_DIGIT: r"\D", op.CATEGORY_SPACE: r"\s",
+CATEGORY_ESCAPES = {op.CATEGORY_DIGIT: r"\d", op.CATEGORY_NOT_DIGIT: r"\D", op.CATEGORY_SPACE: r"\s",
               op.CATEGORY_NOT_SPACE: r"\S", op.CATEGORY_WORD: r"\w", op.CATEGORY_NOT_WORD: r"\W"}  # fmt: skip
-PLACES = {op.AT_BEGINNING: "^", op.AT_END: "$", op.AT_BEGINNING_STRING: r"\A", op.AT_END_STRING: r"\z"}
+ANCHORS = {op.AT_BEGINNING: "^", op.AT_END: "$", op.AT_BEGINNING_STRING: r"\A", op.AT_END_STRING: r"\z"}
 
 
-def _shown_node(node: Node) -> str:
+def _node_text(node: Node) -> str:
     code, value = node
     if code is op.LITERAL:
-        return _letter(value)
+        return _literal_text(value)
     if code is op.NOT_LITERAL:
-        return f"[^{_letter(value)}]"
+        return f"[^{_literal_text(value)}]"
     if code is op.ANY:
         return "."
     if code is op.IN:
         parts = []
-        for kind, what in value:
+        for kind, item in value:
             if kind is op.NEGATE:
                 parts.append("^")
             elif kind is op.LITERAL:
-                parts.append(_letter(what))
+                parts.append(_literal_text(item))
             elif kind is op.RANGE:
-                parts.append(f"{_letter(what[0])}-{_letter(what[1])}")
+                parts.append(f"{_literal_text(item[0])}-{_literal_text(item[1])}")
             else:
-                parts.append(CATEGORIES[what])
+                parts.append(CATEGORY_ESCAPES[item])
         return f"[{''.join(parts)}]"
     if code is op.SUBPATTERN:
-        return f"(?:{shown(value)})"
+        return f"(?:{pattern_text(value)})"
     if code is op.BRANCH:
-        return f"(?:{'|'.join(shown(each) for each in value)})"
+        return f"(?:{'|'.join(pattern_text(branch) for branch in value)})"
     if code in (op.MAX_REPEAT, op.MIN_REPEAT):
-        least, most, inner = value
-        end = "" if most == _parser.MAXREPEAT else str(most)
-        return f"(?:{shown(inner)}){{{least},{end}}}"
-    if value not in PLACES:
-        raise TooMuch(str(value))
-    return PLACES[value]
+        minimum, maximum, inner = value
+        upper = "" if maximum == _parser.MAXREPEAT else str(maximum)
+        return f"(?:{pattern_text(inner)}){{{minimum},{upper}}}"
+    if value not in ANCHORS:
+        raise UnsupportedRegexError(str(value))
+    return ANCHORS[value]
--- a/willowhook/nginx/diff.py
+++ b/willowhook/nginx/diff.py
@@ -1,63 +1,82 @@
-"""What changes for calls from one configuration to another; lines that change nothing are not told of.
+"""Compares two configurations by what requests meet; edits without an effect on requests are not reported.
 
-Both are asked about the same URIs, made from the patterns of both: each prefix, what is below and beside it,
-texts drawn from expressions, the paths that the operator names; each as GET and as POST.
+Both are evaluated for the same URIs, made from the patterns of both: each prefix, paths below and beside it,
+texts that match the regexes, the paths that the operator declares; each with GET and with POST.
 """
 
 from __future__ import annotations
 
 import re
 
-from .explain import Answer, explain
+from .explain import Explanation, explain
 from .flat import probe_uris
 from .plan import ImportOptions
 from .setup import NginxConfig
 
-TRIES = re.compile(r", (one try|\d+ tries)")
+ATTEMPTS_TEXT = re.compile(r", (one try|\d+ tries)")
 
 
-def _says(answer: Answer) -> str:
+def _describe(answer: Explanation) -> str:
     if answer.status:
         return f"answered {answer.status}"
-    if answer.why:
-        return answer.why.partition(" (")[0] if "location" not in answer.why else "no host"
-    hosts = ", ".join(f"{name} {share:.0%}" for name, share in sorted(answer.shares.items()))
-    spare = f", backup {', '.join(sorted(answer.backups))}" if answer.backups else ""
-    again = f"{answer.tries} tries" if answer.again_after else "one try"
-    return f"{hosts}{spare}, as {answer.uri}, {answer.pick}, {again}, {answer.limit_ms} ms"
-
-
-def diff(old: NginxConfig, new: NginxConfig, asked: ImportOptions) -> list[str]:
-    """A line a change: which calls, what they met, what they will meet; calls that change alike share one."""
-    names = dict.fromkeys([asked.server_name] if asked.server_name else [
-        name for setup in (old, new) for site in setup.server_blocks for name in site.names or [""]
+    if answer.no_upstream_reason:
+        return (
+            answer.no_upstream_reason.partition(" (")[0]
+            if "location" not in answer.no_upstream_reason
+            else "no host"
+        )
+    endpoints = ", ".join(f"{name} {share:.0%}" for name, share in sorted(answer.shares.items()))
+    backups = f", backup {', '.join(sorted(answer.backups))}" if answer.backups else ""
+    attempts = f"{answer.max_attempts} tries" if answer.retry_conditions else "one try"
+    return (
+        f"{endpoints}{backups}, as {answer.uri}, {answer.load_balancing}, {attempts}, {answer.timeout_ms} ms"
+    )
+
+
+def diff(old: NginxConfig, new: NginxConfig, options: ImportOptions) -> list[str]:
+    """One line for each change: the requests, the old result and the new one.
+
+    Requests that change in the same way share a line.
+    """
+    names = dict.fromkeys([options.server_name] if options.server_name else [
+        name for config in (old, new) for server_block in config.server_blocks
+        for name in server_block.names or [""]
         if not name.startswith("~")
     ])  # fmt: skip
-    found: list[str] = []
+    lines: list[str] = []
     for name in names or [""]:
-        host = name.replace("*", "any").lstrip(".")
-        asks: dict[str, None] = {}
-        for setup in (old, new):
-            site = setup.find_server_block(host)
-            if site is not None:
-                asks.update(dict.fromkeys(probe_uris(site, asked.declared_paths())))
-        alike: dict[tuple[str, str, str], list[str]] = {}
-        for uri in asks:
-            by_get = None
+        host_name = name.replace("*", "any").lstrip(".")
+        probed: dict[str, None] = {}
+        for config in (old, new):
+            server_block = config.find_server_block(host_name)
+            if server_block is not None:
+                probed.update(dict.fromkeys(probe_uris(server_block, options.declared_paths())))
+        changes: dict[tuple[str, str, str], list[str]] = {}
+        for uri in probed:
+            get_change = None
             for method in ("GET", "POST"):
-                was, will = explain(old, uri, host, method), explain(new, uri, host, method)
-                if was.comes_to() == will.comes_to():
+                old_result, new_result = (
+                    explain(old, uri, host_name, method),
+                    explain(new, uri, host_name, method),
+                )
+                if old_result.observable_outcome() == new_result.observable_outcome():
                     continue
-                told = (_says(was).replace(uri, "URI"), _says(will).replace(uri, "URI"))
-                bare = (TRIES.sub("", told[0]), TRIES.sub("", told[1]))
+                described = (
+                    _describe(old_result).replace(uri, "URI"),
+                    _describe(new_result).replace(uri, "URI"),
+                )
+                without_attempts = (ATTEMPTS_TEXT.sub("", described[0]), ATTEMPTS_TEXT.sub("", described[1]))
                 if method == "GET":
-                    by_get = bare
-                elif bare == by_get and (was.tries == will.tries or not (was.shares and will.shares)):
-                    continue  # the same change as by GET
-                alike.setdefault((method, *told), []).append(uri)
-        for (method, before, after), rows in alike.items():
-            more = f" and {len(rows) - 1} like it" if len(rows) > 1 else ""
-            at = f"{name}: " if len(names) > 1 else ""
-            calls = f"{rows[0]}{more}" if method == "GET" else f"{rows[0]} by POST{more}"
-            found.append(f"{at}{calls}: {before} -> {after}")
-    return found
+                    get_change = without_attempts
+                elif without_attempts == get_change and (
+                    old_result.max_attempts == new_result.max_attempts
+                    or not (old_result.shares and new_result.shares)
+                ):
+                    continue  # the same change as for GET
+                changes.setdefault((method, *described), []).append(uri)
+        for (method, before, after), uris in changes.items():
+            others = f" and {len(uris) - 1} like it" if len(uris) > 1 else ""
+            prefix = f"{name}: " if len(names) > 1 else ""
+            requests = f"{uris[0]}{others}" if method == "GET" else f"{uris[0]} by POST{others}"
+            lines.append(f"{prefix}{requests}: {before} -> {after}")
+    return lines
--- a/willowhook/nginx/flat.py
+++ b/willowhook/nginx/flat.py
@@ -1,7 +1,8 @@
-"""The locations of a server as one list of which the first match wins: the form that proxies read.
+"""Flattens the locations of a server into one first-match list, the form that proxies read.
 
-Nested locations, `^~` and expressions make the language's search a tree; a list can say nearly all of it.
-What it cannot say is found by asking both for URIs made from the patterns themselves (`differences`).
+nginx searches a tree, because of nested locations, `^~` and regular expressions; a list can express nearly
+all of it.  What it cannot express is found by looking up URIs made from the patterns in both
+(`routing_differences`).
 """
 
 from __future__ import annotations
@@ -18,213 +19,235 @@
 from .locations import EXACT, NAMED, PRIORITY, REGEX_NOCASE, Location
 from .setup import LocationConfig, ServerBlock
 
-BELOW, WHOLE, PREFIX, REGEX = "below", "exact", "prefix", "regex"
-MOST_REPEATS = 1000  # of the published expressions
-MOST_ASKED = 20_000  # URIs of one server
-MOST_PAIRED = 60  # prefixes with which each drawn text is joined
-NOT_THERE = {"ASSERT": "looks ahead or behind", "ASSERT_NOT": "looks ahead or behind",
+MATCH_BELOW, MATCH_EXACT, MATCH_PREFIX, MATCH_REGEX = "below", "exact", "prefix", "regex"
+MAX_REGEX_REPEATS = 1000  # limit of the regular expressions in routes
+MAX_PROBE_URIS = 20_000  # of one server
+MAX_PAIRED_PREFIXES = 60  # prefixes with which each text drawn from a regex is joined
+UNSUPPORTED_REGEX_PARTS = {"ASSERT": "looks ahead or behind", "ASSERT_NOT": "looks ahead or behind",
              "GROUPREF": "refers back", "GROUPREF_EXISTS": "refers back",
              "ATOMIC_GROUP": "has an atomic group",
              "POSSESSIVE_REPEAT": "has a possessive repeat"}  # fmt: skip
 
-ANCHORED = re.compile(r"^(\(\?[a-z]+\))\^\(\?:(.*)\)\$$", re.DOTALL)
+ANCHORED_REGEX = re.compile(r"^(\(\?[a-z]+\))\^\(\?:(.*)\)\$$", re.DOTALL)
 
 
 @dataclass(slots=True)
 class Entry:
-    """Calls whose path matches go as `place` says.  `declared`: the operator's word on them, if any."""
+    """Routes requests with a matching path as `location_config` says."""
 
     match: str
     path: str
     location_config: LocationConfig
-    declared: str = ""  # a path that the operator named
-    value: str = ""  # by a map: the upstream that this path selects
+    declared: str = ""  # the path, if the operator declared its semantics
+    mapped_upstream: str = ""  # the upstream that a map selects for this path
 
 
-def whole(location: Location, within: str = "") -> str:
-    """An expression that matches all of a path in which this one is found, of those that begin with `within`;
-    empty if it is found in all of these.
+def full_path_regex(location: Location, within: str = "") -> str:
+    """A regex that fully matches the paths below the prefix `within` in which the location's regex is found.
+
+    Empty if it is found in all paths that begin with `within`.
     """
     nocase = location.modifier == REGEX_NOCASE
     text = re.sub(r"\(\?<(?=[A-Za-z_])", "(?P<", location.pattern)
     flags = "(?si)" if nocase else "(?s)"
     if not within:
-        return _anchored_already(text, nocase) or f"{flags}.*(?:{text}).*"
-    rest = left_after(text, within, nocase)
-    if rest is None:  # what is missed is found when the list is set beside the search
-        plain = f"(?:{text})" if "|" in text else text
-        return f"(?s){re.escape(within)}{'(?i:' if nocase else '(?:'}.*{plain}.*)"
-    if not rest:
+        return _unanchored_body(text, nocase) or f"{flags}.*(?:{text}).*"
+    remainder = left_after(text, within, nocase)
+    if remainder is None:  # routing_differences() finds the paths that this misses
+        body = f"(?:{text})" if "|" in text else text
+        return f"(?s){re.escape(within)}{'(?i:' if nocase else '(?:'}.*{body}.*)"
+    if not remainder:
         return ""
-    return f"(?s){re.escape(within)}{'(?i:' if nocase else '(?:'}{rest})"
+    return f"(?s){re.escape(within)}{'(?i:' if nocase else '(?:'}{remainder})"
 
 
-def _anchored_already(text: str, nocase: bool) -> str:
-    """What stands between the ends of an expression for whole paths, as an export writes it; else empty."""
-    found = ANCHORED.match(text)
-    if found is None or nocase:
+def _unanchored_body(text: str, nocase: bool) -> str:
+    """The body of an anchored regex as the export writes it (`^(?:...)$`); empty for any other regex."""
+    match = ANCHORED_REGEX.match(text)
+    if match is None or nocase:
         return ""
     try:
-        re.compile(found[2])
+        re.compile(match[2])
     except re.error:
         return ""
-    return f"{found[1]}{found[2]}"
+    return f"{match[1]}{match[2]}"
 
 
-def _expression(place: LocationConfig, within: str = "") -> Entry:
-    text = whole(place.location, within)
-    return Entry(REGEX, text, place) if text else Entry(PREFIX, within, place)
+def _regex_entry(config: LocationConfig, prefix: str = "") -> Entry:
+    text = full_path_regex(config.location, prefix)
+    return Entry(MATCH_REGEX, text, config) if text else Entry(MATCH_PREFIX, prefix, config)
 
 
-def beyond(location: Location) -> str:
-    """What of an expression the published form lacks; empty if it has all of it."""
+def unsupported_construct(location: Location) -> str:
+    """What a location's regex uses that regexes of routes lack; empty if nothing."""
     pattern = re.sub(r"\(\?<(?=[A-Za-z_])", "(?P<", location.pattern)
 
     def walk(part: object) -> Iterator[str]:
         if isinstance(part, _parser.SubPattern):
             part = list(part)
-        if isinstance(part, tuple) and part and str(part[0]) in NOT_THERE:
-            yield NOT_THERE[str(part[0])]
+        if isinstance(part, tuple) and part and str(part[0]) in UNSUPPORTED_REGEX_PARTS:
+            yield UNSUPPORTED_REGEX_PARTS[str(part[0])]
         if isinstance(part, tuple) and len(part) == 2 and str(part[0]) in ("MAX_REPEAT", "MIN_REPEAT"):
             least, most = part[1][0], part[1][1]
-            if least > MOST_REPEATS or (most != _parser.MAXREPEAT and most > MOST_REPEATS):
-                yield f"repeats over {MOST_REPEATS} times"
+            if least > MAX_REGEX_REPEATS or (most != _parser.MAXREPEAT and most > MAX_REGEX_REPEATS):
+                yield f"repeats over {MAX_REGEX_REPEATS} times"
         if isinstance(part, list | tuple):
-            for each in part:
-                yield from walk(each)
+            for child in part:
+                yield from walk(child)
 
     return next(walk(_parser.parse(pattern)), "")
 
 
 @dataclass
 class Flattener:
-    """`declared`: paths about which the operator said something."""
+    """Makes the first-match list of a server; `declared` are the paths whose semantics the operator gave."""
 
     site: ServerBlock
     declared: tuple[str, ...] = ()
     inexpressible: list[tuple[LocationConfig, str]] = field(
         default_factory=list
-    )  # expressions that cannot be said, and why
+    )  # locations whose regex has no equivalent, and why
 
     def __post_init__(self) -> None:
-        self._extra: dict[int, list[LocationConfig]] = {}  # by location: its inner ones and declared paths
-        self._names: dict[int, str] = {}
+        self._declared_configs: dict[int, list[LocationConfig]] = {}  # by location: its declared paths
+        self._declared_paths: dict[int, str] = {}
         for path in self.declared:
-            at = self.site.find_location(path) or self.site.find_location(path + "/")
-            if at is None or at.location.regex is not None or at.location.modifier == EXACT:
+            config = self.site.find_location(path) or self.site.find_location(path + "/")
+            if config is None or config.location.regex is not None or config.location.modifier == EXACT:
                 continue
-            own = Location("", path, at.location.directive)
-            made = LocationConfig(own, at.proxy_settings, at.target, at.passes, at.status, at.unsafe)
-            self._names[id(made)] = path
-            self._extra.setdefault(id(at), []).append(made)
+            location = Location("", path, config.location.directive)
+            declared_config = LocationConfig(
+                location,
+                config.proxy_settings,
+                config.target,
+                config.proxy_pass,
+                config.status,
+                config.unsafe_reason,
+            )
+            self._declared_paths[id(declared_config)] = path
+            self._declared_configs.setdefault(id(config), []).append(declared_config)
 
     def entries(self) -> list[Entry]:
-        top = [place for place in self.site.locations if place.location.modifier != NAMED]
-        regexes = [place for place in top if place.location.regex is not None and self._can(place)]
-        found = [*self._exacts(top)]
-        prefixes = self._sorted(place for place in top if _is_prefix(place))
-        early = [p for p in prefixes if self._alone(p)]
-        early += [
+        """The list, most specific entries first where order matters."""
+        top_level = [config for config in self.site.locations if config.location.modifier != NAMED]
+        regexes = [
+            config
+            for config in top_level
+            if config.location.regex is not None and self._is_expressible(config)
+        ]
+        ordered = [*self._exact_entries(top_level)]
+        prefixes = self._longest_first(config for config in top_level if _is_prefix(config))
+        priority = [p for p in prefixes if self._ends_search_early(p)]
+        priority += [
             p
             for p in prefixes
-            if p not in early and any(p.location.pattern.startswith(q.location.pattern) for q in early)
+            if p not in priority and any(p.location.pattern.startswith(q.location.pattern) for q in priority)
         ]
-        for place in self._sorted(early):
-            found += self._block(place, regexes)
-        for place in regexes:
-            found.append(_expression(place))
-        plain: list[Entry] = []
-        chosen = {id(place) for place in early}
-        for place in prefixes:
-            if id(place) not in chosen:
-                plain += self._block(place, [])
-        found += sorted(plain, key=lambda row: -len(row.path))
-        rows: dict[tuple[str, str], Entry] = {}
-        for each in found:
-            for row in _by_map(each):
-                rows.setdefault((row.match, row.path), row)  # what stands twice is reached once
-        return list(rows.values())
-
-    def _inner(self, place: LocationConfig) -> list[LocationConfig]:
-        return [*place.nested, *self._extra.get(id(place), ())]
+        for config in self._longest_first(priority):
+            ordered += self._prefix_entries(config, regexes)
+        for config in regexes:
+            ordered.append(_regex_entry(config))
+        plain_entries: list[Entry] = []
+        priority_ids = {id(config) for config in priority}
+        for config in prefixes:
+            if id(config) not in priority_ids:
+                plain_entries += self._prefix_entries(config, [])
+        ordered += sorted(plain_entries, key=lambda entry: -len(entry.path))
+        unique: dict[tuple[str, str], Entry] = {}
+        for original in ordered:
+            for entry in _expand_map(original):
+                unique.setdefault(
+                    (entry.match, entry.path), entry
+                )  # only the first of two equal entries is reached
+        return list(unique.values())
+
+    def _nested_configs(self, config: LocationConfig) -> list[LocationConfig]:
+        return [*config.nested, *self._declared_configs.get(id(config), ())]
 
     @staticmethod
-    def _sorted(places: Iterable[LocationConfig]) -> list[LocationConfig]:
-        return sorted(places, key=lambda place: -len(place.location.pattern))
-
-    def _exacts(self, places: list[LocationConfig]) -> Iterator[Entry]:
-        for place in places:
-            if place.location.modifier == EXACT:
-                yield Entry(WHOLE, place.location.pattern, place)
-            yield from self._exacts(place.nested)
-
-    def _alone(self, place: LocationConfig) -> bool:
-        """Whether its search ends otherwise than that of the locations beside it."""
-        if place.location.modifier == PRIORITY:
+    def _longest_first(configs: Iterable[LocationConfig]) -> list[LocationConfig]:
+        return sorted(configs, key=lambda config: -len(config.location.pattern))
+
+    def _exact_entries(self, configs: list[LocationConfig]) -> Iterator[Entry]:
+        for config in configs:
+            if config.location.modifier == EXACT:
+                yield Entry(MATCH_EXACT, config.location.pattern, config)
+            yield from self._exact_entries(config.nested)
+
+    def _ends_search_early(self, config: LocationConfig) -> bool:
+        """Whether its search ends before the regexes of the enclosing level are tried."""
+        if config.location.modifier == PRIORITY:
             return True
-        return any(each.location.regex is not None or self._alone(each) for each in place.nested)
-
-    def _can(self, place: LocationConfig) -> bool:
-        why = beyond(place.location)
-        if why and all(place is not each for each, _ in self.inexpressible):
-            self.inexpressible.append((place, why))
-        return not why
-
-    def _block(self, place: LocationConfig, after: list[LocationConfig]) -> Iterator[Entry]:
-        """All that falls to a prefix: what lies within it, the expressions that go before it, itself."""
-        after = [] if place.location.modifier == PRIORITY else after
-        inner = self._inner(place)
-        mine = [each for each in inner if each.location.regex is not None and self._can(each)] + after
-        for each in self._sorted(each for each in inner if _is_prefix(each)):
-            yield from self._block(each, mine)
-        for each in mine:
-            yield _expression(each, place.location.pattern)
-        name = self._names.get(id(place), "")
-        yield Entry(BELOW if name else PREFIX, place.location.pattern, place, name)
-
-
-def _is_prefix(place: LocationConfig) -> bool:
-    return place.location.regex is None and place.location.modifier not in (EXACT, NAMED)
-
-
-def _by_map(entry: Entry) -> Iterator[Entry]:
-    """What a map by the path selects within a location goes before the rest of it."""
-    choice = entry.location_config.target.mapping if entry.location_config.target is not None else None
-    if choice is not None and choice.kind == "map" and len(choice.values()) > 1:
-        for pattern, value, _ in choice.rows:
+        return any(
+            nested.location.regex is not None or self._ends_search_early(nested) for nested in config.nested
+        )
+
+    def _is_expressible(self, config: LocationConfig) -> bool:
+        construct = unsupported_construct(config.location)
+        if construct and all(config is not known for known, _ in self.inexpressible):
+            self.inexpressible.append((config, construct))
+        return not construct
+
+    def _prefix_entries(self, config: LocationConfig, later_regexes: list[LocationConfig]) -> Iterator[Entry]:
+        """The entries of a prefix location: nested prefixes, regexes that precede it, then itself."""
+        later_regexes = [] if config.location.modifier == PRIORITY else later_regexes
+        nested_configs = self._nested_configs(config)
+        regexes = [
+            nested
+            for nested in nested_configs
+            if nested.location.regex is not None and self._is_expressible(nested)
+        ] + later_regexes
+        for nested in self._longest_first(nested for nested in nested_configs if _is_prefix(nested)):
+            yield from self._prefix_entries(nested, regexes)
+        for nested in regexes:
+            yield _regex_entry(nested, config.location.pattern)
+        name = self._declared_paths.get(id(config), "")
+        yield Entry(MATCH_BELOW if name else MATCH_PREFIX, config.location.pattern, config, name)
+
+
+def _is_prefix(config: LocationConfig) -> bool:
+    return config.location.regex is None and config.location.modifier not in (EXACT, NAMED)
+
+
+def _expand_map(entry: Entry) -> Iterator[Entry]:
+    """Precedes an entry with one for each path that a `map` by URI sends to another upstream."""
+    mapping = entry.location_config.target.mapping if entry.location_config.target is not None else None
+    if mapping is not None and mapping.kind == "map" and len(mapping.values()) > 1:
+        for pattern, value, _ in mapping.entries:
             if pattern.startswith("~"):
-                kind = REGEX_NOCASE if pattern.startswith("~*") else "~"
-                made = Location(kind, pattern.lstrip("~*"), choice.directive)
-                within = entry.path if entry.match in (PREFIX, BELOW) else ""
-                text = whole(made, within)
-                match, path = (REGEX, text) if text else (PREFIX, within)
+                modifier = REGEX_NOCASE if pattern.startswith("~*") else "~"
+                location = Location(modifier, pattern.lstrip("~*"), mapping.directive)
+                within = entry.path if entry.match in (MATCH_PREFIX, MATCH_BELOW) else ""
+                text = full_path_regex(location, within)
+                match, path = (MATCH_REGEX, text) if text else (MATCH_PREFIX, within)
                 yield Entry(match, path, entry.location_config, entry.declared, value)
-            elif entry.match != WHOLE and pattern.startswith("/"):
-                yield Entry(WHOLE, pattern, entry.location_config, entry.declared, value)
+            elif entry.match != MATCH_EXACT and pattern.startswith("/"):
+                yield Entry(MATCH_EXACT, pattern, entry.location_config, entry.declared, value)
     yield entry
 
 
 class FirstMatch:
-    """The first of many entries that matches, without trying all but the expressions."""
+    """Finds the first matching entry with lookups by path; only regexes are tried one by one."""
 
     def __init__(self, entries: list[Entry]) -> None:
         self._exact: dict[str, int] = {}
         self._prefix: dict[str, int] = {}
         self._regexes: list[tuple[int, re.Pattern[str]]] = []
         self._below: dict[str, int] = {}
-        for at, row in enumerate(entries):
-            if row.match == REGEX:
-                self._regexes.append((at, re.compile(row.path)))
-            elif row.match == WHOLE:
-                self._exact.setdefault(row.path, at)
-            elif row.match == PREFIX:
-                self._prefix.setdefault(row.path, at)
+        for index, entry in enumerate(entries):
+            if entry.match == MATCH_REGEX:
+                self._regexes.append((index, re.compile(entry.path)))
+            elif entry.match == MATCH_EXACT:
+                self._exact.setdefault(entry.path, index)
+            elif entry.match == MATCH_PREFIX:
+                self._prefix.setdefault(entry.path, index)
             else:
-                self._below.setdefault(row.path.rstrip("/"), at)
+                self._below.setdefault(entry.path.rstrip("/"), index)
         self._lengths = sorted({len(path) for path in self._prefix})
         self._entries = entries
 
     def find(self, uri: str) -> Entry | None:
+        """The first entry that matches a path."""
         best = len(self._entries)
         best = min(best, self._exact.get(uri, best))
         for length in self._lengths:
@@ -239,71 +262,75 @@
                 )
                 end = uri.rfind("/", 0, end)
             best = min(best, self._below.get("", best))
-        for at, regex in self._regexes:
-            if at >= best:
+        for index, regex in self._regexes:
+            if index >= best:
                 break
             if regex.fullmatch(uri):
-                best = at
+                best = index
                 break
         return self._entries[best] if best < len(self._entries) else None
 
 
-def samples(pattern: str, chance: random.Random, count: int = 3) -> list[str]:
-    """Texts that an expression matches; none if none can be drawn."""
-    drawer = rstr.Rstr(chance)
-    found = []
+def draw_matching_texts(pattern: str, rng: random.Random, count: int = 3) -> list[str]:
+    """Random texts that a regex matches; none if none can be generated."""
+    generator = rstr.Rstr(rng)
+    texts = []
     for _ in range(count):
         try:
-            text = drawer.xeger(re.sub(r"\(\?<(?=[A-Za-z_])", "(?P<", pattern).replace(".*", "[a-z]{0,3}"))
-        except Exception:  # the drawer knows less than the language
+            text = generator.xeger(re.sub(r"\(\?<(?=[A-Za-z_])", "(?P<", pattern).replace(".*", "[a-z]{0,3}"))
+        except Exception:  # rstr does not support all of Python's regexes
             continue
         if text.isprintable() and " " not in text and len(text) < 300:
-            found.append(text)
-    return found
+            texts.append(text)
+    return texts
 
 
 def probe_uris(site: ServerBlock, declared: Iterable[str], seed: int = 1) -> list[str]:
-    """Paths that tell locations apart, made from their patterns."""
-    chance = random.Random(seed)
-    found: dict[str, None] = {}
+    """Paths made from the patterns of the locations, to compare where requests go."""
+    rng = random.Random(seed)
+    paths: dict[str, None] = {}
     prefixes: list[str] = []
-    drawn: list[str] = []
-
-    def walk(places: list[LocationConfig]) -> None:
-        for place in places:
-            text = place.location.pattern
-            if place.location.regex is not None:
-                drawn.extend(samples(text, chance))
-            elif place.location.modifier != NAMED:
+    texts: list[str] = []
+
+    def walk(configs: list[LocationConfig]) -> None:
+        for config in configs:
+            text = config.location.pattern
+            if config.location.regex is not None:
+                texts.extend(draw_matching_texts(text, rng))
+            elif config.location.modifier != NAMED:
                 prefixes.append(text)
-                found.update(dict.fromkeys((text, text + "x", text + "/x", text.rstrip("/") or "/")))
-            walk(place.nested)
+                paths.update(dict.fromkeys((text, text + "x", text + "/x", text.rstrip("/") or "/")))
+            walk(config.nested)
 
     walk(site.locations)
     for path in declared:
-        found.update(dict.fromkeys((path, path + "/", path + "/x", path + "x")))
-    whole_prefixes = prefixes if len(prefixes) <= MOST_PAIRED else chance.sample(prefixes, MOST_PAIRED)
-    for text in drawn:
-        for prefix in whole_prefixes:
-            found.update(dict.fromkeys((prefix + text, prefix + "/" + text, prefix + text + "/x")))
-            # an expression may begin within the prefix and end beyond it
-            found.update(
-                (prefix + text[k:], None) for k in range(1, len(text) + 1) if prefix.endswith(text[:k])
+        paths.update(dict.fromkeys((path, path + "/", path + "/x", path + "x")))
+    paired_prefixes = (
+        prefixes if len(prefixes) <= MAX_PAIRED_PREFIXES else rng.sample(prefixes, MAX_PAIRED_PREFIXES)
+    )
+    for text in texts:
+        for prefix in paired_prefixes:
+            paths.update(dict.fromkeys((prefix + text, prefix + "/" + text, prefix + text + "/x")))
+            # A regex match may begin within the prefix and end beyond it.
+            paths.update(
+                (prefix + text[split:], None)
+                for split in range(1, len(text) + 1)
+                if prefix.endswith(text[:split])
             )
-            found[prefix + "x" + chance.choice(drawn) + text] = None
-        found[text if text.startswith("/") else "/" + text] = None
-    rows = [uri for uri in found if uri.startswith("/")]
-    return rows if len(rows) <= MOST_ASKED else chance.sample(rows, MOST_ASKED)
+            paths[prefix + "x" + rng.choice(texts) + text] = None
+        paths[text if text.startswith("/") else "/" + text] = None
+    uris = [uri for uri in paths if uri.startswith("/")]
+    return uris if len(uris) <= MAX_PROBE_URIS else rng.sample(uris, MAX_PROBE_URIS)
 
 
-def differences(
+def routing_differences(
     site: ServerBlock, entries: list[Entry], declared: Iterable[str]
 ) -> list[tuple[str, LocationConfig, Entry]]:
-    """URIs that the list sends elsewhere than the search does: the URI, its location, what the list says."""
-    flat, found = FirstMatch(entries), []
+    """URIs for which the list and nginx's search differ: the URI, its location, and the list's entry."""
+    first_match, differing = FirstMatch(entries), []
     for uri in probe_uris(site, declared):
-        place, entry = site.find_location(uri), flat.find(uri)
-        here = entry.location_config.location.directive if entry is not None else None
-        if place is not None and entry is not None and place.location.directive is not here:
-            found.append((uri, place, entry))
-    return found
+        config, entry = site.find_location(uri), first_match.find(uri)
+        listed = entry.location_config.location.directive if entry is not None else None
+        if config is not None and entry is not None and config.location.directive is not listed:
+            differing.append((uri, config, entry))
+    return differing
--- a/willowhook/nginx/follow.py
+++ b/willowhook/nginx/follow.py
@@ -1,4 +1,4 @@
-"""Keeps the blocks of one proxy's group up to date, each change swapped in whole."""
+"""Follows the table files of one proxy and exports each change, replacing the exported files atomically."""
 
 from __future__ import annotations
 
@@ -12,60 +12,64 @@
 from ..xds.codec import MessageFormatError
 from .export import export
 
-AGAIN_S = 0.2  # after a swap that failed
+RETRY_INTERVAL_S = 0.2  # after a failed write
 
 
 class Follower:
-    """What cannot be read or swapped leaves what was there; one line when that begins, one when it ends."""
+    """Exports a proxy's table group on each change.
+
+    After an error the previous files stay; the error is logged once, and so is the recovery.
+    """
 
     def __init__(
         self, group: str, shelf: Shelf, log: Any, watch: str = "inotify", every_s: float = 0.05
     ) -> None:
-        self._down, self._name = os.path.split(os.path.abspath(group))
-        self._shelf, self._log = shelf, log
-        self._followers = Followers(watch, every_s, self._seen)
-        self._bad = ""
-        self._waiting: dict[str, bytes] | None = None
-        self._told: list[str] = []
+        self._parent_folder, self._group_name = os.path.split(os.path.abspath(group))
+        self._output, self._log = shelf, log
+        self._followers = Followers(watch, every_s, self._export_group)
+        self._last_error = ""
+        self._pending_files: dict[str, bytes] | None = None
+        self._reported_remarks: list[str] = []
         self.swaps = 0
 
-    def _seen(self, _: str, files: dict[str, bytes]) -> None:
+    def _export_group(self, _: str, files: dict[str, bytes]) -> None:
         try:
-            made = export(files)
-        except (MessageFormatError, UnicodeDecodeError) as fault:
-            self._fault(f"the group is no set of tables: {fault}")
+            exported = export(files)
+        except (MessageFormatError, UnicodeDecodeError) as error:
+            self._log_error(f"table group cannot be exported: {error}")
             return
-        if made.remarks != self._told:
-            self._told = made.remarks
-            self._log.warning("some of it cannot be said", remarks=made.remarks)
-        self._waiting = made.files
-        self._put()
+        if exported.remarks != self._reported_remarks:
+            self._reported_remarks = exported.remarks
+            self._log.warning("tables exported with differences", remarks=exported.remarks)
+        self._pending_files = exported.files
+        self._write_pending()
 
-    def _put(self) -> None:
-        if self._waiting is None:
+    def _write_pending(self) -> None:
+        if self._pending_files is None:
             return
         try:
-            self.swaps += self._shelf.put(self._waiting)
-        except OSError as fault:
-            self._fault(f"blocks cannot be swapped: {fault}")
+            self.swaps += self._output.put(self._pending_files)
+        except OSError as error:
+            self._log_error(f"exported blocks cannot be written: {error}")
             return
-        self._waiting = None
-        if self._bad:
-            self._bad = ""
-            self._log.info("blocks follow the group again")
+        self._pending_files = None
+        if self._last_error:
+            self._last_error = ""
+            self._log.info("exported blocks are up to date again")
 
-    def _fault(self, text: str) -> None:
-        if text != self._bad:
-            self._bad = text
+    def _log_error(self, text: str) -> None:
+        if text != self._last_error:
+            self._last_error = text
             self._log.warning(text)
 
-    async def _again(self) -> None:
+    async def _retry_writes(self) -> None:
         while True:
-            await trio.sleep(AGAIN_S)
-            self._put()
+            await trio.sleep(RETRY_INTERVAL_S)
+            self._write_pending()
 
     async def run(self) -> None:
-        self._followers.follow("one", self._down, self._name)
+        """Runs until cancelled."""
+        self._followers.follow("one", self._parent_folder, self._group_name)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._again)
+            nursery.start_soon(self._retry_writes)
             await self._followers.run()
--- a/willowhook/nginx/locations.py
+++ b/willowhook/nginx/locations.py
@@ -1,9 +1,9 @@
-"""Which location a URI falls to, by the published rules.
+"""Location matching by nginx's published rules.
 
-An exact match (`=`) ends the search.  Then the longest prefix is remembered; if it has `^~`, or the URI is it
-exactly with `=`, regular expressions are not looked at.  Otherwise those of the server are tried in the order
-of the file, and the first that matches wins; if none does, the remembered prefix.  Nested locations are
-searched within the one that was chosen, regular expressions of inner levels before those of outer ones.
+An exact match (`=`) ends the search.  Otherwise the longest matching prefix is remembered; if it has `^~`,
+regular expressions are not tried.  Without `^~`, regular expressions are tried in the order of the file, and
+the first that matches wins; if none does, the remembered prefix wins.  Nested locations are searched within
+the chosen one, regular expressions of inner levels before those of outer ones.
 """
 
 from __future__ import annotations
@@ -15,11 +15,13 @@
 from .syntax import ConfigSyntaxError, Directive, SourcePosition
 
 EXACT, PRIORITY, PREFIX, REGEX, REGEX_NOCASE, NAMED = "=", "^~", "", "~", "~*", "@"
-KINDS = (EXACT, PRIORITY, REGEX, REGEX_NOCASE)
+MODIFIERS = (EXACT, PRIORITY, REGEX, REGEX_NOCASE)
 
 
 @dataclass(slots=True)
 class Location:
+    """One `location` block with its modifier, pattern and nested locations."""
+
     modifier: str
     pattern: str
     directive: Directive
@@ -27,6 +29,7 @@
     regex: re.Pattern[str] | None = None
 
     def matches(self, uri: str) -> bool:
+        """Whether this location alone matches a normalized URI."""
         if self.regex is not None:
             return self.regex.search(uri) is not None
         return uri == self.pattern if self.modifier == EXACT else uri.startswith(self.pattern)
@@ -35,104 +38,124 @@
         return f"location {self.modifier} {self.pattern}".replace("  ", " ")
 
 
-def compiled(pattern: str, nocase: bool, place: SourcePosition) -> re.Pattern[str]:
-    """An expression of the language; groups may be named its way.  Raises SyntaxFault."""
+def compile_regex(pattern: str, nocase: bool, place: SourcePosition) -> re.Pattern[str]:
+    """Compiles an nginx regular expression, with named groups as `(?<name>...)`; raises ConfigSyntaxError."""
     try:
         return re.compile(re.sub(r"\(\?<(?=[A-Za-z_])", "(?P<", pattern), re.IGNORECASE if nocase else 0)
-    except (re.error, RecursionError, OverflowError) as fault:
-        raise ConfigSyntaxError(place, f"no regular expression: {fault}") from fault
+    except (re.error, RecursionError, OverflowError) as error:
+        raise ConfigSyntaxError(place, f"invalid regular expression: {error}") from error
+
 
+ErrorHandler = Callable[[Directive, ConfigSyntaxError], None]
 
-Kept = Callable[[Directive, ConfigSyntaxError], None]
 
+def read_location(directive: Directive, on_error: ErrorHandler | None = None) -> Location:
+    """Reads one `location` with its nested locations.
 
-def read(directive: Directive, kept: Kept | None = None) -> Location:
-    """One `location` with those in it; raises SyntaxFault."""
+    Raises ConfigSyntaxError, or passes errors of nested locations to `on_error`.
+    """
     words = [word.text for word in directive.args]
-    if len(words) == 2 and words[0] in KINDS:
-        kind, pattern = words
+    if len(words) == 2 and words[0] in MODIFIERS:
+        modifier, pattern = words
     elif len(words) == 1:
-        kind, pattern = PREFIX, words[0]
-        for mark in (REGEX_NOCASE, REGEX, PRIORITY, EXACT):  # written without a space
-            if pattern.startswith(mark) and not directive.args[0].quoted:
-                kind, pattern = mark, pattern[len(mark) :]
+        modifier, pattern = PREFIX, words[0]
+        for candidate in (REGEX_NOCASE, REGEX, PRIORITY, EXACT):  # modifier without a space after it
+            if pattern.startswith(candidate) and not directive.args[0].quoted:
+                modifier, pattern = candidate, pattern[len(candidate) :]
                 break
         if pattern.startswith("@"):
-            kind = NAMED
+            modifier = NAMED
     else:
         raise ConfigSyntaxError(
-            directive.position, f"location has a modifier and a pattern, here are {len(words)} words"
+            directive.position, f"location takes an optional modifier and a pattern, got {len(words)} words"
         )
-    made = Location(kind, pattern, directive)
-    if kind in (REGEX, REGEX_NOCASE):
-        made.regex = compiled(pattern, kind == REGEX_NOCASE, directive.args[-1].position)
-    made.nested = read_locations(directive.block or [], kept)
-    for each in list(made.nested):
+    location = Location(modifier, pattern, directive)
+    if modifier in (REGEX, REGEX_NOCASE):
+        location.regex = compile_regex(pattern, modifier == REGEX_NOCASE, directive.args[-1].position)
+    location.nested = read_locations(directive.block or [], on_error)
+    for child in list(location.nested):
         try:
-            _within(made, each)
-        except ConfigSyntaxError as fault:
-            if kept is None:
+            _check_nesting(location, child)
+        except ConfigSyntaxError as error:
+            if on_error is None:
                 raise
-            kept(each.directive, fault)
-            made.nested.remove(each)
-    return made
-
-
-def _within(made: Location, each: Location) -> None:
-    """Raises SyntaxFault where `each` cannot stand in `made`."""
-    if made.modifier == EXACT:
-        raise ConfigSyntaxError(each.directive.position, f"a location within {made}, which is exact")
-    if NAMED in (made.modifier, each.modifier):
-        raise ConfigSyntaxError(each.directive.position, "named locations stand in the server alone")
-    if each.regex is None and made.regex is None and not each.pattern.startswith(made.pattern):
-        raise ConfigSyntaxError(each.directive.position, f"{each} is outside {made}")
-
-
-def read_locations(rows: list[Directive], kept: Kept | None = None) -> list[Location]:
-    """The locations of one block, in order; raises SyntaxFault, or hands it to `kept` and goes on."""
-    found: list[Location] = []
-    seen: dict[tuple[str, str], Location] = {}
-    for row in rows:
-        if row.name != "location":
+            on_error(child.directive, error)
+            location.nested.remove(child)
+    return location
+
+
+def _check_nesting(outer: Location, inner: Location) -> None:
+    """Raises ConfigSyntaxError if `inner` must not be nested in `outer`."""
+    if outer.modifier == EXACT:
+        raise ConfigSyntaxError(
+            inner.directive.position, f"a location cannot be nested in {outer}, which is exact"
+        )
+    if NAMED in (outer.modifier, inner.modifier):
+        raise ConfigSyntaxError(inner.directive.position, "named locations are only allowed at server level")
+    if inner.regex is None and outer.regex is None and not inner.pattern.startswith(outer.pattern):
+        raise ConfigSyntaxError(inner.directive.position, f"{inner} is outside {outer}")
+
+
+def read_locations(directives: list[Directive], on_error: ErrorHandler | None = None) -> list[Location]:
+    """The locations of one block, in order.
+
+    Raises ConfigSyntaxError, or passes it to `on_error` and goes on.
+    """
+    locations: list[Location] = []
+    by_key: dict[tuple[str, str], Location] = {}
+    for directive in directives:
+        if directive.name != "location":
             continue
         try:
-            made = read(row, kept)
-            # a prefix with and without `^~` is the same location
-            key = ("prefix" if made.modifier in (PREFIX, PRIORITY) else made.modifier, made.pattern)
-            if made.regex is None and key in seen:
+            location = read_location(directive, on_error)
+            # A prefix with and without `^~` is the same location.
+            key = (
+                "prefix" if location.modifier in (PREFIX, PRIORITY) else location.modifier,
+                location.pattern,
+            )
+            if location.regex is None and key in by_key:
                 raise ConfigSyntaxError(
-                    row.position, f"{made} stands twice, first at {seen[key].directive.position}"
+                    directive.position,
+                    f"{location} is defined twice, first at {by_key[key].directive.position}",
                 )
-        except ConfigSyntaxError as fault:
-            if kept is None:
+        except ConfigSyntaxError as error:
+            if on_error is None:
                 raise
-            kept(row, fault)
+            on_error(directive, error)
             continue
-        seen.setdefault(key, made)
-        found.append(made)
-    return found
+        by_key.setdefault(key, location)
+        locations.append(location)
+    return locations
 
 
 class LocationMatcher:
-    """The locations of one block; prefixes by length, so that the longest is found without trying all."""
+    """Finds the location of a URI among those of one block.
+
+    Prefixes are looked up by length, longest first, so that not every prefix is tried.
+    """
 
-    def __init__(self, rows: list[Location]) -> None:
-        self._exact = {row.pattern: row for row in rows if row.modifier == EXACT}
-        self._prefixes = {row.pattern: row for row in rows if row.modifier in (PREFIX, PRIORITY)}
+    def __init__(self, locations: list[Location]) -> None:
+        self._exact = {location.pattern: location for location in locations if location.modifier == EXACT}
+        self._prefixes = {
+            location.pattern: location for location in locations if location.modifier in (PREFIX, PRIORITY)
+        }
         self._lengths = sorted({len(pattern) for pattern in self._prefixes}, reverse=True)
-        self._regexes = [row for row in rows if row.regex is not None]
-        self._named = {row.pattern: row for row in rows if row.modifier == NAMED}
-        self._inner = {id(row): LocationMatcher(row.nested) for row in rows if row.nested}
+        self._regexes = [location for location in locations if location.regex is not None]
+        self._named = {location.pattern: location for location in locations if location.modifier == NAMED}
+        self._inner = {
+            id(location): LocationMatcher(location.nested) for location in locations if location.nested
+        }
 
     def named(self, name: str) -> Location | None:
+        """The named location `name`, with its `@`."""
         return self._named.get(name)
 
     def find(self, uri: str) -> Location | None:
-        """`uri`: normalized, without arguments."""
+        """The location that serves `uri`, which is normalized and has no arguments."""
         return self._find(uri)[0]
 
     def _find(self, uri: str) -> tuple[Location | None, bool]:
-        """The location, and whether the search ends with it (no outer regular expression may take over)."""
+        """The location, and whether the search ends with it (no outer regular expression may override it)."""
         if uri in self._exact:
             return self._exact[uri], True
         longest = None
@@ -149,11 +172,11 @@
                     return inner, True
         if longest is not None and longest.modifier == PRIORITY:
             return best, False
-        for row in self._regexes:
-            if row.matches(uri):
-                if id(row) in self._inner:
-                    inner, _ = self._inner[id(row)]._find(uri)
+        for location in self._regexes:
+            if location.matches(uri):
+                if id(location) in self._inner:
+                    inner, _ = self._inner[id(location)]._find(uri)
                     if inner is not None:
                         return inner, True
-                return row, True
+                return location, True
         return best, False
--- a/willowhook/nginx/plan.py
+++ b/willowhook/nginx/plan.py
@@ -1,7 +1,7 @@
-"""What an import decides: routes, hosts with tiers and weights, closed paths, a word on each directive.
+"""Plans an import: routes, endpoints with tiers and weights, closed paths, the outcome of each directive.
 
-No I/O.  Whatever could have an effect twice or send calls to hosts that never had them is refused, and left
-out of what is made; whatever is carried otherwise than it was is said.
+No I/O.  Whatever could execute a request twice, or send requests to endpoints that never received them, is
+refused and left out of the result; whatever is imported with a difference is reported.
 """
 
 from __future__ import annotations
@@ -13,50 +13,57 @@
 from dataclasses import dataclass, field
 
 from ..config.terms import ClosedTerms, Match, PathTerms, RouteTerms, Semantics
-from .flat import BELOW, PREFIX, REGEX, Entry, Flattener, differences
+from .flat import MATCH_BELOW, MATCH_PREFIX, MATCH_REGEX, Entry, Flattener, routing_differences
 from .setup import LocationConfig, NginxConfig, ServerBlock, Target, VariableMapping
 from .syntax import Directive
-from .upstreams import Server, Upstream
+from .upstreams import Upstream, UpstreamServer
 
 CARRIED, DIFFERS, NOT_CARRIED, REFUSED = "carried", "carried, differs", "not carried", "refused"
-MOST_ROUTES, MOST_WEIGHT = 64, 65_535
-AWAY = 503  # what calls get that would otherwise go where they must not
-KEYS = {"$remote_addr": "source_ip", "$binary_remote_addr": "source_ip", "$request_uri": "header::path"}
-CONSTANT = ("$server_name", "$server_addr", "$server_port")
-STRIP = re.compile(r"^\^(/[\w/.-]*)\(\.\*\)\$?$")
-PICKS = {"wheel": "wheel", "pair": "pair", "lottery": "lottery", "hash": "pair", "ip_hash": "pair"}
+MAX_ROUTES, MAX_WEIGHT = 64, 65_535
+UNAVAILABLE_STATUS = 503  # for requests whose endpoints are unknown or refused
+HASH_KEYS = {"$remote_addr": "source_ip", "$binary_remote_addr": "source_ip", "$request_uri": "header::path"}
+CONSTANT_VARIABLES = ("$server_name", "$server_addr", "$server_port")
+PREFIX_REWRITE_REGEX = re.compile(r"^\^(/[\w/.-]*)\(\.\*\)\$?$")
+ENDPOINT_PICKS = {"wheel": "wheel", "pair": "pair", "lottery": "lottery", "hash": "pair", "ip_hash": "pair"}
 
 
 class ImportPlanError(Exception):
-    """The configuration as a whole cannot become one service; the text says why and what would help."""
+    """The configuration as a whole cannot become one service; the message says why and what would help."""
 
 
 @dataclass(frozen=True, slots=True)
 class ImportOptions:
-    """What the operator says besides the configuration."""
+    """What the operator gives besides the configuration."""
 
-    server_name: str = ""  # the server's name
+    server_name: str = ""  # of the server to import
     mutating: tuple[str, ...] = ()
     repeatable: tuple[str, ...] = ()
-    keyed: tuple[tuple[str, int], ...] = ()  # with its window, ms
+    keyed: tuple[tuple[str, int], ...] = ()  # path and deduplication window, ms
     slo_ms: int = 1000
     zone: str = "here"
 
     def declared_paths(self) -> tuple[str, ...]:
+        """The paths whose semantics the operator gave."""
         return (*self.mutating, *self.repeatable, *(path for path, _ in self.keyed))
 
     def semantics(self, path: str) -> tuple[Semantics | None, int]:
-        """Of the longest declared path that holds this one; None: nobody spoke for it."""
-        rows: list[tuple[str, Semantics, int]] = [(each, "mutating", 0) for each in self.mutating]
-        rows += [(each, "repeatable", 0) for each in self.repeatable]
-        rows += [(each, "keyed", window) for each, window in self.keyed]
-        fits = [row for row in rows if path == row[0] or path.startswith(row[0].rstrip("/") + "/")]
-        return max(fits, key=lambda row: len(row[0]))[1:] if fits else (None, 0)
+        """Semantics and window of the longest declared path at or above `path`; None if there is none."""
+        candidates: list[tuple[str, Semantics, int]] = [
+            (declared, "mutating", 0) for declared in self.mutating
+        ]
+        candidates += [(declared, "repeatable", 0) for declared in self.repeatable]
+        candidates += [(declared, "keyed", window) for declared, window in self.keyed]
+        matching = [
+            candidate
+            for candidate in candidates
+            if path == candidate[0] or path.startswith(candidate[0].rstrip("/") + "/")
+        ]
+        return max(matching, key=lambda candidate: len(candidate[0]))[1:] if matching else (None, 0)
 
 
 @dataclass(slots=True)
-class Listed:
-    """A host as the list has it, and in what groups of hosts it serves."""
+class ListedEndpoint:
+    """An endpoint as the endpoint list has it, and the groups in which it serves."""
 
     address: str
     port: int
@@ -67,573 +74,681 @@
 
     @property
     def id(self) -> str:
+        """Address and port; names the endpoint in tables and in the endpoint list."""
         return f"{self.address}:{self.port}"
 
 
 @dataclass(slots=True)
 class Group:
-    """The hosts of one target, under a name."""
+    """The endpoints of one target, under a name."""
 
     name: str
     pick: str
-    by: str  # of a ring
-    rows: list[tuple[str, float, int, bool]]  # host, weight here, tier, draining
+    hash_by: str  # key of a consistent hash ring; empty without one
+    rows: list[tuple[str, float, int, bool]]  # endpoint, weight in this group, tier, draining
 
 
 @dataclass(frozen=True, slots=True)
-class Alike:
-    """What calls must have in common to be of one route."""
+class RouteKey:
+    """What paths must have in common to share one route."""
 
     group: str
     semantics: Semantics
-    window: int  # ms, of keyed ones
-    limit_ms: float
-    cap: float  # calls a second, 0: none
-    off: bool  # nothing is ever tried again
-    by: str  # of a ring
+    window_ms: int  # of keyed semantics
+    time_limit_ms: float
+    requests_per_s: float  # 0: no limit
+    retries_disabled: bool  # of `proxy_next_upstream off`
+    hash_by: str  # key of a consistent hash ring; empty without one
 
 
 class ImportPlan:
-    """Of one server of a configuration."""
+    """The import of one server of a configuration; made completely by the constructor."""
 
     def __init__(self, config: NginxConfig, options: ImportOptions) -> None:
         self.config, self.options = config, options
-        self.outcomes: dict[int, tuple[str, str]] = {}  # by directive
+        self.outcomes: dict[int, tuple[str, str]] = {}  # by directive: outcome and reason
         self.remarks: list[str] = []
-        self.dropped: set[int] = set()  # location directives of which nothing is carried
-        self.endpoints: dict[str, Listed] = {}
+        self.dropped_locations: set[int] = set()  # ids of location directives of which nothing is imported
+        self.endpoints: dict[str, ListedEndpoint] = {}
         self.groups: dict[str, Group] = {}
         self.routes: list[RouteTerms] = []
-        self.closed: list[ClosedTerms] = []
-        self.group_of: dict[str, str] = {}  # by route
-        self.dial_ms = self.cold_ms = self.strikes = 0
-        self.server_block = self._site()
-        self._used: set[str] = set()  # upstreams
-        self._primaries: set[str] = set()  # hosts that some route uses at once
-        self._scale: dict[str, float] = {}  # of an upstream's weights, so that splits come out
+        self.closed_paths: list[ClosedTerms] = []
+        self.group_of: dict[str, str] = {}  # group name by route name
+        self.connect_ms = self.slow_start_ms = self.max_failures = 0
+        self.server_block = self._select_server_block()
+        self._used_upstreams: set[str] = set()  # names of upstreams that some route uses
+        self._primary_endpoints: set[str] = set()  # endpoints that are no backups in some route
+        self._weight_scales: dict[
+            str, float
+        ] = {}  # factors of upstreams' weights that keep the shares of splits
         if self.server_block is not None:
-            self._all_places(self.server_block.locations)
+            self._record_locations(self.server_block.locations)
             self._scale_splits(self.server_block.locations)
-            self._declared()
-            entries = self._entries(self.server_block)
-            self._make_routes(entries)
-            self._make_hosts()
-        self._unused()
+            self._check_declared_paths()
+            entries = self._build_entries(self.server_block)
+            self._build_routes(entries)
+            self._finish_endpoints()
+        self._record_unused_upstreams()
 
-    # Which server.
+    # Choice of the server.
 
-    def _site(self) -> ServerBlock | None:
-        sites = self.config.server_blocks
+    def _select_server_block(self) -> ServerBlock | None:
+        server_blocks = self.config.server_blocks
         if self.options.server_name:
-            found = self.config.find_server_block(self.options.server_name)
+            selected = self.config.find_server_block(self.options.server_name)
         else:
-            passing = [site for site in sites if any(_passes(place) for place in site.locations)]
+            passing = [
+                server_block
+                for server_block in server_blocks
+                if any(_passes_requests(location) for location in server_block.locations)
+            ]
             if len(passing) > 1:
-                names = ", ".join(site.title() or f"line {site.block.position.line}" for site in passing)
+                names = ", ".join(
+                    server_block.title() or f"line {server_block.block.position.line}"
+                    for server_block in passing
+                )
                 text = "one service is one server, and here are several: name one with --host"
                 self.remarks.append(f"{text}: {names}")
-            found = passing[0] if passing else sites[0] if sites else None
-        for site in sites:
-            if site is not found:
-                named = f" {site.title()}" if site.title() else ""
-                self._tell_all(site.block, NOT_CARRIED, f"of another server:{named or ' without a name'}")
-        if found is not None and found.whole:
-            self._tell_all(found.block, NOT_CARRIED, f"line {found.whole}")
+            selected = passing[0] if passing else server_blocks[0] if server_blocks else None
+        for server_block in server_blocks:
+            if server_block is not selected:
+                named = f" {server_block.title()}" if server_block.title() else ""
+                self._record_subtree(
+                    server_block.block, NOT_CARRIED, f"of another server:{named or ' without a name'}"
+                )
+        if selected is not None and selected.unreachable_reason:
+            self._record_subtree(selected.block, NOT_CARRIED, f"line {selected.unreachable_reason}")
             return None
-        return found
+        return selected
 
     def server_ambiguity(self) -> str:
+        """The remark that several servers could be imported; empty if the choice is unique."""
         return next((text for text in self.remarks if text.startswith("one service is one")), "")
 
-    # Notes.
+    # Outcomes of directives.
 
-    def tell(self, row: Directive | None, what: str, why: str) -> None:
-        """The graver word stands; the same word gathers reasons."""
-        if row is None:
+    def record(self, directive: Directive | None, outcome: str, reason: str) -> None:
+        """Records a directive's outcome.
+
+        The most severe outcome wins; reasons of equal outcomes are joined.
+        """
+        if directive is None:
             return
-        grave = (CARRIED, DIFFERS, NOT_CARRIED, REFUSED)
-        old = self.outcomes.get(id(row))
-        if old is None or grave.index(what) > grave.index(old[0]):
-            self.outcomes[id(row)] = (what, why)
-        elif what == old[0] and why and why not in old[1]:
-            self.outcomes[id(row)] = (what, f"{old[1]}; {why}" if old[1] else why)
-
-    def _tell_all(self, row: Directive, what: str, why: str) -> None:
-        for each in row.walk():
-            self.outcomes[id(each)] = (what, why)
-
-    # Places.
-
-    def _all_places(self, places: Iterable[LocationConfig]) -> None:
-        for place in places:
-            self._tell_place(place)
-            self._all_places(place.nested)
-
-    def _tell_place(self, place: LocationConfig) -> None:
-        row = place.location.directive
-        if place.unsafe:
-            text = f"{place.unsafe}: its calls get {AWAY}, and no host"
-            self.tell(row, REFUSED, text)
-            self.dropped.add(id(row))
+        severity = (CARRIED, DIFFERS, NOT_CARRIED, REFUSED)
+        previous = self.outcomes.get(id(directive))
+        if previous is None or severity.index(outcome) > severity.index(previous[0]):
+            self.outcomes[id(directive)] = (outcome, reason)
+        elif outcome == previous[0] and reason and reason not in previous[1]:
+            self.outcomes[id(directive)] = (outcome, f"{previous[1]}; {reason}" if previous[1] else reason)
+
+    def _record_subtree(self, directive: Directive, outcome: str, reason: str) -> None:
+        for descendant in directive.walk():
+            self.outcomes[id(descendant)] = (outcome, reason)
+
+    # Locations.
+
+    def _record_locations(self, configs: Iterable[LocationConfig]) -> None:
+        for location_config in configs:
+            self._record_location(location_config)
+            self._record_locations(location_config.nested)
+
+    def _record_location(self, location_config: LocationConfig) -> None:
+        directive = location_config.location.directive
+        if location_config.unsafe_reason:
+            text = f"{location_config.unsafe_reason}: its calls get {UNAVAILABLE_STATUS}, and no host"
+            self.record(directive, REFUSED, text)
+            self.dropped_locations.add(id(directive))
             return
-        if place.location.modifier == "@":
-            self.tell(row, NOT_CARRIED, "no call asks for it by its path")
-            self.dropped.add(id(row))
+        if location_config.location.modifier == "@":
+            self.record(directive, NOT_CARRIED, "no call asks for it by its path")
+            self.dropped_locations.add(id(directive))
             return
-        if place.status and place.passes is not None:
-            self.tell(place.passes, NOT_CARRIED, "the location answers before it passes anything on")
-        if place.target is None and not place.status:
-            self.tell(
-                row, NOT_CARRIED, "it passes nothing on: its calls get 404, and no other location's hosts"
+        if location_config.status and location_config.proxy_pass is not None:
+            self.record(
+                location_config.proxy_pass, NOT_CARRIED, "the location answers before it passes anything on"
+            )
+        if location_config.target is None and not location_config.status:
+            self.record(
+                directive,
+                NOT_CARRIED,
+                "it passes nothing on: its calls get 404, and no other location's hosts",
             )
-        elif place.target is not None and place.target.unknown_reason:
-            self._drop(place, "where they go cannot be said")
-            self.tell(place.passes, NOT_CARRIED, place.target.unknown_reason)
-        elif place.target is not None:
-            parts = place.target.parts
-            missing = [n for n, _ in parts if n in self.config.broken or self.config.upstream(n) is None]
+        elif location_config.target is not None and location_config.target.unknown_reason:
+            self._drop_location(location_config, "where they go cannot be said")
+            self.record(location_config.proxy_pass, NOT_CARRIED, location_config.target.unknown_reason)
+        elif location_config.target is not None:
+            parts = location_config.target.parts
+            missing = [
+                n for n, _ in parts if n in self.config.invalid_upstreams or self.config.upstream(n) is None
+            ]
             if missing:
-                self.tell(place.passes, REFUSED, f"there is no upstream {missing[0]!r} that can be read")
-                place.target = Target(unknown_reason=f"no upstream {missing[0]!r}")
-                self._drop(place, f"there is no upstream {missing[0]!r}")
+                self.record(
+                    location_config.proxy_pass,
+                    REFUSED,
+                    f"there is no upstream {missing[0]!r} that can be read",
+                )
+                location_config.target = Target(unknown_reason=f"no upstream {missing[0]!r}")
+                self._drop_location(location_config, f"there is no upstream {missing[0]!r}")
             else:
-                self._tell_passes(place)
-            self._tell_limits(place)
-
-    def _drop(self, place: LocationConfig, why: str) -> None:
-        self.tell(place.location.directive, NOT_CARRIED, f"its calls get {AWAY}: {why}")
-        self.dropped.add(id(place.location.directive))
-
-    def _tell_passes(self, place: LocationConfig) -> None:
-        row, target = place.passes, place.target
-        assert row is not None and target is not None
-        if not row.arg(0).startswith("http://"):
-            self.tell(row, DIFFERS, "hosts are spoken to without TLS")
-        choice = target.mapping
+                self._record_proxy_pass(location_config)
+            self._record_rate_limits(location_config)
+
+    def _drop_location(self, location_config: LocationConfig, reason: str) -> None:
+        self.record(
+            location_config.location.directive, NOT_CARRIED, f"its calls get {UNAVAILABLE_STATUS}: {reason}"
+        )
+        self.dropped_locations.add(id(location_config.location.directive))
+
+    def _record_proxy_pass(self, location_config: LocationConfig) -> None:
+        directive, target = location_config.proxy_pass, location_config.target
+        assert directive is not None and target is not None
+        if not directive.arg(0).startswith("http://"):
+            self.record(directive, DIFFERS, "hosts are spoken to without TLS")
+        mapping = target.mapping
         for name, _ in target.parts:
             if name not in self.config.upstreams:
                 near = difflib.get_close_matches(name, self.config.upstreams, 1, 0.7)
                 meant = f"; is {near[0]!r} meant?" if near else ""
-                self.tell(row, CARRIED, f"no upstream is named {name!r}: a host of that address{meant}")
-        if choice is not None and choice.kind == "split":
-            self.tell(row, DIFFERS, "shares of calls: a caller may meet another share each time")
-            self.tell(choice.directive, DIFFERS, f"shares of calls, not of {choice.source}")
-            for _, _, each in choice.rows:
-                self.tell(each, CARRIED, "")
-        elif choice is not None:
-            self.tell(choice.directive, CARRIED, "")
-        self.tell(row, CARRIED, "")
-
-    def _tell_limits(self, place: LocationConfig) -> None:
-        for limit in place.proxy_settings.limits:
-            constant = "$" not in limit.key or limit.key in CONSTANT
+                self.record(
+                    directive, CARRIED, f"no upstream is named {name!r}: a host of that address{meant}"
+                )
+        if mapping is not None and mapping.kind == "split":
+            self.record(directive, DIFFERS, "shares of calls: a caller may meet another share each time")
+            self.record(mapping.directive, DIFFERS, f"shares of calls, not of {mapping.source}")
+            for _, _, entry in mapping.entries:
+                self.record(entry, CARRIED, "")
+        elif mapping is not None:
+            self.record(mapping.directive, CARRIED, "")
+        self.record(directive, CARRIED, "")
+
+    def _record_rate_limits(self, location_config: LocationConfig) -> None:
+        for limit in location_config.proxy_settings.limits:
+            constant = "$" not in limit.key or limit.key in CONSTANT_VARIABLES
             if constant:
-                text = f"a cap of {limit.per_s:g} calls/s at each proxy, not for all together"
-                self.tell(limit.directive, DIFFERS, text)
+                text = f"a cap of {limit.requests_per_s:g} calls/s at each proxy, not for all together"
+                self.record(limit.directive, DIFFERS, text)
             else:
                 text = f"no cap for each {limit.key}: under load routes are throttled by importance"
-                self.tell(limit.directive, NOT_CARRIED, text)
+                self.record(limit.directive, NOT_CARRIED, text)
 
-    def _declared(self) -> None:
-        site = self.server_block
-        assert site is not None
+    def _check_declared_paths(self) -> None:
+        server_block = self.server_block
+        assert server_block is not None
         for path in self.options.declared_paths():
-            if site.find_location(path) is None and site.find_location(path + "/x") is None:
+            if server_block.find_location(path) is None and server_block.find_location(path + "/x") is None:
                 self.remarks.append(f"{path}: no location serves it")
 
-    # Entries.
-
-    def _entries(self, site: ServerBlock) -> list[Entry]:
-        made = Flattener(site, self.options.declared_paths())
-        entries = made.entries()
-        for place, why in made.inexpressible:
-            text = f"the published expressions cannot say it: it {why}; its calls would go elsewhere"
-            self.tell(place.location.directive, REFUSED, text)
-            self.dropped.add(id(place.location.directive))
-        self._within_expressions(site.locations)
-        told = set[int]()
-        for uri, place, entry in differences(site, entries, self.options.declared_paths()):
-            row = place.location.directive
-            if id(row) in told or any(place is each for each, _ in made.inexpressible):
+    # Entries of the first-match list.
+
+    def _build_entries(self, server_block: ServerBlock) -> list[Entry]:
+        flattener = Flattener(server_block, self.options.declared_paths())
+        entries = flattener.entries()
+        for location_config, reason in flattener.inexpressible:
+            text = f"the published expressions cannot say it: it {reason}; its calls would go elsewhere"
+            self.record(location_config.location.directive, REFUSED, text)
+            self.dropped_locations.add(id(location_config.location.directive))
+        self._record_nested_in_regexes(server_block.locations)
+        recorded = set[int]()
+        for uri, location_config, entry in routing_differences(
+            server_block, entries, self.options.declared_paths()
+        ):
+            directive = location_config.location.directive
+            if id(directive) in recorded or any(
+                location_config is known for known, _ in flattener.inexpressible
+            ):
                 continue
-            told.add(id(row))
-            same = _goes(place) == _goes(entry.location_config)
+            recorded.add(id(directive))
+            same = _routing_effect(location_config) == _routing_effect(entry.location_config)
             text = f"{uri} falls to {entry.location_config.location} here"
-            self.tell(row, DIFFERS if same else REFUSED, text + (", which goes the same way" if same else ""))
+            self.record(
+                directive, DIFFERS if same else REFUSED, text + (", which goes the same way" if same else "")
+            )
         return entries
 
-    def _within_expressions(
-        self, places: Iterable[LocationConfig], around: LocationConfig | None = None
+    def _record_nested_in_regexes(
+        self, configs: Iterable[LocationConfig], enclosing: LocationConfig | None = None
     ) -> None:
-        """A list has no place for what stands within an expression: its calls go as the outer one's."""
-        for place in places:
-            if around is not None:
-                row, same = place.location.directive, _goes(place) == _goes(around)
+        """A list cannot express locations nested in a regex location: the outer one serves their requests."""
+        for location_config in configs:
+            if enclosing is not None:
+                directive, same = (
+                    location_config.location.directive,
+                    _routing_effect(location_config) == _routing_effect(enclosing),
+                )
                 if not same:
-                    self.dropped.add(id(row))
-                text = f"it stands within {around.location}: its calls go as those of that"
-                self.tell(row, DIFFERS if same else REFUSED, text)
-            inner = place if place.location.regex is not None else around
-            self._within_expressions(place.nested, inner)
+                    self.dropped_locations.add(id(directive))
+                text = f"it stands within {enclosing.location}: its calls go as those of that"
+                self.record(directive, DIFFERS if same else REFUSED, text)
+            nested_in = location_config if location_config.location.regex is not None else enclosing
+            self._record_nested_in_regexes(location_config.nested, nested_in)
 
-    def _semantics(self, entry: Entry) -> tuple[Semantics | None, int]:
+    def _entry_semantics(self, entry: Entry) -> tuple[Semantics | None, int]:
         location = entry.location_config.location
         if entry.declared:
             return self.options.semantics(entry.declared)
         if location.regex is not None:
-            hits = [path for path in self.options.mutating if _could(location.regex, path)]
-            if hits:
+            mutating = [path for path in self.options.mutating if _may_match(location.regex, path)]
+            if mutating:
                 return "mutating", 0
-            said = {
+            declared = {
                 self.options.semantics(path)
                 for path in self.options.declared_paths()
                 if location.regex.search(path)
             }
-            return said.pop() if len(said) == 1 else (None, 0)
+            return declared.pop() if len(declared) == 1 else (None, 0)
         return self.options.semantics(location.pattern.rstrip("/") or "/")
 
     # Routes.
 
-    def _make_routes(self, entries: list[Entry]) -> None:
-        rows: dict[Alike, list[PathTerms]] = {}
+    def _build_routes(self, entries: list[Entry]) -> None:
+        grouped: dict[RouteKey, list[PathTerms]] = {}
         for order, entry in enumerate(entries):
-            found = self._alike(entry)
-            match, at = _match(entry.match), min(order, 99_999)
-            if isinstance(found, int):
-                self.closed.append(ClosedTerms(path=entry.path, match=match, order=at, status=found))
+            route = self._route_key(entry)
+            match, order_number = _match_kind(entry.match), min(order, 99_999)
+            if isinstance(route, int):
+                self.closed_paths.append(
+                    ClosedTerms(path=entry.path, match=match, order=order_number, status=route)
+                )
             else:
-                like, rewrite = found
-                path = PathTerms(path=entry.path, match=match, order=at, rewrite=rewrite)
-                rows.setdefault(like, []).append(path)
-        if len(rows) > MOST_ROUTES:
-            text = f"{len(rows)} routes differ by hosts, semantics or limits, and {MOST_ROUTES} are served"
+                key, rewrite = route
+                path = PathTerms(path=entry.path, match=match, order=order_number, rewrite=rewrite)
+                grouped.setdefault(key, []).append(path)
+        if len(grouped) > MAX_ROUTES:
+            text = f"{len(grouped)} routes differ by hosts, semantics or limits, and {MAX_ROUTES} are served"
             raise ImportPlanError(f"{text}: import the servers one by one, or fewer locations")
         names = set[str]()
-        for like, paths in rows.items():
+        for key, paths in grouped.items():
             first, *more = paths
-            keyed = like.semantics == "keyed"
-            name = _name(
-                like.group if like.semantics == "mutating" else f"{like.group}-{like.semantics}", names
+            keyed = key.semantics == "keyed"
+            name = _unique_name(
+                key.group if key.semantics == "mutating" else f"{key.group}-{key.semantics}", names
             )
-            self.group_of[name] = like.group
+            self.group_of[name] = key.group
             self.routes.append(RouteTerms(
                 name=name, path=first.path, match=first.match, order=first.order, rewrite=first.rewrite,
-                more=tuple(more), hash_by=like.by, tries=0 if like.off else 3, most_per_s=like.cap,
-                slo_time_ms=min(self.options.slo_ms, like.limit_ms), time_limit_ms=like.limit_ms,
-                semantics=like.semantics, writes=like.semantics != "repeatable",
-                group="all" if keyed else "", window_ms=like.window if keyed else 0,
+                more=tuple(more), hash_by=key.hash_by, tries=0 if key.retries_disabled else 3,
+                most_per_s=key.requests_per_s,
+                slo_time_ms=min(self.options.slo_ms, key.time_limit_ms), time_limit_ms=key.time_limit_ms,
+                semantics=key.semantics, writes=key.semantics != "repeatable",
+                group="all" if keyed else "", window_ms=key.window_ms if keyed else 0,
             ))  # fmt: skip
         if self.routes:
             self.remarks.append(f"slo_time_ms is not in the source: {self.options.slo_ms} or the time limit")
             self.remarks.append("importance is not in the source: 1 for every route")
 
-    def _alike(self, entry: Entry) -> tuple[Alike, str] | int:
-        """What the entry's route must be, and what takes its path's place; or the status of a closed one."""
-        place, target = entry.location_config, entry.location_config.target
-        if place.unsafe or target is None or target.unknown_reason:
-            return place.status or (404 if target is None and not place.unsafe else AWAY)
-        rewrite = self._rewrite(place, entry, target)
+    def _route_key(self, entry: Entry) -> tuple[RouteKey, str] | int:
+        """The entry's route and the rewrite of its path; or the status with which the path is closed."""
+        location_config, target = entry.location_config, entry.location_config.target
+        if location_config.unsafe_reason or target is None or target.unknown_reason:
+            return location_config.status or (
+                404 if target is None and not location_config.unsafe_reason else UNAVAILABLE_STATUS
+            )
+        rewrite = self._prefix_rewrite(location_config, entry, target)
         if rewrite is None:
-            self._drop(place, "what hosts would be asked for cannot be said")
-            return AWAY
-        group = self._group([(entry.value, 1.0)] if entry.value else target.parts, place)
+            self._drop_location(location_config, "what hosts would be asked for cannot be said")
+            return UNAVAILABLE_STATUS
+        group = self._build_group(
+            [(entry.mapped_upstream, 1.0)] if entry.mapped_upstream else target.parts, location_config
+        )
         if group is None:
-            self._drop(place, "no host is left for them")
-            return AWAY
-        said, window = self._semantics(entry)
-        self._tell_retry(entry, said)
-        limits = place.proxy_settings.limits
-        caps = [limit.per_s for limit in limits if "$" not in limit.key or limit.key in CONSTANT]
-        like = Alike(group.name, said or "mutating", window, self._limit_ms(place), min(caps, default=0.0),
-                     place.proxy_settings.retry.off, group.by)  # fmt: skip
-        return like, rewrite
-
-    def _rewrite(self, place: LocationConfig, entry: Entry, target: Target) -> str | None:
-        """What stands in the place of the matched path; None if that cannot be said."""
-        location = place.location
-        rules = [row for row in location.directive.block or [] if row.name == "rewrite"]
+            self._drop_location(location_config, "no host is left for them")
+            return UNAVAILABLE_STATUS
+        semantics, window_ms = self._entry_semantics(entry)
+        self._record_retry(entry, semantics)
+        limits = location_config.proxy_settings.limits
+        rates = [
+            limit.requests_per_s
+            for limit in limits
+            if "$" not in limit.key or limit.key in CONSTANT_VARIABLES
+        ]
+        key = RouteKey(group.name, semantics or "mutating", window_ms,
+                     self._time_limit_ms(location_config), min(rates, default=0.0),
+                     location_config.proxy_settings.retry.disabled, group.hash_by)  # fmt: skip
+        return key, rewrite
+
+    def _prefix_rewrite(self, location_config: LocationConfig, entry: Entry, target: Target) -> str | None:
+        """What replaces the matched path, empty for nothing; None if that cannot be expressed."""
+        location = location_config.location
+        rewrites = [rewrite for rewrite in location.directive.block or [] if rewrite.name == "rewrite"]
         uri = target.uri
-        if rules:
-            row = rules[0]
-            told = STRIP.match(row.arg(0))
-            plain = told is not None and len(rules) == 1 and not uri and row.arg(1).endswith("$1")
-            if not plain or told is None or told[1] != location.pattern or "$" in row.arg(1)[:-2]:
-                self.tell(
-                    row, REFUSED, f"it changes what hosts are asked for in a way that cannot be said: {AWAY}"
+        if rewrites:
+            rewrite = rewrites[0]
+            match = PREFIX_REWRITE_REGEX.match(rewrite.arg(0))
+            is_supported = (
+                match is not None and len(rewrites) == 1 and not uri and rewrite.arg(1).endswith("$1")
+            )
+            if (
+                not is_supported
+                or match is None
+                or match[1] != location.pattern
+                or "$" in rewrite.arg(1)[:-2]
+            ):
+                self.record(
+                    rewrite,
+                    REFUSED,
+                    f"it changes what hosts are asked for in a way that cannot be said: {UNAVAILABLE_STATUS}",
                 )
                 return None
-            self.tell(row, CARRIED, "")
-            uri = row.arg(1)[:-2]
+            self.record(rewrite, CARRIED, "")
+            uri = rewrite.arg(1)[:-2]
         if not uri:
             return ""
-        if entry.match == REGEX:
-            self.tell(place.passes, REFUSED, f"an expression has no prefix to replace: its calls get {AWAY}")
+        if entry.match == MATCH_REGEX:
+            self.record(
+                location_config.proxy_pass,
+                REFUSED,
+                f"an expression has no prefix to replace: its calls get {UNAVAILABLE_STATUS}",
+            )
             return None
-        # a declared path, or one that a map selects, is longer than the prefix that is replaced
+        # A declared path, or one that a map selects, is longer than the prefix that is replaced.
         return uri + entry.path[len(location.pattern) :] if location.regex is None else None
 
-    def _limit_ms(self, place: LocationConfig) -> float:
-        manner = place.proxy_settings
-        within = manner.retry.timeout_ms
-        self.dial_ms = min(self.dial_ms or manner.connect_ms, manner.connect_ms)
-        return float(max(1, min(manner.read_ms, within) if within else manner.read_ms))
+    def _time_limit_ms(self, location_config: LocationConfig) -> float:
+        settings = location_config.proxy_settings
+        retry_timeout_ms = settings.retry.timeout_ms
+        self.connect_ms = min(self.connect_ms or settings.connect_ms, settings.connect_ms)
+        return float(
+            max(1, min(settings.read_ms, retry_timeout_ms) if retry_timeout_ms else settings.read_ms)
+        )
 
-    def _tell_retry(self, entry: Entry, said: Semantics | None) -> None:
-        retry, row = (
+    def _record_retry(self, entry: Entry, semantics: Semantics | None) -> None:
+        retry, directive = (
             entry.location_config.proxy_settings.retry,
             entry.location_config.proxy_settings.retry_from,
         )
-        if row is None:
+        if directive is None:
             return
         path = entry.declared or entry.location_config.location.pattern
-        if retry.off:
-            self.tell(row, CARRIED, "")
-        elif said == "mutating" and retry.non_idempotent and retry.may_run_twice():
-            after = ", ".join(retry.may_run_twice())
-            calls = self._mutating_under(entry) or path
-            text = f"calls of {calls} could have their effect twice after {after}"
-            self.tell(row, REFUSED, text)
-        elif said == "repeatable":
-            self.tell(
-                row, DIFFERS, f"{path}: after any failure, not only after {', '.join(retry.conditions)}"
+        if retry.disabled:
+            self.record(directive, CARRIED, "")
+        elif semantics == "mutating" and retry.non_idempotent and retry.retried_conditions():
+            conditions = ", ".join(retry.retried_conditions())
+            paths = self._mutating_paths(entry) or path
+            text = f"calls of {paths} could have their effect twice after {conditions}"
+            self.record(directive, REFUSED, text)
+        elif semantics == "repeatable":
+            self.record(
+                directive, DIFFERS, f"{path}: after any failure, not only after {', '.join(retry.conditions)}"
             )
         else:
-            why = "" if said else " (say --repeatable if they may run twice)"
+            why = "" if semantics else " (say --repeatable if they may run twice)"
             text = f"calls of {path} are tried once more only after proof that none ran{why}"
-            self.tell(row, DIFFERS, text)
+            self.record(directive, DIFFERS, text)
 
-    def _mutating_under(self, entry: Entry) -> str:
+    def _mutating_paths(self, entry: Entry) -> str:
         location = entry.location_config.location
         if location.regex is not None:
-            return ", ".join(path for path in self.options.mutating if _could(location.regex, path))
+            return ", ".join(path for path in self.options.mutating if _may_match(location.regex, path))
         return entry.declared or ", ".join(
             path for path in self.options.mutating if location.pattern.startswith(path)
         )
 
-    # Groups and hosts.
+    # Groups and endpoints.
+
+    def _scale_splits(self, configs: Iterable[LocationConfig]) -> None:
+        """Brings the weights of upstreams that share requests to one scale.
 
-    def _scale_splits(self, places: Iterable[LocationConfig]) -> None:
-        """A host has one weight in the list: those of upstreams that share calls are brought to one scale."""
-        for place in places:
-            target = place.target
+        An endpoint has one weight in the endpoint list, whatever the route.
+        """
+        for location_config in configs:
+            target = location_config.target
             for name, _ in target.parts if target is not None and not target.unknown_reason else ():
                 upstream = self.config.upstream(name)
-                rows = upstream.primaries() if upstream is not None else []
-                self._primaries.update(f"{server.address}:{server.port}" for server in rows)
+                primaries = upstream.primaries() if upstream is not None else []
+                self._primary_endpoints.update(f"{server.address}:{server.port}" for server in primaries)
             if (
                 target is not None
                 and not target.unknown_reason
                 and len(target.parts) > 1
-                and not place.unsafe
+                and not location_config.unsafe_reason
             ):
                 self._scale_split(target)
-            self._scale_splits(place.nested)
+            self._scale_splits(location_config.nested)
 
     def _scale_split(self, target: Target) -> None:
-        wanted = {}
+        scales = {}
         for name, share in target.parts:
             upstream = self.config.upstream(name)
             if upstream is not None and share > 0:
                 total = sum(server.weight for server in upstream.primaries() or upstream.backups()) or 1
-                wanted[name] = share / total * 1000
-        before = [name for name in wanted if name in self._scale]
-        factor = self._scale[before[0]] / wanted[before[0]] if before else 1.0
-        for name, scale in wanted.items():
-            if name not in self._scale:
-                self._scale[name] = scale * factor
-            elif not math.isclose(self._scale[name], scale * factor) and target.mapping is not None:
+                scales[name] = share / total * 1000
+        scaled = [name for name in scales if name in self._weight_scales]
+        factor = self._weight_scales[scaled[0]] / scales[scaled[0]] if scaled else 1.0
+        for name, scale in scales.items():
+            if name not in self._weight_scales:
+                self._weight_scales[name] = scale * factor
+            elif not math.isclose(self._weight_scales[name], scale * factor) and target.mapping is not None:
                 text = f"{name} stands in two splits that differ: a host has one weight for all routes"
-                self.tell(target.mapping.directive, DIFFERS, text)
+                self.record(target.mapping.directive, DIFFERS, text)
 
-    def _group(self, parts: list[tuple[str, float]], place: LocationConfig) -> Group | None:
+    def _build_group(self, parts: list[tuple[str, float]], location_config: LocationConfig) -> Group | None:
         parts = [(name, share) for name, share in parts if share > 0]
         key = " ".join(f"{name}={share:.4f}" if len(parts) > 1 else name for name, share in parts)
         if key in self.groups:
             return self.groups[key]
-        found: list[Upstream] = []
+        upstreams: list[Upstream] = []
         for name, _ in parts:
             upstream = self.config.upstream(name)
             if upstream is None:
-                self.tell(place.passes, REFUSED, f"there is no upstream {name!r} that can be read")
+                self.record(
+                    location_config.proxy_pass, REFUSED, f"there is no upstream {name!r} that can be read"
+                )
                 return None
-            found.append(upstream)
-            self._used.add(name)
-        rows: dict[str, tuple[str, float, int, bool]] = {}
-        ranked = all(any(not s.backup for s in upstream.servers) for upstream in found)
-        for (name, share), upstream in zip(parts, found, strict=True):
+            upstreams.append(upstream)
+            self._used_upstreams.add(name)
+        members: dict[str, tuple[str, float, int, bool]] = {}
+        has_primaries = all(any(not s.backup for s in upstream.servers) for upstream in upstreams)
+        for (name, share), upstream in zip(parts, upstreams, strict=True):
             total = sum(server.weight for server in upstream.primaries() or upstream.backups()) or 1
             for server in upstream.servers:
-                own = server.weight * share / total * 1000 if len(parts) > 1 else float(server.weight)
-                self._server(server, rows, server.weight * self._scale.get(name, 1.0), ranked, own)
-        if not rows:
+                group_weight = (
+                    server.weight * share / total * 1000 if len(parts) > 1 else float(server.weight)
+                )
+                self._add_server(
+                    server,
+                    members,
+                    server.weight * self._weight_scales.get(name, 1.0),
+                    has_primaries,
+                    group_weight,
+                )
+        if not members:
             return None
-        taken = {group.name for group in self.groups.values()}
-        name = _name("-".join(name for name, _ in parts), taken)
-        by = self._ring(found)
-        pick = PICKS[found[0].pick] if len({up.pick for up in found}) == 1 else "pair"
-        made = self.groups[key] = Group(name, pick, by, list(rows.values()))
-        return made
-
-    def _ring(self, found: list[Upstream]) -> str:
-        """The key of a ring, as proxies have it; empty without one."""
-        by = ""
-        for upstream in found:
-            rows = [row for row in upstream.directive.block or [] if row.name in ("hash", "ip_hash")]
-            if not rows:
+        taken_names = {existing.name for existing in self.groups.values()}
+        name = _unique_name("-".join(name for name, _ in parts), taken_names)
+        hash_by = self._ring_key(upstreams)
+        pick = (
+            ENDPOINT_PICKS[upstreams[0].load_balancing]
+            if len({up.load_balancing for up in upstreams}) == 1
+            else "pair"
+        )
+        group = self.groups[key] = Group(name, pick, hash_by, list(members.values()))
+        return group
+
+    def _ring_key(self, upstreams: list[Upstream]) -> str:
+        """The hash key in the form that proxies read; empty without a consistent hash ring."""
+        hash_by = ""
+        for upstream in upstreams:
+            hash_directives = [
+                directive
+                for directive in upstream.directive.block or []
+                if directive.name in ("hash", "ip_hash")
+            ]
+            if not hash_directives:
                 continue
-            by = _key(upstream.key)
-            where = "the same spread; which key goes where differs"
-            if not by:
-                self.tell(
-                    rows[0],
+            hash_by = _hash_key(upstream.hash_key)
+            difference = "the same spread; which key goes where differs"
+            if not hash_by:
+                self.record(
+                    hash_directives[0],
                     NOT_CARRIED,
-                    f"proxies have no key {upstream.key!r}: the less loaded of two hosts",
+                    f"proxies have no key {upstream.hash_key!r}: the less loaded of two hosts",
                 )
-            elif len(found) > 1:
-                self.tell(rows[0], DIFFERS, "where calls are split first: the less loaded of two hosts")
-                by = ""
-            elif upstream.ring:
-                self.tell(rows[0], DIFFERS, f"a ring by {by}: {where}")
+            elif len(upstreams) > 1:
+                self.record(
+                    hash_directives[0], DIFFERS, "where calls are split first: the less loaded of two hosts"
+                )
+                hash_by = ""
+            elif upstream.consistent_hash:
+                self.record(hash_directives[0], DIFFERS, f"a ring by {hash_by}: {difference}")
             else:
-                self.tell(rows[0], DIFFERS, f"a ring by {by}: {where}, and fewer move when hosts change")
-        return by
+                self.record(
+                    hash_directives[0],
+                    DIFFERS,
+                    f"a ring by {hash_by}: {difference}, and fewer move when hosts change",
+                )
+        return hash_by
 
-    def _server(
+    def _add_server(
         self,
-        server: Server,
-        rows: dict[str, tuple[str, float, int, bool]],
+        server: UpstreamServer,
+        members: dict[str, tuple[str, float, int, bool]],
         weight: float,
-        ranked: bool,
-        own: float,
+        has_primaries: bool,
+        group_weight: float,
     ) -> None:
-        tier = 1 if server.backup and ranked else 0
-        name, row = f"{server.address}:{server.port}", server.directive
-        if tier and name in self._primaries:
-            self.tell(
-                row, NOT_CARRIED, f"{name} is no backup for another upstream, and a host is one or the other"
+        tier = 1 if server.backup and has_primaries else 0
+        name, directive = f"{server.address}:{server.port}", server.directive
+        if tier and name in self._primary_endpoints:
+            self.record(
+                directive,
+                NOT_CARRIED,
+                f"{name} is no backup for another upstream, and a host is one or the other",
             )
             return
-        if name in rows:
-            old = rows[name]
-            rows[name] = (name, old[1] + own, min(old[2], tier), old[3] and server.down)
-            self.tell(row, DIFFERS, f"{name} stands twice: one host with both weights")
+        if name in members:
+            previous = members[name]
+            members[name] = (
+                name,
+                previous[1] + group_weight,
+                min(previous[2], tier),
+                previous[3] and server.down,
+            )
+            self.record(directive, DIFFERS, f"{name} stands twice: one host with both weights")
             return
-        known = self.endpoints.get(name)
-        if known is not None and not math.isclose(known.weight, weight):
-            self.tell(row, DIFFERS, f"{name} has one weight for all routes, {known.weight:g}")
-        if known is not None and known.draining != server.down:
-            self.tell(row, DIFFERS, f"{name} is down for one upstream and is used by none")
-            known.draining = True
-        if known is None:
-            known = Listed(server.address, server.port, weight, tier, server.down)
-            self.endpoints[name] = known
-        rows[name] = (name, own, tier, known.draining)
-        self._tell_server(server)
-
-    def _tell_server(self, server: Server) -> None:
-        row, notes = server.directive, []
+        endpoint = self.endpoints.get(name)
+        if endpoint is not None and not math.isclose(endpoint.weight, weight):
+            self.record(directive, DIFFERS, f"{name} has one weight for all routes, {endpoint.weight:g}")
+        if endpoint is not None and endpoint.draining != server.down:
+            self.record(directive, DIFFERS, f"{name} is down for one upstream and is used by none")
+            endpoint.draining = True
+        if endpoint is None:
+            endpoint = ListedEndpoint(server.address, server.port, weight, tier, server.down)
+            self.endpoints[name] = endpoint
+        members[name] = (name, group_weight, tier, endpoint.draining)
+        self._record_server(server)
+
+    def _record_server(self, server: UpstreamServer) -> None:
+        directive, differences = server.directive, []
         if server.down:
-            self.tell(row, CARRIED, "listed as draining")
+            self.record(directive, CARRIED, "listed as draining")
         if server.backup:
-            notes.append("serves only when no other host of its upstream is open and answers, and 5 s longer")
+            differences.append(
+                "serves only when no other host of its upstream is open and answers, and 5 s longer"
+            )
         if server.max_conns:
-            notes.append(f"max_conns {server.max_conns}: no cap on connections; levels bound calls")
+            differences.append(f"max_conns {server.max_conns}: no cap on connections; levels bound calls")
         if server.slow_start_ms:
-            self.cold_ms = max(self.cold_ms, server.slow_start_ms)
-            notes.append("slow_start: the longest is the ramp of all cold hosts, rules.cold_ms")
+            self.slow_start_ms = max(self.slow_start_ms, server.slow_start_ms)
+            differences.append("slow_start: the longest is the ramp of all cold hosts, rules.cold_ms")
         if server.max_fails != 1 or server.fail_timeout_ms != 10_000:
             if server.max_fails > 1:
-                self.strikes = min(self.strikes or server.max_fails, server.max_fails)
-            notes.append(
+                self.max_failures = min(self.max_failures or server.max_fails, server.max_fails)
+            differences.append(
                 "max_fails, fail_timeout: the fewest are fleet.strikes; how long is the proxies' own"
             )
-        self.tell(row, DIFFERS if notes else CARRIED, "; ".join(notes))
+        self.record(directive, DIFFERS if differences else CARRIED, "; ".join(differences))
 
-    def _make_hosts(self) -> None:
+    def _finish_endpoints(self) -> None:
         for group in self.groups.values():
             for name, *_ in group.rows:
                 self.endpoints[name].groups.append(group.name)
-        most = max((host.weight for host in self.endpoints.values()), default=1.0)
-        factor = MOST_WEIGHT / most if most > MOST_WEIGHT else 1.0
-        for host in self.endpoints.values():
-            wanted = host.weight * factor
-            host.weight = max(1, round(wanted))
-            if wanted < 0.95:
-                text = f"its weight would round away: {wanted:.2g} becomes 1"
-                self.remarks.append(f"{host.id}: {text}")
+        max_weight = max((endpoint.weight for endpoint in self.endpoints.values()), default=1.0)
+        factor = MAX_WEIGHT / max_weight if max_weight > MAX_WEIGHT else 1.0
+        for endpoint in self.endpoints.values():
+            scaled = endpoint.weight * factor
+            endpoint.weight = max(1, round(scaled))
+            if scaled < 0.95:
+                text = f"its weight would round away: {scaled:.2g} becomes 1"
+                self.remarks.append(f"{endpoint.id}: {text}")
         if self.groups and len({group.pick for group in self.groups.values()}) > 1:
-            self.remarks.append(f"upstreams pick differently, and a fleet has one way: {self.pick()}")
+            self.remarks.append(f"upstreams pick differently, and a fleet has one way: {self.fleet_pick()}")
 
-    def kinds(self) -> dict[str, str]:
-        """By host its kind: hosts that serve in the same groups are of one."""
-        names, taken, found = dict[tuple[str, ...], str](), set[str](), dict[str, str]()
-        for host in self.endpoints.values():
-            key = tuple(host.groups)
+    def endpoint_classes(self) -> dict[str, str]:
+        """The endpoint class by endpoint: endpoints that serve in the same groups share a class."""
+        names, taken_names, classes = dict[tuple[str, ...], str](), set[str](), dict[str, str]()
+        for endpoint in self.endpoints.values():
+            key = tuple(endpoint.groups)
             if key not in names:
-                names[key] = _name("_".join(key) or "unused", taken)
-            found[host.id] = names[key]
-        return found
+                names[key] = _unique_name("_".join(key) or "unused", taken_names)
+            classes[endpoint.id] = names[key]
+        return classes
 
-    def pick(self) -> str:
+    def fleet_pick(self) -> str:
+        """The load balancing method of most groups, as `fleet.pick` names it."""
         picks = [group.pick for group in self.groups.values()] or ["pair"]
         return max(("pair", "wheel", "lottery"), key=picks.count)
 
-    def weighted(self) -> bool:
-        return len({host.weight for host in self.endpoints.values()}) > 1
+    def has_unequal_weights(self) -> bool:
+        """Whether endpoints differ in weight."""
+        return len({endpoint.weight for endpoint in self.endpoints.values()}) > 1
 
-    # What nobody uses.
+    # Unused directives.
 
-    def _unused(self) -> None:
+    def _record_unused_upstreams(self) -> None:
         used = {
-            id(self.config.upstreams[name].directive) for name in self._used if name in self.config.upstreams
+            id(self.config.upstreams[name].directive)
+            for name in self._used_upstreams
+            if name in self.config.upstreams
         }
         for upstream in self.config.upstreams.values():
             if id(upstream.directive) not in used:
-                for each in upstream.directive.walk():
-                    self.outcomes.setdefault(id(each), (NOT_CARRIED, "no route leads to this upstream"))
-        for choice in self.config.choices.values():
-            self._unused_choice(choice)
-
-    def _unused_choice(self, choice: VariableMapping) -> None:
-        if id(choice.directive) not in self.outcomes:
-            why = "no carried route goes by it"
-            for each in choice.directive.walk():
-                self.outcomes.setdefault(id(each), (NOT_CARRIED, why))
-        for each in choice.directive.walk():
-            self.outcomes.setdefault(id(each), (CARRIED, ""))
-
-
-def _passes(place: LocationConfig) -> bool:
-    return place.target is not None or any(_passes(each) for each in place.nested)
+                for descendant in upstream.directive.walk():
+                    self.outcomes.setdefault(id(descendant), (NOT_CARRIED, "no route leads to this upstream"))
+        for mapping in self.config.mappings.values():
+            self._record_unused_mapping(mapping)
+
+    def _record_unused_mapping(self, mapping: VariableMapping) -> None:
+        if id(mapping.directive) not in self.outcomes:
+            reason = "no carried route goes by it"
+            for descendant in mapping.directive.walk():
+                self.outcomes.setdefault(id(descendant), (NOT_CARRIED, reason))
+        for descendant in mapping.directive.walk():
+            self.outcomes.setdefault(id(descendant), (CARRIED, ""))
+
+
+def _passes_requests(location_config: LocationConfig) -> bool:
+    return location_config.target is not None or any(
+        _passes_requests(nested) for nested in location_config.nested
+    )
 
 
-def _goes(place: LocationConfig) -> object:
-    """What a location comes to for its calls."""
-    target = place.target
-    if place.unsafe or target is None or target.unknown_reason:
-        return (place.status, place.unsafe, target is None)
-    retry = place.proxy_settings.retry
-    told = (tuple(retry.conditions), retry.non_idempotent, retry.tries)
-    return tuple(target.parts), target.uri, place.proxy_settings.read_ms, told
+def _routing_effect(location_config: LocationConfig) -> object:
+    """Everything about a location that decides how its requests are served, for comparison."""
+    target = location_config.target
+    if location_config.unsafe_reason or target is None or target.unknown_reason:
+        return (location_config.status, location_config.unsafe_reason, target is None)
+    retry = location_config.proxy_settings.retry
+    retry_settings = (tuple(retry.conditions), retry.non_idempotent, retry.max_attempts)
+    return tuple(target.parts), target.uri, location_config.proxy_settings.read_ms, retry_settings
 
 
-def _match(kind: str) -> Match:
-    found: dict[str, Match] = {BELOW: "below", PREFIX: "prefix", REGEX: "regex"}
-    return found.get(kind, "exact")
+def _match_kind(kind: str) -> Match:
+    kinds: dict[str, Match] = {MATCH_BELOW: "below", MATCH_PREFIX: "prefix", MATCH_REGEX: "regex"}
+    return kinds.get(kind, "exact")
 
 
-def _could(regex: re.Pattern[str], path: str) -> bool:
-    """Whether calls of a path, or below it, may match."""
-    return any(regex.search(each) for each in (path, path + "/", path + "/x", path + "/1.json"))
+def _may_match(regex: re.Pattern[str], path: str) -> bool:
+    """Whether requests at a path or below it may match."""
+    return any(regex.search(candidate) for candidate in (path, path + "/", path + "/x", path + "/1.json"))
 
 
-def _key(text: str) -> str:
-    if text in KEYS:
-        return KEYS[text]
-    found = re.fullmatch(r"\$(http|arg|cookie)_(\w+)", text)
-    if found is None:
+def _hash_key(text: str) -> str:
+    if text in HASH_KEYS:
+        return HASH_KEYS[text]
+    match = re.fullmatch(r"\$(http|arg|cookie)_(\w+)", text)
+    if match is None:
         return ""
-    kind, name = found.groups()
+    kind, name = match.groups()
     return (
         f"header:{name.replace('_', '-')}"
         if kind == "http"
@@ -641,11 +756,11 @@
     )
 
 
-def _name(text: str, taken: set[str]) -> str:
-    """A name of the configuration's form that is not taken."""
-    made = re.sub(r"[^A-Za-z0-9_.-]", "-", text).lstrip("_.-")[:56] or "route"
-    name, k = made, 2
+def _unique_name(text: str, taken: set[str]) -> str:
+    """A valid name made of `text` that is not taken; it is added to `taken`."""
+    base = re.sub(r"[^A-Za-z0-9_.-]", "-", text).lstrip("_.-")[:56] or "route"
+    name, suffix = base, 2
     while name in taken:
-        name, k = f"{made}-{k}", k + 1
+        name, suffix = f"{base}-{suffix}", suffix + 1
     taken.add(name)
     return name
--- a/willowhook/nginx/syntax.py
+++ b/willowhook/nginx/syntax.py
@@ -1,8 +1,8 @@
-"""The configuration language as a tree of directives, each with its place; errors with line and caret.
+"""Parser of nginx configuration files: a tree of directives with source positions.
 
-A directive is words and then `;` or a block.  A word is bare, or quoted with `"` or `'`; a backslash takes
-the next character as it is; `${name}` may stand within a word; `#` begins a comment where a word may begin.
-Files that are included are read in place, in the order of their names; one that includes itself is an error.
+A directive is a list of words followed by `;` or a block.  A word is unquoted, or quoted with `"` or `'`; a
+backslash escapes the next character; `${name}` may occur within a word; `#` begins a comment where a word
+may begin.  Included files are read in place of `include`, sorted by name; an include cycle is an error.
 """
 
 from __future__ import annotations
@@ -16,16 +16,17 @@
 
 from lark import Lark, Token, Transformer, UnexpectedInput, v_args
 
-MOST_BYTES = 64 << 20  # of all files together
-MOST_DEPTH = 100  # blocks within blocks
-MOST_FILES = 10_000
-
-DOUBLE = r'"(?:[^"\\]|\\.)*+"(?=[\s;{}#]|$)'
-SINGLE = r"'(?:[^'\\]|\\.)*+'(?=[\s;{}#]|$)"
-BARE = r'(?:[^\s;{}"\'\\#$]|\\.|\$\{[^}\s]*\}|\$)(?:[^\s;{}\\$]|\\.|\$\{[^}\s]*\}|\$)*+'
-WORD = f"(?:{DOUBLE}|{SINGLE}|{BARE})"
-GAP = r"(?:\s|#[^\n]*\n)++"
-# the words of a directive are one token, taken apart when it is met: a token a word takes three times as long
+MAX_TOTAL_BYTES = 64 << 20  # of all files together
+MAX_BLOCK_DEPTH = 100  # levels of nested blocks
+MAX_FILES = 10_000
+
+DOUBLE_QUOTED = r'"(?:[^"\\]|\\.)*+"(?=[\s;{}#]|$)'
+SINGLE_QUOTED = r"'(?:[^'\\]|\\.)*+'(?=[\s;{}#]|$)"
+UNQUOTED = r'(?:[^\s;{}"\'\\#$]|\\.|\$\{[^}\s]*\}|\$)(?:[^\s;{}\\$]|\\.|\$\{[^}\s]*\}|\$)*+'
+WORD = f"(?:{DOUBLE_QUOTED}|{SINGLE_QUOTED}|{UNQUOTED})"
+WORD_SEPARATOR = r"(?:\s|#[^\n]*\n)++"
+# All words of a directive are one token that the transformer splits: one token per word takes three times as
+# long to parse.
 GRAMMAR = (
     r"""
 start: item*
@@ -36,13 +37,15 @@
 %ignore WS
 %ignore COMMENT
 """
-    + f"WORDS: /{WORD}(?:{GAP}{WORD})*+/s\n"
+    + f"WORDS: /{WORD}(?:{WORD_SEPARATOR}{WORD})*+/s\n"
 )
-_brace = re.compile(r"[{}]")
-_word = re.compile(f"({WORD})(?:{GAP})?", re.DOTALL)
+_BRACE = re.compile(r"[{}]")
+_WORD_REGEX = re.compile(f"({WORD})(?:{WORD_SEPARATOR})?", re.DOTALL)
 
 
 class SourcePosition(NamedTuple):
+    """File, line and column; line and column count from 1."""
+
     file: str
     line: int
     column: int
@@ -52,59 +55,69 @@
 
 
 class Word(NamedTuple):
-    text: str  # without quotes, escapes taken
+    """One word of a directive."""
+
+    text: str  # without quotes, escapes resolved
     position: SourcePosition
     quoted: bool = False
 
 
 @dataclass(slots=True)
 class Directive:
+    """A directive with its arguments and, if it has one, its block."""
+
     name: str
     args: list[Word]
     position: SourcePosition
     block: list[Directive] | None = None
 
-    def arg(self, k: int, default: str = "") -> str:
-        return self.args[k].text if k < len(self.args) else default
+    def arg(self, index: int, default: str = "") -> str:
+        """The text of argument `index`, or `default` if there are fewer arguments."""
+        return self.args[index].text if index < len(self.args) else default
 
     def walk(self) -> Iterator[Directive]:
+        """Yields the directive and all directives below it, in the order of the file."""
         yield self
-        for each in self.block or ():
-            yield from each.walk()
+        for child in self.block or ():
+            yield from child.walk()
 
 
 class ConfigSyntaxError(Exception):
-    """What is wrong, where, and the line with a caret under the place."""
+    """A syntax error: its position, its cause, and the source line with a caret under the column."""
 
     def __init__(self, position: SourcePosition, cause: str, line: str = "") -> None:
-        text = line[:200].replace("\t", " ")
-        shown = f"\n  {text}\n  {' ' * (min(position.column, 200) - 1)}^" if line else ""
-        super().__init__(f"{position}: {cause}{shown}")
+        source = line[:200].replace("\t", " ")
+        excerpt = f"\n  {source}\n  {' ' * (min(position.column, 200) - 1)}^" if line else ""
+        super().__init__(f"{position}: {cause}{excerpt}")
         self.position, self.cause = position, cause
 
 
-def unquoted(raw: str) -> tuple[str, bool]:
-    """A word as it is meant, and whether it was quoted."""
+def unquote(raw: str) -> tuple[str, bool]:
+    """The text of a word without quotes and escapes, and whether it was quoted."""
     quoted = raw[:1] in "\"'" and len(raw) > 1 and raw[-1] == raw[0]
     text = raw[1:-1] if quoted else raw
     if "\\" not in text:
         return text, quoted
-    found, k = [], 0
-    while k < len(text):
-        if text[k] == "\\" and k + 1 < len(text):
-            # as the language has it: \" \' \\ and \t \r \n are taken, any other backslash stays
-            nxt = text[k + 1]
-            found.append({"t": "\t", "r": "\r", "n": "\n"}.get(nxt, nxt if nxt in "\"'\\" else "\\" + nxt))
-            k += 2
+    characters, index = [], 0
+    while index < len(text):
+        if text[index] == "\\" and index + 1 < len(text):
+            # As in nginx: \" \' \\ \t \r \n are escapes, any other backslash stays.
+            escaped = text[index + 1]
+            characters.append(
+                {"t": "\t", "r": "\r", "n": "\n"}.get(
+                    escaped, escaped if escaped in "\"'\\" else "\\" + escaped
+                )
+            )
+            index += 2
         else:
-            found.append(text[k])
-            k += 1
-    return "".join(found), quoted
+            characters.append(text[index])
+            index += 1
+    return "".join(characters), quoted
 
 
 @v_args(inline=True)
-class _Tree(Transformer[Token, Any]):
-    """Directives as they are met; `file` is that which is being read."""
+class _DirectiveTransformer(Transformer[Token, Any]):
+    """Builds directives from tokens; `file` names the file being parsed."""
 
     file = "-"
 
@@ -120,129 +133,142 @@
 
     def _words(self, token: Token) -> list[Word]:
         text, line, column = str(token), token.line or 0, token.column or 0
-        found, seen, start = [], 0, 1 - column  # `start`: where the line would begin, in this text
-        for each in _word.finditer(text):
-            at = each.start()
-            if "\n" in text[seen:at]:
-                line += text.count("\n", seen, at)
-                start = text.rfind("\n", seen, at) + 1
-            seen = at
-            raw = each.group(1)
-            meant, quoted = unquoted(raw) if raw[0] in "\"'" or "\\" in raw else (raw, False)
-            found.append(Word(meant, SourcePosition(self.file, line, at - start + 1), quoted))
-        return found
-
-
-_tree = _Tree()
-_parser = Lark(GRAMMAR, parser="lalr", lexer="basic", propagate_positions=False, transformer=_tree)
-Read = Callable[[str], bytes]
-
-
-def text_of(data: bytes, file: str) -> str:
-    """Raises SyntaxFault where it is no UTF-8; a byte-order mark is taken off."""
+        words, previous, line_start = [], 0, 1 - column  # offset of the line's first column
+        for match in _WORD_REGEX.finditer(text):
+            offset = match.start()
+            if "\n" in text[previous:offset]:
+                line += text.count("\n", previous, offset)
+                line_start = text.rfind("\n", previous, offset) + 1
+            previous = offset
+            raw = match.group(1)
+            unquoted, quoted = unquote(raw) if raw[0] in "\"'" or "\\" in raw else (raw, False)
+            words.append(Word(unquoted, SourcePosition(self.file, line, offset - line_start + 1), quoted))
+        return words
+
+
+_transformer = _DirectiveTransformer()
+_parser = Lark(GRAMMAR, parser="lalr", lexer="basic", propagate_positions=False, transformer=_transformer)
+FileReader = Callable[[str], bytes]
+
+
+def decode_text(data: bytes, file: str) -> str:
+    """Decodes a file and drops a byte-order mark; raises ConfigSyntaxError for invalid UTF-8."""
     if data.startswith(b"\xef\xbb\xbf"):
         data = data[3:]
     try:
         return data.decode()
-    except UnicodeDecodeError as fault:
-        before = data[: fault.start]
+    except UnicodeDecodeError as error:
+        before = data[: error.start]
         line = before.count(b"\n") + 1
-        column = fault.start - (before.rfind(b"\n") + 1) + 1
+        column = error.start - (before.rfind(b"\n") + 1) + 1
         raise ConfigSyntaxError(
-            SourcePosition(file, line, column), f"no UTF-8: byte 0x{data[fault.start]:02x}"
-        ) from fault
+            SourcePosition(file, line, column), f"invalid UTF-8: byte 0x{data[error.start]:02x}"
+        ) from error
 
 
 def parse(text: str, file: str = "-") -> list[Directive]:
-    """One file's directives; raises SyntaxFault."""
-    depth = most = 0
-    if text.count("{") > MOST_DEPTH:  # cheap, and exact only where it matters
-        for mark in _brace.finditer(text):
-            depth += 1 if mark[0] == "{" else -1
-            most = max(most, depth)
-        if most > MOST_DEPTH:
-            raise ConfigSyntaxError(SourcePosition(file, 1, 1), f"blocks {most} deep, {MOST_DEPTH} are read")
-    _tree.file = file
+    """Parses one file's text into directives; raises ConfigSyntaxError."""
+    depth = max_depth = 0
+    if text.count("{") > MAX_BLOCK_DEPTH:  # counts levels only if the limit could be exceeded
+        for brace in _BRACE.finditer(text):
+            depth += 1 if brace[0] == "{" else -1
+            max_depth = max(max_depth, depth)
+        if max_depth > MAX_BLOCK_DEPTH:
+            raise ConfigSyntaxError(
+                SourcePosition(file, 1, 1), f"blocks nested {max_depth} deep, {MAX_BLOCK_DEPTH} are allowed"
+            )
+    _transformer.file = file
     try:
-        found: Any = _parser.parse(text)
-        rows: list[Directive] = found
-        return rows
-    except UnexpectedInput as fault:
+        parsed: Any = _parser.parse(text)
+        directives: list[Directive] = parsed
+        return directives
+    except UnexpectedInput as error:
         lines = text.split("\n")
-        at = SourcePosition(file, max(fault.line, 1), max(fault.column, 1))
-        line = lines[at.line - 1] if at.line <= len(lines) else ""
-        token = getattr(fault, "token", None)
+        position = SourcePosition(file, max(error.line, 1), max(error.column, 1))
+        line = lines[position.line - 1] if position.line <= len(lines) else ""
+        token = getattr(error, "token", None)
         if token is not None and token.type == "$END":
-            at = SourcePosition(file, len(lines), len(lines[-1]) + 1)
-            open_blocks = _open(text)
-            cause = f"the file ends within a block that begins in line {open_blocks}" if open_blocks else \
+            position = SourcePosition(file, len(lines), len(lines[-1]) + 1)
+            block_line = _innermost_open_block_line(text)
+            cause = f"the file ends within a block that begins in line {block_line}" if block_line else \
                 "the file ends within a directive: ';' is missing"  # fmt: skip
-            raise ConfigSyntaxError(at, cause, lines[-1]) from fault
-        shown = str(token) if token is not None else line[at.column - 1 : at.column]
-        causes = {"}": "'}' without a directive or block before it ends: is ';' missing?",
+            raise ConfigSyntaxError(position, cause, lines[-1]) from error
+        unexpected = str(token) if token is not None else line[position.column - 1 : position.column]
+        causes = {"}": "unexpected '}' before the end of a directive: is ';' missing?",
                   "{": "'{' without a directive's name", ";": "';' without a directive"}  # fmt: skip
-        cause = causes.get(shown, "a quote that does not end, or no space after one that does")
-        raise ConfigSyntaxError(at, cause, line) from fault
+        cause = causes.get(unexpected, "an unterminated quote, or no space after a closing quote")
+        raise ConfigSyntaxError(position, cause, line) from error
 
 
-def _open(text: str) -> int:
-    """The line in which the innermost block begins that is open at the end; 0 if none is."""
-    stack: list[int] = []
+def _innermost_open_block_line(text: str) -> int:
+    """The line on which the innermost block that is still open at the end begins; 0 if all are closed."""
+    open_lines: list[int] = []
     for token in _parser.lex(text):
         if token.type == "LBRACE":
-            stack.append(token.line or 0)
-        elif token.type == "RBRACE" and stack:
-            stack.pop()
-    return stack[-1] if stack else 0
+            open_lines.append(token.line or 0)
+        elif token.type == "RBRACE" and open_lines:
+            open_lines.pop()
+    return open_lines[-1] if open_lines else 0
 
 
 @dataclass
 class Loader:
-    """Reads files and what they include.  `read(path)` may raise OSError."""
+    """Reads configuration files with the files they include.  `read(path)` may raise OSError."""
 
-    read: Read = field(default=lambda path: _read(path))
+    read: FileReader = field(default=lambda path: _read(path))
     files: list[str] = field(default_factory=list)
     size: int = 0
 
     def load(
-        self, path: str, within: tuple[str, ...] = (), at: SourcePosition | None = None
+        self, path: str, including_files: tuple[str, ...] = (), include_position: SourcePosition | None = None
     ) -> list[Directive]:
-        """All directives of a file, those of included files in the place of `include`; raises SyntaxFault."""
-        here = at or SourcePosition(path, 1, 1)
-        full = os.path.realpath(path)
-        if full in within:
-            chain = " -> ".join([*within[within.index(full) :], full])
-            raise ConfigSyntaxError(here, f"it includes itself: {chain}")
-        if len(self.files) >= MOST_FILES:
-            raise ConfigSyntaxError(here, f"more than {MOST_FILES} files")
+        """Reads a file; the directives of an included file follow its `include`.
+
+        Raises ConfigSyntaxError.
+        """
+        position = include_position or SourcePosition(path, 1, 1)
+        resolved_path = os.path.realpath(path)
+        if resolved_path in including_files:
+            chain = " -> ".join([*including_files[including_files.index(resolved_path) :], resolved_path])
+            raise ConfigSyntaxError(position, f"include cycle: {chain}")
+        if len(self.files) >= MAX_FILES:
+            raise ConfigSyntaxError(position, f"more than {MAX_FILES} files")
         try:
             data = self.read(path)
-        except OSError as fault:
-            cause = fault.strerror or str(fault)
-            raise ConfigSyntaxError(here, cause if at is None else f"{path}: {cause}") from fault
+        except OSError as error:
+            cause = error.strerror or str(error)
+            raise ConfigSyntaxError(
+                position, cause if include_position is None else f"{path}: {cause}"
+            ) from error
         self.size += len(data)
-        if self.size > MOST_BYTES:
-            raise ConfigSyntaxError(here, f"more than {MOST_BYTES} bytes in all")
+        if self.size > MAX_TOTAL_BYTES:
+            raise ConfigSyntaxError(position, f"more than {MAX_TOTAL_BYTES} bytes in total")
         self.files.append(path)
-        return self._included(parse(text_of(data, path), path), path, (*within, full))
-
-    def _included(self, rows: list[Directive], path: str, within: tuple[str, ...]) -> list[Directive]:
-        found: list[Directive] = []
-        for row in rows:
-            if row.block is not None:
-                row.block = self._included(row.block, path, within)
-            found.append(row)
-            if row.name != "include" or row.block is not None:
+        return self._expand_includes(
+            parse(decode_text(data, path), path), path, (*including_files, resolved_path)
+        )
+
+    def _expand_includes(
+        self, directives: list[Directive], path: str, including_files: tuple[str, ...]
+    ) -> list[Directive]:
+        expanded: list[Directive] = []
+        for directive in directives:
+            if directive.block is not None:
+                directive.block = self._expand_includes(directive.block, path, including_files)
+            expanded.append(directive)
+            if directive.name != "include" or directive.block is not None:
                 continue
-            if len(row.args) != 1:
-                raise ConfigSyntaxError(row.position, f"include has one argument, here are {len(row.args)}")
-            wanted = os.path.join(os.path.dirname(path), row.arg(0))
-            names = sorted(glob.glob(wanted)) if glob.has_magic(wanted) else [wanted]
+            if len(directive.args) != 1:
+                raise ConfigSyntaxError(
+                    directive.position, f"include takes one argument, got {len(directive.args)}"
+                )
+            pattern = os.path.join(os.path.dirname(path), directive.arg(0))
+            names = sorted(glob.glob(pattern)) if glob.has_magic(pattern) else [pattern]
             for name in names:
-                found += self.load(name, within, row.position)
-        return found
+                expanded += self.load(name, including_files, directive.position)
+        return expanded
 
 
 def _read(path: str) -> bytes:
     with open(path, "rb") as file:
-        return file.read(MOST_BYTES + 1)
+        return file.read(MAX_TOTAL_BYTES + 1)
--- a/willowhook/nginx/upstreams.py
+++ b/willowhook/nginx/upstreams.py
@@ -1,4 +1,4 @@
-"""Upstream blocks and what a location does with them, as plain values; faults with their place."""
+"""Reads upstream blocks, retry directives and `proxy_pass` into plain values."""
 
 from __future__ import annotations
 
@@ -7,36 +7,39 @@
 
 from .syntax import ConfigSyntaxError, Directive, Word
 
-TIME = re.compile(r"(?:(\d+)(ms|s|m|h|d|w|M|y)?)")
-UNITS = {"ms": 1, "s": 1000, "m": 60_000, "h": 3_600_000, "d": 86_400_000, "w": 604_800_000,
+TIME_PART = re.compile(r"(?:(\d+)(ms|s|m|h|d|w|M|y)?)")
+UNIT_MILLISECONDS = {"ms": 1, "s": 1000, "m": 60_000, "h": 3_600_000, "d": 86_400_000, "w": 604_800_000,
          "M": 2_592_000_000, "y": 31_536_000_000}  # fmt: skip
-# of proxy_next_upstream; a call that met any of these may have run
-CONDITIONS = ("error", "timeout", "invalid_header", "http_500", "http_502", "http_503", "http_504",
+# Of proxy_next_upstream.  After any of these the endpoint may have executed the request.
+RETRY_CONDITIONS = ("error", "timeout", "invalid_header", "http_500", "http_502", "http_503", "http_504",
               "http_403", "http_404", "http_429")  # fmt: skip
 
 
-def milliseconds(word: Word) -> int:
-    """A time such as `30s`, `1m30s` or `10` (seconds); raises SyntaxFault."""
-    text, at, total = word.text, 0, 0
-    while at < len(text):
-        got = TIME.match(text, at)
-        if got is None or got.end() == at:
-            raise ConfigSyntaxError(word.position, f"{text!r} is no time")
-        total += int(got.group(1)) * UNITS[got.group(2) or "s"]
-        at = got.end()
+def parse_milliseconds(word: Word) -> int:
+    """Parses a time such as `30s`, `1m30s` or `10` (seconds); raises ConfigSyntaxError."""
+    text, offset, total = word.text, 0, 0
+    while offset < len(text):
+        match = TIME_PART.match(text, offset)
+        if match is None or match.end() == offset:
+            raise ConfigSyntaxError(word.position, f"{text!r} is not a valid time")
+        total += int(match.group(1)) * UNIT_MILLISECONDS[match.group(2) or "s"]
+        offset = match.end()
     if not text:
-        raise ConfigSyntaxError(word.position, "an empty time")
+        raise ConfigSyntaxError(word.position, "empty time")
     return total
 
 
-def whole(word: Word, text: str, least: int = 0) -> int:
+def parse_integer(word: Word, text: str, least: int = 0) -> int:
+    """Parses an integer of at least `least`; raises ConfigSyntaxError."""
     if not text.isascii() or not text.isdigit() or int(text) < least:
-        raise ConfigSyntaxError(word.position, f"{text!r} is no whole number of {least} or more")
+        raise ConfigSyntaxError(word.position, f"{text!r} is not an integer of {least} or more")
     return int(text)
 
 
 @dataclass(slots=True)
-class Server:
+class UpstreamServer:
+    """One `server` of an upstream block, with its parameters."""
+
     address: str
     port: int
     directive: Directive
@@ -51,143 +54,161 @@
 
 @dataclass(slots=True)
 class Upstream:
+    """An upstream block: its servers and its load balancing method."""
+
     name: str
     directive: Directive
-    servers: list[Server] = field(default_factory=list)
-    pick: str = "wheel"  # or pair, lottery, hash, ip_hash
-    key: str = ""  # of a hash
-    ring: bool = False  # hash ... consistent
+    servers: list[UpstreamServer] = field(default_factory=list)
+    load_balancing: str = "wheel"  # wheel, pair, lottery (round robin, two choices, random), hash or ip_hash
+    hash_key: str = ""  # the variable that is hashed
+    consistent_hash: bool = False  # hash ... consistent
 
-    def primaries(self) -> list[Server]:
+    def primaries(self) -> list[UpstreamServer]:
+        """Servers in use that are not backups."""
         return [server for server in self.servers if not server.backup and not server.down]
 
-    def backups(self) -> list[Server]:
-        """They serve only when no primary is open."""
+    def backups(self) -> list[UpstreamServer]:
+        """Backup servers in use; they serve only when no primary is available."""
         return [server for server in self.servers if server.backup and not server.down]
 
     def shares(self) -> dict[str, float]:
-        rows = self.primaries() or self.backups()
-        total = sum(server.weight for server in rows)
-        return {f"{server.address}:{server.port}": server.weight / total for server in rows}
+        """Each server's share of the requests by its weight, keyed by `address:port`."""
+        servers = self.primaries() or self.backups()
+        total = sum(server.weight for server in servers)
+        return {f"{server.address}:{server.port}": server.weight / total for server in servers}
 
 
-def address_of(word: Word, text: str, usual: int = 80) -> tuple[str, int]:
-    """Host and port; raises SyntaxFault."""
+def parse_address(word: Word, text: str, default_port: int = 80) -> tuple[str, int]:
+    """Parses host and port; raises ConfigSyntaxError."""
     if text.startswith("unix:"):
-        raise ConfigSyntaxError(word.position, f"{text!r}: a socket of this machine is no host of a fleet")
+        raise ConfigSyntaxError(word.position, f"{text!r}: a Unix socket cannot be an endpoint of a fleet")
     host, colon, port = text.rpartition(":") if not text.endswith("]") else (text, "", "")
     if not colon:
-        host, port = text, str(usual)
+        host, port = text, str(default_port)
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ConfigSyntaxError(word.position, f"{text!r} is no address")
+        raise ConfigSyntaxError(word.position, f"{text!r} is not a valid address")
     return host, int(port)
 
 
-def server_of(row: Directive) -> Server:
-    """One `server` of an upstream; raises SyntaxFault."""
-    if not row.args:
-        raise ConfigSyntaxError(row.position, "server without an address")
-    made = Server(*address_of(row.args[0], row.arg(0)), row)
-    for word in row.args[1:]:
+def parse_server(directive: Directive) -> UpstreamServer:
+    """Reads one `server` of an upstream; raises ConfigSyntaxError."""
+    if not directive.args:
+        raise ConfigSyntaxError(directive.position, "server without an address")
+    server = UpstreamServer(*parse_address(directive.args[0], directive.arg(0)), directive)
+    for word in directive.args[1:]:
         name, equals, value = word.text.partition("=")
         if word.text == "backup":
-            made.backup = True
+            server.backup = True
         elif word.text == "down":
-            made.down = True
+            server.down = True
         elif word.text in ("resolve", "drain"):
-            made.down = made.down or word.text == "drain"
+            server.down = server.down or word.text == "drain"
         elif not equals:
-            raise ConfigSyntaxError(word.position, f"{word.text!r} is no parameter of server")
+            raise ConfigSyntaxError(word.position, f"{word.text!r} is not a parameter of server")
         elif name == "weight":
-            made.weight = whole(word, value, 1)
+            server.weight = parse_integer(word, value, 1)
         elif name == "max_conns":
-            made.max_conns = whole(word, value)
+            server.max_conns = parse_integer(word, value)
         elif name == "max_fails":
-            made.max_fails = whole(word, value)
+            server.max_fails = parse_integer(word, value)
         elif name in ("fail_timeout", "slow_start"):
-            time = milliseconds(Word(value, word.position))
+            duration_ms = parse_milliseconds(Word(value, word.position))
             if name == "fail_timeout":
-                made.fail_timeout_ms = time
+                server.fail_timeout_ms = duration_ms
             else:
-                made.slow_start_ms = time
+                server.slow_start_ms = duration_ms
         elif name not in ("route", "service"):
-            raise ConfigSyntaxError(word.position, f"{name!r} is no parameter of server")
-    return made
+            raise ConfigSyntaxError(word.position, f"{name!r} is not a parameter of server")
+    return server
 
 
-def upstream_of(block: Directive) -> Upstream:
-    """Raises SyntaxFault."""
+def parse_upstream(block: Directive) -> Upstream:
+    """Reads an `upstream` block; raises ConfigSyntaxError."""
     if len(block.args) != 1 or block.block is None:
-        raise ConfigSyntaxError(block.position, "upstream has one name and a block")
-    made = Upstream(block.arg(0), block)
-    for row in block.block:
-        if row.name == "server":
-            made.servers.append(server_of(row))
-        elif row.name == "least_conn":
-            made.pick = "pair"
-        elif row.name == "random":
-            made.pick = "pair" if row.arg(0) == "two" else "lottery"
-        elif row.name == "ip_hash":
-            made.pick, made.key = "ip_hash", "$remote_addr"
-        elif row.name == "hash":
-            if not row.args:
-                raise ConfigSyntaxError(row.position, "hash without a key")
-            made.pick, made.key, made.ring = "hash", row.arg(0), row.arg(1) == "consistent"
-    if not made.servers:
-        raise ConfigSyntaxError(block.position, f"upstream {made.name!r} has no server")
-    if made.pick in ("hash", "ip_hash", "lottery") and any(server.backup for server in made.servers):
-        bad = next(server for server in made.servers if server.backup)
-        raise ConfigSyntaxError(bad.directive.position, f"a backup server goes with no {made.pick}")
-    return made
+        raise ConfigSyntaxError(block.position, "upstream takes one name and a block")
+    upstream = Upstream(block.arg(0), block)
+    for directive in block.block:
+        if directive.name == "server":
+            upstream.servers.append(parse_server(directive))
+        elif directive.name == "least_conn":
+            upstream.load_balancing = "pair"
+        elif directive.name == "random":
+            upstream.load_balancing = "pair" if directive.arg(0) == "two" else "lottery"
+        elif directive.name == "ip_hash":
+            upstream.load_balancing, upstream.hash_key = "ip_hash", "$remote_addr"
+        elif directive.name == "hash":
+            if not directive.args:
+                raise ConfigSyntaxError(directive.position, "hash without a key")
+            upstream.load_balancing, upstream.hash_key, upstream.consistent_hash = (
+                "hash",
+                directive.arg(0),
+                directive.arg(1) == "consistent",
+            )
+    if not upstream.servers:
+        raise ConfigSyntaxError(block.position, f"upstream {upstream.name!r} has no server")
+    if upstream.load_balancing in ("hash", "ip_hash", "lottery") and any(
+        server.backup for server in upstream.servers
+    ):
+        backup = next(server for server in upstream.servers if server.backup)
+        raise ConfigSyntaxError(
+            backup.directive.position, f"backup servers cannot be combined with {upstream.load_balancing}"
+        )
+    return upstream
 
 
 @dataclass(slots=True)
-class Retry:
-    """What a proxy would try again, and how often."""
+class RetryPolicy:
+    """After which failures nginx retries a request, and how often."""
 
     conditions: tuple[str, ...] = ("error", "timeout")
     non_idempotent: bool = False
-    tries: int = 0  # 0: as many as there are servers
+    max_attempts: int = 0  # 0: one for each server
     timeout_ms: int = 0
 
     @property
-    def off(self) -> bool:
+    def disabled(self) -> bool:
+        """Whether the conditions contain `off`."""
         return "off" in self.conditions
 
-    def may_run_twice(self) -> tuple[str, ...]:
-        """Conditions under which a call that may have run is tried once more."""
-        return () if self.off else tuple(c for c in self.conditions if c in CONDITIONS)
+    def retried_conditions(self) -> tuple[str, ...]:
+        """Conditions under which a request is retried although it may have been executed."""
+        return () if self.disabled else tuple(c for c in self.conditions if c in RETRY_CONDITIONS)
 
 
-def retry_of(rows: list[Directive], outer: Retry) -> Retry:
-    """Of one block; what it does not say it has from the one around it.  Raises SyntaxFault."""
-    made = Retry(outer.conditions, outer.non_idempotent, outer.tries, outer.timeout_ms)
-    for row in rows:
-        if row.name == "proxy_next_upstream":
-            for word in row.args:
-                if word.text not in (*CONDITIONS, "off", "non_idempotent"):
+def parse_retry_policy(directives: list[Directive], outer: RetryPolicy) -> RetryPolicy:
+    """Reads the retry policy of one block, which inherits from the `outer` one; raises ConfigSyntaxError."""
+    policy = RetryPolicy(outer.conditions, outer.non_idempotent, outer.max_attempts, outer.timeout_ms)
+    for directive in directives:
+        if directive.name == "proxy_next_upstream":
+            for word in directive.args:
+                if word.text not in (*RETRY_CONDITIONS, "off", "non_idempotent"):
                     raise ConfigSyntaxError(
-                        word.position, f"{word.text!r} is no condition of proxy_next_upstream"
+                        word.position, f"{word.text!r} is not a condition of proxy_next_upstream"
                     )
-            made.conditions = tuple(w.text for w in row.args if w.text != "non_idempotent")
-            made.non_idempotent = any(w.text == "non_idempotent" for w in row.args)
-        elif row.name == "proxy_next_upstream_tries" and row.args:
-            made.tries = whole(row.args[0], row.arg(0))
-        elif row.name == "proxy_next_upstream_timeout" and row.args:
-            made.timeout_ms = milliseconds(row.args[0])
-    return made
-
-
-def passed_to(row: Directive) -> tuple[str, str]:
-    """Of `proxy_pass`: the upstream's name (or address) and the URI that replaces the prefix; raises
-    SyntaxFault.
+            policy.conditions = tuple(
+                argument.text for argument in directive.args if argument.text != "non_idempotent"
+            )
+            policy.non_idempotent = any(argument.text == "non_idempotent" for argument in directive.args)
+        elif directive.name == "proxy_next_upstream_tries" and directive.args:
+            policy.max_attempts = parse_integer(directive.args[0], directive.arg(0))
+        elif directive.name == "proxy_next_upstream_timeout" and directive.args:
+            policy.timeout_ms = parse_milliseconds(directive.args[0])
+    return policy
+
+
+def parse_proxy_pass(directive: Directive) -> tuple[str, str]:
+    """The upstream's name (or address) in `proxy_pass` and the URI that replaces the location's prefix.
+
+    Raises ConfigSyntaxError.
     """
-    if len(row.args) != 1:
-        raise ConfigSyntaxError(row.position, f"proxy_pass has one argument, here are {len(row.args)}")
-    scheme, mark, rest = row.arg(0).partition("://")
-    if not mark or scheme not in ("http", "https"):
+    if len(directive.args) != 1:
+        raise ConfigSyntaxError(
+            directive.position, f"proxy_pass takes one argument, got {len(directive.args)}"
+        )
+    scheme, separator, rest = directive.arg(0).partition("://")
+    if not separator or scheme not in ("http", "https"):
         raise ConfigSyntaxError(
-            row.args[0].position, f"{row.arg(0)!r} begins with neither http:// nor https://"
+            directive.args[0].position, f"{directive.arg(0)!r} begins with neither http:// nor https://"
         )
     name, slash, uri = rest.partition("/")
     return name, slash + uri
--- a/willowhook/nginx/verdicts.py
+++ b/willowhook/nginx/verdicts.py
@@ -1,7 +1,7 @@
-"""What becomes of each directive: carried, carried with a stated difference, not carried, or refused.
+"""Diagnostics of an import: each directive is carried, carried with a difference, not carried, or refused.
 
-Every directive that is read gets exactly one verdict, in the order of the file.  What routing depends on has
-it from the plan (`plan.py`), which decides; the rest from one table, a row a directive.
+Every directive gets exactly one diagnostic, in the order of the file.  The plan (`plan.py`) decides about the
+directives that routing depends on; the others have a fixed outcome (`DIRECTIVE_OUTCOMES`).
 """
 
 from __future__ import annotations
@@ -15,12 +15,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Diagnostic:
+    """The outcome of one directive, with its reason unless it is carried unchanged."""
+
     position: SourcePosition
     directive: str
     outcome: str
     reason: str
 
     def as_dict(self) -> dict[str, str]:
+        """An entry of report.json."""
         return {
             "place": str(self.position),
             "directive": self.directive,
@@ -29,12 +32,13 @@
         }
 
     def report_line(self) -> str:
+        """A line of report.txt."""
         return f"{self.position}: {self.directive}: {self.outcome}" + (
             f": {self.reason}" if self.reason else ""
         )
 
 
-TABLE: dict[str, tuple[str, str]] = {
+DIRECTIVE_OUTCOMES: dict[str, tuple[str, str]] = {
     "http": (CARRIED, ""),
     "server": (CARRIED, ""),
     "upstream": (CARRIED, ""),
@@ -72,7 +76,7 @@
     "index": (NOT_CARRIED, "files are not served"),
     "internal": (NOT_CARRIED, "every route is open to callers"),
 }
-BY_PREFIX: tuple[tuple[str, str], ...] = (
+PREFIX_REASONS: tuple[tuple[str, str], ...] = (
     ("proxy_cache", "nothing is kept"), ("proxy_ssl", "hosts are spoken to as proxies do"),
     ("proxy_", "how a call is passed on is the proxies' own"), ("ssl", "proxies end TLS themselves"),
     ("gzip", "bodies pass as they come"), ("access_", "records are the director's own"),
@@ -83,61 +87,73 @@
 )  # fmt: skip
 
 
-class Judge:
-    """`plan`: what was decided of the server that is imported."""
+class DiagnosticCollector:
+    """Collects a diagnostic for each directive from syntax errors, the plan and the fixed outcomes."""
 
     def __init__(self, setup: NginxConfig, plan: ImportPlan) -> None:
-        self._faults, self._notes, self._dropped = setup.errors, plan.outcomes, plan.dropped
-        self.found: list[Diagnostic] = []
-
-    def judge(self, rows: list[Directive], lost: str = "") -> None:
-        """`lost`: why nothing of the block around these is carried; what has a word of its own keeps it."""
-        for row in rows:
-            fault = self._faults.get(id(row))
-            if fault is not None:
-                at = fault.position
-                what, why = (
+        self._errors, self._outcomes, self._dropped_locations = (
+            setup.errors,
+            plan.outcomes,
+            plan.dropped_locations,
+        )
+        self.diagnostics: list[Diagnostic] = []
+
+    def collect(self, directives: list[Directive], lost_reason: str = "") -> None:
+        """Appends the diagnostics of these directives and of those in their blocks.
+
+        `lost` is the reason if nothing of the enclosing block is carried; it applies to directives that would
+        be carried.
+        """
+        for directive in directives:
+            error = self._errors.get(id(directive))
+            if error is not None:
+                position = error.position
+                outcome, reason = (
                     REFUSED,
-                    fault.cause if at == row.position else f"{at.line}:{at.column}: {fault.cause}",
+                    error.cause
+                    if position == directive.position
+                    else f"{position.line}:{position.column}: {error.cause}",
                 )
             else:
-                what, why = self._notes.get(id(row)) or self._by_table(row)
-                if lost and what in (CARRIED, DIFFERS):
-                    what, why = NOT_CARRIED, lost
-            shown = " ".join([row.name, *(word.text for word in row.args)])
-            self.found.append(Diagnostic(row.position, shown[:120], what, why))
-            if row.block is not None:
-                gone = fault is not None or id(row) in self._dropped
-                if row.name != "location":
-                    gone = gone or what in (NOT_CARRIED, REFUSED)
-                within = f"within {row.name}, which is {what}" if gone else ""
-                self.judge(row.block, within or (lost if row.name != "location" else ""))
+                outcome, reason = self._outcomes.get(id(directive)) or self._default_outcome(directive)
+                if lost_reason and outcome in (CARRIED, DIFFERS):
+                    outcome, reason = NOT_CARRIED, lost_reason
+            text = " ".join([directive.name, *(word.text for word in directive.args)])
+            self.diagnostics.append(Diagnostic(directive.position, text[:120], outcome, reason))
+            if directive.block is not None:
+                block_lost = error is not None or id(directive) in self._dropped_locations
+                if directive.name != "location":
+                    block_lost = block_lost or outcome in (NOT_CARRIED, REFUSED)
+                block_reason = f"within {directive.name}, which is {outcome}" if block_lost else ""
+                self.collect(
+                    directive.block, block_reason or (lost_reason if directive.name != "location" else "")
+                )
 
     @staticmethod
-    def _by_table(row: Directive) -> tuple[str, str]:
-        if row.name == "return":
-            if len(row.args) == 1 and row.arg(0).isdigit():
+    def _default_outcome(directive: Directive) -> tuple[str, str]:
+        if directive.name == "return":
+            if len(directive.args) == 1 and directive.arg(0).isdigit():
                 return CARRIED, ""
             return DIFFERS, "the path is closed, without a text; what is moved gets 404"
-        if row.name == "random" and row.arg(0) != "two":
+        if directive.name == "random" and directive.arg(0) != "two":
             return CARRIED, ""
-        if row.name in TABLE:
-            return TABLE[row.name]
-        for prefix, why in BY_PREFIX:
-            if row.name.startswith(prefix):
-                return NOT_CARRIED, why
+        if directive.name in DIRECTIVE_OUTCOMES:
+            return DIRECTIVE_OUTCOMES[directive.name]
+        for prefix, reason in PREFIX_REASONS:
+            if directive.name.startswith(prefix):
+                return NOT_CARRIED, reason
         return NOT_CARRIED, "nothing here has a word for it"
 
 
 def diagnose(
-    rows: list[Directive], asked: ImportOptions | None = None
+    directives: list[Directive], options: ImportOptions | None = None
 ) -> tuple[list[Diagnostic], ImportPlan]:
-    """One for each directive, and the plan; raises PlanFault."""
-    setup = NginxConfig(rows, strict=False)
-    plan = ImportPlan(setup, asked or ImportOptions())
-    judge = Judge(setup, plan)
-    judge.judge(rows)
-    return judge.found, plan
+    """Diagnostics of all directives, and the plan; raises ImportPlanError."""
+    config = NginxConfig(directives, strict=False)
+    plan = ImportPlan(config, options or ImportOptions())
+    collector = DiagnosticCollector(config, plan)
+    collector.collect(directives)
+    return collector.diagnostics, plan
 
 
 __all__ = ["CARRIED", "DIFFERS", "NOT_CARRIED", "REFUSED", "Diagnostic", "diagnose"]
