--- a/willowhook/nginx/locations.py
+++ b/willowhook/nginx/locations.py
@@ -87,9 +87,7 @@
 def _check_nesting(outer: Location, inner: Location) -> None:
     """Raises ConfigSyntaxError if `inner` must not be nested in `outer`."""
     if outer.modifier == EXACT:
-        raise ConfigSyntaxError(
-            inner.directive.position, f"a location cannot be nested in {outer}, which is exact"
-        )
+        raise ConfigSyntaxError(inner.directive.position, f"a location within {outer}, which is exact")
     if NAMED in (outer.modifier, inner.modifier):
         raise ConfigSyntaxError(inner.directive.position, "named locations are only allowed at server level")
     if inner.regex is None and outer.regex is None and not inner.pattern.startswith(outer.pattern):
--- a/willowhook/nginx/setup.py
+++ b/willowhook/nginx/setup.py
@@ -172,14 +172,14 @@
         if upstream.name in self.upstreams:
             first = self.upstreams[upstream.name].directive.position
             raise ConfigSyntaxError(
-                directive.position, f"upstream {upstream.name!r} is defined twice, first at {first}"
+                directive.position, f"upstream {upstream.name!r} stands twice, first at {first}"
             )
         self.upstreams[upstream.name] = upstream
 
     def _read_mapping(self, directive: Directive) -> None:
         if len(directive.args) != 2 or directive.block is None or not VARIABLE.match(directive.arg(1)):
             raise ConfigSyntaxError(
-                directive.position, f"{directive.name} takes a source, a variable and a block"
+                directive.position, f"{directive.name} has a source, a variable and a block"
             )
         kind = "split" if directive.name == "split_clients" else "map"
         mapping = VariableMapping(kind, directive.arg(0), directive)
@@ -188,17 +188,17 @@
             if kind == "map" and entry.name in ("hostnames", "volatile", "include") and not entry.args:
                 continue
             if len(entry.args) != 1:
-                raise ConfigSyntaxError(entry.position, f"an entry of {directive.name} takes two words")
+                raise ConfigSyntaxError(entry.position, f"a row of {directive.name} has two words")
             if (kind == "split" and entry.name == "*") or (kind == "map" and entry.name == "default"):
                 mapping.default = entry.arg(0)
                 continue
             if kind == "split":
                 if not re.fullmatch(r"\d+(\.\d{1,2})?%", entry.name):
-                    raise ConfigSyntaxError(entry.position, f"{entry.name!r} is not a valid share")
+                    raise ConfigSyntaxError(entry.position, f"{entry.name!r} is no share")
                 total += float(entry.name[:-1])
             mapping.entries.append((entry.name, entry.arg(0), entry))
         if total > 100:
-            raise ConfigSyntaxError(directive.position, f"shares of {total:g}% in total")
+            raise ConfigSyntaxError(directive.position, f"shares of {total:g}% in all")
         self.mappings[VARIABLE.sub(r"\1", directive.arg(1))] = mapping
 
     def _read_limit_zone(self, directive: Directive) -> None:
@@ -206,7 +206,7 @@
         rate = RATE.match(parameters["rate"].text) if "rate" in parameters else None
         if "zone" not in parameters or rate is None or not int(rate[1]):
             raise ConfigSyntaxError(
-                directive.position, "limit_req_zone takes a key, zone=NAME:SIZE and rate=Nr/s or Nr/m"
+                directive.position, "limit_req_zone has a key, zone=NAME:SIZE and rate=Nr/s or Nr/m"
             )
         name = parameters["zone"].text.partition("=")[2].partition(":")[0]
         self.limit_zones[name] = (directive.arg(0), int(rate[1]) / (60 if rate[2] == "m" else 1))
@@ -232,7 +232,7 @@
                     parameters = dict(word.text.partition("=")[::2] for word in directive.args)
                     if parameters.get("zone", "") not in self.limit_zones:
                         raise ConfigSyntaxError(
-                            directive.position, f"unknown limit_req_zone {parameters.get('zone', '')!r}"
+                            directive.position, f"no limit_req_zone {parameters.get('zone', '')!r}"
                         )
                     limits.append(RateLimit(*self.limit_zones[parameters["zone"]], directive))
 
@@ -307,9 +307,7 @@
     def _read_target(self, directive: Directive, location: Location) -> Target:
         name, uri = parse_proxy_pass(directive)
         if uri and location.modifier in (REGEX, REGEX_NOCASE, "@") and "$" not in uri:
-            raise ConfigSyntaxError(
-                directive.position, f"proxy_pass has a URI, which {location} does not allow"
-            )
+            raise ConfigSyntaxError(directive.position, f"proxy_pass has a URI, which {location} cannot take")
         destination, uri_suffix = name + uri, ""
         for suffix in UNCHANGED_URI_SUFFIXES:
             if destination.endswith(suffix) and destination != suffix:
--- a/willowhook/nginx/upstreams.py
+++ b/willowhook/nginx/upstreams.py
@@ -25,7 +25,7 @@
         total += int(match.group(1)) * UNIT_MILLISECONDS[match.group(2) or "s"]
         offset = match.end()
     if not text:
-        raise ConfigSyntaxError(word.position, "empty time")
+        raise ConfigSyntaxError(word.position, "an empty time")
     return total
 
 
@@ -126,7 +126,7 @@
 def parse_upstream(block: Directive) -> Upstream:
     """Reads an `upstream` block; raises ConfigSyntaxError."""
     if len(block.args) != 1 or block.block is None:
-        raise ConfigSyntaxError(block.position, "upstream takes one name and a block")
+        raise ConfigSyntaxError(block.position, "upstream has one name and a block")
     upstream = Upstream(block.arg(0), block)
     for directive in block.block:
         if directive.name == "server":
@@ -204,7 +204,7 @@
     """
     if len(directive.args) != 1:
         raise ConfigSyntaxError(
-            directive.position, f"proxy_pass takes one argument, got {len(directive.args)}"
+            directive.position, f"proxy_pass has one argument, here are {len(directive.args)}"
         )
     scheme, separator, rest = directive.arg(0).partition("://")
     if not separator or scheme not in ("http", "https"):
