--- a/tests/test_export.py
+++ b/tests/test_export.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies as st
 
 from willowhook.cli.main import main
-from willowhook.files.swap import Shelf, read_group
+from willowhook.files.swap import FileGroupWriter, read_group
 from willowhook.nginx.export import LOCATIONS, UPSTREAMS, anchored_regex, export
 from willowhook.nginx.follow import Follower
 from willowhook.nginx.plan import ImportOptions, ImportPlan
@@ -188,9 +188,9 @@
         rows = {"a": (weight, False, 0), "b": (10, False, 0)}
         return table_group({"t": rows}, {"t": "wheel"}, [("below", "/", "t", 1000, math.inf, "")])
 
-    group_of, out = Shelf(str(tmp_path / "p1")), tmp_path / "out"
+    group_of, out = FileGroupWriter(str(tmp_path / "p1")), tmp_path / "out"
     group_of.put(files(10))
-    follower = Follower(str(tmp_path / "p1"), Shelf(str(out)), structlog.get_logger())
+    follower = Follower(str(tmp_path / "p1"), FileGroupWriter(str(out)), structlog.get_logger())
 
     def text() -> str:
         try:
--- a/willowhook/cli/commands.py
+++ b/willowhook/cli/commands.py
@@ -63,20 +63,20 @@
 @click.option("--wait", "wait_s", type=click.FloatRange(0, 86_400), default=0.0, help="Seconds until empty.")
 def drain(path: str, undo: bool, wait_s: float) -> None:
     """Hand a running controller's proxies to others, one by one.  Exit code 1 if any is left after --wait."""
-    from ..files.layout import DRAIN, UP
+    from ..files.layout import DRAIN_FILE, INBOUND_FOLDER
     from ..files.ops import DiskOps, remove
     from ..files.swap import swap_file
 
     folder = Path(load_terms(path).files.folder).absolute()
-    proxies = folder / UP
+    proxies = folder / INBOUND_FOLDER
     if not proxies.is_dir():
         click.echo(f"{folder}: no controller has run here", err=True)
         sys.exit(2)
     if undo:
-        remove(DiskOps(), str(folder / DRAIN))
+        remove(DiskOps(), str(folder / DRAIN_FILE))
         click.echo("no longer draining")
         return
-    swap_file(DiskOps(), str(folder), DRAIN, b"")
+    swap_file(DiskOps(), str(folder), DRAIN_FILE, b"")
     deadline = time.monotonic() + wait_s
     while _count_proxies(proxies) and time.monotonic() < deadline:
         time.sleep(DRAIN_POLL_SECONDS)
@@ -142,11 +142,11 @@
 @click.option("--proxy", "only", default="", help="Show this proxy alone.")
 def show(folder: str, only: str) -> None:
     """Show what each proxy of a controller's folder would read now."""
-    from ..files.layout import DOWN
+    from ..files.layout import OUTBOUND_FOLDER
     from ..xds.codec import MessageFormatError
     from .tables import print_proxy
 
-    root = Path(folder) / DOWN
+    root = Path(folder) / OUTBOUND_FOLDER
     if not root.is_dir():
         click.echo(f"{folder}: no controller's folder: {root} is not there", err=True)
         sys.exit(2)
@@ -169,13 +169,13 @@
 @click.option("--proxy", default="", help="One proxy in full.")
 def versions(records: str, proxy: str) -> None:
     """Who runs which version, what is refused and why, by a controller's RECORDS, also of one that runs."""
-    from ..records.states import States
+    from ..records.states import ProxyStates
     from ..records.writer import read_records
 
-    states = States()
+    states = ProxyStates()
     try:
         for row in read_records(records):
-            states.take(row)
+            states.add(row)
     except OSError as fault:
         click.echo(f"{records}: {fault.strerror}", err=True)
         sys.exit(2)
--- a/willowhook/cli/exports.py
+++ b/willowhook/cli/exports.py
@@ -26,11 +26,11 @@
 
     Exit codes: 0, 1 if something cannot be said (it is told), 2 if GROUP cannot be read.
     """
-    from ..files.swap import Shelf, read_group
+    from ..files.swap import FileGroupWriter, read_group
     from ..nginx.export import export
     from ..xds.codec import MessageFormatError
 
-    shelf = Shelf(out)
+    shelf = FileGroupWriter(out)
     try:
         Path(out).parent.mkdir(parents=True, exist_ok=True)
         if follow:
@@ -55,10 +55,10 @@
     import structlog
     import trio
 
-    from ..files.swap import Shelf
+    from ..files.swap import FileGroupWriter
     from ..nginx.follow import Follower
 
-    assert isinstance(shelf, Shelf)
+    assert isinstance(shelf, FileGroupWriter)
     follower = Follower(group, shelf, structlog.get_logger(), watch)
 
     async def run() -> None:
--- a/willowhook/cli/imports.py
+++ b/willowhook/cli/imports.py
@@ -117,7 +117,7 @@
     import msgspec
 
     from ..files.ops import DiskOps
-    from ..files.swap import Shelf, swap_file
+    from ..files.swap import FileGroupWriter, swap_file
     from ..nginx.result import controller_config, endpoint_list, table_files
 
     terms = controller_config(plan, proxies, str((out / "director").absolute()), roster)
@@ -134,4 +134,4 @@
     out.mkdir(parents=True, exist_ok=True)
     for name, data in files.items():
         swap_file(DiskOps(), str(out), name, data)
-    Shelf(str(out / "tables")).put(group)
+    FileGroupWriter(str(out / "tables")).put(group)
--- a/willowhook/cli/store.py
+++ b/willowhook/cli/store.py
@@ -18,11 +18,11 @@
 
 
 def _safely(what: Callable[[], Any]) -> Any:
-    from ..store.store import StoreError, StoreTaken
+    from ..store.store import StoreError, StoreInUseError
 
     try:
         return what()
-    except StoreTaken as fault:
+    except StoreInUseError as fault:
         click.echo(str(fault), err=True)
         sys.exit(3)
     except (StoreError, OSError) as fault:
--- a/willowhook/nginx/follow.py
+++ b/willowhook/nginx/follow.py
@@ -7,8 +7,8 @@
 
 import trio
 
-from ..files.follow import Followers
-from ..files.swap import Shelf
+from ..files.follow import FileGroupFollower
+from ..files.swap import FileGroupWriter
 from ..xds.codec import MessageFormatError
 from .export import export
 
@@ -22,11 +22,16 @@
     """
 
     def __init__(
-        self, group: str, output: Shelf, log: Any, watch: str = "inotify", poll_interval_s: float = 0.05
+        self,
+        group: str,
+        output: FileGroupWriter,
+        log: Any,
+        watch: str = "inotify",
+        poll_interval_s: float = 0.05,
     ) -> None:
         self._parent_folder, self._group_name = os.path.split(os.path.abspath(group))
         self._output, self._log = output, log
-        self._followers = Followers(watch, poll_interval_s, self._export_group)
+        self._followers = FileGroupFollower(watch, poll_interval_s, self._export_group)
         self._last_error = ""
         self._pending_files: dict[str, bytes] | None = None
         self._reported_remarks: list[str] = []
