--- a/tests/test_nginx.py
+++ b/tests/test_nginx.py
@@ -28,7 +28,7 @@
 from willowhook.nginx.verdicts import CARRIED, DIFFERS, NOT_CARRIED, REFUSED
 from willowhook.roster.forms import parse_endpoints
 from willowhook.trial import nginx_check
-from willowhook.trial.corpus import Sample, samples, wrong
+from willowhook.trial.corpus import Sample, load_samples, verdict_errors
 from willowhook.xds import tables
 
 # Keeps the examples of 811251d: a derandomized test would otherwise derive its seed from its source.
@@ -141,12 +141,12 @@
 
 
 def test_matcher_agrees_with_a_brute_force_search() -> None:
-    assert nginx_check.match(20_000) == (20_000, [])
+    assert nginx_check.check_matcher(20_000) == (20_000, [])
 
 
 def test_differences_between_flat_list_and_search_are_reported() -> None:
-    result = nginx_check.lists(10_000)
-    assert result.asked == 10_000 and result.differ > 0 and not result.untold
+    result = nginx_check.check_lists(10_000)
+    assert result.uris == 10_000 and result.differ > 0 and not result.unreported
 
 
 @pytest.mark.parametrize(
@@ -254,25 +254,25 @@
     assert result.exit_code == 2 and "nginx.conf:4:" in result.output
 
 
-@pytest.mark.parametrize("sample", samples(), ids=lambda sample: sample.name)
+@pytest.mark.parametrize("sample", load_samples(), ids=lambda sample: sample.name)
 def test_each_directive_has_its_expected_outcome(sample: Sample) -> None:
-    assert wrong(sample) == []
+    assert verdict_errors(sample) == []
 
 
 def test_corpus_covers_all_outcomes_and_a_wrong_expectation_is_detected() -> None:
-    corpus = samples()
+    corpus = load_samples()
     assert len(corpus) >= 120 and len({sample.name for sample in corpus}) == len(corpus)
     assert {mark for sample in corpus for mark in sample.wanted} == {CARRIED, DIFFERS, NOT_CARRIED, REFUSED}
     first = corpus[0]
-    assert wrong(replace(first, wanted=(REFUSED, *first.wanted[1:]))) and wrong(
+    assert verdict_errors(replace(first, wanted=(REFUSED, *first.wanted[1:]))) and verdict_errors(
         replace(first, wanted=first.wanted[1:])
     )
 
 
 def test_mutated_samples_are_diagnosed_or_rejected_without_a_crash() -> None:
-    result = nginx_check.fuzz(1500)
+    result = nginx_check.check_mutated_samples(1500)
     assert (
-        (result.crashes, result.unaccounted) == ([], []) and 0 < result.read < 1500 and result.slowest_s < 2
+        (result.crashes, result.unaccounted) == ([], []) and 0 < result.parsed < 1500 and result.slowest_s < 2
     )
 
 
