--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -14,13 +14,13 @@
 from willowhook.reports.budget import DECREASE_DELAY_TICKS, ReportBudget
 from willowhook.reports.fading import ForwardDecay
 from willowhook.reports.quarantine import (
-    FAULT_WINDOW_TICKS,
-    FAULTS_IN_A_ROW,
+    MALFORMED_IN_A_ROW,
+    MALFORMED_WINDOW_TICKS,
     MIN_QUARANTINE_TICKS,
     Quarantine,
 )
 from willowhook.reports.queue import ReportQueue
-from willowhook.reports.read import MAX_ROWS, Report, read_report
+from willowhook.reports.read import MAX_ENDPOINTS, Report, read_report
 from willowhook.reports.sample import sum_sample
 from willowhook.reports.sums import ReportCells, ReportedAttempts, ReportSums, combine_reports
 from willowhook.reports.windows import CLOCK_RESET_TICKS, RETENTION_TICKS, ReportWindows
@@ -146,8 +146,8 @@
             now, at = now + 5000, at + step
         return windows
 
-    assert play(5000).clocks_set == 1 and CLOCK_RESET_TICKS < 60 * 5000
-    assert play(0).clocks_set == 0 and play(0).repeats == 60  # the same old one, again and again
+    assert play(5000).clock_resets == 1 and CLOCK_RESET_TICKS < 60 * 5000
+    assert play(0).clock_resets == 0 and play(0).repeats == 60  # the same old one, again and again
 
 
 # Samples.
@@ -326,7 +326,7 @@
 def test_a_quarantine_doubles_each_time_and_is_released() -> None:
     told = RecordingListener()
     quarantine, now = Quarantine(told), 0
-    for k in range(FAULTS_IN_A_ROW):
+    for k in range(MALFORMED_IN_A_ROW):
         assert not quarantine.should_skip(now, "p")
         quarantine.record_malformed(now, "p", f"bad {k}", b"\xff" * 500)
     assert quarantine.should_skip(now, "p") and told.rows == [
@@ -339,19 +339,23 @@
     assert told.rows[-1][1] == 2 * MIN_QUARANTINE_TICKS and not quarantine.should_skip(now, "other")
     now += 2 * MIN_QUARANTINE_TICKS
     quarantine.should_skip(now, "p")
-    quarantine.record_valid(now + FAULT_WINDOW_TICKS, "p")
-    quarantine.record_malformed(now + FAULT_WINDOW_TICKS, "p", "once", b"")
-    assert not quarantine.should_skip(now + FAULT_WINDOW_TICKS, "p")
+    quarantine.record_valid(now + MALFORMED_WINDOW_TICKS, "p")
+    quarantine.record_malformed(now + MALFORMED_WINDOW_TICKS, "p", "once", b"")
+    assert not quarantine.should_skip(now + MALFORMED_WINDOW_TICKS, "p")
 
 
 def test_a_report_is_bounded_and_its_times_are_checked() -> None:
     at = forms.Address(forms.SocketAddress("127.0.0.1", 81))
-    rows = [forms.UpstreamEndpointStats(at, 1)] * (MAX_ROWS + 1)
+    rows = [forms.UpstreamEndpointStats(at, 1)] * (MAX_ENDPOINTS + 1)
     zone = forms.UpstreamLocalityStats(upstream_endpoint_stats=rows)
     made = forms.LoadStatsRequest(cluster_stats=[forms.ClusterStats("r@t", "", [zone], 0, [], "1s")])
     with pytest.raises(MessageFormatError, match="more than 5000 endpoints"):
         read_report(made, frozenset("r"))
-    for times, cause in (((5, 4), "load_from is 5"), (("x", 4), "no numbers"), ((0, 1e13), "load_until 1e")):
+    for times, cause in (
+        ((5, 4), "load_from is 5"),
+        (("x", 4), "are not numbers"),
+        ((0, 1e13), "load_until 1e"),
+    ):
         node = forms.Node(metadata={"load_from": times[0], "load_until": times[1]})
         with pytest.raises(MessageFormatError, match=cause):
             read_report(forms.LoadStatsRequest(node), frozenset())
--- a/willowhook/reports/__init__.py
+++ b/willowhook/reports/__init__.py
@@ -1,7 +1,7 @@
-"""Load reports of proxies on their way to the decisions: bounded, sampled, aged and summed; no I/O, no clock.
+"""Processing of the load reports of proxies, from arrival to the sums that decisions use; no I/O, no clock.
 
-Reports wait in a `queue`, which keeps a sample of each proxy's, and are processed as the `budget` allows;
-`read` checks one report, `windows` finds what of its time is new, `sample` makes sums of what was kept,
-`sums` adds them up with `fading`, and `quarantine` leaves out proxies whose reports are malformed again and
-again.
+Reports wait in a `queue`, which keeps a bounded sample for each proxy, and are processed at the rate that the
+`budget` allows. `read` parses and validates one report, `windows` finds the part of its time that was not
+counted before, `sample` estimates the sums of all reports of a proxy from the sample, `sums` adds them up
+with the exponential decay of `fading`, and `quarantine` skips proxies that repeatedly send malformed reports.
 """
--- a/willowhook/reports/fading.py
+++ b/willowhook/reports/fading.py
@@ -1,8 +1,8 @@
-"""Sums with exponential decay: attempts a half-life ago count half, whatever the order of arrival.
+"""Sums with exponential decay: attempts a half-life ago count half, in whatever order they arrive.
 
-An exponential is the one decay for which a sum of any age needs one figure and one time, and for which late
-and out-of-order windows come to the same: each is brought to the sum's own time and added. A ring of buckets
-is only exact to a bucket, and costs one read a bucket. Times are ticks.
+With exponential decay, and no other, a sum needs one number and one time, and late or out-of-order windows
+give the same result: each is scaled to the time of the sum and added. A ring of buckets would be exact only
+to the width of a bucket, and would cost one read for each bucket. Times are ticks.
 """
 
 from __future__ import annotations
@@ -10,23 +10,23 @@
 import math
 
 LN2 = math.log(2)
-HALF_LIVES_TO_LANDMARK = 100  # then it moves
-MIN_WINDOW = 1e-6  # of a half-life; below it a window is a point in time
+HALF_LIVES_TO_LANDMARK = 100  # age at which the landmark moves
+MIN_WINDOW = 1e-6  # half-lives; a shorter window counts as a point in time
 
 
 class Decay:
-    """The weight of what happened some time ago."""
+    """The weight of past events by their age."""
 
     def __init__(self, half_life: int) -> None:
-        """What is `half_life` old counts half."""
+        """Events that are `half_life` ticks old count half."""
         self.half_life = half_life
 
     def weight(self, age: float) -> float:
-        """The weight at this age; what lies ahead, as clocks differ, counts once."""
+        """The weight at this age; 1 for times in the future, which occur as clocks differ."""
         return 1.0 if age <= 0 else float(2.0 ** (-age / self.half_life))
 
     def mean_weight(self, older: float, younger: float) -> float:
-        """The mean weight over a window between these ages, through which things happened evenly."""
+        """The mean weight of events spread evenly over the window between these ages."""
         older = max(older, 0.0)
         younger = max(younger, 0.0)
         if older - younger < MIN_WINDOW * self.half_life:
@@ -36,36 +36,36 @@
 
 
 class ForwardDecay:
-    """Sums that decay together, kept as they count at one landmark in time.
+    """Sums that decay together, stored at the scale of one reference time, the landmark.
 
-    Adding is a multiplication by what is the same for all figures of a report, and nothing is touched as time
-    goes on (Cormode, Shkapenyuk, Srivastava and Xu, Forward decay, 2009). A figure `x` of a window is kept as
-    `x * gain(since, until)`; what is kept counts `scale(now)` times now.
+    Adding multiplies all values of a report by the same factor, and stored sums need no update as time passes
+    (Cormode, Shkapenyuk, Srivastava and Xu, Forward decay, 2009). A value `x` of a window is stored as
+    `x * gain(since, until)`; a stored sum times `scale(now)` is its decayed value.
     """
 
     def __init__(self, half_life: int) -> None:
-        """Sets the landmark by the first window."""
+        """Creates it without a landmark, which the first window sets."""
         self._decay = Decay(half_life)
         self._half_life = half_life
         self._landmark: int | None = None
 
     def gain(self, since: int, until: int) -> float:
-        """What figures of this window are multiplied by as they are added."""
+        """The factor for values of this window when they are added to the stored sums."""
         if self._landmark is None:
             self._landmark = until
-        lift = 2.0 ** ((until - self._landmark) / self._half_life)
-        return float(lift * self._decay.mean_weight(until - since, 0))
+        growth = 2.0 ** ((until - self._landmark) / self._half_life)
+        return float(growth * self._decay.mean_weight(until - since, 0))
 
     def scale(self, now: int) -> float:
-        """What the kept sums are multiplied by to count as of now."""
+        """The factor from stored sums to their decayed values at `now`."""
         if self._landmark is None:
             return 0.0
         return float(2.0 ** ((self._landmark - now) / self._half_life))
 
     def move_landmark(self, now: int) -> float:
-        """Moves the landmark when it is far away; what all kept sums must be multiplied by, 1: it stays.
+        """Moves the landmark to `now` if it is too old, as gains would otherwise grow without bound.
 
-        Without it the gains would grow without end.
+        Returns the factor by which all stored sums must be multiplied; 1 if the landmark did not move.
         """
         if self._landmark is None or now - self._landmark < HALF_LIVES_TO_LANDMARK * self._half_life:
             return 1.0
--- a/willowhook/reports/quarantine.py
+++ b/willowhook/reports/quarantine.py
@@ -1,8 +1,9 @@
-"""Quarantine of proxies whose reports are malformed again and again; what they sent is kept as evidence.
+"""Quarantine of proxies that repeatedly send malformed reports; the start of a malformed report is kept.
 
-Only their reports are left out: they are served, and what they apply counts. A quarantine begins after some
-malformed reports in a row, or more within a minute, and doubles each time up to a minute. After a minute of
-well-formed reports it is forgotten. Times are ticks.
+Only the reports of such a proxy are skipped: it is still served, and its acknowledgements count. A quarantine
+begins after three malformed reports in a row or five within a minute. Its duration doubles each time, from
+five seconds up to a minute. The first well-formed report after a minute without malformed ones drops the
+proxy's record. Times are ticks.
 """
 
 from __future__ import annotations
@@ -13,47 +14,47 @@
 
 from ..ticks import TICKS_PER_SECOND
 
-FAULTS_IN_A_ROW = 3
-FAULTS_IN_WINDOW = 5
-FAULT_WINDOW_TICKS = 60 * TICKS_PER_SECOND
+MALFORMED_IN_A_ROW = 3
+MALFORMED_IN_WINDOW = 5
+MALFORMED_WINDOW_TICKS = 60 * TICKS_PER_SECOND
 MIN_QUARANTINE_TICKS = 5 * TICKS_PER_SECOND
 MAX_QUARANTINE_TICKS = 60 * TICKS_PER_SECOND
-EVIDENCE_BYTES = 200
+EVIDENCE_BYTES = 200  # of the malformed report, passed to the listener
 
 
 class QuarantineListener(Protocol):
-    """Is notified of the beginning and the end of each quarantine."""
+    """Notified of the beginning and the end of each quarantine."""
 
     def quarantined(self, proxy: str, duration: int, cause: str, evidence: bytes) -> None:
-        """Called when the reports of a proxy are left out for `duration` ticks."""
+        """Called when the reports of a proxy are skipped for `duration` ticks from now."""
 
     def released(self, proxy: str) -> None:
         """Called when the reports of a proxy are processed again."""
 
 
 @dataclass(slots=True)
-class _FaultRecord:
+class _MalformedRecord:
     in_a_row: int = 0
-    fault_times: deque[int] = field(default_factory=deque)
+    malformed_times: deque[int] = field(default_factory=deque)
     quarantined_until: int | None = None
     duration: int = 0  # of the last quarantine
 
 
 class Quarantine:
-    """Keeps the faults of each proxy.
+    """Counts the malformed reports of each proxy and decides whose reports are skipped.
 
     Attributes:
-        skipped: the number of reports that were left out.
+        skipped: the number of reports that were skipped.
     """
 
     def __init__(self, listener: QuarantineListener) -> None:
-        """Starts without a fault."""
+        """Creates it without any malformed report on record."""
         self._listener = listener
-        self._records: dict[str, _FaultRecord] = {}  # by proxy, of those with recent faults
+        self._records: dict[str, _MalformedRecord] = {}  # by proxy, if it sent malformed reports recently
         self.skipped = 0
 
     def should_skip(self, now: int, proxy: str) -> bool:
-        """Whether to leave out a report of a proxy, which is counted then."""
+        """Whether to skip a report of a proxy; counts the report as skipped if so."""
         record = self._records.get(proxy)
         if record is None or record.quarantined_until is None:
             return False
@@ -65,12 +66,12 @@
 
     def record_malformed(self, now: int, proxy: str, cause: str, data: bytes) -> None:
         """Records a malformed report."""
-        record = self._records.setdefault(proxy, _FaultRecord())
+        record = self._records.setdefault(proxy, _MalformedRecord())
         record.in_a_row += 1
-        record.fault_times.append(now)
-        while record.fault_times and record.fault_times[0] <= now - FAULT_WINDOW_TICKS:
-            record.fault_times.popleft()
-        is_due = record.in_a_row >= FAULTS_IN_A_ROW or len(record.fault_times) >= FAULTS_IN_WINDOW
+        record.malformed_times.append(now)
+        while record.malformed_times and record.malformed_times[0] <= now - MALFORMED_WINDOW_TICKS:
+            record.malformed_times.popleft()
+        is_due = record.in_a_row >= MALFORMED_IN_A_ROW or len(record.malformed_times) >= MALFORMED_IN_WINDOW
         if record.quarantined_until is None and is_due:
             doubled = max(MIN_QUARANTINE_TICKS, 2 * record.duration)
             record.duration = min(doubled, MAX_QUARANTINE_TICKS)
@@ -82,23 +83,23 @@
         record = self._records.get(proxy)
         if record is not None:
             record.in_a_row = 0
-            if not record.fault_times or record.fault_times[-1] <= now - FAULT_WINDOW_TICKS:
+            if not record.malformed_times or record.malformed_times[-1] <= now - MALFORMED_WINDOW_TICKS:
                 del self._records[proxy]
 
     def release_due(self, now: int) -> None:
-        """Releases proxies whose quarantine is over, also if nothing comes from them."""
+        """Releases proxies whose quarantine is over, even if they send nothing."""
         for proxy, record in list(self._records.items()):
             if record.quarantined_until is not None and record.quarantined_until <= now:
                 self._release(proxy, record)
 
     def remove_proxy(self, proxy: str) -> None:
-        """Drops the record of a proxy that has left, but for a quarantine: it may come again."""
+        """Drops the record of a proxy that left, unless it is in quarantine: it may reconnect."""
         record = self._records.get(proxy)
         if record is not None and record.quarantined_until is None:
             del self._records[proxy]
 
-    def _release(self, proxy: str, record: _FaultRecord) -> None:
+    def _release(self, proxy: str, record: _MalformedRecord) -> None:
         record.quarantined_until = None
-        record.in_a_row = FAULTS_IN_A_ROW - 1  # one more fault begins the next quarantine
-        record.fault_times.clear()
+        record.in_a_row = MALFORMED_IN_A_ROW - 1  # one more malformed report begins the next quarantine
+        record.malformed_times.clear()
         self._listener.released(proxy)
--- a/willowhook/reports/queue.py
+++ b/willowhook/reports/queue.py
@@ -1,10 +1,10 @@
 """The queue of reports: bounded, fair among proxies, and an unbiased sample if too many arrive.
 
-Each proxy has room for two reports. Of `k` that arrived since it was last served, any two are kept with the
-same chance (reservoir sampling, Vitter 1985), so `k / 2` times their sum is unbiased whatever was dropped,
-and the two tell how far apart reports of that time are. Proxies are served by deficit round robin (Shreedhar
-and Varghese 1996), with shares by the priority weight of their requests; those that were never served go
-first.
+The queue holds two reports of each proxy. Of the `k` reports that arrived since the proxy was last served,
+any two are kept with the same probability (reservoir sampling, Vitter 1985), so that `k / 2` times their sum
+is an unbiased estimate of the total, and their difference yields an estimate of its variance. Proxies are
+served by deficit round robin (Shreedhar and Varghese 1996), with shares by their request rates, weighted by
+priority weight; those that were never served go first.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from typing import NamedTuple
 
 SAMPLE_SIZE = 2
-MIN_SHARE = 0.25  # relative to the mean proxy
+MIN_SHARE = 0.25  # relative to the mean of all proxies
 MAX_SHARE = 4.0
 REPORT_COST = 1.0  # of a proxy's deficit
 
@@ -30,15 +30,15 @@
 @dataclass(slots=True)
 class _ProxyReports:
     sample: list[ArrivedReport] = field(default_factory=list)
-    arrived: int = 0  # since it was last served
+    arrived: int = 0  # since the proxy was last served
     deficit: float = 0.0
     share: float = 1.0
     was_served: bool = False  # ever
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
-    """The reports of one proxy.
+class TakenReports:
+    """The reports of one proxy, taken from the queue.
 
     Attributes:
         proxy: its name.
@@ -52,16 +52,16 @@
 
 
 class ReportQueue:
-    """Reports that wait to be processed.
+    """Queue of the reports that wait to be processed.
 
     Attributes:
         arrived: the number of reports that have arrived.
         dropped: the number of reports that were dropped.
-        waiting_bytes: the size of the reports that wait.
+        waiting_bytes: the total size of the waiting reports.
     """
 
     def __init__(self, draw: Callable[[int], int], sample_size: int = SAMPLE_SIZE) -> None:
-        """Samples with `draw(n)`, which returns a random whole number below `n`."""
+        """Creates an empty queue; `draw(n)` returns a random integer from 0 to `n - 1`."""
         self._draw = draw
         self._sample_size = sample_size
         self._proxies: dict[str, _ProxyReports] = {}
@@ -72,11 +72,11 @@
         self.waiting_bytes = 0
 
     def __len__(self) -> int:
-        """The number of proxies whose reports wait."""
+        """The number of proxies with waiting reports."""
         return len(self._never_served) + len(self._round)
 
     def offer(self, now: int, proxy: str, data: bytes) -> None:
-        """Adds a report, or drops one."""
+        """Adds a report; drops it, or one that it replaces, if the sample of its proxy is full."""
         reports = self._proxies.get(proxy)
         if reports is None:
             reports = self._proxies[proxy] = _ProxyReports()
@@ -89,13 +89,13 @@
             self.waiting_bytes += len(data)
             return
         self.dropped += 1
-        place = self._draw(reports.arrived)
-        if place < self._sample_size:
-            self.waiting_bytes += len(data) - len(reports.sample[place].data)
-            reports.sample[place] = ArrivedReport(now, data)
+        index = self._draw(reports.arrived)
+        if index < self._sample_size:
+            self.waiting_bytes += len(data) - len(reports.sample[index].data)
+            reports.sample[index] = ArrivedReport(now, data)
 
-    def take(self, now: int) -> Taken | None:
-        """The reports of the proxy whose turn it is; None if nobody waits."""
+    def take(self, now: int) -> TakenReports | None:
+        """Takes the reports of the proxy whose turn it is; returns None if none are waiting."""
         if self._never_served:
             return self._serve(self._never_served.popleft())
         while self._round:
@@ -110,13 +110,13 @@
         return None
 
     def set_share(self, proxy: str, share: float) -> None:
-        """Sets a proxy's share: the weight of its requests beside those of the mean proxy."""
+        """Sets a proxy's share: its weighted request rate relative to the mean of all proxies."""
         reports = self._proxies.get(proxy)
         if reports is not None:
             reports.share = min(max(share, MIN_SHARE), MAX_SHARE)
 
     def remove_proxy(self, proxy: str) -> None:
-        """Drops the reports of a proxy that has left."""
+        """Drops the reports of a proxy that left."""
         reports = self._proxies.pop(proxy, None)
         if reports is not None and reports.arrived:
             self.waiting_bytes -= sum(len(data) for _, data in reports.sample)
@@ -124,9 +124,9 @@
                 if proxy in waiting:
                     waiting.remove(proxy)
 
-    def _serve(self, proxy: str) -> Taken:
+    def _serve(self, proxy: str) -> TakenReports:
         reports = self._proxies[proxy]
-        taken = Taken(proxy, tuple(reports.sample), reports.arrived)
+        taken = TakenReports(proxy, tuple(reports.sample), reports.arrived)
         self.waiting_bytes -= sum(len(data) for _, data in reports.sample)
         reports.sample = []
         reports.arrived = 0
--- a/willowhook/reports/read.py
+++ b/willowhook/reports/read.py
@@ -1,4 +1,4 @@
-"""Reads one load report in its published form: all is checked, within bounds, before any of it counts."""
+"""Parses one load report from its xDS form; all of it is validated, with limits, before any of it counts."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from ..xds.orca import decision_metrics
 from .sums import ReportCells, ReportedAttempts
 
-LATENCY = "latency_seconds"  # the named metric that sums the latency of the attempts that succeeded
-MAX_REQUESTS = 1e9  # of one count; more is malformed
-MAX_METRIC = 1e12
-MAX_ROWS = 5_000  # endpoints of one report, over all clusters
+LATENCY = "latency_seconds"  # the named metric with the sum of the latencies of successful attempts
+MAX_REQUESTS = 1e9  # limit of each count; a report above it is malformed
+MAX_METRIC = 1e12  # limit of the absolute value of a metric
+MAX_ENDPOINTS = 5_000  # in one report, over all clusters
 MAX_WINDOW_S = 3600
 LATEST_TIME_S = 1e12
 MAX_PROCESS_LENGTH = 64  # characters
@@ -26,10 +26,10 @@
     Attributes:
         contents: the attempts and the load metrics by endpoint.
         requests: requests and failures, by route.
-        length: the length of the time that it covers, in ticks; 0: it contains no cluster.
-        process: names one run of the proxy's program.
-        since: the beginning of that time by the proxy's clock, in ticks; -1: it states no times.
-        until: the end of that time; -1: it states no times.
+        length: the length of the time that it covers, in ticks; 0 if it contains no cluster.
+        process: identifies one run of the proxy's program.
+        since: the beginning of that time by the proxy's clock, in ticks; -1 if the report states no times.
+        until: the end of that time; -1 if the report states no times.
     """
 
     contents: ReportCells = field(default_factory=ReportCells)
@@ -47,7 +47,7 @@
     successes: int = 0
     failures: int = 0
     latency_s: float = 0.0
-    timed: int = 0  # successes with a latency
+    latency_count: int = 0  # successes with a latency
 
 
 @dataclass(slots=True)
@@ -59,17 +59,21 @@
 
 
 def read_report(report: forms.LoadStatsRequest, routes: frozenset[str]) -> Report:
-    """Reads a report about these routes; attempts for other routes count for no route. Raises FormError."""
+    """Parses a report; attempts for routes that are not in `routes` are counted under the empty route name.
+
+    Raises:
+        MessageFormatError: the report is malformed.
+    """
     return _ReportReader(routes).read(report)
 
 
 class _ReportReader:
-    """Adds up the clusters of one report."""
+    """Validates one report and sums up its clusters."""
 
     def __init__(self, routes: frozenset[str]) -> None:
         self._routes = routes
         self._report = Report()
-        self._row_count = 0
+        self._endpoint_count = 0
         self._cells: dict[tuple[str, str], _CellSums] = {}  # by address and route
         self._metrics: dict[tuple[str, str], _MetricSums] = {}  # by address and metric
 
@@ -81,20 +85,20 @@
         for key, cell in self._cells.items():
             attempts = cell.successes + cell.failures
             if attempts:
-                mean_latency_s = cell.latency_s / cell.timed if cell.timed else 0.0
+                mean_latency_s = cell.latency_s / cell.latency_count if cell.latency_count else 0.0
                 latency_sum = mean_latency_s * cell.successes * TICKS_PER_SECOND
                 cells[key] = ReportedAttempts(attempts, cell.failures, latency_sum)
         self._report.contents.loads = self._loads()
         return self._report
 
     def _read_times(self, node: forms.Node) -> None:
-        """Reads `load_from` and `load_until`, seconds of the proxy's calendar, and `process`."""
+        """Reads `load_from` and `load_until`, in seconds by the proxy's clock, and `process`."""
         since = node.metadata.get("load_from")
         until = node.metadata.get("load_until")
         if since is None or until is None:
             return
         if not (isinstance(since, int | float) and isinstance(until, int | float)):
-            raise MessageFormatError("node.metadata.load_from and load_until are no numbers")
+            raise MessageFormatError("node.metadata.load_from and load_until are not numbers")
         if not (0 <= since < until < LATEST_TIME_S and until - since <= MAX_WINDOW_S):
             raise MessageFormatError(f"node.metadata.load_from is {since:g} and load_until {until:g}")
         self._report.since = ticks_from_seconds(since)
@@ -110,26 +114,28 @@
         requests = 0
         failures = 0
         for locality in cluster.upstream_locality_stats:
-            for row in locality.upstream_endpoint_stats:
-                self._read_endpoint(cluster.cluster_name, route, row)
-                requests += row.total_successful_requests + row.total_error_requests
-                failures += row.total_error_requests
+            for endpoint in locality.upstream_endpoint_stats:
+                self._read_endpoint(cluster.cluster_name, route, endpoint)
+                requests += endpoint.total_successful_requests + endpoint.total_error_requests
+                failures += endpoint.total_error_requests
         dropped = cluster.total_dropped_requests
         if not 0 <= dropped < MAX_REQUESTS:
-            raise MessageFormatError(f"{cluster.cluster_name}: {dropped} dropped")
+            raise MessageFormatError(f"{cluster.cluster_name}: {dropped} dropped requests are out of range")
         if route:
             old = self._report.requests.get(route, (0.0, 0.0))
             self._report.requests[route] = (old[0] + requests + dropped, old[1] + failures)
 
-    def _read_endpoint(self, cluster: str, route: str, row: forms.UpstreamEndpointStats) -> None:
-        self._row_count += 1
-        if self._row_count > MAX_ROWS:
-            raise MessageFormatError(f"more than {MAX_ROWS} endpoints")
-        successes = row.total_successful_requests
-        failures = row.total_error_requests
+    def _read_endpoint(self, cluster: str, route: str, endpoint: forms.UpstreamEndpointStats) -> None:
+        self._endpoint_count += 1
+        if self._endpoint_count > MAX_ENDPOINTS:
+            raise MessageFormatError(f"more than {MAX_ENDPOINTS} endpoints")
+        successes = endpoint.total_successful_requests
+        failures = endpoint.total_error_requests
         if not (0 <= successes < MAX_REQUESTS and 0 <= failures < MAX_REQUESTS):
-            raise MessageFormatError(f"{cluster}: {successes} answered and {failures} errors")
-        socket = row.address.socket_address
+            raise MessageFormatError(
+                f"{cluster}: {successes} successful and {failures} failed requests are out of range"
+            )
+        socket = endpoint.address.socket_address
         if socket is None:
             raise MessageFormatError(f"{cluster}: an endpoint has no address")
         address = f"{socket.address}:{socket.port_value}"
@@ -138,7 +144,7 @@
             cell = self._cells[address, route] = _CellSums()
         cell.successes += successes
         cell.failures += failures
-        self._read_metrics(cluster, address, cell, row.load_metric_stats)
+        self._read_metrics(cluster, address, cell, endpoint.load_metric_stats)
 
     def _read_metrics(
         self, cluster: str, address: str, cell: _CellSums, metrics: list[forms.LoadMetricStats]
@@ -151,7 +157,7 @@
                 raise MessageFormatError(f"{cluster}: {name} of {total} over {count}")
             if name == LATENCY:
                 cell.latency_s += max(total, 0.0)
-                cell.timed += count
+                cell.latency_count += count
             elif count:
                 sums = self._metrics.get((address, name))
                 if sums is None:
--- a/willowhook/reports/sums.py
+++ b/willowhook/reports/sums.py
@@ -1,12 +1,13 @@
 """Sums of reports by endpoint, zone and route, with the uncertainty of each sum.
 
-The two reports that are kept of a proxy stand for `k`: each figure is `k / 2` times their sum. Its variance
-is estimated from the two, `k^2 (1 - 2/k) d^2 / 4` with `d` their difference (simple random sampling without
-replacement, Cochran 1977, theorem 2.2), and variances of proxies add up. Nothing is estimated where all
-reports were processed.
-
-What is late is scaled by what counts of it at its age. The decisions get one call for each endpoint and zone
-each time, not one for each report; in whole numbers, with the rest carried over. Times are ticks.
+The two reports in the sample of a proxy represent `k` reports: each estimate is `k / 2` times their sum. Its
+variance is estimated from the two as `k^2 (1 - 2/k) d^2 / 4`, where `d` is their difference (simple random
+sampling without replacement, Cochran 1977, theorem 2.2). The variances of proxies add up. Nothing is
+estimated if all reports were processed.
+
+Late reports are scaled by the decay at their age. Each flush passes one set of sums for each endpoint and
+zone to the decisions, not one for each report. Counts are passed as whole numbers; the remainder is carried
+over. Times are ticks.
 """
 
 from __future__ import annotations
@@ -18,11 +19,11 @@
 
 from .fading import Decay, ForwardDecay
 
-STANDARD_ERRORS = 1.96  # the half width of a 95 % confidence interval
-ROUNDING = 1e-9  # a count this little under a whole number is one
-MAX_PENDING = 50_000  # endpoints and zones; above it those without a whole attempt are dropped
-MIN_SUCCESSES = 0.5  # for a mean latency
-MIN_PENDING_ATTEMPTS = 0.5
+STANDARD_ERRORS = 1.96  # half width of a 95 % confidence interval
+ROUNDING = 1e-9  # a count that is below a whole number by no more than this counts as that number
+MAX_PENDING = 50_000  # pairs of endpoint and zone; above it, pairs with too few attempts are dropped
+MIN_SUCCESSES = 0.5  # to compute a mean latency
+MIN_PENDING_ATTEMPTS = 0.5  # to be kept above MAX_PENDING
 
 
 class ReportedAttempts(NamedTuple):
@@ -32,7 +33,7 @@
         attempts: the number of attempts that have ended.
         failures: the number of failures among them.
         latency_sum: the sum of the latencies of the attempts that succeeded, in ticks.
-        variance: the variance of the number of attempts, if it is estimated from a sample; 0: it was counted.
+        variance: the variance of the number of attempts, if estimated from a sample; 0 if counted.
     """
 
     attempts: float
@@ -42,7 +43,7 @@
 
 
 NO_ATTEMPTS = ReportedAttempts(0.0, 0.0, 0.0)
-Cell = tuple[str, str]  # an endpoint (by address, or by name) and a route
+Cell = tuple[str, str]  # an endpoint, by address or by name, and a route
 Loads = Mapping[str, dict[str, float]]  # by endpoint: load metrics by name
 
 
@@ -54,13 +55,13 @@
     half_width: float
 
     def holds(self, truth: float) -> bool:
-        """Whether the interval holds this value."""
+        """Whether the confidence interval contains this value."""
         return abs(truth - self.value) <= self.half_width
 
 
 @dataclass(slots=True)
 class ReportCells:
-    """The contents of one report.
+    """The contents of one report by endpoint.
 
     Attributes:
         cells: attempts by endpoint and route.
@@ -89,7 +90,7 @@
 
 @dataclass(slots=True)
 class _PendingSums:
-    """Sums of one endpoint and zone since they were last handed over."""
+    """Sums of one endpoint and zone since the last flush."""
 
     attempts: float = 0.0
     failures: float = 0.0
@@ -99,14 +100,14 @@
 
 
 class FlushedSums(NamedTuple):
-    """What reports said of an endpoint, seen from one zone, since the last flush.
+    """The sums of an endpoint from the reports of one zone's proxies since the last flush.
 
     Attributes:
         endpoint: its name.
         zone: the zone of the proxies that reported.
         attempts: the number of attempts that ended.
         failures: the number of failures among them.
-        mean_latency_ticks: the mean latency of the attempts that succeeded; 0: too few succeeded.
+        mean_latency_ticks: the mean latency of the attempts that succeeded; 0 if too few succeeded.
         window_ticks: the longest time that one report covered.
         load: the latest load metrics, by name.
     """
@@ -123,8 +124,8 @@
 def combine_reports(reports: Sequence[ReportCells], factor: float) -> dict[Cell, ReportedAttempts]:
     """Sums reports, each of which represents `factor` reports.
 
-    `reports` are all there are (`factor` 1), two drawn evenly, or one. Of one alone nothing is known of the
-    rest: its count is taken for that of events that happen independently.
+    `reports` are all reports (`factor` 1), two of them drawn at random, or one. A single report gives no
+    information about the others: its count is then treated as one of independent events.
     """
     if factor <= 1 and len(reports) == 1:
         return reports[0].cells
@@ -149,10 +150,10 @@
 
 
 class ReportSums:
-    """Sums by endpoint, zone and route, for the decisions and for estimates."""
+    """Sums of reported attempts by endpoint, zone and route, for the decisions and for estimates."""
 
     def __init__(self, half_life: int, hand_over: Callable[[FlushedSums], None]) -> None:
-        """Sums decay with this half-life and go to `hand_over` at each `flush`."""
+        """Creates empty sums that decay with this half-life and are passed to `hand_over` at each `flush`."""
         self._decay = Decay(half_life)
         self._forward_decay = ForwardDecay(half_life)
         self._hand_over = hand_over
@@ -172,7 +173,7 @@
         cells: Mapping[Cell, ReportedAttempts],
         loads: Loads,
     ) -> None:
-        """Adds what happened evenly from `since` to `until`, by this clock, seen from a zone."""
+        """Adds a zone's attempts, spread evenly from `since` to `until` by the controller's clock."""
         factor = self._forward_decay.move_landmark(now)
         if factor != 1:
             for kept in self._cells.values():
@@ -197,7 +198,7 @@
                 self._pending[endpoint, zone].load = load
 
     def flush(self) -> int:
-        """Hands over all new sums; returns the number of calls."""
+        """Passes on all pending sums; returns the number of calls to `hand_over`."""
         count = 0
         for (endpoint, zone), pending in self._pending.items():
             count += self._flush_one(endpoint, zone, pending)
@@ -210,7 +211,7 @@
         return count
 
     def estimate_attempts(self, now: int, endpoint: str, zone: str, route: str) -> Estimate:
-        """The decayed sum of attempts and its uncertainty."""
+        """Returns the decayed sum of attempts with its confidence interval."""
         sums = self._cells.get((endpoint, zone, route))
         if sums is None:
             return Estimate(0.0, 0.0)
