--- a/willowhook/cli/__init__.py
+++ b/willowhook/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line."""
+"""The command line, `willowhook`."""
--- a/willowhook/cli/__main__.py
+++ b/willowhook/cli/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m willowhook.cli`, the same as the `willowhook` command."""
+"""Entry point of `python -m willowhook.cli`, which is the same as the `willowhook` command."""
 
 from .main import main
 
--- a/willowhook/cli/commands.py
+++ b/willowhook/cli/commands.py
@@ -1,7 +1,7 @@
-"""The sub-commands.
+"""The root command, and the commands of controllers, configurations, tables and versions.
 
-Exit codes: 0 done, 1 a trial or check failed, 2 wrong use or configuration, 3 the controller's folder cannot
-be used, 4 the controller failed.
+Exit codes: 0 success, 1 a trial or check failed, 2 wrong usage or configuration, 3 the controller's folder
+cannot be used, 4 the controller failed.
 """
 
 from __future__ import annotations
@@ -25,20 +25,20 @@
 @click.group()
 @click.version_option(package_name="willowhook", version="0.2.0")
 def main() -> None:
-    """A controller of plain proxies: it publishes their tables as files that are swapped whole."""
+    """Configuration controller of a proxy fleet, which publishes tables as atomically replaced files."""
 
 
 def load_terms(path: str) -> Terms:
-    """Reads a configuration; prints what is wrong with it and exits with code 2 if it cannot be used."""
+    """Reads a configuration; if it is not valid, prints its errors and exits with code 2."""
     from ..config.check import ConfigError, parse_config
 
     try:
         return parse_config(Path(path).read_bytes())
-    except OSError as fault:
-        click.echo(f"{path}: {fault.strerror}", err=True)
-    except ConfigError as fault:
-        for place, cause in fault.errors:
-            click.echo(f"{path}: {place}: {cause}", err=True)
+    except OSError as error:
+        click.echo(f"{path}: {error.strerror}", err=True)
+    except ConfigError as error:
+        for location, cause in error.errors:
+            click.echo(f"{path}: {location}: {cause}", err=True)
     sys.exit(2)
 
 
@@ -47,7 +47,7 @@
 @click.option("--log-format", type=click.Choice(["console", "json"]), default="console", show_default=True)
 @click.pass_context
 def controller(context: click.Context, path: str, log_format: str) -> None:
-    """Run one controller until SIGTERM; or act on one that runs."""
+    """Run a controller until SIGTERM, or control a running one."""
     if context.invoked_subcommand is not None:
         return
     if not path:
@@ -58,11 +58,19 @@
 
 
 @controller.command()
-@click.option("--config", "path", required=True, type=click.Path(), help="Its configuration.")
-@click.option("--undo", is_flag=True, help="Let proxies come again.")
-@click.option("--wait", "wait_s", type=click.FloatRange(0, 86_400), default=0.0, help="Seconds until empty.")
+@click.option(
+    "--config", "path", required=True, type=click.Path(), help="The controller's configuration, JSON."
+)
+@click.option("--undo", is_flag=True, help="Stop draining and accept proxies again.")
+@click.option(
+    "--wait",
+    "wait_s",
+    type=click.FloatRange(0, 86_400),
+    default=0.0,
+    help="Seconds to wait until all proxies have left.",
+)
 def drain(path: str, undo: bool, wait_s: float) -> None:
-    """Hand a running controller's proxies to others, one by one.  Exit code 1 if any is left after --wait."""
+    """Move a running controller's proxies to other controllers.  Exit code 1 if any is left after --wait."""
     from ..files.layout import DRAIN, UP
     from ..files.ops import DiskOps, remove
     from ..files.swap import swap_file
@@ -89,11 +97,11 @@
 
 
 def _add_hidden_alias(group: click.Group, alias: str) -> None:
-    """Keeps a former name of a command group, with its options and sub-commands, out of the help."""
-    former = copy.copy(group)
-    former.name = alias
-    former.hidden = True
-    main.add_command(former)
+    """Adds a former name of a command group, with its options and sub-commands; the help does not show it."""
+    hidden_group = copy.copy(group)
+    hidden_group.name = alias
+    hidden_group.hidden = True
+    main.add_command(hidden_group)
 
 
 _add_hidden_alias(controller, "director")
@@ -101,30 +109,30 @@
 
 @main.group()
 def config() -> None:
-    """Configurations of a controller."""
+    """Check a controller's configuration, or print its schema or an example."""
 
 
 @config.command()
 @click.argument("path", type=click.Path())
 def check(path: str) -> None:
-    """Check a configuration; every fault is told with its place."""
+    """Check a configuration and print every error with its location."""
     terms = load_terms(path)
     click.echo(
-        f"{path}: good: controller {terms.name}, {len(terms.routes)} routes, {terms.fleet.proxies} proxies"
+        f"{path}: valid: controller {terms.name}, {len(terms.routes)} routes, {terms.fleet.proxies} proxies"
     )
 
 
 @config.command()
 def schema() -> None:
     """Print the JSON Schema of a configuration."""
-    from ..config.check import schema as made
+    from ..config.check import schema as config_schema
 
-    click.echo(json.dumps(made(), indent=1))
+    click.echo(json.dumps(config_schema(), indent=1))
 
 
 @config.command()
 def example() -> None:
-    """Print a configuration that is good."""
+    """Print a valid example of a configuration."""
     import msgspec
 
     from ..config.example import EXAMPLE
@@ -134,50 +142,53 @@
 
 @main.group()
 def tables() -> None:
-    """What lies in a controller's folder."""
+    """Inspect the tables in a controller's folder."""
 
 
 @tables.command()
 @click.argument("folder", type=click.Path())
-@click.option("--proxy", "only", default="", help="Show this proxy alone.")
+@click.option("--proxy", "only", default="", help="Show only this proxy.")
 def show(folder: str, only: str) -> None:
-    """Show what each proxy of a controller's folder would read now."""
+    """Show the routes and tables that each proxy would now read from a controller's FOLDER."""
     from ..files.layout import DOWN
     from ..xds.codec import MessageFormatError
     from .tables import print_proxy
 
     root = Path(folder) / DOWN
     if not root.is_dir():
-        click.echo(f"{folder}: no controller's folder: {root} is not there", err=True)
+        click.echo(f"{folder}: not a controller's folder: {root} does not exist", err=True)
         sys.exit(2)
     has_malformed = False
-    for place in sorted(root.iterdir()):
-        if only and place.name != only:
+    for proxy_folder in sorted(root.iterdir()):
+        if only and proxy_folder.name != only:
             continue
         try:
-            print_proxy(place)
+            print_proxy(proxy_folder)
         except FileNotFoundError:
-            click.echo(f"{place.name}: nothing has been sent")
-        except (MessageFormatError, OSError, KeyError) as fault:
-            click.echo(f"{place.name}: cannot be read: {fault}", err=True)
+            click.echo(f"{proxy_folder.name}: nothing has been sent")
+        except (MessageFormatError, OSError, KeyError) as error:
+            click.echo(f"{proxy_folder.name}: cannot be read: {error}", err=True)
             has_malformed = True
     sys.exit(1 if has_malformed else 0)
 
 
 @main.command()
 @click.argument("records", type=click.Path())
-@click.option("--proxy", default="", help="One proxy in full.")
+@click.option("--proxy", default="", help="Show only this proxy, with all details.")
 def versions(records: str, proxy: str) -> None:
-    """Who runs which version, what is refused and why, by a controller's RECORDS, also of one that runs."""
+    """Show which versions proxies run and what they refused and why, from a controller's RECORDS.
+
+    The controller may be running.
+    """
     from ..records.states import States
     from ..records.writer import read_records
 
     states = States()
     try:
-        for row in read_records(records):
-            states.take(row)
-    except OSError as fault:
-        click.echo(f"{records}: {fault.strerror}", err=True)
+        for record in read_records(records):
+            states.take(record)
+    except OSError as error:
+        click.echo(f"{records}: {error.strerror}", err=True)
         sys.exit(2)
     for line in states.lines(proxy):
         click.echo(line)
--- a/willowhook/cli/exports.py
+++ b/willowhook/cli/exports.py
@@ -1,4 +1,4 @@
-"""`willowhook export`: tables in others' forms."""
+"""`willowhook export`: writes tables in the configuration format of other proxies."""
 
 from __future__ import annotations
 
@@ -12,44 +12,48 @@
 
 @main.group("export")
 def export_() -> None:
-    """Write tables for proxies that read another form."""
+    """Export tables for proxies that read another format."""
 
 
 @export_.command()
 @click.argument("group", type=click.Path())
-@click.option("--out", required=True, type=click.Path(), help="A folder; its `current` is replaced whole.")
-@click.option("--follow", is_flag=True, help="Go on: each change of GROUP is swapped in, until SIGTERM.")
+@click.option(
+    "--out", required=True, type=click.Path(), help="Output folder; its `current` is replaced atomically."
+)
+@click.option("--follow", is_flag=True, help="Keep running and export each change of GROUP until SIGTERM.")
 @click.option("--watch", type=click.Choice(["inotify", "poll"]), default="inotify", show_default=True)
 def nginx(group: str, out: str, follow: bool, watch: str) -> None:
-    """The tables of a proxy's GROUP (a director's `down/PROXY`, or an import's `tables`) as upstream and
-    location blocks: OUT/current/upstreams.conf for the http block, OUT/current/locations.conf for a server's.
+    """Export the tables in GROUP, a proxy's folder of files, as nginx upstream and location blocks.
 
-    Exit codes: 0, 1 if something cannot be said (it is told), 2 if GROUP cannot be read.
+    GROUP is the `down/PROXY` of a controller's folder, or the `tables` of an import.
+    OUT/current/upstreams.conf is for the http block, OUT/current/locations.conf for a server block.
+
+    Exit codes: 0 success, 1 if something cannot be expressed (see the notes), 2 if GROUP cannot be read.
     """
     from ..files.swap import Shelf, read_group
     from ..nginx.export import export
     from ..xds.codec import MessageFormatError
 
-    shelf = Shelf(out)
+    writer = Shelf(out)
     try:
         Path(out).parent.mkdir(parents=True, exist_ok=True)
         if follow:
-            _follow(group, shelf, watch)
+            _follow(group, writer, watch)
             return
-        made = export(read_group(group)[1])
-        shelf.put(made.files)
-    except MessageFormatError as fault:
-        click.echo(f"{group}: {fault}", err=True)
+        exported = export(read_group(group)[1])
+        writer.put(exported.files)
+    except MessageFormatError as error:
+        click.echo(f"{group}: {error}", err=True)
         sys.exit(2)
-    except OSError as fault:
-        click.echo(f"{fault.filename or group}: {fault.strerror or fault}", err=True)
+    except OSError as error:
+        click.echo(f"{error.filename or group}: {error.strerror or error}", err=True)
         sys.exit(2)
-    for line in made.remarks:
-        click.echo(f"note: {line}")
-    sys.exit(1 if made.remarks else 0)
+    for remark in exported.remarks:
+        click.echo(f"note: {remark}")
+    sys.exit(1 if exported.remarks else 0)
 
 
-def _follow(group: str, shelf: object, watch: str) -> None:
+def _follow(group: str, writer: object, watch: str) -> None:
     import signal
 
     import structlog
@@ -58,8 +62,8 @@
     from ..files.swap import Shelf
     from ..nginx.follow import Follower
 
-    assert isinstance(shelf, Shelf)
-    follower = Follower(group, shelf, structlog.get_logger(), watch)
+    assert isinstance(writer, Shelf)
+    follower = Follower(group, writer, structlog.get_logger(), watch)
 
     async def run() -> None:
         async with trio.open_nursery() as nursery:
--- a/willowhook/cli/imports.py
+++ b/willowhook/cli/imports.py
@@ -1,4 +1,4 @@
-"""`willowhook import`: what others' configurations say."""
+"""`willowhook import`: converts the configuration of other proxies."""
 
 from __future__ import annotations
 
@@ -19,44 +19,56 @@
 
 @main.group("import")
 def import_() -> None:
-    """Read other programs' configurations."""
+    """Import the configuration of other proxies."""
 
 
-def _keyed(told: tuple[str, ...]) -> tuple[tuple[str, int], ...]:
-    found = []
-    for each in told:
-        path, equals, window = each.rpartition("=")
+def _parse_keyed_paths(options: tuple[str, ...]) -> tuple[tuple[str, int], ...]:
+    """Parses the values of `--keyed` into paths and deduplication windows in milliseconds."""
+    keyed_paths = []
+    for option in options:
+        path, equals, window = option.rpartition("=")
         if not equals or not window.isdigit() or not path.startswith("/"):
-            raise click.BadParameter(f"{each!r} is no PATH=MILLISECONDS", param_hint="--keyed")
-        found.append((path, int(window)))
-    return tuple(found)
+            raise click.BadParameter(f"{option!r} is not PATH=MILLISECONDS", param_hint="--keyed")
+        keyed_paths.append((path, int(window)))
+    return tuple(keyed_paths)
 
 
 @import_.command()
 @click.argument("paths", nargs=-1, required=True, type=click.Path())
-@click.option("--out", default="", help="A folder for what is made of it.")
-@click.option("--explain", "uri", default="", help="The URI of a call: what it meets.")
+@click.option("--out", default="", help="Output folder.")
+@click.option("--explain", "uri", default="", help="Explain how a request for this URI is handled.")
 @click.option(
-    "--diff", "older", default="", type=click.Path(), help="What changes for calls since this file."
+    "--diff",
+    "older",
+    default="",
+    type=click.Path(),
+    help="Print what changes for requests since this older file.",
+)
+@click.option("--host", default="", help="Name of the server block to use.")
+@click.option("--method", default="GET", show_default=True, help="Method of the request to explain.")
+@click.option("--mutating", multiple=True, help="A path whose requests must take effect at most once.")
+@click.option("--repeatable", multiple=True, help="A path whose requests are idempotent.")
+@click.option(
+    "--keyed", multiple=True, help="PATH=MS: endpoints drop repeated requests of one key within this time."
 )
-@click.option("--host", default="", help="The server's name.")
-@click.option("--method", default="GET", show_default=True, help="Of the call to explain.")
-@click.option("--mutating", multiple=True, help="A path whose calls must not have their effect twice.")
-@click.option("--repeatable", multiple=True, help="A path whose calls may run any number of times.")
-@click.option("--keyed", multiple=True, help="PATH=MS: hosts drop a repeat of one key within this time.")
 @click.option("--slo-ms", type=click.IntRange(1, 3_600_000), default=1000, show_default=True)
 @click.option("--proxies", type=click.IntRange(1, 65_000), default=8, show_default=True)
-@click.option("--zone", default="here", show_default=True, help="Of all hosts.")
-@click.option("--roster", default="http://127.0.0.1:8500", show_default=True, help="Where the list will be.")
-@click.option("--json", "as_json", is_flag=True, help="Verdicts as JSON, an object a line.")
+@click.option("--zone", default="here", show_default=True, help="Zone of all endpoints.")
+@click.option(
+    "--roster", default="http://127.0.0.1:8500", show_default=True, help="URL of the endpoint list."
+)
+@click.option("--json", "as_json", is_flag=True, help="Print verdicts as JSON, one object on each line.")
 def nginx(
     paths: tuple[str, ...], out: str, uri: str, older: str, host: str, method: str,
     mutating: tuple[str, ...], repeatable: tuple[str, ...], keyed: tuple[str, ...], slo_ms: int,
     proxies: int, zone: str, roster: str, as_json: bool,
 ) -> None:  # fmt: skip
-    """What becomes of each directive at PATHS; with --explain what one call meets, with --diff what changes.
+    """Import the nginx configuration at PATHS and print how each directive is converted.
+
+    With --explain, print how one request is handled; with --diff, what changes for requests.
 
-    Exit codes: 0, 1 if something is refused or (--diff) changes, 2 if it cannot be read or made.
+    Exit codes: 0 success, 1 if a directive is refused or (--diff) something changes, 2 if the configuration
+    cannot be read or converted.
     """
     from ..config.check import ConfigError
     from ..nginx.diff import diff
@@ -66,54 +78,56 @@
     from ..nginx.syntax import Directive, Loader, SyntaxFault
     from ..nginx.verdicts import verdicts
 
-    for each in (*mutating, *repeatable):
-        if not each.startswith("/"):
-            raise click.BadParameter(f"{each!r} is no path: it begins with /")
-    gc.disable()  # millions of small parts, all of them needed to the end of a short run
-    asked = Asked(host, mutating, repeatable, _keyed(keyed), slo_ms, zone)
+    for declared_path in (*mutating, *repeatable):
+        if not declared_path.startswith("/"):
+            raise click.BadParameter(f"{declared_path!r} is not a path: a path begins with /")
+    gc.disable()  # millions of small objects, all of which are needed until the end of a short run
+    options = Asked(host, mutating, repeatable, _parse_keyed_paths(keyed), slo_ms, zone)
     try:
-        loader, rows = Loader(), list[Directive]()
+        loader, directives = Loader(), list[Directive]()
         for path in paths:
-            rows += loader.load(path)
+            directives += loader.load(path)
         if uri:
-            for line in explain(Setup(rows), uri, host, method).lines():
+            for line in explain(Setup(directives), uri, host, method).lines():
                 click.echo(line)
             return
         if older:
-            changes = diff(Setup(Loader().load(older)), Setup(rows), asked)
-            for line in changes:
-                click.echo(line)
-            click.echo(f"{len(changes)} changes for calls")
+            changes = diff(Setup(Loader().load(older)), Setup(directives), options)
+            for change in changes:
+                click.echo(change)
+            click.echo(f"{len(changes)} changes for requests")
             sys.exit(1 if changes else 0)
-        found, plan = verdicts(rows, asked)
+        diagnostics, plan = verdicts(directives, options)
         if out:
             if plan.ambiguous():
                 raise PlanFault(plan.ambiguous())
             if not plan.routes:
-                causes = [row.line() for row in found if row.what == REFUSED]
-                text = "no route is left: nothing here passes calls to hosts in a way that can be carried"
+                causes = [diagnostic.line() for diagnostic in diagnostics if diagnostic.what == REFUSED]
+                text = (
+                    "no route is left: no location passes requests to endpoints in a way that can be imported"
+                )
                 raise PlanFault("\n".join([*causes, text]))
-            _write(Path(out), plan, found, proxies, roster)
-    except (SyntaxFault, PlanFault) as fault:
-        click.echo(str(fault), err=True)
+            _write_output(Path(out), plan, diagnostics, proxies, roster)
+    except (SyntaxFault, PlanFault) as error:
+        click.echo(str(error), err=True)
         sys.exit(2)
-    except ConfigError as fault:
-        for place, cause in fault.errors:
-            click.echo(f"what it would make: {place}: {cause}", err=True)
+    except ConfigError as error:
+        for location, cause in error.errors:
+            click.echo(f"generated configuration: {location}: {cause}", err=True)
         sys.exit(2)
-    except OSError as fault:
-        click.echo(f"{fault.filename}: {fault.strerror}", err=True)
+    except OSError as error:
+        click.echo(f"{error.filename}: {error.strerror}", err=True)
         sys.exit(2)
-    for row in found:
-        click.echo(json.dumps(row.told()) if as_json else row.line())
+    for diagnostic in diagnostics:
+        click.echo(json.dumps(diagnostic.told()) if as_json else diagnostic.line())
     if not as_json:
-        for line in plan.remarks:
-            click.echo(f"note: {line}")
-    sys.exit(1 if any(row.what == REFUSED for row in found) else 0)
+        for remark in plan.remarks:
+            click.echo(f"note: {remark}")
+    sys.exit(1 if any(diagnostic.what == REFUSED for diagnostic in diagnostics) else 0)
 
 
-def _write(out: Path, plan: Plan, found: list[Verdict], proxies: int, roster: str) -> None:
-    """All of it, or nothing: it is made before the first file is written."""
+def _write_output(out: Path, plan: Plan, diagnostics: list[Verdict], proxies: int, roster: str) -> None:
+    """Writes the result of an import; all files are generated first, so that an error leaves none behind."""
     import msgspec
 
     from ..files.ops import DiskOps
@@ -121,12 +135,16 @@
     from ..nginx.result import host_list, table_files, terms_of
 
     terms = terms_of(plan, proxies, str((out / "director").absolute()), roster)
-    report = "".join(f"{row.line()}\n" for row in found) + "".join(f"note: {row}\n" for row in plan.remarks)
+    report = "".join(f"{diagnostic.line()}\n" for diagnostic in diagnostics) + "".join(
+        f"note: {remark}\n" for remark in plan.remarks
+    )
     files = {
         "director.json": msgspec.json.format(msgspec.json.encode(terms), indent=1),
         "hosts.json": host_list(plan),
         "report.txt": report.encode(),
-        "report.json": msgspec.json.format(msgspec.json.encode([row.told() for row in found]), indent=1),
+        "report.json": msgspec.json.format(
+            msgspec.json.encode([diagnostic.told() for diagnostic in diagnostics]), indent=1
+        ),
     }
     group = table_files(plan, terms)
     out.mkdir(parents=True, exist_ok=True)
--- a/willowhook/cli/main.py
+++ b/willowhook/cli/main.py
@@ -1,4 +1,4 @@
-"""The command line with all of its sub-commands."""
+"""The command line with all sub-commands, which are registered by importing their modules."""
 
 from . import exports, guard, imports, store, trial
 from .commands import main
--- a/willowhook/cli/store.py
+++ b/willowhook/cli/store.py
@@ -1,4 +1,4 @@
-"""`willowhook store`: a store's folder, by hand."""
+"""`willowhook store`: checks, prints and repairs a store's folder."""
 
 from __future__ import annotations
 
@@ -14,62 +14,70 @@
 
 @main.group()
 def store() -> None:
-    """A store: is it whole, what is in it.  Exit codes: 0 whole, 1 damaged, 2 wrong use, 3 in use."""
+    """Check, print or repair a store.  Exit codes: 0 intact, 1 damaged, 2 wrong usage, 3 in use."""
 
 
-def _safely(what: Callable[[], Any]) -> Any:
+def _run_or_exit(operation: Callable[[], Any]) -> Any:
+    """Runs a store operation; if it fails, prints the error and exits with 3 (store in use) or 2."""
     from ..store.store import StoreError, StoreTaken
 
     try:
-        return what()
-    except StoreTaken as fault:
-        click.echo(str(fault), err=True)
+        return operation()
+    except StoreTaken as error:
+        click.echo(str(error), err=True)
         sys.exit(3)
-    except (StoreError, OSError) as fault:
-        click.echo(str(fault), err=True)
+    except (StoreError, OSError) as error:
+        click.echo(str(error), err=True)
         sys.exit(2)
 
 
 @store.command()
 @click.argument("folder", type=click.Path())
 def check(folder: str) -> None:
-    """Whether all that was promised is there; damage with its file and bytes.  Also of one in use."""
+    """Check that all committed data is there, and print damage with its file and bytes.
+
+    The store may be in use.
+    """
     from ..store import tool
 
-    whole, lines = _safely(lambda: tool.check(folder))
+    is_intact, lines = _run_or_exit(lambda: tool.check(folder))
     for line in lines:
         click.echo(line)
-    click.echo("whole" if whole else "DAMAGED")
-    sys.exit(0 if whole else 1)
+    click.echo("whole" if is_intact else "DAMAGED")
+    sys.exit(0 if is_intact else 1)
 
 
 @store.command()
 @click.argument("folder", type=click.Path())
-@click.option("--space", default="", help="One space alone.")
-@click.option("--key", default="", help="One key alone.")
+@click.option("--space", default="", help="Print only this space.")
+@click.option("--key", default="", help="Print only this key.")
 def dump(folder: str, space: str, key: str) -> None:
-    """Print the entries, a JSON object a line."""
+    """Print the entries, one JSON object on each line."""
     from ..store import tool
 
-    for row in _safely(lambda: list(tool.dump(folder, space, key))):
-        click.echo(json.dumps(row))
+    for entry in _run_or_exit(lambda: list(tool.dump(folder, space, key))):
+        click.echo(json.dumps(entry))
 
 
 @store.command()
 @click.argument("folder", type=click.Path())
 def stats(folder: str) -> None:
-    """Print sizes and counts, as JSON."""
+    """Print sizes and counts as JSON."""
     from ..store import tool
 
-    click.echo(json.dumps(_safely(lambda: tool.stats(folder)), indent=1))
+    click.echo(json.dumps(_run_or_exit(lambda: tool.stats(folder)), indent=1))
 
 
 @store.command()
 @click.argument("folder", type=click.Path())
-@click.option("--seen", is_flag=True, help="What was lost is known: calls without a record never left again.")
+@click.option(
+    "--seen",
+    is_flag=True,
+    help="Acknowledge the loss: from now on, requests without a record count as never sent.",
+)
 def repair(folder: str, seen: bool) -> None:
-    """Keep what can be read, put aside what cannot, say what is lost.  Never invents."""
+    """Keep all readable data, set damaged files aside and print what is lost; no data is made up."""
     from ..store import tool
 
-    for line in _safely(lambda: tool.repair(folder, seen)):
+    for line in _run_or_exit(lambda: tool.repair(folder, seen)):
         click.echo(line)
--- a/willowhook/cli/tables.py
+++ b/willowhook/cli/tables.py
@@ -27,7 +27,7 @@
     Raises:
         FileNotFoundError: nothing has been sent to the proxy.
         OSError: a file cannot be read.
-        FormError: a file is malformed.
+        MessageFormatError: a file is malformed.
         KeyError: a file is missing, or a route names a cluster that does not exist.
     """
     version, files = read_group(str(folder))
@@ -48,19 +48,19 @@
     if route.direct_response is not None:
         click.echo(f"  {path} -> {route.direct_response.status}")
         return
-    table = clusters[route.route.cluster].eds_cluster_config.service_name
-    share, rate_per_second = level_of(route.typed_per_filter_config)
+    table_name = clusters[route.route.cluster].eds_cluster_config.service_name
+    admitted_fraction, rate_per_second = level_of(route.typed_per_filter_config)
     retries = tries_of(route.route.retry_policy)
-    limit = f"share {share:g}"
+    limit = f"share {admitted_fraction:g}"
     if not math.isinf(rate_per_second):
         limit += f", {rate_per_second:.2f} calls/s"
-    click.echo(f"  {path} -> {table}: {limit}, tries {retries}")
+    click.echo(f"  {path} -> {table_name}: {limit}, tries {retries}")
 
 
 def _print_table(table: forms.ClusterLoadAssignment) -> None:
     click.echo(f"  table {table.cluster_name}")
     if table.cluster_name == CONTROLLERS_RESOURCE:
-        click.echo("    it is sent away: this controller drains")
+        click.echo("    redirected: this controller is draining")
         return
     for endpoint, address, port, zone, weight, is_draining in lines(table):
         state = "DRAINING" if is_draining else "open"
