--- a/willowhook/cli/tables.py
+++ b/willowhook/cli/tables.py
@@ -50,11 +50,11 @@
         return
     table_name = clusters[route.route.cluster].eds_cluster_config.service_name
     admitted_fraction, rate_per_second = level_of(route.typed_per_filter_config)
-    retries = tries_of(route.route.retry_policy)
-    limit = f"share {admitted_fraction:g}"
+    retry_mode = tries_of(route.route.retry_policy)
+    limit = f"admitted fraction {admitted_fraction:g}"
     if not math.isinf(rate_per_second):
-        limit += f", {rate_per_second:.2f} calls/s"
-    click.echo(f"  {path} -> {table_name}: {limit}, tries {retries}")
+        limit += f", {rate_per_second:.2f} requests/s"
+    click.echo(f"  {path} -> {table_name}: {limit}, retry mode {retry_mode}")
 
 
 def _print_table(table: forms.ClusterLoadAssignment) -> None:
--- a/willowhook/cli/trial.py
+++ b/willowhook/cli/trial.py
@@ -1,4 +1,4 @@
-"""`willowhook trial`: whole fleets on loopback, with a verdict."""
+"""`willowhook trial`: end-to-end scenarios on a test fleet on loopback; exit code 1 if a check fails."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 
 @main.group()
 def trial() -> None:
-    """Whole fleets on loopback: stand-ins, troubles, and a verdict on the five rules."""
+    """Run scenarios with injected faults on a test fleet on loopback, and check the five rules."""
 
 
 @trial.command()
-@click.option("--seed", type=int, default=1, show_default=True, help="What the day is drawn from.")
-@click.option("--seeds", type=int, default=1, show_default=True, help="How many seeds, from --seed on.")
+@click.option("--seed", type=int, default=1, show_default=True, help="Seed of the scenario.")
+@click.option("--seeds", type=int, default=1, show_default=True, help="Number of seeds, from --seed on.")
 @click.option("--length", type=click.FloatRange(20, 3600), default=40.0, show_default=True, help="Seconds.")
-@click.option("--short", is_flag=True, help="A small day of 12 s.")
+@click.option("--short", is_flag=True, help="Run a small scenario of 12 s.")
 @click.option("--baselines/--no-baselines", default=True, show_default=True)
 @click.option(
-    "--at-once", type=click.IntRange(1, 16), default=1, show_default=True, help="Days side by side."
+    "--at-once", type=click.IntRange(1, 16), default=1, show_default=True, help="Scenarios in parallel."
 )
 @click.option("--durability", type=click.Choice(["none", "file", "file_and_folder"]), default="none")
 @click.option(
-    "--folder", type=click.Path(), default="", help="Where records go; a temporary one if not given."
+    "--folder", type=click.Path(), default="", help="Folder for records; a temporary one if not given."
 )
 @click.option("--guard", type=click.Choice(["on", "shadow", "off"]), default="on", show_default=True)
 @click.option("--front", type=click.Choice(["files", "calls", "mixed"]), default="files", show_default=True)
@@ -45,18 +45,18 @@
     store: str,
     folder: str,
 ) -> None:
-    """A scripted bad day: directors die, hosts fail, and the rules must hold."""
+    """Run a scripted scenario of faults: controllers die, endpoints fail, and the rules must hold."""
     from functools import partial
 
-    from ..trial import badday as days
+    from ..trial import badday as scenarios
 
-    make = days.short_day if short else partial(days.usual_day, length_s=length)
-    names = days.BASELINES if baselines else ()
-    rounds = days.many(
+    make_scenario = scenarios.short_day if short else partial(scenarios.usual_day, length_s=length)
+    baseline_names = scenarios.BASELINES if baselines else ()
+    rounds = scenarios.many(
         range(seed, seed + seeds),
-        make,
+        make_scenario,
         folder,
-        names,
+        baseline_names,
         at_once,
         click.echo,
         durability=durability,
@@ -65,9 +65,9 @@
         store=store,
     )
     if seeds > 1:
-        for line in days.summary(rounds):
+        for line in scenarios.summary(rounds):
             click.echo(line)
-    sys.exit(0 if all(row.director.kept for row in rounds) else 1)
+    sys.exit(0 if all(round_result.director.kept for round_result in rounds) else 1)
 
 
 @trial.command()
@@ -78,7 +78,7 @@
 @click.option("--proxies", type=click.IntRange(1, 2000), default=8, show_default=True)
 @click.option("--directors", type=click.IntRange(1, 20), default=2, show_default=True)
 @click.option(
-    "--calls", type=click.FloatRange(1, 5000), default=110.0, show_default=True, help="Calls a second."
+    "--calls", type=click.FloatRange(1, 5000), default=110.0, show_default=True, help="Requests per second."
 )
 @click.option("--folder", type=click.Path(), default="")
 @click.option("--guard", type=click.Choice(["on", "shadow", "off"]), default="on", show_default=True)
@@ -88,25 +88,28 @@
     kinds: tuple[str, ...], seed: int, length: float, hosts: int, proxies: int, directors: int, calls: float,
     guard: str, front: str, store: str, folder: str,
 ) -> None:  # fmt: skip
-    """Let these KINDS of trouble strike the real director, one after the other; the bench's names do too."""
+    """Inject faults of these KINDS into a fleet with real controllers, one after the other.
+
+    The names that the bench has for them are accepted, too.
+    """
     import tempfile
 
-    from ..trial import badday as days
+    from ..trial import badday as scenarios
     from ..trial.stage import TROUBLES
 
-    kinds = tuple(days.BENCH.get(kind, kind) for kind in kinds)
+    kinds = tuple(scenarios.BENCH.get(kind, kind) for kind in kinds)
     unknown = [kind for kind in kinds if kind not in TROUBLES and kind != "none"]
     if unknown:
-        known = ", ".join(["none", *TROUBLES, *days.BENCH])
-        raise click.BadParameter(f"{', '.join(unknown)}: known are {known}")
-    names = [kind for kind in kinds if kind != "none"]
+        known = ", ".join(["none", *TROUBLES, *scenarios.BENCH])
+        raise click.BadParameter(f"unknown kinds of faults: {', '.join(unknown)}; known are {known}")
+    fault_kinds = [kind for kind in kinds if kind != "none"]
     size = {"hosts": hosts, "proxies": proxies, "directors": directors, "calls_per_s": calls}
-    day = days.replay_day(names, seed, length, **size)
+    scenario = scenarios.replay_day(fault_kinds, seed, length, **size)
     root = Path(folder or tempfile.mkdtemp(prefix="willowhook-"))
-    done = days.one(day, root, (), click.echo, guard=guard, front=front, store=store)
-    for line in days.report(done):
+    result = scenarios.one(scenario, root, (), click.echo, guard=guard, front=front, store=store)
+    for line in scenarios.report(result):
         click.echo(line)
-    sys.exit(0 if done.director.kept else 1)
+    sys.exit(0 if result.director.kept else 1)
 
 
 @trial.command()
@@ -117,28 +120,30 @@
 )
 @click.option("--folder", type=click.Path(), default="")
 def swaps(count: int, readers: int, durability: str, folder: str) -> None:
-    """Swaps without rest under load: no torn read, no call without a host, and what a swap costs."""
+    """Swap files continuously under load: no torn read, no request without an endpoint; cost of a swap."""
     import tempfile
 
     from ..trial.swaps import swaps as run
 
-    done = run(Path(folder or tempfile.mkdtemp(prefix="willowhook-")), count, readers, durability, click.echo)
-    for line in done.lines():
+    result = run(
+        Path(folder or tempfile.mkdtemp(prefix="willowhook-")), count, readers, durability, click.echo
+    )
+    for line in result.lines():
         click.echo(line)
-    sys.exit(0 if done.good else 1)
+    sys.exit(0 if result.good else 1)
 
 
 @trial.command()
 @click.option("--kills", type=click.IntRange(1, 10_000), default=200, show_default=True)
 @click.option(
-    "--every", type=click.FloatRange(0.2, 60), default=1.0, show_default=True, help="Seconds between."
+    "--every", type=click.FloatRange(0.2, 60), default=1.0, show_default=True, help="Seconds between kills."
 )
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option("--directors", type=click.IntRange(1, 20), default=2, show_default=True)
 @click.option("--proxies", type=click.IntRange(1, 2000), default=8, show_default=True)
-@click.option("--undisturbed", is_flag=True, help="The same day with no director struck.")
+@click.option("--undisturbed", is_flag=True, help="Run the same scenario without faults of controllers.")
 @click.option(
-    "--fence/--no-fence", default=True, show_default=True, help="Whether proxies look at terms and folders."
+    "--fence/--no-fence", default=True, show_default=True, help="Whether proxies check terms and folders."
 )
 @click.option("--front", type=click.Choice(["files", "calls", "mixed"]), default="files", show_default=True)
 @click.option("--store", type=click.Choice(["none", "kept", "aged"]), default="none", show_default=True)
@@ -155,17 +160,17 @@
     store: str,
     folder: str,
 ) -> None:
-    """Kill, stop and start directors over and over; nothing may take effect twice."""
+    """Kill, suspend and restart controllers repeatedly; no request may take effect twice."""
     import tempfile
 
     from ..trial.takeover import takeover as run
 
     root = Path(folder or tempfile.mkdtemp(prefix="willowhook-"))
     size: dict[str, Any] = {"directors": directors, "proxies": proxies, "front": front, "store": store}
-    done = run(seed, kills, every, root, click.echo, fence, not undisturbed, **size)
-    for line in done.lines():
+    result = run(seed, kills, every, root, click.echo, fence, not undisturbed, **size)
+    for line in result.lines():
         click.echo(line)
-    sys.exit(0 if done.good else 1)
+    sys.exit(0 if result.good else 1)
 
 
 @trial.command()
@@ -175,52 +180,52 @@
 @click.option("--orders", type=click.IntRange(1, 3), default=2, show_default=True)
 @click.option("--kills", type=click.IntRange(0, 3), default=1, show_default=True)
 @click.option(
-    "--without", default="", help="Take a guard away: term, order, name, folder, or several with +."
+    "--without", default="", help="Disable a safeguard: term, order, name, folder, or several joined by +."
 )
 def claims(proxies: int, directors: int, terms: int, orders: int, kills: int, without: str) -> None:
-    """Explore all that can happen between few proxies and directors, and check who rules."""
+    """Explore all event sequences of a few proxies and controllers, and check the ownership invariants."""
     from ..membership.model_checker import explore
     from ..membership.takeover_model import Bounds, safeguards_in
 
-    done = explore(Bounds(proxies, directors, terms, orders, kills), safeguards_in(without))
+    result = explore(Bounds(proxies, directors, terms, orders, kills), safeguards_in(without))
     click.echo(
-        f"{done.world_count} worlds, {done.step_count} steps; {done.violation or 'all invariants hold'}"
+        f"{result.world_count} worlds, {result.step_count} steps; {result.violation or 'all invariants hold'}"
     )
-    for row in done.path:
-        click.echo(f"  {row}")
-    sys.exit(1 if done.violation else 0)
+    for step in result.path:
+        click.echo(f"  {step}")
+    sys.exit(1 if result.violation else 0)
 
 
 @trial.command()
 @click.option("--proxies", type=click.IntRange(1, 5000), default=245, show_default=True)
 @click.option("--hosts", type=click.IntRange(2, 400), default=40, show_default=True)
 @click.option(
-    "--calls", type=click.FloatRange(1, 5000), default=300.0, show_default=True, help="Calls a second."
+    "--calls", type=click.FloatRange(1, 5000), default=300.0, show_default=True, help="Requests per second."
 )
 @click.option("--folder", type=click.Path(), default="")
 def orphans(proxies: int, hosts: int, calls: float, folder: str) -> None:
-    """All proxies lose their director at once and go to the one that is left."""
+    """Stop the controller of all proxies for good: all must move at once to the controller that is left."""
     import tempfile
 
     from ..trial.takeover import orphans as run
 
-    done = run(Path(folder or tempfile.mkdtemp(prefix="willowhook-")), proxies, hosts, calls)
-    for line in done.lines():
+    result = run(Path(folder or tempfile.mkdtemp(prefix="willowhook-")), proxies, hosts, calls)
+    for line in result.lines():
         click.echo(line)
-    sys.exit(0 if done.good else 1)
+    sys.exit(0 if result.good else 1)
 
 
 @trial.command("guard")
 @click.option("--tables", type=click.IntRange(10, 10_000_000), default=20_000, show_default=True)
 @click.option("--seed", type=int, default=1, show_default=True)
 def guard_trial(tables: int, seed: int) -> None:
-    """Bad and good tables, each shown to be so by an oracle that plays it forward, before the guard."""
+    """Validate bad and good tables, and compare the verdicts with an oracle that simulates each table."""
     from ..trial.guard_cases import confusion
 
-    done = confusion(tables, seed)
-    for line in done.lines():
+    result = confusion(tables, seed)
+    for line in result.lines():
         click.echo(line)
-    sys.exit(0 if done.good else 1)
+    sys.exit(0 if result.good else 1)
 
 
 @trial.command()
@@ -231,52 +236,64 @@
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option("--folder", type=click.Path(), default="")
 def versions(proxies: int, length: float, refuse: float, seed: int, folder: str) -> None:
-    """Both fronts mixed, with refusals, restarts and deaths: does a director know what its proxies run?"""
+    """Check that controllers know what their proxies run, through refusals, restarts and crashes."""
     import tempfile
 
     from ..trial.versions import versions as run
 
     root = Path(folder or tempfile.mkdtemp(prefix="willowhook-"))
-    done = run(root, seed, proxies, length, refuse, click.echo)
-    for line in done.lines():
+    result = run(root, seed, proxies, length, refuse, click.echo)
+    for line in result.lines():
         click.echo(line)
-    sys.exit(0 if done.good else 1)
+    sys.exit(0 if result.good else 1)
 
 
 @trial.command("bad-version")
 @click.option("--proxies", type=click.IntRange(10, 2000), default=200, show_default=True)
-@click.option("--share", type=click.FloatRange(0.01, 1), default=0.05, show_default=True, help="Who refuses.")
+@click.option(
+    "--share",
+    type=click.FloatRange(0.01, 1),
+    default=0.05,
+    show_default=True,
+    help="Share of proxies that refuse.",
+)
 @click.option("--front", type=click.Choice(["files", "calls", "mixed"]), default="mixed", show_default=True)
 @click.option("--folder", type=click.Path(), default="")
 def bad_version(proxies: int, share: float, front: str, folder: str) -> None:
-    """A table that some proxies refuse: its roll-out stops, and who runs it goes back."""
+    """Publish a table that some proxies refuse: its rollout must stop, and be rolled back."""
     import tempfile
 
     from ..trial.versions import bad_version as run
 
-    done = run(Path(folder or tempfile.mkdtemp(prefix="willowhook-")), proxies, share, front)
-    for line in done.lines():
+    result = run(Path(folder or tempfile.mkdtemp(prefix="willowhook-")), proxies, share, front)
+    for line in result.lines():
         click.echo(line)
-    sys.exit(0 if done.good else 1)
+    sys.exit(0 if result.good else 1)
 
 
 @trial.command()
 @click.option("--callers", type=click.IntRange(10, 10_000), default=1000, show_default=True)
-@click.option("--slow", type=click.FloatRange(0, 0.5), default=0.05, show_default=True, help="Do not read.")
+@click.option(
+    "--slow",
+    type=click.FloatRange(0, 0.5),
+    default=0.05,
+    show_default=True,
+    help="Share of callers that do not read.",
+)
 @click.option("--hosts", type=click.IntRange(2, 2000), default=86, show_default=True)
 @click.option("--encoding", type=click.Choice(["", "zstd"]), default="", show_default=True)
 @click.option("--folder", type=click.Path(), default="")
 def herd(callers: int, slow: float, hosts: int, encoding: str, folder: str) -> None:
-    """Many calls wait, and one change comes: how long until the last has it, and what that costs."""
+    """Thundering herd: many requests wait for one change; measure when the last has it, and the cost."""
     import tempfile
 
     from ..trial.herd import herd as run
 
     root = Path(folder or tempfile.mkdtemp(prefix="willowhook-"))
-    done = run(root, callers, slow, hosts, encoding, click.echo)
-    for line in done.lines():
+    result = run(root, callers, slow, hosts, encoding, click.echo)
+    for line in result.lines():
         click.echo(line)
-    sys.exit(0 if done.good else 1)
+    sys.exit(0 if result.good else 1)
 
 
 @trial.command("fuzz-front")
@@ -284,33 +301,35 @@
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option("--folder", type=click.Path(), default="")
 def fuzz_front(inputs: int, seed: int, folder: str) -> None:
-    """Malformed calls at a real director's front: no crash, no hang, no growth."""
+    """Send malformed requests to a real controller's front: no crash, no hang, no memory growth."""
     import tempfile
 
     from ..trial.fuzz import fuzz as run
 
     root = Path(folder or tempfile.mkdtemp(prefix="willowhook-"))
-    done = run(root, inputs, seed, click.echo)
-    for line in done.lines():
+    result = run(root, inputs, seed, click.echo)
+    for line in result.lines():
         click.echo(line)
-    sys.exit(0 if done.good else 1)
+    sys.exit(0 if result.good else 1)
 
 
 @trial.command("cuts")
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--steps", type=click.IntRange(5, 10_000), default=60, show_default=True, help="Writes.")
+@click.option(
+    "--steps", type=click.IntRange(5, 10_000), default=60, show_default=True, help="Number of writes."
+)
 @click.option(
     "--power-steps", type=click.IntRange(0, 10_000), default=60, show_default=True,
     help="Writes of the history in which the power fails after every operation.",
 )  # fmt: skip
 def cuts_trial(seed: int, steps: int, power_steps: int) -> None:
-    """Every file of a store cut and flipped at every byte, and caught by power failures (in memory)."""
+    """Truncate and corrupt every file of a store at every byte, and simulate power failures (in memory)."""
     from ..trial.cuts import cuts as run
 
-    done = run(seed, steps, power_steps, click.echo)
-    for line in done.lines():
+    result = run(seed, steps, power_steps, click.echo)
+    for line in result.lines():
         click.echo(line)
-    sys.exit(0 if done.good else 1)
+    sys.exit(0 if result.good else 1)
 
 
 @trial.command("store-kills")
@@ -318,15 +337,15 @@
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option("--folder", type=click.Path(), default="")
 def store_kills(kills: int, seed: int, folder: str) -> None:
-    """A program that commits and compacts is killed, over and over."""
+    """Kill a program that commits and compacts, repeatedly: no acknowledged write may be lost."""
     import tempfile
 
     from ..trial.kills import kills as run
 
-    done = run(Path(folder or tempfile.mkdtemp(prefix="willowhook-")), kills, seed, click.echo)
-    for line in done.lines():
+    result = run(Path(folder or tempfile.mkdtemp(prefix="willowhook-")), kills, seed, click.echo)
+    for line in result.lines():
         click.echo(line)
-    sys.exit(0 if done.good else 1)
+    sys.exit(0 if result.good else 1)
 
 
 @trial.command("restart")
@@ -335,14 +354,14 @@
 @click.option("--restarts", type=click.IntRange(1, 1000), default=5, show_default=True)
 @click.option("--folder", type=click.Path(), default="")
 def restart_trial(seed: int, seeds: int, restarts: int, folder: str) -> None:
-    """A director dies and comes back while hosts fail: with its store, without one, with one an hour old."""
+    """Restart a controller while endpoints fail: with its store, without it, or with one an hour old."""
     import tempfile
 
     from ..trial.restart import restarts as run
 
     root = Path(folder or tempfile.mkdtemp(prefix="willowhook-"))
-    done = run(root, range(seed, seed + seeds), restarts, click.echo)
-    sys.exit(0 if all(row.kept for row in done) else 1)
+    results = run(root, range(seed, seed + seeds), restarts, click.echo)
+    sys.exit(0 if all(result.kept for result in results) else 1)
 
 
 @trial.command("submits")
@@ -350,31 +369,37 @@
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option("--folder", type=click.Path(), default="")
 def submits_trial(kills: int, seed: int, folder: str) -> None:
-    """A program that submits is killed, over and over: no effect twice, no outcome told wrongly."""
+    """Kill a program that submits requests, repeatedly: no effect twice, no wrong outcome reported."""
     import tempfile
 
     from ..trial.submits import submits as run
 
-    done = run(Path(folder or tempfile.mkdtemp(prefix="willowhook-")), kills, seed, click.echo)
-    for line in done.lines():
+    result = run(Path(folder or tempfile.mkdtemp(prefix="willowhook-")), kills, seed, click.echo)
+    for line in result.lines():
         click.echo(line)
-    sys.exit(0 if done.good else 1)
+    sys.exit(0 if result.good else 1)
 
 
 @trial.command("nginx-same")
 @click.option(
-    "--calls", type=click.IntRange(20, 100_000), default=150, show_default=True, help="A path, each way."
+    "--calls",
+    type=click.IntRange(20, 100_000),
+    default=150,
+    show_default=True,
+    help="Requests for each path, each way.",
+)
+@click.option(
+    "--samples", "only", type=click.IntRange(0, 10_000), default=0, help="Number of samples; 0: all."
 )
-@click.option("--samples", "only", type=click.IntRange(0, 10_000), default=0, help="So many samples; 0: all.")
 @click.option("--at-once", type=click.IntRange(1, 32), default=4, show_default=True)
 def nginx_same(calls: int, only: int, at_once: int) -> None:
-    """Blocks and what was imported of them serve side by side: the same hosts, backups, answers, effects."""
+    """Compare nginx blocks with their import, side by side: endpoints, backups, responses and effects."""
     from ..trial.nginx_same import same
 
-    done = same(calls, click.echo, only, at_once)
-    for line in done.lines():
+    result = same(calls, click.echo, only, at_once)
+    for line in result.lines():
         click.echo(line)
-    sys.exit(0 if done.good else 1)
+    sys.exit(0 if result.good else 1)
 
 
 @trial.command("nginx-check")
@@ -382,39 +407,44 @@
 @click.option("--inputs", type=click.IntRange(1, 100_000_000), default=50_000, show_default=True)
 @click.option("--seed", type=int, default=5, show_default=True)
 def nginx_check(uris: int, inputs: int, seed: int) -> None:
-    """Locations beside the rules read one by one, lists beside the search, mutated samples (memory)."""
+    """Check the nginx import in memory: location matching, flat route lists and mutated samples."""
     from ..trial import nginx_check as checks
     from ..trial.corpus import samples, wrong
 
-    rows = samples()
-    bad = [line for sample in rows for line in wrong(sample)]
-    click.echo(f"{len(rows)} samples, {sum(len(row.wanted) for row in rows)} verdicts: {len(bad)} wrong")
-    asked, apart = checks.match(uris, seed)
-    click.echo(f"{asked} URIs, matcher beside the rules: {len(apart)} differ")
+    corpus = samples()
+    wrong_verdicts = [line for sample in corpus for line in wrong(sample)]
+    click.echo(
+        f"{len(corpus)} samples, {sum(len(sample.wanted) for sample in corpus)} verdicts:"
+        f" {len(wrong_verdicts)} wrong"
+    )
+    uri_count, mismatches = checks.match(uris, seed)
+    click.echo(f"{uri_count} URIs, matcher compared with the rules: {len(mismatches)} differ")
     lists = checks.lists(uris, seed)
-    told = f"{lists.differ} differ, {len(lists.untold)} of them untold, in {lists.configs} configurations"
-    click.echo(f"{lists.asked} URIs, lists beside the search: {told}")
+    summary = (
+        f"{lists.differ} differ, {len(lists.untold)} of them unreported, in {lists.configs} configurations"
+    )
+    click.echo(f"{lists.asked} URIs, lists compared with the search: {summary}")
     fuzz = checks.fuzz(inputs, seed)
     click.echo(f"{fuzz.inputs} mutated inputs: {fuzz.read} read with {fuzz.directives} directives,"
                f" {len(fuzz.unaccounted)} unaccounted, {len(fuzz.crashes)} crashes,"
                f" slowest {fuzz.slowest_s * 1000:.0f} ms")  # fmt: skip
-    for line in [*bad, *apart, *lists.untold, *fuzz.unaccounted, *fuzz.crashes][:20]:
+    for line in [*wrong_verdicts, *mismatches, *lists.untold, *fuzz.unaccounted, *fuzz.crashes][:20]:
         click.echo(line)
-    sys.exit(1 if bad or apart or lists.untold or fuzz.unaccounted or fuzz.crashes else 0)
+    sys.exit(1 if wrong_verdicts or mismatches or lists.untold or fuzz.unaccounted or fuzz.crashes else 0)
 
 
 @trial.command("nginx-director")
 @click.option("--folder", type=click.Path(), default="")
 def nginx_director(folder: str) -> None:
-    """A director on what an import made: its hosts, weights, closed paths, and when backups serve."""
+    """Run a controller on an imported configuration: endpoints, weights, closed paths, use of backups."""
     import tempfile
 
     from ..trial.nginx_director import director_day
 
-    done = director_day(Path(folder or tempfile.mkdtemp(prefix="willowhook-")))
-    for line in done.lines():
+    result = director_day(Path(folder or tempfile.mkdtemp(prefix="willowhook-")))
+    for line in result.lines():
         click.echo(line)
-    sys.exit(0 if done.good else 1)
+    sys.exit(0 if result.good else 1)
 
 
 @trial.command("flood")
@@ -429,13 +459,13 @@
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option("--folder", type=click.Path(), default="")
 def flood_trial(proxies: int, hosts: int, phase_s: float, per_s: float, seed: int, folder: str) -> None:
-    """Proxies report steadily, all at once, ten times too often, some hostile: how long decisions take."""
+    """Flood a controller with load reports, some of them hostile, and measure the delay of decisions."""
     import tempfile
 
     from ..trial.flood import flood
 
     root = Path(folder or tempfile.mkdtemp(prefix="willowhook-"))
-    done = flood(root / "flood", proxies, hosts, phase_s, per_s, click.echo, seed=seed)
-    for line in done.lines():
+    result = flood(root / "flood", proxies, hosts, phase_s, per_s, click.echo, seed=seed)
+    for line in result.lines():
         click.echo(line)
-    sys.exit(0 if done.good else 1)
+    sys.exit(0 if result.good else 1)
