--- a/willowhook/cli/trial.py
+++ b/willowhook/cli/trial.py
@@ -101,7 +101,7 @@
     unknown = [kind for kind in kinds if kind not in TROUBLES and kind != "none"]
     if unknown:
         known = ", ".join(["none", *TROUBLES, *scenarios.BENCH])
-        raise click.BadParameter(f"unknown kinds of faults: {', '.join(unknown)}; known are {known}")
+        raise click.BadParameter(f"{', '.join(unknown)}: unknown kinds of faults; known are {known}")
     fault_kinds = [kind for kind in kinds if kind != "none"]
     size = {"hosts": hosts, "proxies": proxies, "directors": directors, "calls_per_s": calls}
     scenario = scenarios.replay_day(fault_kinds, seed, length, **size)
