--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -1,4 +1,4 @@
-"""Reports on their way: each stretch counts once, late ones fade at the stated rate, samples are unbiased."""
+"""Load report processing: each span of time counts once, late reports decay, samples are unbiased."""
 
 from __future__ import annotations
 
@@ -31,15 +31,15 @@
 HALF = 2 * TICKS_PER_SECOND
 
 
-# Fading.
+# Decay.
 
 
 def by_hand(rows: list[tuple[int, int, float]], now: int) -> float:
-    """Each sum in a thousand parts, each at its own age."""
+    """The decayed sum by numerical integration: each value in a thousand parts, weighted by their ages."""
     total = 0.0
     for since, until, value in rows:
-        for k in range(1000):
-            at = since + (until - since) * (k + 0.5) / 1000
+        for part in range(1000):
+            at = since + (until - since) * (part + 0.5) / 1000
             total += value / 1000 * 2 ** (-(now - at) / HALF)
     return total
 
@@ -66,12 +66,12 @@
 
 def test_attempts_are_handed_over_with_the_weight_of_their_age() -> None:
     for age in (0, HALF // 2, HALF, 3 * HALF):
-        heard: list[int] = []
-        sums = ReportSums(HALF, lambda handed, told=heard: told.append(handed.attempts))
+        handed_over: list[int] = []
+        sums = ReportSums(HALF, lambda flushed, received=handed_over: received.append(flushed.attempts))
         now = 100 * TICKS_PER_SECOND
         sums.add(now, "z", now - age - 100, now - age, {("h", "r"): ReportedAttempts(1e6, 0.0, 0.0, 0.0)}, {})
         sums.flush()
-        assert abs(heard[0] / 1e6 / 2 ** (-age / HALF) - 1) < 0.001
+        assert abs(handed_over[0] / 1e6 / 2 ** (-age / HALF) - 1) < 0.001
 
 
 # ReportWindows.
@@ -99,7 +99,7 @@
         assert math.isclose(covered.part, new, abs_tol=1e-9)
 
 
-def test_a_report_that_is_repeated_after_a_restart_counts_for_nothing() -> None:
+def test_a_report_that_is_resent_after_a_restart_is_not_counted_again() -> None:
     windows = ReportWindows()
     assert windows.record_timed(100_000, "p", "one", 40_000, 50_000).part == 1
     assert windows.record_timed(110_000, "p", "one", 50_000, 60_000).part == 1
@@ -125,98 +125,101 @@
     assert len(windows) == 0
 
 
-def test_a_late_report_is_told_from_a_clock_that_differs() -> None:
+def test_a_late_report_is_distinguished_from_a_clock_offset() -> None:
     windows = ReportWindows()
     assert windows.record_timed(1_000_000, "p", "a", 2_000_000, 2_005_000).until == 1_000_000
     late = windows.record_timed(1_035_000, "p", "a", 2_005_000, 2_010_000)
-    assert late.until == 1_005_000 + 3  # three seconds late, but for the drift that is allowed for
+    assert late.until == 1_005_000 + 3  # three seconds late, less the allowed clock drift
     windows.record_timed(1_040_000, "p", "a", 2_010_000, 2_015_000)
     assert windows.record_timed(1_045_000, "p", "b", 2_015_000, 2_020_000).until == 1_045_000
 
 
-def test_a_clock_that_was_set_back_is_told_from_repeated_reports() -> None:
-    def play(step: int) -> ReportWindows:
-        windows, now, at = ReportWindows(), 1_000_000, 1_000_000
+def test_a_clock_that_was_set_back_is_distinguished_from_resent_reports() -> None:
+    def windows_after_reset(step: int) -> ReportWindows:
+        windows, now, end = ReportWindows(), 1_000_000, 1_000_000
         for _ in range(40):
-            windows.record_timed(now, "p", "a", at - 5000, at)
-            now, at = now + 5000, at + 5000
-        at -= 190_000
+            windows.record_timed(now, "p", "a", end - 5000, end)
+            now, end = now + 5000, end + 5000
+        end -= 190_000
         for _ in range(60):
-            windows.record_timed(now, "p", "a", at - 5000, at)
-            now, at = now + 5000, at + step
+            windows.record_timed(now, "p", "a", end - 5000, end)
+            now, end = now + 5000, end + step
         return windows
 
-    assert play(5000).clock_resets == 1 and CLOCK_RESET_TICKS < 60 * 5000
-    assert play(0).clock_resets == 0 and play(0).repeats == 60  # the same old one, again and again
+    assert windows_after_reset(5000).clock_resets == 1 and CLOCK_RESET_TICKS < 60 * 5000
+    # the same old report each time
+    assert windows_after_reset(0).clock_resets == 0 and windows_after_reset(0).repeats == 60
 
 
 # Samples.
 
 
-def report(tries: int, since: int, length: int = 5000) -> Report:
-    row = ReportCells({("h", "r"): ReportedAttempts(float(tries), 0.0, float(tries * 10))})
-    return Report(row, {"r": (float(tries), 0.0)}, length, "a", since, since + length)
+def report(attempts: int, since: int, length: int = 5000) -> Report:
+    contents = ReportCells({("h", "r"): ReportedAttempts(float(attempts), 0.0, float(attempts * 10))})
+    return Report(contents, {"r": (float(attempts), 0.0)}, length, "a", since, since + length)
 
 
 @pytest.mark.parametrize("k", [1, 2, 3, 5, 20, 100])
 def test_samples_are_unbiased_and_their_intervals_hold_the_truth(k: int) -> None:
     chance = random.Random(k)
-    ratios, covered, rounds = [], 0, 120
+    ratios, covered_count, rounds = [], 0, 120
     for _ in range(rounds):
         truth = estimate = variance = 0.0
         for p in range(40):
             queue, windows = ReportQueue(chance.randrange), ReportWindows()
             sum_sample(0, "p", windows, [(0, 0, report(0, 1_000_000 - 5000))], 1, False)
-            rows, mean = {}, 5 + 3 * p
+            reports, mean = {}, 5 + 3 * p
             for j in range(k):
-                made = report(max(0, round(chance.gauss(mean, math.sqrt(mean)))), 1_000_000 + 5000 * j)
-                truth += made.contents.cells["h", "r"][0]
-                rows[b"%d" % j] = made
-                at = (j + 1) * 5000 + chance.randrange(400)  # on the way for a while
-                queue.offer(at, "p", b"%d" % j)
+                sent = report(max(0, round(chance.gauss(mean, math.sqrt(mean)))), 1_000_000 + 5000 * j)
+                truth += sent.contents.cells["h", "r"][0]
+                reports[b"%d" % j] = sent
+                arrived_at = (j + 1) * 5000 + chance.randrange(400)  # a random network delay
+                queue.offer(arrived_at, "p", b"%d" % j)
             for last in (False, True):
-                if last:  # the next one tells of what came behind the newest of the sample
-                    rows[b"last"] = report(mean, 1_000_000 + 5000 * k)
+                if last:  # the next report reveals the time after the newest of the sample
+                    reports[b"last"] = report(mean, 1_000_000 + 5000 * k)
                     truth += mean
                     queue.offer((k + 1) * 5000, "p", b"last")
                 taken = queue.take((k + last) * 5000)
                 assert taken is not None and taken.arrived == (1 if last else k) and len(taken.reports) <= 2
-                sample = [(at, 0, rows[data]) for at, data in taken.reports]
-                got = sum_sample(k * 5000, "p", windows, sample, taken.arrived, True)
-                assert got is not None
-                estimate += got.cells["h", "r"][0]
-                variance += got.cells["h", "r"][3]
+                sample = [(arrived_at, 0, reports[data]) for arrived_at, data in taken.reports]
+                sums = sum_sample(k * 5000, "p", windows, sample, taken.arrived, True)
+                assert sums is not None
+                estimate += sums.cells["h", "r"][0]
+                variance += sums.cells["h", "r"][3]
         ratios.append(estimate / truth)
-        covered += abs(estimate - truth) <= 1.96 * math.sqrt(variance) + 1e-6
+        covered_count += abs(estimate - truth) <= 1.96 * math.sqrt(variance) + 1e-6
     assert abs(statistics.mean(ratios) - 1) < 0.02
-    assert covered / rounds > (0.999 if k <= 2 else 0.88)
+    assert covered_count / rounds > (0.999 if k <= 2 else 0.88)
 
 
 def test_copies_and_short_reports_do_not_inflate_a_sum() -> None:
     windows = ReportWindows()
     sum_sample(0, "p", windows, [(0, 0, report(50, 0))], 1, True)
     copy = report(50, 5000)
-    got = sum_sample(5000, "p", windows, [(5000, 0, copy), (5000, 0, copy)], 400, True)
-    assert got is not None and got.cells["h", "r"][0] == 50
+    sums = sum_sample(5000, "p", windows, [(5000, 0, copy), (5000, 0, copy)], 400, True)
+    assert sums is not None and sums.cells["h", "r"][0] == 50
     assert sum_sample(6000, "p", windows, [(6000, 0, copy)], 100, True) is None
     tenths = [(10_000, 0, report(5, 10_000 + 500 * k, 500)) for k in (3, 8)]
-    got = sum_sample(15_000, "p", windows, tenths, 10, True)
-    assert got is not None and got.cells["h", "r"][0] == 45  # nine tenths, as the last was not looked at
-    got = sum_sample(15_000, "p", windows, [(15_000, 0, report(5, 14_500, 500))], 1, True)
-    assert got is not None and got.cells["h", "r"][0] == 5
+    sums = sum_sample(15_000, "p", windows, tenths, 10, True)
+    # the sample ends after nine tenths; the time after its newest report is not estimated
+    assert sums is not None and sums.cells["h", "r"][0] == 45
+    sums = sum_sample(15_000, "p", windows, [(15_000, 0, report(5, 14_500, 500))], 1, True)
+    assert sums is not None and sums.cells["h", "r"][0] == 5
 
 
 def test_reports_that_were_replaced_unread_are_estimated_from_those_read() -> None:
     windows = ReportWindows()
     sum_sample(0, "p", windows, [(0, 0, report(50, 0))], 1, True)
-    got = sum_sample(20_000, "p", windows, [(20_000, 0, report(40, 15_000))], 1, True)  # two were never read
-    assert got is not None and got.cells["h", "r"][0] == 120 and got.requests["r"] == (120, 0)
-    assert got.cells["h", "r"][3] > 0  # and how sure that is
+    # the two reports before it were never read
+    sums = sum_sample(20_000, "p", windows, [(20_000, 0, report(40, 15_000))], 1, True)
+    assert sums is not None and sums.cells["h", "r"][0] == 120 and sums.requests["r"] == (120, 0)
+    assert sums.cells["h", "r"][3] > 0  # the estimate has an uncertainty
     assert (
         sum_sample(20_001, "p", windows, [(20_001, 0, report(45, 10_000))], 1, True) is None
-    )  # it comes after all
-    got = sum_sample(40_000, "q", windows, [(0, 0, report(50, 0)), (9, 1, report(40, 15_000))], 2, False)
-    assert got is not None and got.cells["h", "r"][0] == 90  # where nothing can be lost nothing is made up
+    )  # a report whose time is already estimated
+    sums = sum_sample(40_000, "q", windows, [(0, 0, report(50, 0)), (9, 1, report(40, 15_000))], 2, False)
+    assert sums is not None and sums.cells["h", "r"][0] == 90  # without gaps nothing is estimated
 
 
 def test_the_variance_of_a_single_report_goes_by_its_count() -> None:
@@ -288,55 +291,57 @@
 
 
 def test_the_interval_rises_under_load_and_falls_back_when_there_is_room() -> None:
-    told: list[int] = []
-    budget = ReportBudget(100, 0.5, 5000, 40_000, told.append)
+    intervals: list[int] = []
+    budget = ReportBudget(100, 0.5, 5000, 40_000, intervals.append)
     assert sum(budget.spend(TICKS_PER_SECOND, 1) for _ in range(50)) == 10
     assert sum(budget.spend(TICKS_PER_SECOND + k, 1) for k in range(TICKS_PER_SECOND)) in (99, 100, 101)
     budget.adapt_interval(0, 150, 40)
-    assert told == [6250]  # faster than they should be: one step
+    assert intervals == [6250]  # more often than requested: one step
     budget.adapt_interval(0, 400, 200)
-    assert told[-1] == 25_000
+    assert intervals[-1] == 25_000
     for k in range(60):
         budget.adapt_interval(k * DECREASE_DELAY_TICKS, 10, 10)
-    assert told[-1] == 5000 and told[1:] == sorted(told[1:], reverse=True)
+    assert intervals[-1] == 5000 and intervals[1:] == sorted(intervals[1:], reverse=True)
     budget.adapt_interval(0, 400, 100_000)
-    assert told[-1] == 40_000
+    assert intervals[-1] == 40_000
 
 
 def test_processing_time_is_bounded_by_its_share() -> None:
-    budget, used = ReportBudget(1e6, 0.25, 5000, 40_000, print), 0
+    budget, used_ticks = ReportBudget(1e6, 0.25, 5000, 40_000, print), 0
     for now in range(0, 10 * TICKS_PER_SECOND, 5):
         if budget.spend(now, 1):
             budget.record_time(10)  # a millisecond each
-            used += 10
-    assert 0.24 < used / (10 * TICKS_PER_SECOND) < 0.27
+            used_ticks += 10
+    assert 0.24 < used_ticks / (10 * TICKS_PER_SECOND) < 0.27
 
 
 class RecordingListener:
     def __init__(self) -> None:
-        self.rows: list[tuple[Any, ...]] = []
+        self.notifications: list[tuple[Any, ...]] = []
 
     def quarantined(self, proxy: str, duration: int, cause: str, evidence: bytes) -> None:
-        self.rows.append((proxy, duration, cause, evidence))
+        self.notifications.append((proxy, duration, cause, evidence))
 
     def released(self, proxy: str) -> None:
-        self.rows.append((proxy,))
+        self.notifications.append((proxy,))
 
 
 def test_a_quarantine_doubles_each_time_and_is_released() -> None:
-    told = RecordingListener()
-    quarantine, now = Quarantine(told), 0
+    listener = RecordingListener()
+    quarantine, now = Quarantine(listener), 0
     for k in range(MALFORMED_IN_A_ROW):
         assert not quarantine.should_skip(now, "p")
         quarantine.record_malformed(now, "p", f"bad {k}", b"\xff" * 500)
-    assert quarantine.should_skip(now, "p") and told.rows == [
+    assert quarantine.should_skip(now, "p") and listener.notifications == [
         ("p", MIN_QUARANTINE_TICKS, "bad 2", b"\xff" * 200)
     ]
     now += MIN_QUARANTINE_TICKS
     quarantine.release_due(now)
-    assert not quarantine.should_skip(now, "p") and told.rows[-1] == ("p",)
+    assert not quarantine.should_skip(now, "p") and listener.notifications[-1] == ("p",)
     quarantine.record_malformed(now, "p", "again", b"")
-    assert told.rows[-1][1] == 2 * MIN_QUARANTINE_TICKS and not quarantine.should_skip(now, "other")
+    assert listener.notifications[-1][1] == 2 * MIN_QUARANTINE_TICKS and not quarantine.should_skip(
+        now, "other"
+    )
     now += 2 * MIN_QUARANTINE_TICKS
     quarantine.should_skip(now, "p")
     quarantine.record_valid(now + MALFORMED_WINDOW_TICKS, "p")
@@ -345,12 +350,12 @@
 
 
 def test_a_report_is_bounded_and_its_times_are_checked() -> None:
-    at = forms.Address(forms.SocketAddress("127.0.0.1", 81))
-    rows = [forms.UpstreamEndpointStats(at, 1)] * (MAX_ENDPOINTS + 1)
-    zone = forms.UpstreamLocalityStats(upstream_endpoint_stats=rows)
-    made = forms.LoadStatsRequest(cluster_stats=[forms.ClusterStats("r@t", "", [zone], 0, [], "1s")])
+    address = forms.Address(forms.SocketAddress("127.0.0.1", 81))
+    endpoints = [forms.UpstreamEndpointStats(address, 1)] * (MAX_ENDPOINTS + 1)
+    zone = forms.UpstreamLocalityStats(upstream_endpoint_stats=endpoints)
+    oversized = forms.LoadStatsRequest(cluster_stats=[forms.ClusterStats("r@t", "", [zone], 0, [], "1s")])
     with pytest.raises(MessageFormatError, match="more than 5000 endpoints"):
-        read_report(made, frozenset("r"))
+        read_report(oversized, frozenset("r"))
     for times, cause in (
         ((5, 4), "load_from is 5"),
         (("x", 4), "are not numbers"),
