--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -215,9 +215,8 @@
     sums = sum_sample(20_000, "p", windows, [(20_000, 0, report(40, 15_000))], 1, True)
     assert sums is not None and sums.cells["h", "r"][0] == 120 and sums.requests["r"] == (120, 0)
     assert sums.cells["h", "r"][3] > 0  # the estimate has an uncertainty
-    assert (
-        sum_sample(20_001, "p", windows, [(20_001, 0, report(45, 10_000))], 1, True) is None
-    )  # a report whose time is already estimated
+    # the time of this one is already estimated
+    assert sum_sample(20_001, "p", windows, [(20_001, 0, report(45, 10_000))], 1, True) is None
     sums = sum_sample(40_000, "q", windows, [(0, 0, report(50, 0)), (9, 1, report(40, 15_000))], 2, False)
     assert sums is not None and sums.cells["h", "r"][0] == 90  # without gaps nothing is estimated
 
--- a/willowhook/cli/imports.py
+++ b/willowhook/cli/imports.py
@@ -127,7 +127,7 @@
 
 
 def _write_output(out: Path, plan: Plan, diagnostics: list[Verdict], proxies: int, roster: str) -> None:
-    """Writes the result of an import; all files are generated first, so that an error leaves none behind."""
+    """Writes the result of an import; all files are generated before the first one is written."""
     import msgspec
 
     from ..files.ops import DiskOps
