--- a/benchmarks/files.py
+++ b/benchmarks/files.py
@@ -11,9 +11,9 @@
 
 import trio
 
-from willowhook.files.follow import Followers
+from willowhook.files.follow import FileGroupFollower
 from willowhook.files.ops import DiskOps
-from willowhook.files.swap import Shelf, swap_file
+from willowhook.files.swap import FileGroupWriter, swap_file
 from willowhook.xds import forms, tables
 from willowhook.xds.codec import encode, encode_response
 
@@ -68,7 +68,7 @@
 def shared_or_whole(folder: str, proxies: int = 200) -> None:
     """One shared table file for all who are bound, or a file a proxy: bytes and time of one change."""
     body = encode_response("1.1", forms.ASSIGNMENT, "1.1", [encode(table())])
-    shelves = [Shelf(f"{folder}/p{k}", series="1-") for k in range(proxies)]
+    shelves = [FileGroupWriter(f"{folder}/p{k}", series="1-") for k in range(proxies)]
     count = [0]
 
     def whole() -> None:
@@ -100,8 +100,8 @@
         if proxy in put:
             took.append(seen[proxy] - put.pop(proxy))
 
-    followers = Followers(how, every, look)
-    shelves = {f"p{k}": Shelf(f"{down}/p{k}", series="1-") for k in range(proxies)}
+    followers = FileGroupFollower(how, every, look)
+    shelves = {f"p{k}": FileGroupWriter(f"{down}/p{k}", series="1-") for k in range(proxies)}
     for name, shelf in shelves.items():
         shelf.put({"eds.json": b"0"})
         followers.follow(name, down, name)
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -62,7 +62,7 @@
             for k in range(WRITERS):
                 nursery.start_soon(one, k)
     store.close()
-    return committer.kept, committer.kept / max(committer.groups, 1), took
+    return committer.committed_count, committer.committed_count / max(committer.batch_count, 1), took
 
 
 def bare(folder: Path, seconds: float, group: int, size: int) -> float:
--- a/tests/controlplane_fixtures.py
+++ b/tests/controlplane_fixtures.py
@@ -16,8 +16,8 @@
 from willowhook.controlplane.publisher import Publisher
 from willowhook.controlplane.resource_renderer import ResourceRenderer
 from willowhook.controlplane.update_sinks import FileUpdateSink
-from willowhook.files.swap import Shelf
-from willowhook.records.writer import Records
+from willowhook.files.swap import FileGroupWriter
+from willowhook.records.writer import RecordWriter
 from willowhook.roster.forms import DiscoveredEndpoint
 from willowhook.versions.resources import ResourceStore, first_era
 
@@ -29,7 +29,7 @@
 
 def file_sink(term: int, epoch: int) -> FileUpdateSink:
     """A sink whose files are only made, not written."""
-    return FileUpdateSink(Shelf("nowhere"), ResourceStore(first_era(epoch, 5)), term, epoch, False)
+    return FileUpdateSink(FileGroupWriter("nowhere"), ResourceStore(first_era(epoch, 5)), term, epoch, False)
 
 
 class RecordingListener:
@@ -64,7 +64,7 @@
         """Nobody looks at it here."""
 
 
-class RecordingRecords(Records):
+class RecordingRecords(RecordWriter):
     """Keeps records in memory."""
 
     def __init__(self) -> None:
--- a/tests/test_controlplane_components.py
+++ b/tests/test_controlplane_components.py
@@ -19,7 +19,7 @@
 from willowhook.controlplane.inbound_events import ProxyFolderRemoved, WorkAvailable
 from willowhook.decisions.events import EndpointListLost, EvaluationDue
 from willowhook.membership.handoff import EndpointSums, Hint, Packet
-from willowhook.records.writer import Records, read_records
+from willowhook.records.writer import RecordWriter, read_records
 from willowhook.roster.forms import DiscoveredEndpoint
 from willowhook.ticks import TICKS_PER_SECOND
 from willowhook.xds.codec import MessageFormatError
@@ -52,7 +52,7 @@
 
 
 def test_condition_log_reports_changes_only(tmp_path: Path) -> None:
-    log, records = ListLogger(), Records(str(tmp_path / "records"), 100)
+    log, records = ListLogger(), RecordWriter(str(tmp_path / "records"), 100)
     conditions = ConditionLog(log, records, lambda: 7)
     conditions.report("disk", False, "disk works again")
     conditions.report("disk", True, "disk failed", cause="full")
--- a/tests/test_export.py
+++ b/tests/test_export.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies as st
 
 from willowhook.cli.main import main
-from willowhook.files.swap import Shelf, read_group
+from willowhook.files.swap import FileGroupWriter, read_group
 from willowhook.nginx.export import LOCATIONS, UPSTREAMS, anchored, export
 from willowhook.nginx.follow import Follower
 from willowhook.nginx.plan import Asked, Plan
@@ -168,9 +168,9 @@
         rows = {"a": (weight, False, 0), "b": (10, False, 0)}
         return group({"t": rows}, {"t": "wheel"}, [("below", "/", "t", 1000, math.inf, "")])
 
-    group_of, out = Shelf(str(tmp_path / "p1")), tmp_path / "out"
+    group_of, out = FileGroupWriter(str(tmp_path / "p1")), tmp_path / "out"
     group_of.put(files(10))
-    follower = Follower(str(tmp_path / "p1"), Shelf(str(out)), structlog.get_logger())
+    follower = Follower(str(tmp_path / "p1"), FileGroupWriter(str(out)), structlog.get_logger())
 
     def text() -> str:
         try:
--- a/tests/test_files.py
+++ b/tests/test_files.py
@@ -16,10 +16,10 @@
 import pytest
 import trio
 
-from willowhook.files.follow import Followers
-from willowhook.files.layout import Folder, FolderTaken, last_beat
+from willowhook.files.follow import FileGroupFollower
+from willowhook.files.layout import ControllerFolder, FolderInUseError, last_heartbeat
 from willowhook.files.ops import DiskOps
-from willowhook.files.swap import Shelf, read_group, swap_file
+from willowhook.files.swap import FileGroupWriter, read_group, swap_file
 from willowhook.files.watch import InotifyWatch, PollWatch, Watch
 
 Files = dict[str, bytes]
@@ -80,8 +80,8 @@
         self.step(lambda: None)
 
 
-def stocked(folder: Path) -> Shelf:
-    shelf = Shelf(str(folder), series="1-")
+def stocked(folder: Path) -> FileGroupWriter:
+    shelf = FileGroupWriter(str(folder), series="1-")
     shelf.open()
     shelf.put(ONE)
     return shelf
@@ -115,7 +115,7 @@
             shelf.put(new)
         seen = read_group(str(home))[1]
         assert seen in (ONE, new)
-        again = Shelf(str(home), series="2-")  # the next director
+        again = FileGroupWriter(str(home), series="2-")  # the next director
         again.open()
         assert read_group(str(home))[1] == seen  # untouched by the clearing
         again.put(TWO)
@@ -145,7 +145,7 @@
         shelf.put(new)  # the same again, now that the disk is well
         assert read_group(str(home))[1] == new
         shelf.put(ONE)
-        fresh = Shelf(str(home), series="2-")
+        fresh = FileGroupWriter(str(home), series="2-")
         fresh.open()
         assert len(names(home)) == 5
 
@@ -200,7 +200,7 @@
     stop.set()
     reader.join()
     assert not torn and reads[0] > 50
-    shelf = Shelf(str(home), series="z-")
+    shelf = FileGroupWriter(str(home), series="z-")
     shelf.open()
     shelf.put(TWO)
     assert len(names(home)) == 5
@@ -222,23 +222,23 @@
 
 
 def test_one_folder_serves_one_director_and_counts_its_starts(tmp_path: Path) -> None:
-    first = Folder(str(tmp_path / "d"))
+    first = ControllerFolder(str(tmp_path / "d"))
     first.open()
-    with pytest.raises(FolderTaken, match=f"process {os.getpid()}, epoch 1"):
-        Folder(str(tmp_path / "d")).open()
-    assert abs(last_beat(first.path) - time.time()) < 5
+    with pytest.raises(FolderInUseError, match=f"process {os.getpid()}, epoch 1"):
+        ControllerFolder(str(tmp_path / "d")).open()
+    assert abs(last_heartbeat(first.path) - time.time()) < 5
     first.close()
     (tmp_path / "d" / "up" / "p1").mkdir()
     (tmp_path / "d" / "down" / "p1").mkdir()
     (tmp_path / "d" / "down" / "gone").mkdir()
     (tmp_path / "d" / ".new-list").write_bytes(b"half")
-    second = Folder(str(tmp_path / "d"))
+    second = ControllerFolder(str(tmp_path / "d"))
     second.open()
     assert second.epoch == 2
     assert names(tmp_path / "d") == ["down", "down/p1", "epoch", "lock", "up", "up/p1"]
     second.close()
     (tmp_path / "d" / "epoch").write_bytes(b"\xff")
-    third = Folder(str(tmp_path / "d"))
+    third = ControllerFolder(str(tmp_path / "d"))
     third.open()
     assert third.epoch > 1_000_000  # rises although the count was damaged
     third.close()
@@ -249,13 +249,13 @@
     seen: list[Files] = []
 
     async def play() -> None:
-        followers = Followers(how, 0.005, lambda _, files: seen.append(files))
+        followers = FileGroupFollower(how, 0.005, lambda _, files: seen.append(files))
         down = tmp_path / "down"
         down.mkdir()
         followers.follow("p", str(down), "p1")  # before there is anything to read
         async with trio.open_nursery() as nursery:
             nursery.start_soon(followers.run)
-            shelf = Shelf(str(down / "p1"), series="1-")
+            shelf = FileGroupWriter(str(down / "p1"), series="1-")
             for k in range(60):
                 body = b"%d" % k
                 shelf.put({"eds.json": body} if k == 0 else {"eds.json": body, "cds.json": b"%d" % (k // 5)})
@@ -263,7 +263,7 @@
             with trio.fail_after(5):
                 while not seen or seen[-1]["eds.json"] != b"59":
                     await trio.sleep(0.01)
-            followers.drop("p")
+            followers.unfollow("p")
             shelf.put({"eds.json": b"unseen"})
             await trio.sleep(0.05)
             nursery.cancel_scope.cancel()
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -47,7 +47,7 @@
     store_evidence(tmp_path / "s", [(0, "a", "north", 30, 3, 50), (TICKS_PER_SECOND, "a", "north", 1, 0, 9)])
     store = Store(str(tmp_path / "s"))
     for key, entry in store.by_key("met"):
-        store.write([Op("met", key, entry.at - 3600 * TICKS_PER_SECOND, entry.value)])
+        store.write([Op("met", key, entry.timestamp - 3600 * TICKS_PER_SECOND, entry.value)])
     store.flush()
     store.close()
     memory = ControllerMemory(str(tmp_path / "s"), "d", 2, 10 * TICKS_PER_SECOND, lambda text: None)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -25,10 +25,10 @@
 from willowhook.controlplane.proxy_folder_feed import ProxyFolderFeed
 from willowhook.controlplane.service import Service
 from willowhook.decisions.events import EndpointListReceived, ProxyJoined
-from willowhook.files.layout import FolderTaken
+from willowhook.files.layout import FolderInUseError
 from willowhook.files.ops import DiskOps
 from willowhook.files.swap import read_group
-from willowhook.records.writer import Records, read_records
+from willowhook.records.writer import RecordWriter, read_records
 from willowhook.xds import forms
 from willowhook.xds.codec import encode, encode_response
 
@@ -166,7 +166,7 @@
 
 def test_folders_that_are_not_proxies_are_ignored(tmp_path: Path) -> None:
     async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
-        up = Path(service.folder.up)
+        up = Path(service.folder.inbound_path)
         (up / "a file").write_bytes(b"")
         (up / "plain").write_bytes(b"")
         FileProxy(service, "empty").join(b"")
@@ -229,7 +229,7 @@
 
 def test_second_controller_cannot_lock_the_folder(tmp_path: Path) -> None:
     async def play(service: Service, discovery: FakeDiscovery, log: RecordingLog) -> None:
-        with pytest.raises(FolderTaken, match="one folder serves one director"):
+        with pytest.raises(FolderInUseError, match="one folder serves one director"):
             await Service(service.terms, log=RecordingLog()).run()
 
     serve(tmp_path, play)
@@ -237,15 +237,15 @@
 
 def test_records_survive_a_disk_error_and_a_truncated_line(tmp_path: Path) -> None:
     path = tmp_path / "records"
-    records = Records(str(path), 3)
+    records = RecordWriter(str(path), 3)
     for k in range(5):
-        records.note(k, "x", n=k)
+        records.append(k, "x", n=k)
     records.flush()
     limits = resource.getrlimit(resource.RLIMIT_FSIZE)
     resource.setrlimit(resource.RLIMIT_FSIZE, (path.stat().st_size + 10, limits[1]))
-    records.note(9, "y")
+    records.append(9, "y")
     records.flush()
-    assert records.failing
+    assert records.write_error
     resource.setrlimit(resource.RLIMIT_FSIZE, limits)
     records.flush()
     with path.open("ab") as file:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -22,21 +22,21 @@
 from willowhook.cli.main import main
 from willowhook.store import frames
 from willowhook.store.commit import Committer
-from willowhook.store.ledger import Ledger
+from willowhook.store.ledger import RequestLedger
 from willowhook.store.outcomes import (
-    AGAIN,
     ANSWERED,
     DONE,
     FAILED,
-    HOLD,
-    NEVER_RAN,
     NOT_DONE,
-    TELL,
+    NOT_EXECUTED,
+    REPORT_UNKNOWN,
+    RETRY,
+    RETURN_RESPONSE,
     UNKNOWN,
-    Evidence,
-    after_crash,
+    RequestRecord,
+    after_recovery,
 )  # fmt: skip
-from willowhook.store.store import DEBUG, OUTCOMES, Op, Reader, Store, StoreError, StoreTaken
+from willowhook.store.store import DEBUG, OUTCOMES, Op, Reader, Store, StoreError, StoreInUseError
 from willowhook.trial.cuts import cuts
 from willowhook.trial.power import PowerDisk
 from willowhook.trial.submits import submits
@@ -84,7 +84,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.disk = PowerDisk()
-        self.store = Store("s", self.disk, segment_bytes=300, chance=9, lock=False)
+        self.store = Store("s", self.disk, segment_bytes=300, store_id=9, lock=False)
         self.states: list[dict[str, bytes]] = [{}]  # after each number that was written
         self.base = 0  # the number of the first
         self.compacting: Any = None
@@ -103,9 +103,9 @@
 
     @rule(most=st.integers(1, 200))
     def commit(self, most: int) -> None:
-        batch = self.store.take(most)
-        self.store.put_down(batch)
-        self.store.done(batch)
+        batch = self.store.next_batch(most)
+        self.store.write_batch(batch)
+        self.store.apply_batch(batch)
 
     @rule(steps=st.integers(1, 4))
     def compact(self, steps: int) -> None:
@@ -121,9 +121,12 @@
         acked = self.store.number
         found = list(self.disk.crashes(random.Random(which), 8))
         self.disk = PowerDisk.load(found[which % len(found)])
-        self.store = Store("s", self.disk, segment_bytes=300, chance=9, lock=False)
+        self.store = Store("s", self.disk, segment_bytes=300, store_id=9, lock=False)
         self.compacting = None
-        assert not self.store.found.damage and acked <= self.store.number <= self.base + len(self.states) - 1
+        assert (
+            not self.store.recovery.corruptions
+            and acked <= self.store.number <= self.base + len(self.states) - 1
+        )
         self.states = self.states[: self.store.number - self.base + 1]
 
     @rule(error=st.sampled_from([errno.EIO, errno.ENOSPC]), after=st.integers(0, 3))
@@ -137,10 +140,10 @@
                 raise OSError(error, what)
 
         self.disk.before = before
-        batch = self.store.take(10_000)
+        batch = self.store.next_batch(10_000)
         try:
-            self.store.put_down(batch)
-            self.store.done(batch)
+            self.store.write_batch(batch)
+            self.store.apply_batch(batch)
         except OSError:
             pass  # it stays in what waits
         self.disk.before = lambda what: None
@@ -158,7 +161,7 @@
 
 def test_one_writer_many_readers_and_what_is_read_is_on_disk(tmp_path: Path) -> None:
     store = Store(str(tmp_path / "s"))
-    with pytest.raises(StoreTaken, match=f"process {os.getpid()}"):
+    with pytest.raises(StoreInUseError, match=f"process {os.getpid()}"):
         Store(str(tmp_path / "s"))
     reader = Reader(str(tmp_path / "s"))
     store.write(put("a"))
@@ -176,7 +179,7 @@
     assert len(list((tmp_path / "s").glob("snap-*"))) == 2
     store.close()
     again = Store(str(tmp_path / "s"))  # the lock of one that ended is nobody's
-    assert len(again.by_key("orders")) == 51 and not again.damaged and again.epoch == 2
+    assert len(again.by_key("orders")) == 51 and not again.has_lost_entries and again.epoch == 2
     again.close()
 
 
@@ -207,20 +210,20 @@
     disk.before = full
     gone = []
     for _ in range(2):
-        batch = store.take()
+        batch = store.next_batch()
         with pytest.raises(OSError, match="full"):
-            store.put_down(batch)
-        gone += [each.ops[0].key for each in store.failed(OSError(errno.ENOSPC, "full"))]
-    assert gone == ["a"] and store.level == 2 and store.write(put("d", space="debug")) is None
+            store.write_batch(batch)
+        gone += [each.ops[0].key for each in store.handle_write_error(OSError(errno.ENOSPC, "full"))]
+    assert gone == ["a"] and store.min_rank == 2 and store.write(put("d", space="debug")) is None
     disk.before = lambda what: None
     store.flush()
     assert store.get("outcomes", "c") is not None and store.get("orders", "b") is not None
     assert "reserve" not in disk.files()
-    store.relieved()
+    store.resume_writes()
     assert store.write(put("e", space="debug")) is not None and "reserve" in disk.files()
     disk.before = full
     for _ in range(4):
-        store.failed(OSError(errno.ENOSPC, "full"))
+        store.handle_write_error(OSError(errno.ENOSPC, "full"))
     with pytest.raises(StoreError, match="read-only"):
         store.write(put("f", space="outcomes"))
 
@@ -250,15 +253,15 @@
             disk.append = short  # type: ignore[method-assign]
         acked: dict[str, bytes] = {}
         try:
-            store = Store("s", disk, segment_bytes=300, chance=3, lock=False)
+            store = Store("s", disk, segment_bytes=300, store_id=3, lock=False)
         except OSError:
             continue  # not even begun: said so
         for k in range(12):
             try:
                 store.write(put(f"k{k % 4}", b"%d" % k * 20))
-                batch = store.take()
-                store.put_down(batch)
-                store.done(batch)
+                batch = store.next_batch()
+                store.write_batch(batch)
+                store.apply_batch(batch)
                 acked.update({each.ops[0].key: each.ops[0].value or b"" for each in batch})
                 if k % 5 == 4:
                     list(store.compact(50))
@@ -267,8 +270,10 @@
         if count[0] < at:
             return
         for files in disk.crashes(random.Random(at), 6):
-            again = Store("s", PowerDisk.load(files), lock=False, chance=3)
-            assert not again.found.damage and {k: e.value for k, e in again.by_key("orders")} == acked, at
+            again = Store("s", PowerDisk.load(files), lock=False, store_id=3)
+            assert (
+                not again.recovery.corruptions and {k: e.value for k, e in again.by_key("orders")} == acked
+            ), at
     raise AssertionError("more operations than were looked at")
 
 
@@ -305,8 +310,8 @@
             async with trio.open_nursery() as many:
                 for k in range(200):
                     many.start_soon(one, f"k{k}", "orders")
-            assert set(answers.values()) == {True} and committer.groups < 100
-            put_down, count = store.put_down, [0]
+            assert set(answers.values()) == {True} and committer.batch_count < 100
+            put_down, count = store.write_batch, [0]
 
             def full(batch: Any) -> None:
                 count[0] += 1
@@ -314,7 +319,7 @@
                     raise OSError(errno.ENOSPC, "full")
                 put_down(batch)
 
-            store.put_down = full  # type: ignore[method-assign]
+            store.write_batch = full  # type: ignore[method-assign]
             async with trio.open_nursery() as many:
                 many.start_soon(one, "debug", "debug")
                 many.start_soon(one, "outcome", "outcomes")
@@ -357,7 +362,7 @@
             except EOFError:
                 break
         store = Store(folder)
-        assert store.number >= promised and not store.found.damage
+        assert store.number >= promised and not store.recovery.corruptions
         for key, entry in store.by_key("orders"):
             number = int(entry.value[: len(entry.value) // 5])
             assert f"k{number % 40}" == key and number == entry.number
@@ -370,51 +375,55 @@
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(
-    st.lists(st.tuples(st.sampled_from(["out", ANSWERED, NEVER_RAN, FAILED]), st.integers(0, 3)), max_size=12)
+    st.lists(
+        st.tuples(st.sampled_from(["out", ANSWERED, NOT_EXECUTED, FAILED]), st.integers(0, 3)), max_size=12
+    )
 )
 def test_an_outcome_is_never_guessed(steps: list[tuple[str, int]]) -> None:
     """Beside what truly happened: a try that is out, or failed, may have run or not."""
-    found = Evidence()
+    found = RequestRecord()
     ran: dict[int, list[bool]] = {}  # what may be true of each try
     for what, number in steps:
         if what == "out":
-            found.out(number, 0)
+            found.start_attempt(number, 0)
             ran.setdefault(number, [False, True])
         elif number in ran:
             before = found.tries[number]
-            found.ended(number, what)
+            found.end_attempt(number, what)
             if before in ("out", FAILED):
-                ran[number] = {ANSWERED: [True], NEVER_RAN: [False], FAILED: [False, True]}[what]
+                ran[number] = {ANSWERED: [True], NOT_EXECUTED: [False], FAILED: [False, True]}[what]
     may_be_done = any(True in each for each in ran.values())
     may_be_not = all(False in each for each in ran.values())
     told = found.state()
     assert told == (UNKNOWN if may_be_done and may_be_not else DONE if may_be_done else NOT_DONE)
-    crashed = after_crash(found, damaged=True).state()
+    crashed = after_recovery(found, has_lost_entries=True).state()
     assert crashed == (DONE if told == DONE else UNKNOWN)
 
 
 def test_a_repeat_is_decided_by_what_is_known() -> None:
-    call = Evidence("mutating")
-    assert call.repeat(0) == AGAIN  # nothing ever left
-    call.out(0, 10)
-    assert call.repeat(20) == HOLD
-    call.ended(0, NEVER_RAN)
-    assert call.repeat(20) == AGAIN
-    call.out(1, 30)
-    call.ended(1, FAILED)
-    call.ended(0, FAILED)  # proof stands
-    assert call.tries[0] == NEVER_RAN and call.repeat(40) == HOLD
-    call.ended(1, ANSWERED, b"yes")
-    assert call.repeat(40) == TELL and call.answer == b"yes"
-    keyed = Evidence("keyed", window=100)
-    keyed.out(0, 10, "north")
-    keyed.ended(0, FAILED)
-    assert keyed.repeat(100, "north") == AGAIN and keyed.repeat(100, "south") == HOLD
-    assert keyed.repeat(111, "north") == HOLD
-    free = Evidence("repeatable")
-    free.out(0, 0)
-    assert free.repeat(10**9) == AGAIN
-    assert after_crash(None, False).state() == NOT_DONE and after_crash(None, True).state() == UNKNOWN
+    call = RequestRecord("mutating")
+    assert call.retry_decision(0) == RETRY  # nothing ever left
+    call.start_attempt(0, 10)
+    assert call.retry_decision(20) == REPORT_UNKNOWN
+    call.end_attempt(0, NOT_EXECUTED)
+    assert call.retry_decision(20) == RETRY
+    call.start_attempt(1, 30)
+    call.end_attempt(1, FAILED)
+    call.end_attempt(0, FAILED)  # proof stands
+    assert call.tries[0] == NOT_EXECUTED and call.retry_decision(40) == REPORT_UNKNOWN
+    call.end_attempt(1, ANSWERED, b"yes")
+    assert call.retry_decision(40) == RETURN_RESPONSE and call.answer == b"yes"
+    keyed = RequestRecord("keyed", window=100)
+    keyed.start_attempt(0, 10, "north")
+    keyed.end_attempt(0, FAILED)
+    assert (
+        keyed.retry_decision(100, "north") == RETRY and keyed.retry_decision(100, "south") == REPORT_UNKNOWN
+    )
+    assert keyed.retry_decision(111, "north") == REPORT_UNKNOWN
+    free = RequestRecord("repeatable")
+    free.start_attempt(0, 0)
+    assert free.retry_decision(10**9) == RETRY
+    assert after_recovery(None, False).state() == NOT_DONE and after_recovery(None, True).state() == UNKNOWN
 
 
 def test_an_operator_checks_dumps_and_repairs_and_nothing_is_invented(tmp_path: Path) -> None:
@@ -441,7 +450,7 @@
     before = {row["key"]: row["value"] for row in map(json.loads, told("dump", folder)[1].splitlines())}
     assert len(before) == 29
     held = Store(folder)
-    assert held.damaged and told("repair", folder)[0] == 3
+    assert held.has_lost_entries and told("repair", folder)[0] == 3
     held.close()
     code, text = told("repair", folder)
     assert code == 0 and "put aside" in text
@@ -465,32 +474,36 @@
     def power_fails() -> None:
         """Whatever was written is there, or only what was synced: the call is never told to be not done."""
         for files in disk.crashes(random.Random(1), 4):
-            store = Store("s", PowerDisk.load(files), lock=False, chance=3)
-            ledger = Ledger(store, Committer(store))
+            store = Store("s", PowerDisk.load(files), lock=False, store_id=3)
+            ledger = RequestLedger(store, Committer(store))
             for call in ("gone", "answered", "refused"):
-                ledgers[call] = ledger.of(call).repeat(0)
-            assert ledgers["gone"] == HOLD and ledgers["answered"] == TELL and ledgers["refused"] == AGAIN
-            assert set(ledger.pending()) == {"gone", "answered", "refused"}
+                ledgers[call] = ledger.request(call).retry_decision(0)
+            assert (
+                ledgers["gone"] == REPORT_UNKNOWN
+                and ledgers["answered"] == RETURN_RESPONSE
+                and ledgers["refused"] == RETRY
+            )
+            assert set(ledger.unreported()) == {"gone", "answered", "refused"}
 
     async def run() -> None:
-        store = Store("s", disk, lock=False, chance=3)
+        store = Store("s", disk, lock=False, store_id=3)
         committer = Committer(store)
-        ledger = Ledger(store, committer)
+        ledger = RequestLedger(store, committer)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(committer.run)
             for call, what in (
                 ("gone", ""),
                 ("answered", ANSWERED),
-                ("refused", NEVER_RAN),
+                ("refused", NOT_EXECUTED),
                 ("known", ANSWERED),
             ):
                 await ledger.begin(call, "mutating", 1)
-                number = await ledger.out(call, 2)
+                number = await ledger.start_attempt(call, 2)
                 if what:
-                    await ledger.ended(call, number, what, 3, b"yes")
-            await ledger.told("known", 4)
-            again = await ledger.out("refused", 5)
-            await ledger.never_left("refused", again, 6)
+                    await ledger.end_attempt(call, number, what, 3, b"yes")
+            await ledger.mark_reported("known", 4)
+            again = await ledger.start_attempt("refused", 5)
+            await ledger.cancel_attempt("refused", again, 6)
             power_fails()
             nursery.cancel_scope.cancel()
 
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -19,11 +19,11 @@
 
 from willowhook.cli.main import main
 from willowhook.config.check import parse_config
-from willowhook.records.states import States
+from willowhook.records.states import ProxyStates
 from willowhook.records.writer import read_records
 from willowhook.store.commit import Committer
 from willowhook.store.disk import RealDisk
-from willowhook.store.ledger import Ledger
+from willowhook.store.ledger import RequestLedger
 from willowhook.store.store import Op, Reader, Store, recover
 
 STORED = Path(__file__).parent / "data" / "stored"
@@ -48,13 +48,13 @@
     """Last number, damage, content, as a reader beside the writer sees it."""
     reader = Reader(str(folder))
     number = reader.refresh()
-    return number, [row.line() for row in reader.found.damage], content_of(reader.state)
+    return number, [row.describe() for row in reader.recovery.corruptions], content_of(reader.state)
 
 
 def recovered_store(folder: Path) -> dict[str, Any]:
     got = recover(RealDisk(), str(folder))
     segments = [[row.name, row.first, row.last] for row in got.segments]
-    counts = {"id": got.store, "epoch": got.epoch, "number": got.number, "frames": got.found.frames}
+    counts = {"id": got.store_id, "epoch": got.epoch, "number": got.number, "frames": got.report.frames}
     return {**counts, "snapshots": got.snapshots, "segments": segments}
 
 
@@ -73,10 +73,10 @@
     """What the ledger of calls in a copy of the folder knows of each; which outcomes were not told."""
     store = Store(str(folder))
     try:
-        ledger = Ledger(store, Committer(store))
-        calls = {key: ledger.of(key) for key, _ in store.by_key("outcomes")}
+        ledger = RequestLedger(store, Committer(store))
+        calls = {key: ledger.request(key) for key, _ in store.by_key("outcomes")}
         known = {key: {**msgspec.to_builtins(call), "state": call.state()} for key, call in calls.items()}
-        return {"known": json.loads(json.dumps(known)), "not told": ledger.pending()}
+        return {"known": json.loads(json.dumps(known)), "not told": ledger.unreported()}
     finally:
         store.close()
 
@@ -86,9 +86,9 @@
 
 
 def told_of_records(path: Path, proxy: str) -> list[str]:
-    states = States()
+    states = ProxyStates()
     for row in read_records(str(path)):
-        states.take(row)
+        states.add(row)
     return states.lines(proxy)
 
 
--- a/willowhook/cli/commands.py
+++ b/willowhook/cli/commands.py
@@ -71,20 +71,20 @@
 )
 def drain(path: str, undo: bool, wait_s: float) -> None:
     """Move a running controller's proxies to other controllers.  Exit code 1 if any is left after --wait."""
-    from ..files.layout import DRAIN, UP
+    from ..files.layout import DRAIN_FILE, INBOUND_FOLDER
     from ..files.ops import DiskOps, remove
     from ..files.swap import swap_file
 
     folder = Path(load_terms(path).files.folder).absolute()
-    proxies = folder / UP
+    proxies = folder / INBOUND_FOLDER
     if not proxies.is_dir():
         click.echo(f"{folder}: no controller has run here", err=True)
         sys.exit(2)
     if undo:
-        remove(DiskOps(), str(folder / DRAIN))
+        remove(DiskOps(), str(folder / DRAIN_FILE))
         click.echo("no longer draining")
         return
-    swap_file(DiskOps(), str(folder), DRAIN, b"")
+    swap_file(DiskOps(), str(folder), DRAIN_FILE, b"")
     deadline = time.monotonic() + wait_s
     while _count_proxies(proxies) and time.monotonic() < deadline:
         time.sleep(DRAIN_POLL_SECONDS)
@@ -150,11 +150,11 @@
 @click.option("--proxy", "only", default="", help="Show only this proxy.")
 def show(folder: str, only: str) -> None:
     """Show the routes and tables that each proxy would now read from a controller's FOLDER."""
-    from ..files.layout import DOWN
+    from ..files.layout import OUTBOUND_FOLDER
     from ..xds.codec import MessageFormatError
     from .tables import print_proxy
 
-    root = Path(folder) / DOWN
+    root = Path(folder) / OUTBOUND_FOLDER
     if not root.is_dir():
         click.echo(f"{folder}: not a controller's folder: {root} does not exist", err=True)
         sys.exit(2)
@@ -180,13 +180,13 @@
 
     The controller may be running.
     """
-    from ..records.states import States
+    from ..records.states import ProxyStates
     from ..records.writer import read_records
 
-    states = States()
+    states = ProxyStates()
     try:
         for record in read_records(records):
-            states.take(record)
+            states.add(record)
     except OSError as error:
         click.echo(f"{records}: {error.strerror}", err=True)
         sys.exit(2)
--- a/willowhook/cli/exports.py
+++ b/willowhook/cli/exports.py
@@ -30,11 +30,11 @@
 
     Exit codes: 0 success, 1 if something cannot be expressed (see the notes), 2 if GROUP cannot be read.
     """
-    from ..files.swap import Shelf, read_group
+    from ..files.swap import FileGroupWriter, read_group
     from ..nginx.export import export
     from ..xds.codec import MessageFormatError
 
-    writer = Shelf(out)
+    writer = FileGroupWriter(out)
     try:
         Path(out).parent.mkdir(parents=True, exist_ok=True)
         if follow:
@@ -59,10 +59,10 @@
     import structlog
     import trio
 
-    from ..files.swap import Shelf
+    from ..files.swap import FileGroupWriter
     from ..nginx.follow import Follower
 
-    assert isinstance(writer, Shelf)
+    assert isinstance(writer, FileGroupWriter)
     follower = Follower(group, writer, structlog.get_logger(), watch)
 
     async def run() -> None:
--- a/willowhook/cli/imports.py
+++ b/willowhook/cli/imports.py
@@ -131,7 +131,7 @@
     import msgspec
 
     from ..files.ops import DiskOps
-    from ..files.swap import Shelf, swap_file
+    from ..files.swap import FileGroupWriter, swap_file
     from ..nginx.result import host_list, table_files, terms_of
 
     terms = terms_of(plan, proxies, str((out / "director").absolute()), roster)
@@ -150,4 +150,4 @@
     out.mkdir(parents=True, exist_ok=True)
     for name, data in files.items():
         swap_file(DiskOps(), str(out), name, data)
-    Shelf(str(out / "tables")).put(group)
+    FileGroupWriter(str(out / "tables")).put(group)
--- a/willowhook/cli/store.py
+++ b/willowhook/cli/store.py
@@ -19,11 +19,11 @@
 
 def _run_or_exit(operation: Callable[[], Any]) -> Any:
     """Runs a store operation; if it fails, prints the error and exits with 3 (store in use) or 2."""
-    from ..store.store import StoreError, StoreTaken
+    from ..store.store import StoreError, StoreInUseError
 
     try:
         return operation()
-    except StoreTaken as error:
+    except StoreInUseError as error:
         click.echo(str(error), err=True)
         sys.exit(3)
     except (StoreError, OSError) as error:
--- a/willowhook/controlplane/condition_log.py
+++ b/willowhook/controlplane/condition_log.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from ..records.writer import Records
+from ..records.writer import RecordWriter
 
 
 class Logger(Protocol):
@@ -28,7 +28,7 @@
 class ConditionLog:
     """Tracks named conditions, such as a full queue or a disk error, and reports only their changes."""
 
-    def __init__(self, log: Logger, records: Records, now: Callable[[], int]) -> None:
+    def __init__(self, log: Logger, records: RecordWriter, now: Callable[[], int]) -> None:
         """`now` returns the current tick."""
         self._log = log
         self._records = records
@@ -47,9 +47,9 @@
         log = self._log.warning if active else self._log.info
         log(event, **fields)
         shown = {key: str(value) for key, value in fields.items()}
-        self._records.note(self._now(), "mode", name=name, on=active, **shown)
+        self._records.append(self._now(), "mode", name=name, on=active, **shown)
 
     def announce(self, text: str) -> None:
         """Logs a line for the operator and notes it in the records file."""
         self._log.info(text)
-        self._records.note(self._now(), "said", text=text)
+        self._records.append(self._now(), "said", text=text)
--- a/willowhook/controlplane/context.py
+++ b/willowhook/controlplane/context.py
@@ -6,9 +6,9 @@
 
 from ..config.terms import Terms
 from ..decisions.settings import DeploymentSettings
-from ..files.layout import Folder
+from ..files.layout import ControllerFolder
 from ..files.ops import FileOps
-from ..records.writer import Records
+from ..records.writer import RecordWriter
 from ..store.store import StoreError
 from ..ticks import ticks_from_milliseconds
 from .clock import Clock
@@ -40,10 +40,10 @@
 
     terms: Terms
     settings: DeploymentSettings
-    folder: Folder
+    folder: ControllerFolder
     ops: FileOps
     clock: Clock
-    records: Records
+    records: RecordWriter
     log: Logger
     conditions: ConditionLog
     queue: DecisionQueue
@@ -55,10 +55,10 @@
         cls,
         terms: Terms,
         settings: DeploymentSettings,
-        folder: Folder,
+        folder: ControllerFolder,
         ops: FileOps,
         clock: Clock,
-        records: Records,
+        records: RecordWriter,
         log: Logger,
         handle: EventHandler,
     ) -> ServiceContext:
--- a/willowhook/controlplane/controller_runtime.py
+++ b/willowhook/controlplane/controller_runtime.py
@@ -107,7 +107,9 @@
         self._proxy_states.send_sync_marker(marker)
 
     def _record_exclusion(self, endpoint: str, excluded: bool) -> None:
-        self._context.records.note(self._context.now(), "withdraw" if excluded else "readmit", host=endpoint)
+        self._context.records.append(
+            self._context.now(), "withdraw" if excluded else "readmit", host=endpoint
+        )
         memory = self._context.memory
         if memory is not None:
             memory.record_exclusion(endpoint, excluded)
--- a/willowhook/controlplane/decision_loop.py
+++ b/willowhook/controlplane/decision_loop.py
@@ -8,7 +8,7 @@
 
 from ..decisions.events import EvaluationDue
 from ..evaluation_timer import EvaluationTimer
-from ..files.layout import Folder
+from ..files.layout import ControllerFolder
 from ..ticks import TICKS_PER_SECOND
 from .clock import Clock
 from .decider import Decider
@@ -78,11 +78,11 @@
             self._decide(batch)
             await trio.lowlevel.checkpoint()
 
-    async def run_heartbeat(self, folder: Folder, interval_seconds: float) -> None:
+    async def run_heartbeat(self, folder: ControllerFolder, interval_seconds: float) -> None:
         """Renews the folder's heartbeat for as long as decisions are made."""
         while True:
             if self._clock.now() - self._decided_at < MAX_STALL_TICKS:
-                folder.beat()
+                folder.record_heartbeat()
             await trio.sleep(interval_seconds)
 
     def _wait_ticks(self) -> int:
--- a/willowhook/controlplane/discovery_feed.py
+++ b/willowhook/controlplane/discovery_feed.py
@@ -11,7 +11,7 @@
 import trio
 
 from ..config.terms import FrontTerms
-from ..files.layout import STATUS
+from ..files.layout import STATUS_FILE
 from ..front.bodies import ResponseCache
 from ..front.discovery import DiscoveryServer
 from ..front.identity import BearerIdentity, CredentialError, Identity, UnverifiedIdentity
@@ -199,7 +199,7 @@
 
     async def join(self, name: str, node: forms.Node, holds: list[Any], fresh: bool) -> str:
         """Opens the session of a proxy that calls; returns what is malformed in the request, or empty."""
-        files = {STATUS: encode({"node": node, "generic_xds_configs": holds})}
+        files = {STATUS_FILE: encode({"node": node, "generic_xds_configs": holds})}
         if not fresh:
             files[ENDPOINT_REQUEST_FILE] = encode(forms.DiscoveryRequest("held", node))
         reply = SessionReply()
--- a/willowhook/controlplane/draining.py
+++ b/willowhook/controlplane/draining.py
@@ -4,7 +4,7 @@
 
 import os
 
-from ..files.layout import DRAIN
+from ..files.layout import DRAIN_FILE
 from .channel import RateLimitedChannel
 from .context import ServiceContext
 from .proxy_state import ProxyStateBook
@@ -17,7 +17,7 @@
         self, context: ServiceContext, proxy_states: ProxyStateBook, channel: RateLimitedChannel
     ) -> None:
         """Receives the context, the proxies to send away, and the channel to them."""
-        self._path = f"{context.folder.path}/{DRAIN}"
+        self._path = f"{context.folder.path}/{DRAIN_FILE}"
         self._conditions = context.conditions
         self._proxy_states = proxy_states
         self._channel = channel
--- a/willowhook/controlplane/endpoint_directory.py
+++ b/willowhook/controlplane/endpoint_directory.py
@@ -64,7 +64,7 @@
 
     def _record(self, endpoints: Sequence[DiscoveredEndpoint]) -> None:
         rows = [[each.id, "draining" if each.draining else "open", each.started] for each in endpoints]
-        self._context.records.note(self._context.now(), "list", hosts=rows)
+        self._context.records.append(self._context.now(), "list", hosts=rows)
         memory = self._context.memory
         if memory is not None:
             memory.record_endpoints({each.id: (each.draining, each.started) for each in endpoints})
@@ -110,7 +110,7 @@
     def set_active(self, endpoint: str, is_active: bool, reason: str) -> None:
         """Is called by `PriorityTiers` when it activates or deactivates an endpoint."""
         self._has_tier_changes = True
-        self._context.records.note(self._context.now(), "tier", host=endpoint, on=is_active, cause=reason)
+        self._context.records.append(self._context.now(), "tier", host=endpoint, on=is_active, cause=reason)
         event = "endpoint of a later tier activated" if is_active else "endpoint of a later tier deactivated"
         self._context.log.info(event, endpoint=endpoint, cause=reason)
 
--- a/willowhook/controlplane/endpoint_list_reader.py
+++ b/willowhook/controlplane/endpoint_list_reader.py
@@ -5,8 +5,8 @@
 import trio
 
 from ..decisions.events import EndpointListLost
-from ..files.layout import LIST
-from ..files.swap import read_at, swap_file
+from ..files.layout import ENDPOINT_LIST_FILE
+from ..files.swap import read_file, swap_file
 from ..roster.forms import DiscoveredEndpoint, DiscoveryError, parse_endpoints
 from ..roster.reader import DiscoveryClient
 from .context import ServiceContext
@@ -32,7 +32,9 @@
     def last_saved(self) -> list[DiscoveredEndpoint]:
         """The list that an earlier start saved in this folder, which may be stale; empty if there is none."""
         try:
-            return parse_endpoints(read_at(None, f"{self._context.folder.path}/{LIST}", MAX_LIST_BYTES))
+            return parse_endpoints(
+                read_file(None, f"{self._context.folder.path}/{ENDPOINT_LIST_FILE}", MAX_LIST_BYTES)
+            )
         except (OSError, DiscoveryError):
             return []
 
@@ -96,7 +98,7 @@
 
     def _save(self, body: bytes) -> None:
         try:
-            swap_file(self._context.ops, self._context.folder.path, LIST, body)
+            swap_file(self._context.ops, self._context.folder.path, ENDPOINT_LIST_FILE, body)
         except OSError as error:
             self._conditions.report("list", True, "endpoint list cannot be saved", cause=str(error))
         else:
--- a/willowhook/controlplane/evidence_recovery.py
+++ b/willowhook/controlplane/evidence_recovery.py
@@ -28,7 +28,7 @@
         for each in evidence:
             sums = each.sums
             self._context.handle(now, EndpointReport(each.endpoint, sums.tries, sums.errors, sums.mean, None))
-        self._context.records.note(now, "recalled", hosts=len(evidence), life=memory.last_epoch)
+        self._context.records.append(now, "recalled", hosts=len(evidence), life=memory.last_epoch)
         if evidence:
             oldest_ms = max(each.age_ticks for each in evidence) // TICKS_PER_MILLISECOND
             self._context.log.info("stored evidence restored", endpoints=len(evidence), oldest_ms=oldest_ms)
--- a/willowhook/controlplane/handoff_peers.py
+++ b/willowhook/controlplane/handoff_peers.py
@@ -128,4 +128,4 @@
             return
         for endpoint, (attempts, failures, mean_latency_ticks) in hint.endpoints.items():
             self._context.handle(now, EndpointReport(endpoint, attempts, failures, mean_latency_ticks, None))
-        self._context.records.note(now, "hint", proxy=name, term=hint.term, hosts=len(hint.endpoints))
+        self._context.records.append(now, "hint", proxy=name, term=hint.term, hosts=len(hint.endpoints))
--- a/willowhook/controlplane/intake.py
+++ b/willowhook/controlplane/intake.py
@@ -11,7 +11,7 @@
 
 import xxhash
 
-from ..files.layout import LOAD, STATUS
+from ..files.layout import LOAD_FILE, STATUS_FILE
 from ..membership.ownership import OwnershipClaim, check_claim
 from ..membership.timing_wheel import TimingWheel
 from ..reports.read import Report, read_report
@@ -144,14 +144,14 @@
             self.close_session(name, "came again")
         try:
             check_proxy_name(name)
-            if STATUS not in files:
+            if STATUS_FILE not in files:
                 return False
-            status = read_status(name, files[STATUS], previous)
+            status = read_status(name, files[STATUS_FILE], previous)
             number = self._assign_number(name)
             check_controller(self._controller, status.node)
             is_fresh = not has_applied_any(read_requests(files))
         except MessageFormatError as error:
-            self._malformed.reject(name, STATUS, str(error))
+            self._malformed.reject(name, STATUS_FILE, str(error))
             return False
         self._malformed.accept_all(name)
         proxy = IntakeSession(number, name, status.term, now, uses_discovery)
@@ -209,7 +209,7 @@
         proxy = self.sessions.get(name)
         if proxy is None:
             return
-        if file == LOAD:
+        if file == LOAD_FILE:
             self.process_reports(now, name, [(now, data)], 1)
             return
         try:
@@ -218,7 +218,7 @@
                 if not self._is_of_session(proxy, request.node):
                     return
                 self._process_request(proxy, REQUEST_FILES[file], request)
-            elif file != STATUS:
+            elif file != STATUS_FILE:
                 raise MessageFormatError("no file of this name is known")
         except MessageFormatError as error:
             self._malformed.reject(name, file, str(error))
@@ -297,10 +297,10 @@
                 accepted.append((arrived_at, xxhash.xxh64_intdigest(data), read_report(report, self._routes)))
             except MessageFormatError as error:
                 malformed.append((str(error), data))
-                self._malformed.reject(name, LOAD, str(error))
+                self._malformed.reject(name, LOAD_FILE, str(error))
         if accepted:
             if not malformed:
-                self._malformed.accept(name, LOAD)
+                self._malformed.accept(name, LOAD_FILE)
             self._touch(now, proxy)
             self._emit_reported(now, proxy, accepted, arrived)
         return malformed
--- a/willowhook/controlplane/main.py
+++ b/willowhook/controlplane/main.py
@@ -12,7 +12,7 @@
 import trio
 
 from ..config.terms import Terms
-from ..files.layout import FolderTaken
+from ..files.layout import FolderInUseError
 from ..signals import receive_signals
 from .service import Service
 
@@ -70,7 +70,7 @@
     exit_code = 0
     try:
         trio.run(partial(_serve, terms, log))
-    except* FolderTaken as errors:
+    except* FolderInUseError as errors:
         log.error("controller folder is locked by another process", cause=str(errors.exceptions[0]))
         exit_code = EXIT_FOLDER_UNUSABLE
     except* OSError as errors:
--- a/willowhook/controlplane/memory.py
+++ b/willowhook/controlplane/memory.py
@@ -16,7 +16,7 @@
 import trio
 
 from ..store.commit import Committer
-from ..store.store import APPLIED, DEBUG, ORDERS, Op, Store, StoreError
+from ..store.store import APPLIED, COMMANDS, DEBUG, Op, Store, StoreError
 from ..ticks import NANOSECONDS_PER_TICK, TICKS_PER_SECOND
 
 # The spaces of the store, and the ranks by which a full store drops records; these words are on disk.
@@ -30,9 +30,9 @@
     EVIDENCE: DEBUG,
     VERSIONS: APPLIED,
     PROXIES: APPLIED,
-    ENDPOINTS: ORDERS,
-    EXCLUSIONS: ORDERS,
-    STARTS: ORDERS,
+    ENDPOINTS: COMMANDS,
+    EXCLUSIONS: COMMANDS,
+    STARTS: COMMANDS,
 }
 
 COMMIT_INTERVAL_SECONDS = 0.2
@@ -123,7 +123,7 @@
         last = self.store.get(STARTS, controller)
         self.last_epoch = int(last.value) if last is not None else 0
         self._change(STARTS, controller, b"%d" % epoch)
-        if self.store.damaged:
+        if self.store.has_lost_entries:
             announce("the store has lost records: see willowhook store check")
 
     @staticmethod
@@ -198,10 +198,10 @@
         now = self.wall_clock()
         for key, entry in self.store.by_key(EVIDENCE):
             endpoint = key.partition(" ")[0]
-            age_ticks = now - entry.at
+            age_ticks = now - entry.timestamp
             if endpoint not in started or not 0 <= age_ticks <= self._max_age_ticks:
                 continue
-            if started[endpoint] * TICKS_PER_SECOND > entry.at:
+            if started[endpoint] * TICKS_PER_SECOND > entry.timestamp:
                 continue
             found.append(StoredEvidence(endpoint, msgspec.msgpack.decode(entry.value, type=Sums), age_ticks))
         return found
@@ -243,7 +243,7 @@
             self._set_failure("")
         except StoreError as error:
             self._set_failure(str(error))
-            self.store.relieved()  # the next commit tries again; until then nothing is promised
+            self.store.resume_writes()  # the next commit tries again; until then nothing is promised
         return written_bytes
 
     def _set_failure(self, cause: str) -> None:
@@ -263,7 +263,7 @@
         now = self.wall_clock()
         try:
             changes = [Op(space, key, now, value) for (space, key), value in self._changes.items()]
-            if changes and not self.store.read_only and not self.store.take():
+            if changes and not self.store.read_only and not self.store.next_batch():
                 self.store.write(changes)
                 self.store.flush()
         except (OSError, StoreError) as error:
--- a/willowhook/controlplane/proxy_event_handler.py
+++ b/willowhook/controlplane/proxy_event_handler.py
@@ -54,4 +54,4 @@
                 self._load_recorder.record_requests(event)
             case ProxyInputRejected():
                 self._context.log.warning("input of a proxy rejected", proxy=event.name, cause=event.cause)
-                self._context.records.note(now, "fault", proxy=event.name, cause=event.cause)
+                self._context.records.append(now, "fault", proxy=event.name, cause=event.cause)
--- a/willowhook/controlplane/proxy_files.py
+++ b/willowhook/controlplane/proxy_files.py
@@ -8,14 +8,14 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from ..files.layout import LOAD, PROXY_NAME, STATUS
+from ..files.layout import LOAD_FILE, PROXY_NAME, STATUS_FILE
 from ..membership.version import Version, VersionError, parse_version
 from ..xds import forms
 from ..xds.codec import MessageFormatError, decode, read_response
 from .proxy_resources import ProxyResources, read_proxy_resources
 
 REQUEST_FILES = {f"{kind}.json": kind for kind in forms.TYPE_URLS}
-PROXY_FILES = (STATUS, *REQUEST_FILES, LOAD)
+PROXY_FILES = (STATUS_FILE, *REQUEST_FILES, LOAD_FILE)
 MAX_USUAL_RATE_PER_SECOND = 1e7
 MAX_TERM = 1e12
 QUOTED_CHARACTERS = 80  # of a malformed value, in a message
--- a/willowhook/controlplane/proxy_folder_feed.py
+++ b/willowhook/controlplane/proxy_folder_feed.py
@@ -8,8 +8,8 @@
 
 import trio
 
-from ..files.layout import LOAD, PROXY_NAME, STATUS
-from ..files.swap import read_at, read_group
+from ..files.layout import LOAD_FILE, PROXY_NAME, STATUS_FILE
+from ..files.swap import read_file, read_group
 from ..files.watch import Watch
 from .context import ServiceContext
 from .inbound_events import (
@@ -47,8 +47,8 @@
             intake: handles the files.
             reports: handles load reports.
         """
-        self._up = context.folder.up
-        self._down = context.folder.down
+        self._up = context.folder.inbound_path
+        self._down = context.folder.outbound_path
         self._ops = context.ops
         self._max_file_bytes = context.terms.files.largest_report_bytes
         self._queue = context.queue
@@ -85,7 +85,7 @@
             now = self._now()
             for name in [name for name, due in self._deferred_reports.items() if due <= now]:
                 del self._deferred_reports[name]
-                await self._file_changed(name, LOAD)
+                await self._file_changed(name, LOAD_FILE)
 
     # Folders.
 
@@ -120,7 +120,7 @@
         if not stat.S_ISDIR(found.st_mode):
             return ()
         try:
-            return found.st_ino, *_file_identity(f"{path}/{STATUS}")
+            return found.st_ino, *_file_identity(f"{path}/{STATUS_FILE}")
         except OSError:
             return (found.st_ino,)
 
@@ -144,10 +144,10 @@
     def has_unread_report(self, name: str) -> bool:
         """Whether a proxy has written a report that is not read yet; each report counts once."""
         try:
-            identity = _file_identity(f"{self._up}/{name}/{LOAD}")
+            identity = _file_identity(f"{self._up}/{name}/{LOAD_FILE}")
         except OSError:
             return False
-        if identity in (self._files_read.get((name, LOAD)), self._reports_seen.get(name)):
+        if identity in (self._files_read.get((name, LOAD_FILE)), self._reports_seen.get(name)):
             return False
         self._reports_seen[name] = identity
         return True
@@ -167,7 +167,7 @@
             await self._folder_changed(name)  # its session was closed, or its folder was incomplete
             return
         for each in [file] if file else PROXY_FILES:
-            if each == LOAD:
+            if each == LOAD_FILE:
                 await self._read_report(name)
                 continue
             data = await self._read(name, each)
@@ -184,7 +184,7 @@
             self._deferred_reports.setdefault(name, readable_at)
             return
         self._reports.record_read(now, name)
-        data = await self._read(name, LOAD)
+        data = await self._read(name, LOAD_FILE)
         if data is not None:
             self._reports.offer(self._now(), name, data)
             await trio.lowlevel.checkpoint()  # many reports must not delay the decisions
@@ -196,14 +196,14 @@
             identity = _file_identity(path)
             if self._files_read.get((name, file)) == identity:
                 return None
-            data = read_at(None, path, self._max_file_bytes)
+            data = read_file(None, path, self._max_file_bytes)
             self._files_read[name, file] = identity
             return data
         except (FileNotFoundError, NotADirectoryError):
             return None
         except OSError as error:
             cause = str(error)
-            if file == LOAD:
+            if file == LOAD_FILE:
                 self._reports.reject_unreadable(self._now(), name, cause)
             await self._queue.send(ProxyFileUnreadable(name, file, cause))
             return None
--- a/willowhook/controlplane/publisher.py
+++ b/willowhook/controlplane/publisher.py
@@ -19,7 +19,7 @@
 
 from ..config.terms import GuardTerms, Terms
 from ..decisions.settings import DeploymentSettings
-from ..records.writer import Records
+from ..records.writer import RecordWriter
 from ..ticks import TICKS_PER_SECOND
 from ..versions.resources import Resource, ResourceSet
 from ..versions.rollout import Rollout
@@ -56,7 +56,7 @@
         terms: Terms,
         settings: DeploymentSettings,
         listener: PublisherListener,
-        records: Records,
+        records: RecordWriter,
         log: Logger,
         renderer: ResourceRenderer,
         epoch: int,
--- a/willowhook/controlplane/publisher_records.py
+++ b/willowhook/controlplane/publisher_records.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..records.writer import Records
+from ..records.writer import RecordWriter
 from ..validation.verdict import Verdict
 from ..versions.rollout_track import Content, Unit
 from .proxy_session import PublisherSession
@@ -15,7 +15,7 @@
 class PublisherRecords:
     """Writes one kind of record a method; `now` is a tick."""
 
-    def __init__(self, records: Records) -> None:
+    def __init__(self, records: RecordWriter) -> None:
         """`records` is the file of records."""
         self._records = records
 
@@ -23,7 +23,7 @@
 
     def record_queued(self, message: UpdateMessage, proxy_name: str) -> None:
         """A message waits in the channel."""
-        self._records.note(
+        self._records.append(
             message.ordered_at,
             "order",
             message=message.number,
@@ -39,7 +39,7 @@
         data = verdict.data()
         for step in data["steps"]:
             del step["lines"]  # too long for a record
-        self._records.note(now, "guard", message=message.number, proxy=session.name, took_us=micros, **data)
+        self._records.append(now, "guard", message=message.number, proxy=session.name, took_us=micros, **data)
 
     def record_written(
         self,
@@ -50,7 +50,7 @@
         has_changed: bool,
     ) -> None:
         """A message is where its proxy reads it; `waiting_entries` are left in the channel."""
-        self._records.note(
+        self._records.append(
             now,
             "sent",
             message=message.number,
@@ -62,24 +62,24 @@
 
     def record_rewritten(self, now: int, session: PublisherSession) -> None:
         """Files that were not acknowledged have been written again."""
-        self._records.note(now, "again", proxy=session.name, message=session.written)
+        self._records.append(now, "again", proxy=session.name, message=session.written)
 
     # Answers.
 
     def record_acknowledged(self, now: int, session: PublisherSession, number: int, ordered_at: int) -> None:
         """A proxy has applied all messages up to this number; the last of them was ordered then."""
-        self._records.note(now, "applied", message=number, proxy=session.name, after=now - ordered_at)
+        self._records.append(now, "applied", message=number, proxy=session.name, after=now - ordered_at)
 
     def record_rejected(self, now: int, session: PublisherSession, kind: str, what: str, cause: str) -> None:
         """A proxy has rejected resources of a type."""
         shortened = cause[:MAX_CAUSE_LENGTH]
-        self._records.note(now, "refused", proxy=session.name, form=kind, what=what, cause=shortened)
+        self._records.append(now, "refused", proxy=session.name, form=kind, what=what, cause=shortened)
 
     def record_known_version(
         self, now: int, session: PublisherSession, part: str, version: str, state: str
     ) -> None:
         """The version that a proxy is known to run has changed."""
-        self._records.note(
+        self._records.append(
             now,
             "belief",
             proxy=session.name,
@@ -94,12 +94,12 @@
     def record_halted(self, now: int, unit: Unit, bad: Content, good: Content | None, cause: str) -> None:
         """A content is not offered any more."""
         shortened = cause[:MAX_CAUSE_LENGTH]
-        self._records.note(now, "halted", unit=str(unit), content=bad, good=good, why=shortened)
+        self._records.append(now, "halted", unit=str(unit), content=bad, good=good, why=shortened)
 
     def record_rolled_back(self, now: int, unit: Unit, bad: Content, proxy_count: int) -> None:
         """`proxy_count` proxies are sent something else in place of a halted content."""
-        self._records.note(now, "rollback", unit=str(unit), content=bad, readers=proxy_count)
+        self._records.append(now, "rollback", unit=str(unit), content=bad, readers=proxy_count)
 
     def record_released(self, now: int, unit: Unit) -> None:
         """The newest content of a unit may go to all proxies."""
-        self._records.note(now, "released", unit=str(unit))
+        self._records.append(now, "released", unit=str(unit))
--- a/willowhook/controlplane/queue_monitor.py
+++ b/willowhook/controlplane/queue_monitor.py
@@ -34,7 +34,7 @@
             self._recorded_second = second
             capacities = self._controller.learnt_capacities()
             self._publisher.update_validation(self._publisher.validation.update_capacities, capacities)
-            self._records.note(
+            self._records.append(
                 now, "queue", believed=round(estimate, 1), waiting=waiting, messages=len(channel)
             )
         has_diverged = abs(estimate - waiting) > self._max_divergence_entries
--- a/willowhook/controlplane/report_interval.py
+++ b/willowhook/controlplane/report_interval.py
@@ -4,7 +4,7 @@
 
 import contextlib
 
-from ..files.layout import PACE, Folder
+from ..files.layout import REPORT_INTERVAL_FILE, ControllerFolder
 from ..files.ops import FileOps
 from ..files.swap import swap_file
 from ..ticks import TICKS_PER_SECOND
@@ -14,10 +14,10 @@
 from .discovery_feed import DiscoveryFeed
 
 
-def clear_report_interval(folder: Folder, ops: FileOps) -> None:
+def clear_report_interval(folder: ControllerFolder, ops: FileOps) -> None:
     """Removes the report interval that an earlier start published."""
     with contextlib.suppress(FileNotFoundError):
-        ops.unlink(f"{folder.path}/{PACE}")
+        ops.unlink(f"{folder.path}/{REPORT_INTERVAL_FILE}")
 
 
 class ReportIntervalPublisher:
@@ -37,7 +37,7 @@
             self._discovery.set_report_interval(interval_seconds)
         data = encode(forms.LoadStatsResponse(True, f"{interval_seconds:.3f}s"))
         try:
-            swap_file(self._ops, self._folder.path, PACE, data)
+            swap_file(self._ops, self._folder.path, REPORT_INTERVAL_FILE, data)
         except OSError as error:
             event = "report interval cannot be published"
             self._conditions.report("pace", True, event, cause=str(error))
--- a/willowhook/controlplane/report_processor.py
+++ b/willowhook/controlplane/report_processor.py
@@ -175,7 +175,7 @@
         self.budget.adapt_interval(now, arrived * TICKS_PER_SECOND / elapsed_ticks, proxies, ticks_per_report)
         self.quarantine.release_due(now)
         self._intake.windows.drop_expired(now)
-        self._context.records.note(
+        self._context.records.append(
             now,
             "intake",
             came=self.queue.arrived,
@@ -200,7 +200,7 @@
 
     def _interval_changed(self, interval_ticks: int) -> None:
         self._context.log.info("report interval changed", interval_ms=interval_ticks / TICKS_PER_MILLISECOND)
-        self._context.records.note(self._context.now(), "pace", every=interval_ticks)
+        self._context.records.append(self._context.now(), "pace", every=interval_ticks)
         self._set_interval(interval_ticks)
 
     def quarantined(self, proxy: str, duration: int, cause: str, evidence: bytes) -> None:
@@ -210,11 +210,11 @@
             "reports of a proxy quarantined", proxy=proxy, cause=cause, duration_s=seconds
         )
         shown = evidence.decode("latin-1")
-        self._context.records.note(
+        self._context.records.append(
             self._context.now(), "quarantined", proxy=proxy, rest=duration, cause=cause, evidence=shown
         )
 
     def released(self, proxy: str) -> None:
         """Is called by the quarantine: the reports of a proxy are read again."""
         self._context.log.info("reports of a proxy released from quarantine", proxy=proxy)
-        self._context.records.note(self._context.now(), "released", proxy=proxy)
+        self._context.records.append(self._context.now(), "released", proxy=proxy)
--- a/willowhook/controlplane/service.py
+++ b/willowhook/controlplane/service.py
@@ -14,11 +14,11 @@
 from ..config.terms import Terms
 from ..decisions.controller import Controller
 from ..evaluation_timer import EvaluationTimer
-from ..files.layout import Folder
+from ..files.layout import ControllerFolder
 from ..files.ops import DiskOps, FileOps
-from ..files.swap import Shelf
+from ..files.swap import FileGroupWriter
 from ..files.watch import Watch, open_watch
-from ..records.writer import Records
+from ..records.writer import RecordWriter
 from ..roster.forms import DiscoveredEndpoint
 from ..ticks import ticks_from_milliseconds
 from ..versions.resources import ResourceStore, first_era
@@ -72,7 +72,7 @@
         ops: FileOps | None = None,
         log: BindableLogger | None = None,
         decider: DeciderFactory = Controller,
-        file_writer: type[Shelf] = Shelf,
+        file_writer: type[FileGroupWriter] = FileGroupWriter,
     ) -> None:
         """Creates a service that has not used any file or port yet.
 
@@ -88,8 +88,8 @@
         self.ops = ops or DiskOps()
         self.clock = Clock()
         self.log: Logger = (log or structlog.get_logger()).bind(controller=terms.name)
-        self.folder = Folder(terms.files.folder, self.ops)
-        self.records = Records(terms.records.file, terms.records.most_waiting)
+        self.folder = ControllerFolder(terms.files.folder, self.ops)
+        self.records = RecordWriter(terms.records.file, terms.records.most_waiting)
         self.handoff_port = 0
         self.discovery_port = 0
         self._make_decider = decider
@@ -128,7 +128,7 @@
             "controller stopped", max_waiting_entries=self.channel.peak_waiting_entries, messages=messages
         )
         self._record_validation()
-        self.records.note(self.clock.now(), "ended")
+        self.records.append(self.clock.now(), "ended")
         self.records.flush()
         watch.close()
         self.folder.close()
@@ -138,7 +138,7 @@
     def _record_validation(self) -> None:
         """Records the verdicts of update validation since the start, and how long validation took."""
         durations_us = sorted(self.publisher.validation_micros) or [0]
-        self.records.note(
+        self.records.append(
             self.clock.now(),
             "guarded",
             counts=self.validation.counts,
@@ -237,7 +237,7 @@
         self._port.attach(self.controller)
         epoch, folder = context.epoch, self.folder.path
         self.log.info("controller started", epoch=epoch, folder=folder, process=os.getpid())
-        self.records.note(now, "started", director=self.terms.name, epoch=epoch, wall=time.time())
+        self.records.append(now, "started", director=self.terms.name, epoch=epoch, wall=time.time())
         self.recovery = EvidenceRecovery(context)
         self._update_endpoints(context.now(), self.endpoint_list.last_saved())
 
--- a/willowhook/controlplane/session_manager.py
+++ b/willowhook/controlplane/session_manager.py
@@ -51,7 +51,9 @@
             index: held.endpoints_of(route.name) for index, route in enumerate(self._context.terms.routes)
         }
         self._proxy_states.add_proxy(proxy, zone, endpoints, rate)
-        self._context.records.note(now, "joined", proxy=name, zone=zone, rate=rate, fresh=is_fresh, term=term)
+        self._context.records.append(
+            now, "joined", proxy=name, zone=zone, rate=rate, fresh=is_fresh, term=term
+        )
         self._context.log.info("proxy joined", proxy=name, zone=zone, fresh=is_fresh, term=term)
         self._handoff.use_evidence(now, name, term)
         self._publisher.update_validation(self._publisher.validation.add_proxy, proxy, zone, rate, held)
@@ -71,13 +73,13 @@
             self._remove_folder(name)
         elif self._discovery is not None:
             self._discovery.close_session(name)
-        self._context.records.note(now, "left", proxy=name, why=session.reason)
+        self._context.records.append(now, "left", proxy=name, why=session.reason)
         self._context.log.info("proxy left", proxy=name, reason=session.reason)
         self._context.handle(now, ProxyLeft(proxy))
 
     def _remove_folder(self, name: str) -> None:
         try:
-            remove(self._context.ops, f"{self._context.folder.down}/{name}")
+            remove(self._context.ops, f"{self._context.folder.outbound_path}/{name}")
         except OSError as error:
             self._context.conditions.report(
                 "disk", True, "folder of a proxy cannot be removed", proxy=name, cause=str(error)
--- a/willowhook/controlplane/update_sink_factory.py
+++ b/willowhook/controlplane/update_sink_factory.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..files.swap import Shelf
+from ..files.swap import FileGroupWriter
 from ..versions.resources import ResourceStore
 from .context import ServiceContext
 from .discovery_feed import DiscoveryFeed
@@ -16,7 +16,7 @@
     def __init__(
         self,
         context: ServiceContext,
-        file_writer_type: type[Shelf],
+        file_writer_type: type[FileGroupWriter],
         store: ResourceStore,
         discovery: DiscoveryFeed | None,
     ) -> None:
@@ -34,7 +34,7 @@
             return self._discovery.make_sink(session.proxy, session.name, session.held)
         epoch = self._context.epoch
         durability = self._context.terms.files.durability
-        path = f"{self._context.folder.down}/{session.name}"
+        path = f"{self._context.folder.outbound_path}/{session.name}"
         file_writer = self._file_writer_type(path, self._context.ops, durability, f"{epoch}-{self._count}-")
         try:
             file_writer.open()
--- a/willowhook/controlplane/update_sinks.py
+++ b/willowhook/controlplane/update_sinks.py
@@ -9,7 +9,7 @@
 from functools import partial
 from typing import Protocol
 
-from ..files.swap import Shelf
+from ..files.swap import FileGroupWriter
 from ..membership.version import Version
 from ..versions.discovery_session import DiscoverySession
 from ..versions.resources import TABLES, Resource, ResourceSet, ResourceStore
@@ -54,7 +54,7 @@
     """A folder of files. A file whose resources are as before keeps its version, so it is not swapped."""
 
     def __init__(
-        self, file_writer: Shelf, store: ResourceStore, term: int, epoch: int, may_block: bool
+        self, file_writer: FileGroupWriter, store: ResourceStore, term: int, epoch: int, may_block: bool
     ) -> None:
         """`term` and `epoch` are the first two parts of the versions in its files."""
         self.file_writer = file_writer
@@ -88,8 +88,8 @@
 
     def prepare_rewrite(self) -> Callable[[], bool]:
         """See `UpdateSink.prepare_rewrite`; the files are written whole."""
-        files = self.file_writer.held
-        self.file_writer.held = {}
+        files = self.file_writer.files
+        self.file_writer.files = {}
         return partial(self.file_writer.put, files) if files else _write_nothing
 
     def send_away(self, resource: bytes) -> None:
--- a/willowhook/files/follow.py
+++ b/willowhook/files/follow.py
@@ -11,7 +11,7 @@
 Seen = Callable[[str, dict[str, bytes]], None]  # proxy, its files
 
 
-class Followers:
+class FileGroupFollower:
     """Gives each group of files once, when it has changed; whole, and of one version.
 
     `seen` is called from the task that runs `run`; a proxy whose files cannot be read is left as it is.
@@ -26,7 +26,7 @@
 
     def follow(self, proxy: str, down: str, name: str) -> None:
         """From now on `down/name` is where this proxy reads."""
-        self.drop(proxy)
+        self.unfollow(proxy)
         self._paths[proxy] = f"{down}/{name}"
         if down not in self._parents:
             self._parents[down] = {}
@@ -35,7 +35,7 @@
         self._arm(proxy)
         self._read(proxy)
 
-    def drop(self, proxy: str) -> None:
+    def unfollow(self, proxy: str) -> None:
         path = self._paths.pop(proxy, None)
         self._last.pop(proxy, None)
         if path is not None:
--- a/willowhook/files/layout.py
+++ b/willowhook/files/layout.py
@@ -17,24 +17,34 @@
 import time
 
 from .ops import DiskOps, FileOps, remove
-from .swap import TEMP, clear_leftovers, read_at, swap_file
-
-LOCK, EPOCH, LIST, DRAIN, DOWN, UP = "lock", "epoch", "list", "drain", "down", "up"
-LOAD, STATUS = "load.json", "status.json"
-PACE = "pace.json"  # how often proxies are to report, in the published form of that answer
+from .swap import TEMP, clear_leftovers, read_file, swap_file
+
+LOCK, EPOCH, ENDPOINT_LIST_FILE, DRAIN_FILE, OUTBOUND_FOLDER, INBOUND_FOLDER = (
+    "lock",
+    "epoch",
+    "list",
+    "drain",
+    "down",
+    "up",
+)
+LOAD_FILE, STATUS_FILE = "load.json", "status.json"
+REPORT_INTERVAL_FILE = "pace.json"  # how often proxies are to report, in the published form of that answer
 PROXY_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_-]{0,63}\Z")
 
 
-class FolderTaken(Exception):
+class FolderInUseError(Exception):
     """Another director holds this folder."""
 
 
-class Folder:
+class ControllerFolder:
     """One director's folder.  `open` raises FolderTaken, or OSError if it cannot be used."""
 
     def __init__(self, path: str, ops: FileOps | None = None) -> None:
         self.path, self.ops = os.path.abspath(path), ops or DiskOps()
-        self.down, self.up = f"{self.path}/{DOWN}", f"{self.path}/{UP}"
+        self.outbound_path, self.inbound_path = (
+            f"{self.path}/{OUTBOUND_FOLDER}",
+            f"{self.path}/{INBOUND_FOLDER}",
+        )
         self.epoch, self._lock = 0, -1
 
     def open(self) -> None:
@@ -46,29 +56,31 @@
         except BlockingIOError as fault:
             owner = os.pread(fd, 200, 0).decode("ascii", "replace").strip() or "another process"
             os.close(fd)
-            raise FolderTaken(f"{self.path} is in use by {owner}; one folder serves one director") from fault
+            raise FolderInUseError(
+                f"{self.path} is in use by {owner}; one folder serves one director"
+            ) from fault
         self._lock = fd
-        for path in (self.down, self.up):
+        for path in (self.outbound_path, self.inbound_path):
             with contextlib.suppress(FileExistsError):
                 self.ops.mkdir(path)
         for name in self.ops.listdir(self.path):
             if name.startswith(TEMP):
                 remove(self.ops, f"{self.path}/{name}")
-        here = set(self.ops.listdir(self.up))
-        for name in self.ops.listdir(self.down):
+        here = set(self.ops.listdir(self.inbound_path))
+        for name in self.ops.listdir(self.outbound_path):
             if name in here:
-                clear_leftovers(self.ops, f"{self.down}/{name}")
+                clear_leftovers(self.ops, f"{self.outbound_path}/{name}")
             else:  # nobody reads it
-                remove(self.ops, f"{self.down}/{name}")
+                remove(self.ops, f"{self.outbound_path}/{name}")
         self.epoch = self._next_epoch()
         os.ftruncate(fd, 0)
         os.pwrite(fd, f"process {os.getpid()}, epoch {self.epoch}\n".encode(), 0)
-        self.beat()
+        self.record_heartbeat()
 
     def _next_epoch(self) -> int:
         """Rises at every start; on disk before anything is said under it."""
         try:
-            last = int(read_at(None, f"{self.path}/{EPOCH}", 100))
+            last = int(read_file(None, f"{self.path}/{EPOCH}", 100))
         except FileNotFoundError:
             last = 0
         except ValueError:  # damaged: the time is larger than any count of starts
@@ -76,7 +88,7 @@
         swap_file(self.ops, self.path, EPOCH, f"{last + 1}\n".encode(), "file_and_folder")
         return last + 1
 
-    def beat(self) -> None:
+    def record_heartbeat(self) -> None:
         """The sign of life that proxies look at: the lock's time of change."""
         os.utime(self._lock)
 
@@ -86,7 +98,7 @@
             self._lock = -1
 
 
-def last_beat(folder: str) -> float:
+def last_heartbeat(folder: str) -> float:
     """When the director of this folder last gave a sign of life, by the machine's clock; 0 if never."""
     try:
         return os.stat(f"{folder}/{LOCK}").st_mtime
--- a/willowhook/files/swap.py
+++ b/willowhook/files/swap.py
@@ -37,7 +37,7 @@
         ops.sync_folder(folder)
 
 
-class Shelf:
+class FileGroupWriter:
     """A group of files behind `current` in one folder, and the only writer of it."""
 
     def __init__(
@@ -45,9 +45,9 @@
     ) -> None:
         self.folder, self.ops, self.durability = folder, ops or DiskOps(), durability
         self.series, self.count = series, 0  # of folders; a name is never used twice by one director
-        self.held = dict[str, bytes]()
+        self.files = dict[str, bytes]()
         self.place = ""  # the folder that `current` names
-        self.swaps, self._open = 0, False
+        self.swap_count, self._open = 0, False
 
     def open(self) -> None:
         """Makes the folder, or takes it over: `current` stays as it is, leftovers go."""
@@ -61,20 +61,20 @@
         """Makes these the files of the group, in one step; False if they are so already.  Raises OSError."""
         if not self._open:
             self.open()
-        changed = [name for name, data in files.items() if self.held.get(name) != data]
-        if not changed and files.keys() == self.held.keys():
+        changed = [name for name, data in files.items() if self.files.get(name) != data]
+        if not changed and files.keys() == self.files.keys():
             return False
         try:
-            if self.held and len(changed) == 1 and files.keys() == self.held.keys():
+            if self.files and len(changed) == 1 and files.keys() == self.files.keys():
                 name = changed[0]
                 swap_file(self.ops, f"{self.folder}/{self.place}", name, files[name], self.durability)
             else:
                 self._swap_group(files, changed)
         except OSError:  # it may have taken effect all the same: the next group is written whole
-            self.held = {}
+            self.files = {}
             raise
-        self.held = dict(files)
-        self.swaps += 1
+        self.files = dict(files)
+        self.swap_count += 1
         return True
 
     def _swap_group(self, files: Mapping[str, bytes], changed: list[str]) -> None:
@@ -146,7 +146,7 @@
             continue
         try:
             names = [name for name in sorted(os.listdir(fd)) if not name.startswith(TEMP)]
-            files = {name: read_at(fd, name, most) for name in names}
+            files = {name: read_file(fd, name, most) for name in names}
             if os.readlink(f"{folder}/{CURRENT}") == place:
                 return place, files
         except FileNotFoundError:
@@ -156,7 +156,7 @@
     raise FileNotFoundError(f"{folder}/{CURRENT} changes faster than it can be read")
 
 
-def read_at(fd: int | None, name: str, most: int) -> bytes:
+def read_file(fd: int | None, name: str, most: int) -> bytes:
     """One regular file, whole, of `most` bytes at most; a longer one raises OSError."""
     inner = os.open(name, os.O_RDONLY | os.O_CLOEXEC | os.O_NOFOLLOW | os.O_NONBLOCK, dir_fd=fd)
     with os.fdopen(inner, "rb", buffering=0) as file:
--- a/willowhook/nginx/follow.py
+++ b/willowhook/nginx/follow.py
@@ -7,8 +7,8 @@
 
 import trio
 
-from ..files.follow import Followers
-from ..files.swap import Shelf
+from ..files.follow import FileGroupFollower
+from ..files.swap import FileGroupWriter
 from ..xds.codec import MessageFormatError
 from .export import export
 
@@ -19,11 +19,11 @@
     """What cannot be read or swapped leaves what was there; one line when that begins, one when it ends."""
 
     def __init__(
-        self, group: str, shelf: Shelf, log: Any, watch: str = "inotify", every_s: float = 0.05
+        self, group: str, shelf: FileGroupWriter, log: Any, watch: str = "inotify", every_s: float = 0.05
     ) -> None:
         self._down, self._name = os.path.split(os.path.abspath(group))
         self._shelf, self._log = shelf, log
-        self._followers = Followers(watch, every_s, self._seen)
+        self._followers = FileGroupFollower(watch, every_s, self._seen)
         self._bad = ""
         self._waiting: dict[str, bytes] | None = None
         self._told: list[str] = []
--- a/willowhook/records/states.py
+++ b/willowhook/records/states.py
@@ -20,12 +20,12 @@
 
 
 @dataclass
-class States:
+class ProxyStates:
     proxies: dict[str, Known] = field(default_factory=dict)
     stops: list[dict[str, Any]] = field(default_factory=list)
     last: int = 0
 
-    def take(self, row: dict[str, Any]) -> None:
+    def add(self, row: dict[str, Any]) -> None:
         self.last = max(self.last, row["t"])
         kind, name = row["kind"], row.get("proxy", "")
         if kind == "started":
--- a/willowhook/records/writer.py
+++ b/willowhook/records/writer.py
@@ -12,7 +12,7 @@
 _encode = msgspec.json.Encoder().encode
 
 
-class Records:
+class RecordWriter:
     """`note` never waits: what cannot be kept is counted, and the count is the next record."""
 
     def __init__(self, path: str, most_waiting: int) -> None:
@@ -20,9 +20,9 @@
         self._waiting: deque[dict[str, Any]] = deque()
         self._lost = 0
         self._fd, self._left = -1, b""  # encoded, but not yet written
-        self.failing = ""  # why records cannot be written now
+        self.write_error = ""  # why records cannot be written now
 
-    def note(self, now: int, kind: str, **parts: Any) -> None:
+    def append(self, now: int, kind: str, **parts: Any) -> None:
         """`now` in tenths of a millisecond of the director's clock."""
         if not self._path:
             return
@@ -46,9 +46,9 @@
             self._waiting.clear()
             while self._left:
                 self._left = self._left[os.write(self._fd, self._left) :]
-            self.failing = ""
+            self.write_error = ""
         except OSError as fault:
-            self.failing = str(fault)
+            self.write_error = str(fault)
 
     async def run(self, every: float) -> None:
         try:
--- a/willowhook/store/commit.py
+++ b/willowhook/store/commit.py
@@ -17,7 +17,7 @@
         self._news = trio.Event()
         self._waits: dict[int, trio.Event] = {}
         self._lost: dict[int, None] = {}
-        self.groups = self.kept = 0
+        self.batch_count = self.committed_count = 0
 
     async def commit(self, ops: list[Op]) -> bool:
         """False: it was dropped, as the disk is full and this is not dear enough.  Raises StoreError."""
@@ -38,16 +38,16 @@
         while True:
             await self._news.wait()
             self._news = trio.Event()
-            while batch := self.store.take():
+            while batch := self.store.next_batch():
                 try:
-                    await trio.to_thread.run_sync(self.store.put_down, batch)
+                    await trio.to_thread.run_sync(self.store.write_batch, batch)
                 except OSError as fault:
                     self._failed(fault)
                     await trio.sleep(0.05)
                     continue
-                self.store.done(batch)
-                self.groups += 1
-                self.kept += len(batch)
+                self.store.apply_batch(batch)
+                self.batch_count += 1
+                self.committed_count += len(batch)
                 for each in batch:
                     if (event := self._waits.pop(each.number, None)) is not None:
                         event.set()
@@ -56,7 +56,7 @@
     def _failed(self, fault: OSError) -> None:
         events = {id(each): self._waits.pop(each.number, None) for each in self.store._waiting}
         waiting = list(self.store._waiting)
-        gone = self.store.failed(fault)
+        gone = self.store.handle_write_error(fault)
         for each in waiting:
             event = events[id(each)]
             if event is None:
--- a/willowhook/store/ledger.py
+++ b/willowhook/store/ledger.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from .commit import Committer
-from .outcomes import NEVER_RAN, OUT, Evidence, after_crash
+from .outcomes import IN_FLIGHT, NOT_EXECUTED, RequestRecord, after_recovery
 from .store import Op, Store
 
 SPACE = "outcomes"
@@ -32,58 +32,58 @@
 _line = msgspec.msgpack.Decoder(Line)
 
 
-class Ledger:
+class RequestLedger:
     """Raises StoreError where something cannot be kept: then nothing may leave."""
 
     def __init__(self, store: Store, committer: Committer) -> None:
         self._store, self._committer = store, committer
-        self._calls: dict[str, tuple[Evidence, bool]] = {}
+        self._calls: dict[str, tuple[RequestRecord, bool]] = {}
 
-    def of(self, call: str) -> Evidence:
+    def request(self, call: str) -> RequestRecord:
         """What is known of a call, now or after a recovery."""
         held = self._calls.get(call)
         if held is not None:
             return held[0]
         entry = self._store.get(SPACE, call)
         if entry is None:
-            made, told = after_crash(None, self._store.damaged), False
+            made, told = after_recovery(None, self._store.has_lost_entries), False
         else:
             row = _line.decode(entry.value)
-            found = Evidence(
+            found = RequestRecord(
                 row.semantics, row.group, row.window, row.first_out, row.tries, row.groups, row.answer
             )
-            made, told = after_crash(found, self._store.damaged), row.told
+            made, told = after_recovery(found, self._store.has_lost_entries), row.told
         self._calls[call] = (made, told)
         return made
 
-    def pending(self) -> list[str]:
+    def unreported(self) -> list[str]:
         """Calls whose outcome was not told, in the order in which they were last written."""
         return [key for key, entry in self._store.by_time(SPACE) if not _line.decode(entry.value).told]
 
     async def begin(self, call: str, semantics: str, at: int, group: str = "", window: int = 0) -> None:
-        self._calls[call] = (Evidence(semantics, group, window), False)
+        self._calls[call] = (RequestRecord(semantics, group, window), False)
         await self._keep(call, at)
 
-    async def out(self, call: str, at: int, group: str = "") -> int:
+    async def start_attempt(self, call: str, at: int, group: str = "") -> int:
         """A try may leave when this returns; its number."""
-        known = self.of(call)
+        known = self.request(call)
         number = 1 + max(known.tries, default=-1)
-        known.out(number, at, group)
+        known.start_attempt(number, at, group)
         await self._keep(call, at)
         return number
 
-    async def ended(self, call: str, number: int, what: str, at: int, answer: bytes = b"") -> None:
-        self.of(call).ended(number, what, answer)
+    async def end_attempt(self, call: str, number: int, what: str, at: int, answer: bytes = b"") -> None:
+        self.request(call).end_attempt(number, what, answer)
         await self._keep(call, at)
 
-    async def never_left(self, call: str, number: int, at: int) -> None:
+    async def cancel_attempt(self, call: str, number: int, at: int) -> None:
         """The try was written down and then did not leave after all."""
-        if self.of(call).tries.get(number) == OUT:
-            await self.ended(call, number, NEVER_RAN, at)
+        if self.request(call).tries.get(number) == IN_FLIGHT:
+            await self.end_attempt(call, number, NOT_EXECUTED, at)
 
-    async def told(self, call: str, at: int) -> None:
+    async def mark_reported(self, call: str, at: int) -> None:
         """Its outcome has been given to whoever made it."""
-        self._calls[call] = (self.of(call), True)
+        self._calls[call] = (self.request(call), True)
         await self._keep(call, at)
         self._calls.pop(call, None)
 
--- a/willowhook/store/outcomes.py
+++ b/willowhook/store/outcomes.py
@@ -10,12 +10,12 @@
 from dataclasses import dataclass, field
 
 DONE, NOT_DONE, UNKNOWN = "done", "not done", "unknown"
-OUT, ANSWERED, NEVER_RAN, FAILED = "out", "answered", "never_ran", "failed"  # of one try
-AGAIN, TELL, HOLD = "again", "tell", "hold"  # what to do about a repeat
+IN_FLIGHT, ANSWERED, NOT_EXECUTED, FAILED = "out", "answered", "never_ran", "failed"  # of one try
+RETRY, RETURN_RESPONSE, REPORT_UNKNOWN = "again", "tell", "hold"  # what to do about a repeat
 
 
 @dataclass(slots=True)
-class Evidence:
+class RequestRecord:
     """Of one call.  Times in tenths of a millisecond of one clock."""
 
     semantics: str = "mutating"  # or repeatable, keyed
@@ -26,17 +26,17 @@
     groups: dict[int, str] = field(default_factory=dict)  # by try, where it went
     answer: bytes = b""  # of the try that was answered
 
-    def out(self, number: int, at: int, group: str = "") -> None:
+    def start_attempt(self, number: int, at: int, group: str = "") -> None:
         """A try is about to leave."""
         if number not in self.tries:
-            self.tries[number] = OUT
+            self.tries[number] = IN_FLIGHT
             self.groups[number] = group
             if self.first_out < 0:
                 self.first_out = at
 
-    def ended(self, number: int, what: str, answer: bytes = b"") -> None:
+    def end_attempt(self, number: int, what: str, answer: bytes = b"") -> None:
         """What became of it; proof, once there, stands, and so does an answer."""
-        if self.tries.get(number) in (OUT, FAILED):
+        if self.tries.get(number) in (IN_FLIGHT, FAILED):
             self.tries[number] = what
             if what == ANSWERED and not self.answer:
                 self.answer = answer
@@ -44,32 +44,32 @@
     def state(self) -> str:
         if any(what == ANSWERED for what in self.tries.values()):
             return DONE
-        if all(what == NEVER_RAN for what in self.tries.values()):
+        if all(what == NOT_EXECUTED for what in self.tries.values()):
             return NOT_DONE  # also where no try ever left
         return UNKNOWN
 
-    def repeat(self, now: int, group: str = "") -> str:
+    def retry_decision(self, now: int, group: str = "") -> str:
         """Whether the call may be tried once more, in this group of hosts: AGAIN; if not, TELL its answer or
         HOLD it as unknown.
         """
         state = self.state()
         if state == DONE:
-            return TELL
+            return RETURN_RESPONSE
         if state == NOT_DONE or self.semantics == "repeatable":
-            return AGAIN
+            return RETRY
         if self.semantics == "keyed":
-            doubtful = [self.groups[k] for k, what in self.tries.items() if what in (OUT, FAILED)]
+            doubtful = [self.groups[k] for k, what in self.tries.items() if what in (IN_FLIGHT, FAILED)]
             within = now - self.first_out <= self.window
             if within and group and all(each == group for each in doubtful):
-                return AGAIN
-        return HOLD
+                return RETRY
+        return REPORT_UNKNOWN
 
 
-def after_crash(found: Evidence | None, damaged: bool) -> Evidence:
+def after_recovery(found: RequestRecord | None, has_lost_entries: bool) -> RequestRecord:
     """What is known of a call after a recovery.  Where records are missing, a try more may have left than is
     written; what is done stays done.
     """
-    made = found if found is not None else Evidence()
-    if damaged:
-        made.out(1 + max(made.tries, default=-1), 0)
+    made = found if found is not None else RequestRecord()
+    if has_lost_entries:
+        made.start_attempt(1 + max(made.tries, default=-1), 0)
     return made
--- a/willowhook/store/store.py
+++ b/willowhook/store/store.py
@@ -24,9 +24,12 @@
 
 SEGMENT, SNAPSHOT, MARKS, TEMP = "seg-", "snap-", "mark-", ".new-"
 LOCK, RESERVE = "lock", "reserve"
-OWN, LOST = "_store", "lost"  # the space and key under which the store remembers that it lost something
+STORE_SPACE, LOST = (
+    "_store",
+    "lost",
+)  # the space and key under which the store remembers that it lost something
 PACK_FROM = 512  # bytes of a payload
-DEBUG, APPLIED, ORDERS, OUTCOMES = range(4)  # ranks: on a full disk the lowest go first
+DEBUG, APPLIED, COMMANDS, OUTCOMES = range(4)  # ranks: on a full disk the lowest go first
 RESERVED = 64 << 10
 FOOT = struct.Struct("<8sQQQ")  # magic, entries, number, sum of all before
 FOOT_MAGIC = b"WHSNAP_E"
@@ -36,7 +39,7 @@
     """The store cannot do this; what and where."""
 
 
-class StoreTaken(StoreError):
+class StoreInUseError(StoreError):
     """Another process writes here."""
 
 
@@ -45,13 +48,13 @@
 
     space: str
     key: str
-    at: int
+    timestamp: int
     value: bytes | None
 
 
 class Entry(msgspec.Struct, array_like=True):
     number: int
-    at: int
+    timestamp: int
     value: bytes
 
 
@@ -64,7 +67,7 @@
 
 
 @dataclass(slots=True)
-class Damage:
+class Corruption:
     file: str
     at: int
     end: int
@@ -72,25 +75,25 @@
     last: int  # numbers that are lost; none if below `first`
     what: str = "bytes that are no frame"
 
-    def line(self) -> str:
+    def describe(self) -> str:
         lost = f", numbers {self.first} to {self.last} are lost" if self.last >= self.first else ""
         return f"{self.file}: from byte {self.at} to {self.end}: {self.what}{lost}"
 
 
 @dataclass(slots=True)
-class Found:
+class RecoveryReport:
     """What a recovery found."""
 
     snapshot: str = ""
     number: int = 0  # the last that is there
     frames: int = 0
     cut: dict[str, int] = field(default_factory=dict)  # by file, bytes of a tail that nobody was promised
-    damage: list[Damage] = field(default_factory=list)
+    corruptions: list[Corruption] = field(default_factory=list)
     left: list[str] = field(default_factory=list)  # files that are no part of it
 
     @property
     def lost(self) -> bool:
-        return any(row.last >= row.first for row in self.damage)
+        return any(row.last >= row.first for row in self.corruptions)
 
 
 _encode = msgspec.msgpack.Encoder().encode
@@ -126,7 +129,7 @@
         if op.value is None:
             space.pop(op.key, None)
         else:
-            space[op.key] = Entry(number, op.at, op.value)
+            space[op.key] = Entry(number, op.timestamp, op.value)
 
 
 @dataclass(slots=True)
@@ -138,34 +141,34 @@
 
 
 @dataclass(slots=True)
-class Recovered:
-    store: int = 0  # 0: there is none yet
+class RecoveredStore:
+    store_id: int = 0  # 0: there is none yet
     state: State = field(default_factory=dict)
     number: int = 0
     epoch: int = 0
     segments: list[Segment] = field(default_factory=list)
     snapshots: list[str] = field(default_factory=list)  # good ones, oldest first
-    found: Found = field(default_factory=Found)
+    report: RecoveryReport = field(default_factory=RecoveryReport)
 
 
-def recover(disk: Disk, folder: str) -> Recovered:
+def recover(disk: Disk, folder: str) -> RecoveredStore:
     """What the files make.  Reads only; damage is told, never raised."""
-    got = Recovered()
-    found, names = got.found, sorted(disk.listdir(folder))
+    got = RecoveredStore()
+    found, names = got.report, sorted(disk.listdir(folder))
     found.left = [name for name in names if name.startswith(TEMP)]
     data = {
         name: disk.read(f"{folder}/{name}") for name in names if name.startswith((SEGMENT, SNAPSHOT, MARKS))
     }
-    got.store = _store_of(data)
+    got.store_id = _store_of(data)
     for name in [name for name in names if name.startswith(SNAPSHOT)][::-1]:
         try:
             told = read_snapshot(data[name])
         except StoreError as fault:
-            found.damage.append(Damage(name, 0, len(data[name]), 1, 0, str(fault)))
+            found.corruptions.append(Corruption(name, 0, len(data[name]), 1, 0, str(fault)))
             continue
         got.snapshots.insert(0, name)
         if not found.snapshot:
-            got.store, got.number, got.epoch, got.state = told
+            got.store_id, got.number, got.epoch, got.state = told
             found.snapshot = name
     base = got.number
     read: list[tuple[Segment, frames.Scan]] = []
@@ -179,20 +182,22 @@
         for hole in scan.holes:
             if hole.last < hole.first or hole.first < limit:
                 last = min(hole.last, limit - 1)
-                found.damage.append(Damage(segment.name, hole.at, hole.end, hole.first, last))
+                found.corruptions.append(Corruption(segment.name, hole.at, hole.end, hole.first, last))
         _replay(got, segment, scan, limit, read[k - 1] if k else None)
     found.number = got.number
-    promised = max((frames.newest_mark(got.store, data[n]) for n in names if n.startswith(MARKS)), default=0)
+    promised = max(
+        (frames.newest_mark(got.store_id, data[n]) for n in names if n.startswith(MARKS)), default=0
+    )
     if promised > got.number:
         last_one = read[-1] if read else (Segment("no segment", 0, 0, 0), frames.Scan())
         size = last_one[0].size
         text = "what had been promised is not there"
-        row = Damage(last_one[0].name, last_one[1].end, size, got.number + 1, promised, text)
+        row = Corruption(last_one[0].name, last_one[1].end, size, got.number + 1, promised, text)
         if got.segments and got.segments[-1].first == 0:  # the newest has no head
-            row = Damage(got.segments[-1].name, 0, got.segments[-1].size, row.first, promised, text)
-        found.damage.append(row)
+            row = Corruption(got.segments[-1].name, 0, got.segments[-1].size, row.first, promised, text)
+        found.corruptions.append(row)
         got.number = promised
-    found.damage = [row for row in found.damage if row.last < row.first or row.last > base]
+    found.corruptions = [row for row in found.corruptions if row.last < row.first or row.last > base]
     return got
 
 
@@ -205,21 +210,21 @@
     return 0
 
 
-def _segment(got: Recovered, name: str, data: bytes) -> tuple[Segment, frames.Scan] | None:
-    top, found = frames.read_head(data), got.found
+def _segment(got: RecoveredStore, name: str, data: bytes) -> tuple[Segment, frames.Scan] | None:
+    top, found = frames.read_head(data), got.report
     if top is None:  # nothing in it was ever safe, or its head is damaged
-        here = frames.next_frame(got.store, data, 0, 1, 1 << 62) if got.store else None
+        here = frames.next_frame(got.store_id, data, 0, 1, 1 << 62) if got.store_id else None
         if here is None:
             found.cut[name] = len(data)
             got.segments.append(Segment(name, 0, -1, len(data)))
             return None
-        found.damage.append(Damage(name, 0, here.at, 1, 0, "its head is damaged"))
-        top = (got.store, here.number)
+        found.corruptions.append(Corruption(name, 0, here.at, 1, 0, "its head is damaged"))
+        top = (got.store_id, here.number)
         data = frames.head(*top) + data[here.at :]
-    elif top[0] != got.store:
-        found.damage.append(Damage(name, 0, frames.HEAD.size, 1, 0, "it is of another store"))
+    elif top[0] != got.store_id:
+        found.corruptions.append(Corruption(name, 0, frames.HEAD.size, 1, 0, "it is of another store"))
         return None
-    scan = frames.scan(got.store, data, top[1])
+    scan = frames.scan(got.store_id, data, top[1])
     last = scan.frames[-1].number if scan.frames else top[1] - 1
     segment = Segment(name, top[1], last, len(data))
     got.segments.append(segment)
@@ -229,7 +234,7 @@
 
 
 def _replay(
-    got: Recovered, segment: Segment, scan: frames.Scan, limit: int,
+    got: RecoveredStore, segment: Segment, scan: frames.Scan, limit: int,
     before: tuple[Segment, frames.Scan] | None,
 ) -> None:  # fmt: skip
     for each in scan.frames:
@@ -238,24 +243,24 @@
             continue
         missing = got.number + 1
         if each.number > missing and not any(hole.first <= missing <= hole.last for hole in scan.holes):
-            got.found.damage.append(_missing(got, segment, each, before))
+            got.report.corruptions.append(_missing(got, segment, each, before))
         apply(got.state, each.number, unpack(each.payload))
         got.number = each.number
-        got.found.frames += 1
+        got.report.frames += 1
 
 
 def _missing(
-    got: Recovered, segment: Segment, each: frames.Frame, before: tuple[Segment, frames.Scan] | None
-) -> Damage:  # fmt: skip
+    got: RecoveredStore, segment: Segment, each: frames.Frame, before: tuple[Segment, frames.Scan] | None
+) -> Corruption:  # fmt: skip
     """Frames before this one are missing: where they went."""
     first, last = got.number + 1, each.number - 1
     since = before[0].name if before is not None else ""
     for row in got.segments:  # one without a head, between the two
         if since < row.name < segment.name and row.last < row.first and row.first == 0:
-            return Damage(row.name, 0, row.size, first, last, "it has no head")
+            return Corruption(row.name, 0, row.size, first, last, "it has no head")
     if before is not None and before[0].last < last:
-        return Damage(before[0].name, before[1].end, before[0].size, first, last, "it ends too early")
-    return Damage(segment.name, each.at, each.at, first, last, "frames before it are missing")
+        return Corruption(before[0].name, before[1].end, before[0].size, first, last, "it ends too early")
+    return Corruption(segment.name, each.at, each.at, first, last, "frames before it are missing")
 
 
 def write_snapshot(store: int, number: int, epoch: int, state: State, chunk: int) -> Iterator[bytes]:
@@ -319,7 +324,7 @@
 
     def __init__(
         self, folder: str, disk: Disk | None = None, segment_bytes: int = 4 << 20,
-        ranks: dict[str, int] | None = None, chance: int = 0, lock: bool = True,
+        ranks: dict[str, int] | None = None, store_id: int = 0, lock: bool = True,
     ) -> None:  # fmt: skip
         self.folder, self.disk = os.path.abspath(folder) if disk is None else folder, disk or RealDisk()
         self._most, self._ranks = segment_bytes, ranks or {}
@@ -327,31 +332,31 @@
         if lock:
             self._take_lock()
         got = recover(self.disk, self.folder)
-        self.state, self.number, self.found = got.state, got.number, got.found
+        self.state, self.number, self.recovery = got.state, got.number, got.report
         self.segments, self.snapshots = got.segments, got.snapshots
-        self.id = got.store or chance or int.from_bytes(os.urandom(8), "little") | 1
+        self.id = got.store_id or store_id or int.from_bytes(os.urandom(8), "little") | 1
         self.epoch = got.epoch + 1
         self.next = self.number + 1
         self._waiting: list[Write] = []
         self._handle, self._marks, self._size = -1, -1, 0
         self.read_only = ""  # why
-        self.level = DEBUG  # on a full disk, what is below is dropped
+        self.min_rank = DEBUG  # on a full disk, what is below is dropped
         self.dropped = 0
         self.events: list[str] = []  # that an operator is to know
-        for name in self.found.left:
+        for name in self.recovery.left:
             self._quietly_unlink(name)
         self._drop_empty()
         self._roll()
         self._reserve()
-        if self.found.lost:  # remembered until an operator has seen to it: what is not there may have been
-            told = "; ".join(row.line() for row in self.found.damage)
-            self.write([Op(OWN, LOST, 0, told.encode())])
+        if self.recovery.lost:  # remembered until an operator has seen to it: what is not there may have been
+            told = "; ".join(row.describe() for row in self.recovery.corruptions)
+            self.write([Op(STORE_SPACE, LOST, 0, told.encode())])
             self.flush()
 
     @property
-    def damaged(self) -> bool:
+    def has_lost_entries(self) -> bool:
         """Whether something that was promised is lost: of what is not found nothing is known."""
-        return self.get(OWN, LOST) is not None
+        return self.get(STORE_SPACE, LOST) is not None
 
     # One writer.
 
@@ -363,7 +368,7 @@
         except BlockingIOError as fault:
             owner = os.pread(self._lock, 200, 0).decode("ascii", "replace").strip() or "another process"
             os.close(self._lock)
-            raise StoreTaken(f"{self.folder} is written by {owner}") from fault
+            raise StoreInUseError(f"{self.folder} is written by {owner}") from fault
         os.ftruncate(self._lock, 0)
         os.pwrite(self._lock, f"process {os.getpid()}\n".encode(), 0)
 
@@ -379,8 +384,8 @@
         """Takes a group that counts whole or not at all; its number.  None: dropped, as the disk is full."""
         if self.read_only:
             raise StoreError(f"read-only: {self.read_only}")
-        rank = max([self._ranks.get(op.space, ORDERS) for op in ops], default=ORDERS)
-        if rank < self.level:
+        rank = max([self._ranks.get(op.space, COMMANDS) for op in ops], default=COMMANDS)
+        if rank < self.min_rank:
             self.dropped += 1
             return None
         data = frames.frame(self.id, self.next, self.number, self.epoch, pack(ops))
@@ -388,7 +393,7 @@
         self.next += 1
         return self.next - 1
 
-    def take(self, most_bytes: int = 1 << 20) -> list[Write]:
+    def next_batch(self, most_bytes: int = 1 << 20) -> list[Write]:
         """What is to be put down next, in order."""
         size, count = 0, 0
         for each in self._waiting:
@@ -397,7 +402,7 @@
             size, count = size + len(each.data), count + 1
         return self._waiting[:count]
 
-    def put_down(self, batch: list[Write]) -> None:
+    def write_batch(self, batch: list[Write]) -> None:
         """Writes and syncs.  A segment whose sync failed is never used again: what it took may be lost."""
         if not batch:
             return
@@ -423,7 +428,7 @@
             self._close_handles()
             raise again
 
-    def done(self, batch: list[Write]) -> None:
+    def apply_batch(self, batch: list[Write]) -> None:
         """It is on disk: from now on it is read."""
         for each in batch:
             apply(self.state, each.number, each.ops)
@@ -442,19 +447,19 @@
             self.disk.close(self._marks)
             self._marks = -1
 
-    def failed(self, fault: OSError) -> list[Write]:
+    def handle_write_error(self, fault: OSError) -> list[Write]:
         """Nothing could be put down: what is dear waits, the rest is dropped, in the stated order.
 
         Gives what is dropped; the store is read-only once only the dearest are left and cannot be kept.
         """
         full = fault.errno in (errno.ENOSPC, errno.EDQUOT, errno.EFBIG)
-        if full and self.level < OUTCOMES:
-            self.level += 1
-            self.events.append(f"the disk is full: records below rank {self.level} are dropped")
+        if full and self.min_rank < OUTCOMES:
+            self.min_rank += 1
+            self.events.append(f"the disk is full: records below rank {self.min_rank} are dropped")
         else:
             self.read_only = str(fault)
             self.events.append(f"read-only: {fault}")
-        keep = [] if self.read_only else [each for each in self._waiting if each.rank >= self.level]
+        keep = [] if self.read_only else [each for each in self._waiting if each.rank >= self.min_rank]
         gone = [each for each in self._waiting if each not in keep]
         self.dropped += len(gone)
         self._waiting = []
@@ -466,18 +471,18 @@
             self.next += 1
         return gone
 
-    def relieved(self) -> None:
+    def resume_writes(self) -> None:
         """There is room again."""
-        if self.level or self.read_only:
+        if self.min_rank or self.read_only:
             self.events.append("all records are kept again")
-        self.level, self.read_only = DEBUG, ""
+        self.min_rank, self.read_only = DEBUG, ""
         self._reserve()
 
     def flush(self) -> None:
         """All that waits, at once; for callers without a loop.  Raises OSError."""
-        while batch := self.take():
-            self.put_down(batch)
-            self.done(batch)
+        while batch := self.next_batch():
+            self.write_batch(batch)
+            self.apply_batch(batch)
 
     def _append(self, data: bytes) -> None:
         view = memoryview(data)
@@ -520,11 +525,11 @@
         names = self.disk.listdir(self.folder)
         kept = {index_of(row.name) for row in self.segments}
         for name in names:
-            if name.startswith(MARKS) and index_of(name) not in kept and not self.found.damage:
+            if name.startswith(MARKS) and index_of(name) not in kept and not self.recovery.corruptions:
                 self._quietly_unlink(name)
 
     def _told_of(self) -> set[str]:
-        return {row.file for row in self.found.damage}
+        return {row.file for row in self.recovery.corruptions}
 
     def _quietly_unlink(self, name: str) -> None:
         try:
@@ -560,7 +565,11 @@
         """
         state = {space: dict(rows) for space, rows in self.state.items()}
         for space, (most, since) in (retain or {}).items():
-            rows = [(e.at, e.number, key) for key, e in state.get(space, {}).items() if e.at >= since]
+            rows = [
+                (e.timestamp, e.number, key)
+                for key, e in state.get(space, {}).items()
+                if e.timestamp >= since
+            ]
             kept = frozenset(key for _, _, key in sorted(rows)[-most:])
             state[space] = {key: e for key, e in state.get(space, {}).items() if key in kept}
         number = self.number
@@ -618,8 +627,8 @@
 
     def by_time(self, space: str, since: int = 0) -> list[tuple[str, Entry]]:
         """The oldest first."""
-        rows = [(key, e) for key, e in self.state.get(space, {}).items() if e.at >= since]
-        return sorted(rows, key=lambda row: (row[1].at, row[1].number))
+        rows = [(key, e) for key, e in self.state.get(space, {}).items() if e.timestamp >= since]
+        return sorted(rows, key=lambda row: (row[1].timestamp, row[1].number))
 
 
 class Reader:
@@ -629,14 +638,14 @@
         self.folder, self.disk = folder, disk or RealDisk()
         self.state: State = {}
         self.number = 0
-        self.found = Found()
+        self.recovery = RecoveryReport()
 
     def refresh(self) -> int:
         """The last number; raises StoreError if files went away under it again and again."""
         for _ in range(20):
             try:
                 got = recover(self.disk, self.folder)
-                self.state, self.number, self.found = got.state, got.number, got.found
+                self.state, self.number, self.recovery = got.state, got.number, got.report
                 return self.number
             except FileNotFoundError:
                 continue  # a compaction cleared it meanwhile
--- a/willowhook/store/tool.py
+++ b/willowhook/store/tool.py
@@ -12,12 +12,12 @@
 from typing import Any
 
 from .disk import RealDisk
-from .store import LOST, MARKS, OWN, SEGMENT, SNAPSHOT, Op, Recovered, Store, StoreError, recover
+from .store import LOST, MARKS, SEGMENT, SNAPSHOT, STORE_SPACE, Op, RecoveredStore, Store, StoreError, recover
 
 ASIDE = "damaged"
 
 
-def look(folder: str) -> Recovered:
+def look(folder: str) -> RecoveredStore:
     """Raises StoreError if there is no store."""
     if not os.path.isdir(folder):
         raise StoreError(f"{folder}: not a folder")
@@ -30,18 +30,18 @@
     """Whether all that was promised is there, and what there is to say."""
     got = look(folder)
     lines = [
-        f"store {got.store:016x}, number {got.number}, epoch {got.epoch}, {got.found.frames} frames read"
+        f"store {got.store_id:016x}, number {got.number}, epoch {got.epoch}, {got.report.frames} frames read"
     ]
-    if got.found.snapshot:
-        lines.append(f"  from {got.found.snapshot}")
+    if got.report.snapshot:
+        lines.append(f"  from {got.report.snapshot}")
     lines += [
-        f"  {name}: {size} bytes of a tail that nobody was promised" for name, size in got.found.cut.items()
+        f"  {name}: {size} bytes of a tail that nobody was promised" for name, size in got.report.cut.items()
     ]
-    lines += [f"  damage: {row.line()}" for row in got.found.damage]
-    entry = got.state.get(OWN, {}).get(LOST)
+    lines += [f"  damage: {row.describe()}" for row in got.report.corruptions]
+    entry = got.state.get(STORE_SPACE, {}).get(LOST)
     if entry is not None:
         lines.append(f"  lost before: {entry.value.decode(errors='replace')}")
-    return not got.found.damage and entry is None, lines
+    return not got.report.corruptions and entry is None, lines
 
 
 def stats(folder: str) -> dict[str, Any]:
@@ -59,15 +59,15 @@
         space: {
             "entries": len(rows),
             "bytes": sum(len(entry.value) for entry in rows.values()),
-            "oldest": min((entry.at for entry in rows.values()), default=0),
-            "newest": max((entry.at for entry in rows.values()), default=0),
+            "oldest": min((entry.timestamp for entry in rows.values()), default=0),
+            "newest": max((entry.timestamp for entry in rows.values()), default=0),
         }
         for space, rows in sorted(got.state.items())
     }
     return {
         "number": got.number,
         "epoch": got.epoch,
-        "damage": len(got.found.damage),
+        "damage": len(got.report.corruptions),
         **made,
         "spaces": spaces,
     }
@@ -82,7 +82,7 @@
         for each, entry in sorted(rows.items()):
             if key and each != key:
                 continue
-            row: dict[str, Any] = {"space": name, "key": each, "number": entry.number, "at": entry.at}
+            row: dict[str, Any] = {"space": name, "key": each, "number": entry.number, "at": entry.timestamp}
             try:
                 row["value"] = entry.value.decode()
             except UnicodeDecodeError:
@@ -93,8 +93,8 @@
 def repair(folder: str, seen: bool) -> list[str]:
     """Raises StoreTaken, StoreError or OSError.  `seen`: what was lost is known, and is no longer told."""
     before = look(folder)
-    bad = list(dict.fromkeys(row.file for row in before.found.damage))
-    lines = [f"lost: {row.line()}" for row in before.found.damage if row.last >= row.first]
+    bad = list(dict.fromkeys(row.file for row in before.report.corruptions))
+    lines = [f"lost: {row.describe()}" for row in before.report.corruptions if row.last >= row.first]
     store = Store(folder)
     try:
         for name in bad:  # as it is, for whoever can read more of it
@@ -102,11 +102,11 @@
                 os.makedirs(f"{folder}/{ASIDE}", exist_ok=True)
                 shutil.copy2(f"{folder}/{name}", f"{folder}/{ASIDE}/{name}")
                 lines.append(f"{name}: a copy is put aside in {ASIDE}")
-        if seen and store.damaged:
-            store.write([Op(OWN, LOST, 0, None)])
+        if seen and store.has_lost_entries:
+            store.write([Op(STORE_SPACE, LOST, 0, None)])
             store.flush()
         for _ in range(2):  # the older of two snapshots is what segments are cleared by
-            store.write([Op(OWN, "repaired", 0, str(store.number).encode())])
+            store.write([Op(STORE_SPACE, "repaired", 0, str(store.number).encode())])
             store.flush()
             list(store.compact())
     finally:
--- a/willowhook/trial/cuts.py
+++ b/willowhook/trial/cuts.py
@@ -14,8 +14,17 @@
 
 import msgspec
 
-from ..store.outcomes import ANSWERED, DONE, FAILED, NEVER_RAN, NOT_DONE, UNKNOWN, Evidence, after_crash
-from ..store.store import OWN, Op, Store, StoreError, recover
+from ..store.outcomes import (
+    ANSWERED,
+    DONE,
+    FAILED,
+    NOT_DONE,
+    NOT_EXECUTED,
+    UNKNOWN,
+    RequestRecord,
+    after_recovery,
+)
+from ..store.store import STORE_SPACE, Op, Store, StoreError, recover
 from .power import PowerDisk
 
 Plain = dict[tuple[str, str], bytes]
@@ -36,7 +45,7 @@
         (space, key): bytes(entry.value)  # type: ignore[attr-defined]
         for space, rows in state.items()
         for key, entry in rows.items()
-        if space != OWN
+        if space != STORE_SPACE
     }
 
 
@@ -45,9 +54,9 @@
 ) -> History:
     """Writes, groups, rolls and compactions on this disk."""
     chance, history = random.Random(seed), History()
-    store = Store("s", disk, segment_bytes=700, chance=12345, lock=False)
+    store = Store("s", disk, segment_bytes=700, store_id=12345, lock=False)
     now: Plain = {}
-    calls: dict[str, Evidence] = {}
+    calls: dict[str, RequestRecord] = {}
     compacting = None
     for k in range(steps):
         ops: list[Op] = []
@@ -63,7 +72,7 @@
                 now.pop(("orders", key), None)
             else:
                 name = f"c{chance.randrange(8)}"
-                found = calls.setdefault(name, Evidence())
+                found = calls.setdefault(name, RequestRecord())
                 _advance(found, chance, k, name, history)
                 value = msgspec.msgpack.encode(found.tries)
                 ops.append(Op("outcomes", name, k, value))
@@ -73,10 +82,10 @@
         history.states[number], history.written = dict(now), number
         note(history)
         if chance.random() < 0.5:
-            batch = store.take()
-            store.put_down(batch)
+            batch = store.next_batch()
+            store.write_batch(batch)
             history.acked = batch[-1].number
-            store.done(batch)
+            store.apply_batch(batch)
             note(history)
         if compacting is None and chance.random() < 0.12 and store.number:
             compacting = store.compact(64)
@@ -88,15 +97,15 @@
     return history
 
 
-def _advance(found: Evidence, chance: random.Random, at: int, name: str, history: History) -> None:
+def _advance(found: RequestRecord, chance: random.Random, at: int, name: str, history: History) -> None:
     out = [k for k, what in found.tries.items() if what == "out"]
     if out and chance.random() < 0.7:
-        what = chance.choice([ANSWERED, NEVER_RAN, FAILED])
-        found.ended(out[0], what)
+        what = chance.choice([ANSWERED, NOT_EXECUTED, FAILED])
+        found.end_attempt(out[0], what)
         if what == ANSWERED:
             history.truth[name] = DONE
     else:
-        found.out(len(found.tries), at)
+        found.start_attempt(len(found.tries), at)
         history.truth.setdefault(name, UNKNOWN)  # it may have run from now on
 
 
@@ -129,13 +138,13 @@
     """Recovers these files and holds the result against the history."""
     disk = PowerDisk.load(files)
     try:
-        store = Store("s", disk, lock=False, chance=12345)
+        store = Store("s", disk, lock=False, store_id=12345)
     except (StoreError, OSError, ValueError, msgspec.MsgspecError) as fault:
         report.wrong.append(f"{what}: it cannot be opened: {fault!r}")
         return
-    state, damage = plain_of(store.state), store.found.damage  # type: ignore[arg-type]
+    state, damage = plain_of(store.state), store.recovery.corruptions  # type: ignore[arg-type]
     report.told += bool(damage)
-    if not store.damaged:
+    if not store.has_lost_entries:
         fits = [n for n, each in history.states.items() if each == state and acked <= n <= history.written]
         if not fits:
             report.wrong.append(
@@ -158,11 +167,15 @@
         entry = store.get("outcomes", name)
         found = None
         if entry is not None:
-            found = Evidence(tries=msgspec.msgpack.decode(entry.value, type=dict[int, str]))
-        told = after_crash(found, store.damaged).state()
-        until = acked if store.damaged else store.found.number
+            found = RequestRecord(tries=msgspec.msgpack.decode(entry.value, type=dict[int, str]))
+        told = after_recovery(found, store.has_lost_entries).state()
+        until = acked if store.has_lost_entries else store.recovery.number
         latest = history.states[until].get(("outcomes", name))
-        known = Evidence(tries=msgspec.msgpack.decode(latest, type=dict[int, str])) if latest else Evidence()
+        known = (
+            RequestRecord(tries=msgspec.msgpack.decode(latest, type=dict[int, str]))
+            if latest
+            else RequestRecord()
+        )
         if told == DONE and history.truth[name] != DONE:
             report.wrong.append(f"{what}: {name} is told to be done, and never was")
         if told == NOT_DONE and known.state() != NOT_DONE:
--- a/willowhook/trial/flood.py
+++ b/willowhook/trial/flood.py
@@ -28,8 +28,8 @@
 
 from ..clock import monotonic_ticks
 from ..config.terms import FrontTerms
-from ..files.follow import Followers
-from ..files.layout import DOWN, LOAD, PACE, STATUS, UP
+from ..files.follow import FileGroupFollower
+from ..files.layout import INBOUND_FOLDER, LOAD_FILE, OUTBOUND_FOLDER, REPORT_INTERVAL_FILE, STATUS_FILE
 from ..files.ops import DiskOps
 from ..files.swap import read_group, swap_file
 from ..records.writer import read_records
@@ -130,11 +130,11 @@
     # By files.
 
     def join(self) -> None:
-        up = f"{self.o.folder}/{UP}"
+        up = f"{self.o.folder}/{INBOUND_FOLDER}"
         temp = f"{up}/.{self.name}"
         shutil.rmtree(temp, ignore_errors=True)
         os.mkdir(temp)
-        swap_file(DiskOps(), temp, STATUS, encode(forms.ClientConfig(self.node())))
+        swap_file(DiskOps(), temp, STATUS_FILE, encode(forms.ClientConfig(self.node())))
         os.rename(temp, f"{up}/{self.name}")
 
     def answer_files(self, files: dict[str, bytes]) -> None:
@@ -147,13 +147,15 @@
             try:
                 got = decode(data, forms.DiscoveryResponse)
                 said = forms.DiscoveryRequest(got.version_info, self.node(), [], url, got.nonce)
-                swap_file(DiskOps(), f"{self.o.folder}/{UP}/{self.name}", f"{kind}.json", encode(said))
+                swap_file(
+                    DiskOps(), f"{self.o.folder}/{INBOUND_FOLDER}/{self.name}", f"{kind}.json", encode(said)
+                )
             except (OSError, MessageFormatError):
                 return
 
     def pace(self) -> None:
         try:
-            with open(f"{self.o.folder}/{PACE}", "rb") as file:
+            with open(f"{self.o.folder}/{REPORT_INTERVAL_FILE}", "rb") as file:
                 said = decode(file.read(), forms.LoadStatsResponse).load_reporting_interval
             self.every = max(self.o.period_s, parse_duration(said))
         except (OSError, MessageFormatError):
@@ -175,7 +177,9 @@
             else:
                 self.pace()
                 try:
-                    swap_file(DiskOps(), f"{self.o.folder}/{UP}/{self.name}", LOAD, self.report())
+                    swap_file(
+                        DiskOps(), f"{self.o.folder}/{INBOUND_FOLDER}/{self.name}", LOAD_FILE, self.report()
+                    )
                     self.sent += 1
                 except OSError:
                     self.join()  # it was given up, and comes again
@@ -237,7 +241,7 @@
 async def _report_all(orders: Orders) -> None:
     rows = [Reporter(orders, name, int(name.rpartition("-")[2]) % 2 == 1) for name in orders.names]
     by_name = {row.name: row for row in rows}
-    followers = Followers("inotify", 0.02, lambda name, files: by_name[name].answer_files(files))
+    followers = FileGroupFollower("inotify", 0.02, lambda name, files: by_name[name].answer_files(files))
     with trio.move_on_after(
         (orders.start - monotonic_ticks()) / TICKS_PER_SECOND + orders.phase_s * len(PHASES)
     ):
@@ -246,7 +250,7 @@
             for row in rows:
                 nursery.start_soon(row.run)
                 if not row.web:
-                    followers.follow(row.name, f"{orders.folder}/{DOWN}", row.name)
+                    followers.follow(row.name, f"{orders.folder}/{OUTBOUND_FOLDER}", row.name)
                 for kind in ASK if row.web else ():
                     nursery.start_soon(row.follow, kind)
             print("ready", flush=True)
@@ -424,7 +428,7 @@
 
 def _sends_to(place: Path, name: str, host: str) -> bool:
     try:
-        rows = tables.read_tables(read_group(str(place / DOWN / name))[1]["eds.json"])[1]
+        rows = tables.read_tables(read_group(str(place / OUTBOUND_FOLDER / name))[1]["eds.json"])[1]
     except (OSError, MessageFormatError, KeyError):
         return False
     return any(line[0] == host and not line[5] for table in rows for line in tables.lines(table))
@@ -437,7 +441,7 @@
         if name in hostile:
             continue
         try:
-            _, files = read_group(str(place / DOWN / name))
+            _, files = read_group(str(place / OUTBOUND_FOLDER / name))
             rows = tables.read_tables(files["eds.json"])[1]
             if not rows or any(not tables.lines(table) for table in rows):
                 found.append(f"{name} has a table without a host")
--- a/willowhook/trial/kills.py
+++ b/willowhook/trial/kills.py
@@ -117,7 +117,7 @@
     store = Store(str(folder / "s"))
     report.recover_ms.append((time.perf_counter() - at) * 1000)
     what = f"after kill {report.kills}"
-    report.wrong += [f"{what}: {row.line()}" for row in store.found.damage]
+    report.wrong += [f"{what}: {row.describe()}" for row in store.recovery.corruptions]
     for (space, key), number in acked.items():
         entry = store.get(space, key)
         count = int(entry.value.split()[1]) if entry is not None else 0
--- a/willowhook/trial/stage.py
+++ b/willowhook/trial/stage.py
@@ -27,7 +27,7 @@
 
 from ..clock import monotonic_ticks
 from ..config.terms import FrontTerms, GuardTerms, StoreTerms, Terms
-from ..files.layout import DRAIN
+from ..files.layout import DRAIN_FILE
 from ..store.store import Op, Store
 from ..ticks import TICKS_PER_SECOND, ticks_from_milliseconds
 from .day import ZONES, Day, HostPlan, Trouble, terms_of
@@ -540,7 +540,7 @@
     async def strike_director_drained(self, row: Trouble) -> None:
         """An operator hands a director's proxies to the others, and lets them come again later."""
         if self.directors:
-            place = f"{self.director_folder(self.chance.choice(sorted(self.directors)))}/{DRAIN}"
+            place = f"{self.director_folder(self.chance.choice(sorted(self.directors)))}/{DRAIN_FILE}"
             with open(place, "wb"):
                 self.notes.note("drain", d=place.split("/")[-2])
             await trio.sleep(row.for_s)
@@ -584,7 +584,9 @@
     """As if its director had been away for so much longer."""
     store = Store(folder)
     for space, rows in list(store.state.items()):
-        store.write([Op(space, key, e.at - seconds * TICKS_PER_SECOND, e.value) for key, e in rows.items()])
+        store.write(
+            [Op(space, key, e.timestamp - seconds * TICKS_PER_SECOND, e.value) for key, e in rows.items()]
+        )
     store.flush()
     store.close()
 
--- a/willowhook/trial/standin_proxy.py
+++ b/willowhook/trial/standin_proxy.py
@@ -25,8 +25,15 @@
 
 from ..clock import monotonic_ticks
 from ..config.terms import PathTerms, RouteTerms
-from ..files.follow import Followers
-from ..files.layout import DOWN, LOAD, PACE, STATUS, UP, last_beat
+from ..files.follow import FileGroupFollower
+from ..files.layout import (
+    INBOUND_FOLDER,
+    LOAD_FILE,
+    OUTBOUND_FOLDER,
+    REPORT_INTERVAL_FILE,
+    STATUS_FILE,
+    last_heartbeat,
+)
 from ..files.ops import DiskOps
 from ..files.swap import swap_file
 from ..membership.assignment import preference_order
@@ -316,7 +323,7 @@
             self.link.report(data)
         elif self.director is not None:
             try:
-                swap_file(DiskOps(), f"{self.director.folder}/{UP}/{self.plan.id}", file, data)
+                swap_file(DiskOps(), f"{self.director.folder}/{INBOUND_FOLDER}/{self.plan.id}", file, data)
             except OSError:
                 return  # its folder is gone: noticed by `keep`
 
@@ -368,7 +375,7 @@
         }
         node.metadata |= {**times, "process": self.life}
         if now > since:
-            self.put(LOAD, encode(forms.LoadStatsRequest(node, list(clusters.values()))))
+            self.put(LOAD_FILE, encode(forms.LoadStatsRequest(node, list(clusters.values()))))
 
     # Its director.
 
@@ -379,7 +386,7 @@
 
     def join(self, place: DirectorPlace) -> None:
         """The new term is on disk before anybody is told of it."""
-        up = f"{place.folder}/{UP}"
+        up = f"{place.folder}/{INBOUND_FOLDER}"
         temp, home = f"{up}/.{self.plan.id}", f"{up}/{self.plan.id}"
         standing = all(name == "standing" for name in self.assignments)
         before = self.claim.applied
@@ -396,7 +403,7 @@
         shutil.rmtree(temp, ignore_errors=True)
         shutil.rmtree(home, ignore_errors=True)
         os.mkdir(temp)
-        files = {STATUS: self.status()}
+        files = {STATUS_FILE: self.status()}
         if not standing:
             said = str(before) if before else "0.0.0"
             files |= {f"{kind}.json": self.request(kind, said, "", "") for kind in forms.TYPE_URLS}
@@ -423,7 +430,7 @@
             self.crew.unfollow(self.plan.id, place)
         self.notes.note("left", p=self.plan.id, d=place.name, why=why)
         if not self.crew.unreachable(self.plan.zone, place.zone):  # else nothing of it gets there
-            shutil.rmtree(f"{place.folder}/{UP}/{self.plan.id}", ignore_errors=True)
+            shutil.rmtree(f"{place.folder}/{INBOUND_FOLDER}/{self.plan.id}", ignore_errors=True)
 
     async def keep(self) -> None:
         """Joined to one director as long as it shows life, then to another; back when that pays."""
@@ -468,7 +475,7 @@
             return max(self.o.report_s, self.link.report_s)
         if self.director is not None:
             try:
-                with open(f"{self.director.folder}/{PACE}", "rb") as file:
+                with open(f"{self.director.folder}/{REPORT_INTERVAL_FILE}", "rb") as file:
                     said = decode(file.read(), forms.LoadStatsResponse).load_reporting_interval
                 return max(self.o.report_s, parse_duration(said))
             except (OSError, MessageFormatError):
@@ -654,7 +661,7 @@
         self.cut: list[str] = []
         self.lossy: dict[tuple[str, str], float] = {}  # proxy and host: share of tries that get nowhere
         self.applied = self.refused = self.void = 0
-        self.followers = Followers(orders.watch, orders.poll_s, self.seen)
+        self.followers = FileGroupFollower(orders.watch, orders.poll_s, self.seen)
         self.places = {place.name: place for place in orders.directors}
         most = orders.lost_after_s
         self.signs = {name: FailureDetector(orders.beat_s, most / 2, most) for name in self.places}
@@ -667,10 +674,10 @@
         self.proxies[proxy].take(self.places[director], files)
 
     def follow(self, proxy: str, place: DirectorPlace) -> None:
-        self.followers.follow(f"{proxy}|{place.name}", f"{place.folder}/{DOWN}", proxy)
+        self.followers.follow(f"{proxy}|{place.name}", f"{place.folder}/{OUTBOUND_FOLDER}", proxy)
 
     def unfollow(self, proxy: str, place: DirectorPlace) -> None:
-        self.followers.drop(f"{proxy}|{place.name}")
+        self.followers.unfollow(f"{proxy}|{place.name}")
 
     def alive(self, director: str) -> bool:
         return director in self.beats and not self.signs[director].is_suspected(
@@ -682,7 +689,7 @@
         while True:
             now = monotonic_ticks() / TICKS_PER_SECOND
             for name, place in self.places.items():
-                beat = last_beat(place.folder)
+                beat = last_heartbeat(place.folder)
                 if beat != self.beats.get(name) and time.time() - beat < self.o.lost_after_s:
                     self.beats[name] = beat
                     self.signs[name].record_heartbeat(now)
--- a/willowhook/trial/submits.py
+++ b/willowhook/trial/submits.py
@@ -21,8 +21,8 @@
 
 from ..clock import monotonic_ticks
 from ..store.commit import Committer
-from ..store.ledger import Ledger
-from ..store.outcomes import AGAIN, ANSWERED, DONE, FAILED, NEVER_RAN
+from ..store.ledger import RequestLedger
+from ..store.outcomes import ANSWERED, DONE, FAILED, NOT_EXECUTED, RETRY
 from ..store.store import OUTCOMES, Store
 from ..web.wire import Call, ConnectionLostError, Reply, open_connection, serve_connection
 from ..xds.tables import NOT_EXECUTED_HEADER
@@ -34,27 +34,27 @@
     """The main of the program that is killed."""
     store = Store(folder, ranks={"outcomes": OUTCOMES})
     committer = Committer(store)
-    ledger = Ledger(store, committer)
+    ledger = RequestLedger(store, committer)
     out = os.fdopen(1, "wb", buffering=0)
 
     async def see_through(call: str) -> None:
         """Tries as long as that is safe, then tells."""
         for _ in range(MOST_TRIES):
-            if ledger.of(call).repeat(monotonic_ticks()) != AGAIN:
+            if ledger.request(call).retry_decision(monotonic_ticks()) != RETRY:
                 break
-            number = await ledger.out(call, monotonic_ticks())
+            number = await ledger.start_attempt(call, monotonic_ticks())
             what = FAILED
             try:
                 caller = await open_connection("127.0.0.1", port, 1.0)
                 reply = await caller.request(b"POST", b"/submit", [(b"x-key", call.encode())], b"task")
                 proof = reply.header(NOT_EXECUTED_HEADER.encode()) is not None
-                what = ANSWERED if reply.status == 200 else NEVER_RAN if proof else FAILED
+                what = ANSWERED if reply.status == 200 else NOT_EXECUTED if proof else FAILED
                 await caller.close()
             except ConnectionLostError as fault:
-                what = FAILED if fault.sent else NEVER_RAN
-            await ledger.ended(call, number, what, monotonic_ticks())
-        out.write(f"told {call} {ledger.of(call).state()}\n".encode())
-        await ledger.told(call, monotonic_ticks())
+                what = FAILED if fault.sent else NOT_EXECUTED
+            await ledger.end_attempt(call, number, what, monotonic_ticks())
+        out.write(f"told {call} {ledger.request(call).state()}\n".encode())
+        await ledger.mark_reported(call, monotonic_ticks())
 
     async def work(k: int) -> None:
         n = 0
@@ -67,7 +67,7 @@
     async def run() -> None:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(committer.run)
-            for call in ledger.pending():
+            for call in ledger.unreported():
                 nursery.start_soon(see_through, call)
             for k in range(AT_ONCE):
                 nursery.start_soon(work, k)
--- a/willowhook/trial/swaps.py
+++ b/willowhook/trial/swaps.py
@@ -34,7 +34,7 @@
 )
 from ..decisions.runtime import AdmissionLimit, ControllerRuntime, RetryMode
 from ..decisions.settings import DeploymentSettings
-from ..files.swap import Shelf, read_group
+from ..files.swap import FileGroupWriter, read_group
 from ..records.writer import read_records
 from ..xds import tables
 from .day import draw, terms_of
@@ -114,7 +114,7 @@
         self.host.send_sync_marker(self.mark)
 
 
-class TimedShelf(Shelf):
+class TimedShelf(FileGroupWriter):
     """Also times each swap, and now and then a bare write, fsync and rename of the same bytes beside it."""
 
     took: dict[bool, list[float]] = {}  # noqa: RUF012 - of all shelves, by whether one file changed
@@ -122,7 +122,7 @@
     plain: list[float] = []  # noqa: RUF012
 
     def put(self, files: Any) -> bool:
-        one = bool(self.held) and sum(self.held.get(name) != data for name, data in files.items()) == 1
+        one = bool(self.files) and sum(self.files.get(name) != data for name, data in files.items()) == 1
         began = time.perf_counter()
         done = super().put(files)
         times = self.took.setdefault(one, [])
@@ -240,7 +240,7 @@
 
 def swaps_of(service: Service) -> int:
     sinks = [session.sink for session in service.publisher.sessions.values()]
-    return sum(sink.file_writer.swaps for sink in sinks if isinstance(sink, FileUpdateSink))
+    return sum(sink.file_writer.swap_count for sink in sinks if isinstance(sink, FileUpdateSink))
 
 
 def swaps(folder: Path, count: int, readers: int, durability: str, say: Callable[[str], None]) -> SwapReport:
@@ -273,7 +273,7 @@
                             sys.executable,
                             "-c",
                             READER,
-                            f"{service.folder.down}/{plan.id}",
+                            f"{service.folder.outbound_path}/{plan.id}",
                             str(folder / f"reader-{k}.json"),
                         ]
                     )  # fmt: skip
--- a/willowhook/trial/takeover.py
+++ b/willowhook/trial/takeover.py
@@ -21,7 +21,7 @@
 import trio
 
 from ..clock import monotonic_ticks
-from ..files.layout import DOWN
+from ..files.layout import OUTBOUND_FOLDER
 from ..files.ops import DiskOps, remove
 from ..files.swap import CURRENT, read_group
 from ..ticks import TICKS_PER_SECOND
@@ -99,7 +99,7 @@
         """Files of earlier stays land now, in every folder, with more tries ordered than ever was."""
         landed = 0
         for rank in range(self.day.directors):
-            down = Path(self.director_folder(rank)) / DOWN
+            down = Path(self.director_folder(rank)) / OUTBOUND_FOLDER
             kept = self.kept[f"director-{rank}"]
             for place in sorted(down.iterdir()) if down.is_dir() else ():
                 try:
