--- a/willowhook/cli/imports.py
+++ b/willowhook/cli/imports.py
@@ -13,8 +13,8 @@
 from .commands import main
 
 if TYPE_CHECKING:
-    from ..nginx.plan import Plan
-    from ..nginx.verdicts import Verdict
+    from ..nginx.plan import ImportPlan
+    from ..nginx.verdicts import Diagnostic
 
 
 @main.group("import")
@@ -73,42 +73,44 @@
     from ..config.check import ConfigError
     from ..nginx.diff import diff
     from ..nginx.explain import explain
-    from ..nginx.plan import REFUSED, Asked, PlanFault
-    from ..nginx.setup import Setup
-    from ..nginx.syntax import Directive, Loader, SyntaxFault
-    from ..nginx.verdicts import verdicts
+    from ..nginx.plan import REFUSED, ImportOptions, ImportPlanError
+    from ..nginx.setup import NginxConfig
+    from ..nginx.syntax import ConfigSyntaxError, Directive, Loader
+    from ..nginx.verdicts import diagnose
 
     for declared_path in (*mutating, *repeatable):
         if not declared_path.startswith("/"):
             raise click.BadParameter(f"{declared_path!r} is not a path: a path begins with /")
     gc.disable()  # millions of small objects, all of which are needed until the end of a short run
-    options = Asked(host, mutating, repeatable, _parse_keyed_paths(keyed), slo_ms, zone)
+    options = ImportOptions(host, mutating, repeatable, _parse_keyed_paths(keyed), slo_ms, zone)
     try:
         loader, directives = Loader(), list[Directive]()
         for path in paths:
             directives += loader.load(path)
         if uri:
-            for line in explain(Setup(directives), uri, host, method).lines():
+            for line in explain(NginxConfig(directives), uri, host, method).lines():
                 click.echo(line)
             return
         if older:
-            changes = diff(Setup(Loader().load(older)), Setup(directives), options)
+            changes = diff(NginxConfig(Loader().load(older)), NginxConfig(directives), options)
             for change in changes:
                 click.echo(change)
             click.echo(f"{len(changes)} changes for requests")
             sys.exit(1 if changes else 0)
-        diagnostics, plan = verdicts(directives, options)
+        diagnostics, plan = diagnose(directives, options)
         if out:
-            if plan.ambiguous():
-                raise PlanFault(plan.ambiguous())
+            if plan.server_ambiguity():
+                raise ImportPlanError(plan.server_ambiguity())
             if not plan.routes:
-                causes = [diagnostic.line() for diagnostic in diagnostics if diagnostic.what == REFUSED]
+                causes = [
+                    diagnostic.report_line() for diagnostic in diagnostics if diagnostic.outcome == REFUSED
+                ]
                 text = (
                     "no route is left: no location passes requests to endpoints in a way that can be imported"
                 )
-                raise PlanFault("\n".join([*causes, text]))
+                raise ImportPlanError("\n".join([*causes, text]))
             _write_output(Path(out), plan, diagnostics, proxies, roster)
-    except (SyntaxFault, PlanFault) as error:
+    except (ConfigSyntaxError, ImportPlanError) as error:
         click.echo(str(error), err=True)
         sys.exit(2)
     except ConfigError as error:
@@ -119,31 +121,33 @@
         click.echo(f"{error.filename}: {error.strerror}", err=True)
         sys.exit(2)
     for diagnostic in diagnostics:
-        click.echo(json.dumps(diagnostic.told()) if as_json else diagnostic.line())
+        click.echo(json.dumps(diagnostic.as_dict()) if as_json else diagnostic.report_line())
     if not as_json:
         for remark in plan.remarks:
             click.echo(f"note: {remark}")
-    sys.exit(1 if any(diagnostic.what == REFUSED for diagnostic in diagnostics) else 0)
+    sys.exit(1 if any(diagnostic.outcome == REFUSED for diagnostic in diagnostics) else 0)
 
 
-def _write_output(out: Path, plan: Plan, diagnostics: list[Verdict], proxies: int, roster: str) -> None:
+def _write_output(
+    out: Path, plan: ImportPlan, diagnostics: list[Diagnostic], proxies: int, roster: str
+) -> None:
     """Writes the result of an import; all files are generated before the first one is written."""
     import msgspec
 
     from ..files.ops import DiskOps
     from ..files.swap import FileGroupWriter, swap_file
-    from ..nginx.result import host_list, table_files, terms_of
+    from ..nginx.result import controller_config, endpoint_list, table_files
 
-    terms = terms_of(plan, proxies, str((out / "director").absolute()), roster)
-    report = "".join(f"{diagnostic.line()}\n" for diagnostic in diagnostics) + "".join(
+    terms = controller_config(plan, proxies, str((out / "director").absolute()), roster)
+    report = "".join(f"{diagnostic.report_line()}\n" for diagnostic in diagnostics) + "".join(
         f"note: {remark}\n" for remark in plan.remarks
     )
     files = {
         "director.json": msgspec.json.format(msgspec.json.encode(terms), indent=1),
-        "hosts.json": host_list(plan),
+        "hosts.json": endpoint_list(plan),
         "report.txt": report.encode(),
         "report.json": msgspec.json.format(
-            msgspec.json.encode([diagnostic.told() for diagnostic in diagnostics]), indent=1
+            msgspec.json.encode([diagnostic.as_dict() for diagnostic in diagnostics]), indent=1
         ),
     }
     group = table_files(plan, terms)
