--- a/willowhook/cli/trial.py
+++ b/willowhook/cli/trial.py
@@ -95,12 +95,12 @@
     import tempfile
 
     from ..trial import badday as scenarios
-    from ..trial.stage import TROUBLES
+    from ..trial.stage import FAULT_KINDS
 
     kinds = tuple(scenarios.BENCH.get(kind, kind) for kind in kinds)
-    unknown = [kind for kind in kinds if kind not in TROUBLES and kind != "none"]
+    unknown = [kind for kind in kinds if kind not in FAULT_KINDS and kind != "none"]
     if unknown:
-        known = ", ".join(["none", *TROUBLES, *scenarios.BENCH])
+        known = ", ".join(["none", *FAULT_KINDS, *scenarios.BENCH])
         raise click.BadParameter(f"{', '.join(unknown)}: unknown kinds of faults; known are {known}")
     fault_kinds = [kind for kind in kinds if kind != "none"]
     size = {"hosts": hosts, "proxies": proxies, "directors": directors, "calls_per_s": calls}
