--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -35,7 +35,7 @@
 from willowhook.front.turns import Turns
 from willowhook.records.writer import read_records
 from willowhook.ticks import TICKS_PER_SECOND
-from willowhook.trial.swaps import Churn
+from willowhook.trial.swaps import ChurnDecider
 from willowhook.web.wire import Call, ClientConnection, Reply, open_connection, serve_connection
 from willowhook.xds import forms, tables
 from willowhook.xds.codec import decode, encode
@@ -486,30 +486,30 @@
     directed(tmp_path, play)
 
 
-class Restless(Churn):
+class Restless(ChurnDecider):
     """Orders by chance, for a while, then gives all endpoints one weight and keeps still."""
 
     left = 60
 
     def evaluate(self, now: int) -> None:
-        if self.hosts and len(self.joined) == 3 and self.left > 0:
+        if self.endpoints and len(self.joined_proxies) == 3 and self.left > 0:
             self.left -= 1
             chance = random.Random(self.left)
-            for name in self.hosts:
-                self.host.set_weight(chance.randrange(3), name, chance.choice([0.0, 0.5, 1.0, 2.5]))
-            name, is_out = chance.choice(self.hosts), chance.random() < 0.5
-            (self.host.exclude_endpoint if is_out else self.host.readmit_endpoint)(name)
+            for name in self.endpoints:
+                self.runtime.set_weight(chance.randrange(3), name, chance.choice([0.0, 0.5, 1.0, 2.5]))
+            name, is_out = chance.choice(self.endpoints), chance.random() < 0.5
+            (self.runtime.exclude_endpoint if is_out else self.runtime.readmit_endpoint)(name)
             table, route = chance.randrange(3), chance.randrange(2)
-            self.host.set_admission(table, route, AdmissionLimit(chance.randrange(3), 5.0 * self.left))
-            for proxy in self.joined:
-                self.host.bind(proxy, self.left % 3, [self.left % 2])
+            self.runtime.set_admission(table, route, AdmissionLimit(chance.randrange(3), 5.0 * self.left))
+            for proxy in self.joined_proxies:
+                self.runtime.bind(proxy, self.left % 3, [self.left % 2])
         if self.left == 0:
             self.left = -1
-            for name in self.hosts:
-                self.host.set_weight(1, name, 1.0)
-            for proxy in self.joined:
-                self.host.bind(proxy, 1, self.routes)
-        self.host.schedule_evaluation(200)
+            for name in self.endpoints:
+                self.runtime.set_weight(1, name, 1.0)
+            for proxy in self.joined_proxies:
+                self.runtime.bind(proxy, 1, self.routes)
+        self.runtime.schedule_evaluation(200)
 
     def order(self) -> None:
         """The list alone changes nothing."""
--- a/willowhook/cli/trial.py
+++ b/willowhook/cli/trial.py
@@ -50,9 +50,11 @@
 
     from ..trial import badday as scenarios
 
-    make_scenario = scenarios.short_day if short else partial(scenarios.usual_day, length_s=length)
+    make_scenario = (
+        scenarios.short_scenario if short else partial(scenarios.default_scenario, length_s=length)
+    )
     baseline_names = scenarios.BASELINES if baselines else ()
-    rounds = scenarios.many(
+    rounds = scenarios.run_seeds(
         range(seed, seed + seeds),
         make_scenario,
         folder,
@@ -65,9 +67,9 @@
         store=store,
     )
     if seeds > 1:
-        for line in scenarios.summary(rounds):
+        for line in scenarios.summary_lines(rounds):
             click.echo(line)
-    sys.exit(0 if all(round_result.director.kept for round_result in rounds) else 1)
+    sys.exit(0 if all(round_result.controlled.kept for round_result in rounds) else 1)
 
 
 @trial.command()
@@ -97,19 +99,21 @@
     from ..trial import badday as scenarios
     from ..trial.stage import FAULT_KINDS
 
-    kinds = tuple(scenarios.BENCH.get(kind, kind) for kind in kinds)
+    kinds = tuple(scenarios.BENCHMARK_FAULT_NAMES.get(kind, kind) for kind in kinds)
     unknown = [kind for kind in kinds if kind not in FAULT_KINDS and kind != "none"]
     if unknown:
-        known = ", ".join(["none", *FAULT_KINDS, *scenarios.BENCH])
+        known = ", ".join(["none", *FAULT_KINDS, *scenarios.BENCHMARK_FAULT_NAMES])
         raise click.BadParameter(f"{', '.join(unknown)}: unknown kinds of faults; known are {known}")
     fault_kinds = [kind for kind in kinds if kind != "none"]
     size = {"hosts": hosts, "proxies": proxies, "directors": directors, "calls_per_s": calls}
-    scenario = scenarios.replay_day(fault_kinds, seed, length, **size)
+    scenario = scenarios.replay_scenario(fault_kinds, seed, length, **size)
     root = Path(folder or tempfile.mkdtemp(prefix="willowhook-"))
-    result = scenarios.one(scenario, root, (), click.echo, guard=guard, front=front, store=store)
-    for line in scenarios.report(result):
+    result = scenarios.run_with_baselines(
+        scenario, root, (), click.echo, guard=guard, front=front, store=store
+    )
+    for line in scenarios.report_lines(result):
         click.echo(line)
-    sys.exit(0 if result.director.kept else 1)
+    sys.exit(0 if result.controlled.kept else 1)
 
 
 @trial.command()
@@ -123,14 +127,14 @@
     """Swap files continuously under load: no torn read, no request without an endpoint; cost of a swap."""
     import tempfile
 
-    from ..trial.swaps import swaps as run
+    from ..trial.swaps import run_swaps as run
 
     result = run(
         Path(folder or tempfile.mkdtemp(prefix="willowhook-")), count, readers, durability, click.echo
     )
     for line in result.lines():
         click.echo(line)
-    sys.exit(0 if result.good else 1)
+    sys.exit(0 if result.passed else 1)
 
 
 @trial.command()
@@ -163,14 +167,14 @@
     """Kill, suspend and restart controllers repeatedly; no request may take effect twice."""
     import tempfile
 
-    from ..trial.takeover import takeover as run
+    from ..trial.takeover import run_takeover as run
 
     root = Path(folder or tempfile.mkdtemp(prefix="willowhook-"))
     size: dict[str, Any] = {"directors": directors, "proxies": proxies, "front": front, "store": store}
     result = run(seed, kills, every, root, click.echo, fence, not undisturbed, **size)
     for line in result.lines():
         click.echo(line)
-    sys.exit(0 if result.good else 1)
+    sys.exit(0 if result.passed else 1)
 
 
 @trial.command()
@@ -207,12 +211,12 @@
     """Stop the controller of all proxies for good: all must move at once to the controller that is left."""
     import tempfile
 
-    from ..trial.takeover import orphans as run
+    from ..trial.takeover import run_orphans as run
 
     result = run(Path(folder or tempfile.mkdtemp(prefix="willowhook-")), proxies, hosts, calls)
     for line in result.lines():
         click.echo(line)
-    sys.exit(0 if result.good else 1)
+    sys.exit(0 if result.passed else 1)
 
 
 @trial.command("guard")
@@ -220,12 +224,12 @@
 @click.option("--seed", type=int, default=1, show_default=True)
 def guard_trial(tables: int, seed: int) -> None:
     """Validate bad and good tables, and compare the verdicts with an oracle that simulates each table."""
-    from ..trial.guard_cases import confusion
+    from ..trial.guard_cases import measure_confusion
 
-    result = confusion(tables, seed)
+    result = measure_confusion(tables, seed)
     for line in result.lines():
         click.echo(line)
-    sys.exit(0 if result.good else 1)
+    sys.exit(0 if result.passed else 1)
 
 
 @trial.command()
@@ -239,13 +243,13 @@
     """Check that controllers know what their proxies run, through refusals, restarts and crashes."""
     import tempfile
 
-    from ..trial.versions import versions as run
+    from ..trial.versions import run_versions as run
 
     root = Path(folder or tempfile.mkdtemp(prefix="willowhook-"))
     result = run(root, seed, proxies, length, refuse, click.echo)
     for line in result.lines():
         click.echo(line)
-    sys.exit(0 if result.good else 1)
+    sys.exit(0 if result.passed else 1)
 
 
 @trial.command("bad-version")
@@ -263,12 +267,12 @@
     """Publish a table that some proxies refuse: its rollout must stop, and be rolled back."""
     import tempfile
 
-    from ..trial.versions import bad_version as run
+    from ..trial.versions import run_bad_version as run
 
     result = run(Path(folder or tempfile.mkdtemp(prefix="willowhook-")), proxies, share, front)
     for line in result.lines():
         click.echo(line)
-    sys.exit(0 if result.good else 1)
+    sys.exit(0 if result.passed else 1)
 
 
 @trial.command()
@@ -287,13 +291,13 @@
     """Thundering herd: many requests wait for one change; measure when the last has it, and the cost."""
     import tempfile
 
-    from ..trial.herd import herd as run
+    from ..trial.herd import run_herd as run
 
     root = Path(folder or tempfile.mkdtemp(prefix="willowhook-"))
     result = run(root, callers, slow, hosts, encoding, click.echo)
     for line in result.lines():
         click.echo(line)
-    sys.exit(0 if result.good else 1)
+    sys.exit(0 if result.passed else 1)
 
 
 @trial.command("fuzz-front")
@@ -304,13 +308,13 @@
     """Send malformed requests to a real controller's front: no crash, no hang, no memory growth."""
     import tempfile
 
-    from ..trial.fuzz import fuzz as run
+    from ..trial.fuzz import run_fuzz as run
 
     root = Path(folder or tempfile.mkdtemp(prefix="willowhook-"))
     result = run(root, inputs, seed, click.echo)
     for line in result.lines():
         click.echo(line)
-    sys.exit(0 if result.good else 1)
+    sys.exit(0 if result.passed else 1)
 
 
 @trial.command("cuts")
@@ -324,12 +328,12 @@
 )  # fmt: skip
 def cuts_trial(seed: int, steps: int, power_steps: int) -> None:
     """Truncate and corrupt every file of a store at every byte, and simulate power failures (in memory)."""
-    from ..trial.cuts import cuts as run
+    from ..trial.cuts import run_cuts as run
 
     result = run(seed, steps, power_steps, click.echo)
     for line in result.lines():
         click.echo(line)
-    sys.exit(0 if result.good else 1)
+    sys.exit(0 if result.passed else 1)
 
 
 @trial.command("store-kills")
@@ -340,12 +344,12 @@
     """Kill a program that commits and compacts, repeatedly: no acknowledged write may be lost."""
     import tempfile
 
-    from ..trial.kills import kills as run
+    from ..trial.kills import run_kills as run
 
     result = run(Path(folder or tempfile.mkdtemp(prefix="willowhook-")), kills, seed, click.echo)
     for line in result.lines():
         click.echo(line)
-    sys.exit(0 if result.good else 1)
+    sys.exit(0 if result.passed else 1)
 
 
 @trial.command("restart")
@@ -357,7 +361,7 @@
     """Restart a controller while endpoints fail: with its store, without it, or with one an hour old."""
     import tempfile
 
-    from ..trial.restart import restarts as run
+    from ..trial.restart import run_restarts as run
 
     root = Path(folder or tempfile.mkdtemp(prefix="willowhook-"))
     results = run(root, range(seed, seed + seeds), restarts, click.echo)
@@ -372,12 +376,12 @@
     """Kill a program that submits requests, repeatedly: no effect twice, no wrong outcome reported."""
     import tempfile
 
-    from ..trial.submits import submits as run
+    from ..trial.submits import run_submits as run
 
     result = run(Path(folder or tempfile.mkdtemp(prefix="willowhook-")), kills, seed, click.echo)
     for line in result.lines():
         click.echo(line)
-    sys.exit(0 if result.good else 1)
+    sys.exit(0 if result.passed else 1)
 
 
 @trial.command("nginx-same")
@@ -394,12 +398,12 @@
 @click.option("--at-once", type=click.IntRange(1, 32), default=4, show_default=True)
 def nginx_same(calls: int, only: int, at_once: int) -> None:
     """Compare nginx blocks with their import, side by side: endpoints, backups, responses and effects."""
-    from ..trial.nginx_same import same
+    from ..trial.nginx_same import compare_samples
 
-    result = same(calls, click.echo, only, at_once)
+    result = compare_samples(calls, click.echo, only, at_once)
     for line in result.lines():
         click.echo(line)
-    sys.exit(0 if result.good else 1)
+    sys.exit(0 if result.passed else 1)
 
 
 @trial.command("nginx-check")
@@ -409,28 +413,26 @@
 def nginx_check(uris: int, inputs: int, seed: int) -> None:
     """Check the nginx import in memory: location matching, flat route lists and mutated samples."""
     from ..trial import nginx_check as checks
-    from ..trial.corpus import samples, wrong
+    from ..trial.corpus import load_samples, verdict_errors
 
-    corpus = samples()
-    wrong_verdicts = [line for sample in corpus for line in wrong(sample)]
+    corpus = load_samples()
+    wrong_verdicts = [line for sample in corpus for line in verdict_errors(sample)]
     click.echo(
         f"{len(corpus)} samples, {sum(len(sample.wanted) for sample in corpus)} verdicts:"
         f" {len(wrong_verdicts)} wrong"
     )
-    uri_count, mismatches = checks.match(uris, seed)
+    uri_count, mismatches = checks.check_matcher(uris, seed)
     click.echo(f"{uri_count} URIs, matcher compared with the rules: {len(mismatches)} differ")
-    lists = checks.lists(uris, seed)
-    summary = (
-        f"{lists.differ} differ, {len(lists.untold)} of them unreported, in {lists.configs} configurations"
-    )
-    click.echo(f"{lists.asked} URIs, lists compared with the search: {summary}")
-    fuzz = checks.fuzz(inputs, seed)
-    click.echo(f"{fuzz.inputs} mutated inputs: {fuzz.read} read with {fuzz.directives} directives,"
+    lists = checks.check_lists(uris, seed)
+    summary = f"{lists.differ} differ, {len(lists.unreported)} of them unreported, in {lists.configs} configurations"
+    click.echo(f"{lists.uris} URIs, lists compared with the search: {summary}")
+    fuzz = checks.check_mutated_samples(inputs, seed)
+    click.echo(f"{fuzz.inputs} mutated inputs: {fuzz.parsed} read with {fuzz.directives} directives,"
                f" {len(fuzz.unaccounted)} unaccounted, {len(fuzz.crashes)} crashes,"
                f" slowest {fuzz.slowest_s * 1000:.0f} ms")  # fmt: skip
-    for line in [*wrong_verdicts, *mismatches, *lists.untold, *fuzz.unaccounted, *fuzz.crashes][:20]:
+    for line in [*wrong_verdicts, *mismatches, *lists.unreported, *fuzz.unaccounted, *fuzz.crashes][:20]:
         click.echo(line)
-    sys.exit(1 if wrong_verdicts or mismatches or lists.untold or fuzz.unaccounted or fuzz.crashes else 0)
+    sys.exit(1 if wrong_verdicts or mismatches or lists.unreported or fuzz.unaccounted or fuzz.crashes else 0)
 
 
 @trial.command("nginx-director")
@@ -439,12 +441,12 @@
     """Run a controller on an imported configuration: endpoints, weights, closed paths, use of backups."""
     import tempfile
 
-    from ..trial.nginx_director import director_day
+    from ..trial.nginx_director import run_imported_scenario
 
-    result = director_day(Path(folder or tempfile.mkdtemp(prefix="willowhook-")))
+    result = run_imported_scenario(Path(folder or tempfile.mkdtemp(prefix="willowhook-")))
     for line in result.lines():
         click.echo(line)
-    sys.exit(0 if result.good else 1)
+    sys.exit(0 if result.passed else 1)
 
 
 @trial.command("flood")
@@ -462,10 +464,10 @@
     """Flood a controller with load reports, some of them hostile, and measure the delay of decisions."""
     import tempfile
 
-    from ..trial.flood import flood
+    from ..trial.flood import run_flood
 
     root = Path(folder or tempfile.mkdtemp(prefix="willowhook-"))
-    result = flood(root / "flood", proxies, hosts, phase_s, per_s, click.echo, seed=seed)
+    result = run_flood(root / "flood", proxies, hosts, phase_s, per_s, click.echo, seed=seed)
     for line in result.lines():
         click.echo(line)
-    sys.exit(0 if result.good else 1)
+    sys.exit(0 if result.passed else 1)
