--- a/willowhook/cli/trial.py
+++ b/willowhook/cli/trial.py
@@ -424,7 +424,9 @@
     uri_count, mismatches = checks.check_matcher(uris, seed)
     click.echo(f"{uri_count} URIs, matcher compared with the rules: {len(mismatches)} differ")
     lists = checks.check_lists(uris, seed)
-    summary = f"{lists.differ} differ, {len(lists.unreported)} of them unreported, in {lists.configs} configurations"
+    summary = (
+        f"{lists.differ} differ, {len(lists.unreported)} of them unreported, in {lists.configs} configurations"
+    )
     click.echo(f"{lists.uris} URIs, lists compared with the search: {summary}")
     fuzz = checks.check_mutated_samples(inputs, seed)
     click.echo(f"{fuzz.inputs} mutated inputs: {fuzz.parsed} read with {fuzz.directives} directives,"
--- a/willowhook/trial/badday.py
+++ b/willowhook/trial/badday.py
@@ -75,8 +75,8 @@
 
 
 def run_seeds(
-    seeds: Sequence[int], make: Callable[[int], Scenario], folder: str, baselines: Sequence[str], at_once: int,
-    say: Callable[[str], None], **more: Any,
+    seeds: Sequence[int], make: Callable[[int], Scenario], folder: str, baselines: Sequence[str],
+    at_once: int, say: Callable[[str], None], **more: Any,
 ) -> list[SeedResult]:  # fmt: skip
     """Days of several seeds, some at once; each in a process of its own."""
     root = Path(folder or tempfile.mkdtemp(prefix="willowhook-"))
