--- a/willowhook/trial/badday.py
+++ b/willowhook/trial/badday.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
-from .day import Day, Trouble, draw
-from .stage import Outcome, play
+from .day import Fault, Scenario, draw_scenario
+from .stage import RunResult, run_fleet
 
 BASELINES = ("standing", "static")
 
@@ -21,21 +21,23 @@
 @dataclass
 class Round:
     seed: int
-    director: Outcome
-    baselines: dict[str, Outcome]
+    director: RunResult
+    baselines: dict[str, RunResult]
     folder: Path
 
 
-def one(day: Day, folder: Path, baselines: Sequence[str], say: Callable[[str], None], **more: Any) -> Round:
+def one(
+    day: Scenario, folder: Path, baselines: Sequence[str], say: Callable[[str], None], **more: Any
+) -> Round:
     """The day with directors, then the same arrivals and troubles with each baseline."""
-    first = play(day, folder / "director", say=say, **more)
-    others = {how: play(fresh(day), folder / how, how) for how in baselines}
+    first = run_fleet(day, folder / "director", say=say, **more)
+    others = {how: run_fleet(fresh(day), folder / how, how) for how in baselines}
     return Round(day.seed, first, others, folder)
 
 
-def fresh(day: Day) -> Day:
+def fresh(day: Scenario) -> Scenario:
     """The same day, before anything was started in it."""
-    copy = msgspec.json.decode(msgspec.json.encode(day), type=Day)
+    copy = msgspec.json.decode(msgspec.json.encode(day), type=Scenario)
     for host in copy.hosts:
         host.port = 0
     for proxy in copy.proxies:
@@ -46,15 +48,17 @@
 def report(done: Round) -> list[str]:
     """What a person reads of one round."""
     got = done.director
-    lines = [verdict.line() for verdict in got.verdicts]
+    lines = [verdict.summary() for verdict in got.verdicts]
     routes = ", ".join(f"{name} {value:.3f}" for name, value in got.by_route.items())
-    lines.append(f"service {got.service:.3f} ({routes}; worst ten seconds {got.worst:.3f})")
+    lines.append(f"service {got.service_level:.3f} ({routes}; worst ten seconds {got.worst_interval:.3f})")
     lines.append(
         f"{got.calls} calls: {got.answered} answered, {got.throttled} throttled, {got.dropped} dropped"
     )
     for name, other in done.baselines.items():
-        lines.append(f"beside {name}: {other.service:.3f} (worst ten seconds {other.worst:.3f})")
-    for name, use in sorted(got.directors.items()):
+        lines.append(
+            f"beside {name}: {other.service_level:.3f} (worst ten seconds {other.worst_interval:.3f})"
+        )
+    for name, use in sorted(got.controllers.items()):
         lines.append(
             f"{name}: {use['cpu_s']:.1f} s of CPU, {use['rss_mb']:.0f} MB, {use['messages']:.0f} messages;"
         )
@@ -71,8 +75,8 @@
 
 
 def many(
-    seeds: Sequence[int], make: Callable[[int], Day], folder: str, baselines: Sequence[str], at_once: int,
-    say: Callable[[str], None], **more: Any,
+    seeds: Sequence[int], make: Callable[[int], Scenario], folder: str, baselines: Sequence[str],
+    at_once: int, say: Callable[[str], None], **more: Any,
 ) -> list[Round]:  # fmt: skip
     """Days of several seeds, some at once; each in a process of its own."""
     root = Path(folder or tempfile.mkdtemp(prefix="willowhook-"))
@@ -95,36 +99,36 @@
     """Over all seeds: rules, service and its spread beside the baselines."""
     kept = sum(row.director.kept for row in rounds)
     lines = [f"rules kept on {kept} of {len(rounds)} days"]
-    lines.append(f"service with directors: {spread([row.director.service for row in rounds])}")
+    lines.append(f"service with directors: {spread([row.director.service_level for row in rounds])}")
     for how in rounds[0].baselines if rounds else ():
-        values = [row.baselines[how].service for row in rounds]
-        ahead = [row.director.service - row.baselines[how].service for row in rounds]
+        values = [row.baselines[how].service_level for row in rounds]
+        ahead = [row.director.service_level - row.baselines[how].service_level for row in rounds]
         lines.append(f"service, {how}: {spread(values)}; directors ahead by {spread(ahead)}")
     return lines
 
 
-def usual_day(seed: int, length_s: float = 40.0) -> Day:
-    return draw(seed, length_s)
+def usual_day(seed: int, length_s: float = 40.0) -> Scenario:
+    return draw_scenario(seed, length_s)
 
 
-def short_day(seed: int) -> Day:
+def short_day(seed: int) -> Scenario:
     """For CI: few hosts, a quarter of the time, five troubles."""
     troubles = [
-        Trouble("host_crash", 2.0, 4.0, 0.2),
-        Trouble("director_killed", 3.0, 1.5),
-        Trouble("streams_lost", 5.0, 0.3, 0.6),
-        Trouble("deploy", 5.5, 2.0, 0.2),
-        Trouble("disk_full", 7.0, 0.8),
-        Trouble("fast_errors", 7.5, 3.0, 0.2, 0.9),
+        Fault("host_crash", 2.0, 4.0, 0.2),
+        Fault("director_killed", 3.0, 1.5),
+        Fault("streams_lost", 5.0, 0.3, 0.6),
+        Fault("deploy", 5.5, 2.0, 0.2),
+        Fault("disk_full", 7.0, 0.8),
+        Fault("fast_errors", 7.5, 3.0, 0.2, 0.9),
     ]
-    return draw(seed, 12.0, hosts=6, proxies=4, calls_per_s=40.0, troubles=troubles, spare=0)
+    return draw_scenario(seed, 12.0, hosts=6, proxies=4, calls_per_s=40.0, troubles=troubles, spare=0)
 
 
-def replay_day(kinds: Sequence[str], seed: int, length_s: float, **size: Any) -> Day:
+def replay_day(kinds: Sequence[str], seed: int, length_s: float, **size: Any) -> Scenario:
     """A day on which these kinds of trouble strike, one after the other, over the middle of it."""
     room = length_s - 12.0
     troubles = [
-        Trouble(
+        Fault(
             kind,
             round(4.0 + room * k / max(len(kinds), 1), 2),
             min(6.0, max(2.0, room / 3)),
@@ -133,7 +137,7 @@
         )  # fmt: skip
         for k, kind in enumerate(kinds)
     ]
-    return draw(seed, length_s, troubles=troubles, **size)
+    return draw_scenario(seed, length_s, troubles=troubles, **size)
 
 
 # what the bench calls them
--- a/willowhook/trial/flood.py
+++ b/willowhook/trial/flood.py
@@ -37,11 +37,11 @@
 from ..web.wire import ClientConnection, ConnectionLostError, open_connection
 from ..xds import forms, tables
 from ..xds.codec import MessageFormatError, decode, encode, parse_duration
-from .day import HostPlan, draw, terms_of
-from .notes import Notes, read_notes
+from .day import EndpointPlan, controller_config, draw_scenario
+from .notes import EventLog, read_events
 from .ports import PortReservations
-from .standin_link import LOADS, token
-from .standin_roster import StandInRoster
+from .standin_link import LOAD_REPORT_PATH, bearer_token
+from .standin_roster import StandInRegistry
 
 PHASES = ("steady", "at once", "ten times", "steady again")
 PERIOD_S = 2.0  # between reports
@@ -198,12 +198,12 @@
         )
 
     async def _post(self, caller: ClientConnection | None) -> ClientConnection | None:
-        head = [(b"authorization", b"Bearer " + token(self.name))]
+        head = [(b"authorization", b"Bearer " + bearer_token(self.name))]
         try:
             if caller is None or not caller.usable:
                 caller = await open_connection("127.0.0.1", self.o.port, 5.0)
             with trio.fail_after(5.0):
-                reply = await caller.request(b"POST", LOADS, head, self.report())
+                reply = await caller.request(b"POST", LOAD_REPORT_PATH, head, self.report())
             self.sent += 1
             if reply.status == 200:
                 said = decode(reply.body, forms.LoadStatsResponse)
@@ -216,7 +216,7 @@
 
     async def follow(self, kind: str) -> None:
         """What it is to hold of one type, by calls that wait."""
-        head = [(b"authorization", b"Bearer " + token(self.name))]
+        head = [(b"authorization", b"Bearer " + bearer_token(self.name))]
         caller: ClientConnection | None = None
         nonce = ""
         await trio.sleep(self.wait_s)
@@ -323,16 +323,18 @@
     parts: int, seed: int, port: int,
 ) -> Flood:  # fmt: skip
     replace = msgspec.structs.replace
-    day = draw(seed, hosts=1, proxies=proxies, directors=1, troubles=[], spare=0)
+    day = draw_scenario(seed, hosts=1, proxies=proxies, directors=1, troubles=[], spare=0)
     chance = random.Random(seed)
-    plans = [HostPlan(f"host-{k}", "norte", "usual", 4, 1.0, 80, 400, 8.0, 30_000 + k) for k in range(hosts)]
-    roster = StandInRoster(Notes(str(folder / "roster.notes")), 0.0)
+    plans = [
+        EndpointPlan(f"host-{k}", "norte", "usual", 4, 1.0, 80, 400, 8.0, 30_000 + k) for k in range(hosts)
+    ]
+    roster = StandInRegistry(EventLog(str(folder / "roster.notes")), 0.0)
     for plan in plans:
-        roster.show(plan)
+        roster.register(plan)
     place = folder / "director-0"
     credentials = folder / "credentials.json"
     names = [f"proxy-{k}" for k in range(proxies)]
-    sums = {name: hashlib.sha256(token(name)).hexdigest() for name in names}
+    sums = {name: hashlib.sha256(bearer_token(name)).hexdigest() for name in names}
     credentials.write_bytes(msgspec.json.encode({"proxies": sums}))
     done = Flood(proxies, {name: Phase() for name in PHASES}, phase_s)
     async with trio.open_nursery() as nursery:
@@ -343,7 +345,7 @@
         )
         lines = max(4000.0, 20.0 * proxies)
         day.channel = replace(day.channel, lines_per_s=lines, most_waiting_lines=4 * lines, messages_most=0)
-        terms = terms_of(day, 0, str(place), url, records)
+        terms = controller_config(day, 0, str(place), url, records)
         front = FrontTerms(
             listen=f"127.0.0.1:{port}", credentials=str(credentials), wait_ms=10_000,
             connections_most=max(4000, 4 * proxies + 400),
@@ -392,7 +394,7 @@
             for process in [*reporters, director]:
                 process.wait()
             nursery.cancel_scope.cancel()
-    roster.notes.flush()
+    roster.event_log.flush()
     _read(done, records, start, phase_s, changes, str(folder / "roster.notes"))
     return done
 
@@ -405,7 +407,7 @@
 
 
 async def _probe(
-    roster: StandInRoster, plans: list[HostPlan], place: Path, names: list[str], end: int, k: int,
+    roster: StandInRegistry, plans: list[EndpointPlan], place: Path, names: list[str], end: int, k: int,
     changes: dict[int, int], done: Flood,
 ) -> None:  # fmt: skip
     """The list changes ten times a second, and once in a phase a host drains, which must be kept in time."""
@@ -414,11 +416,11 @@
     while monotonic_ticks() < end:
         entry = roster.entries[plans[0].id]
         entry["Service"]["Meta"]["mark"] = str(len(changes))  # it means nothing to anybody
-        roster._set(plans[0].id, entry)
+        roster.set_entry(plans[0].id, entry)
         changes[roster.index] = monotonic_ticks()
         if monotonic_ticks() > half and not at:
             at = monotonic_ticks()
-            roster._set(drained.id, roster.entry(drained, True, 0.0))
+            roster.set_entry(drained.id, roster.make_entry(drained, True, 0.0))
         await trio.sleep(0.1)
     await trio.sleep(max(0.0, (at - monotonic_ticks()) / TICKS_PER_SECOND + 2.5))
     late = [name for name in names if _sends_to(place, name, drained.id)]
@@ -458,7 +460,7 @@
     offset = 100_000 * TICKS_PER_SECOND  # of its clock beside the machine's
     notes = [row for row in rows if row["kind"] == "intake"]
     # the lists that the roster gave, in order, are those that the director decided on, after its own last one
-    given = [row["index"] for row in read_notes(notes_of_roster) if row["kind"] == "listed"]
+    given = [row["index"] for row in read_events(notes_of_roster) if row["kind"] == "listed"]
     decided = [row["t"] - offset for row in rows if row["kind"] == "list"][1:]
     for number, at in changes.items():
         k = next((k for k, index in enumerate(given) if index >= number), len(given))
--- a/willowhook/trial/fuzz.py
+++ b/willowhook/trial/fuzz.py
@@ -23,11 +23,11 @@
 from ..web.wire import open_connection
 from ..xds import forms
 from ..xds.codec import encode
-from .day import draw, terms_of
+from .day import controller_config, draw_scenario
 from .herd import TABLES_PATH, OnDemand, Silent
-from .notes import Notes
-from .standin_link import token
-from .standin_roster import StandInRoster
+from .notes import EventLog
+from .standin_link import bearer_token
+from .standin_roster import StandInRegistry
 
 AT_ONCE = 24
 PATHS = (
@@ -69,7 +69,8 @@
     ]
     body = chance.choice(bodies)
     lines = [
-        b"POST " + chance.choice(PATHS) + b" HTTP/1.1", b"host: a", b"authorization: Bearer " + token(name),
+        b"POST " + chance.choice(PATHS) + b" HTTP/1.1", b"host: a",
+        b"authorization: Bearer " + bearer_token(name),
         b"accept-encoding: " + chance.choice([b"gzip", b"zstd;q=0.5, *", b"", b";;;", b"," * 200]),
         b"content-length: %d" % len(body),
     ]  # fmt: skip
@@ -112,7 +113,7 @@
 def fuzz(folder: Path, inputs: int, seed: int, say: Callable[[str], None]) -> FuzzReport:
     folder.mkdir(parents=True, exist_ok=True)
     report = FuzzReport(inputs)
-    day = draw(3, 60.0, hosts=6, proxies=1, directors=1, calls_per_s=1.0, troubles=[], spare=0)
+    day = draw_scenario(3, 60.0, hosts=6, proxies=1, directors=1, calls_per_s=1.0, troubles=[], spare=0)
     day.channel = msgspec.structs.replace(
         day.channel, lines_per_s=1e6, most_waiting_lines=1e6, messages_most=0
     )
@@ -142,7 +143,7 @@
             "sound", "calls", forms.Locality(zone="norte"), {"term": term, "director": "director-0"}
         )
         caller = await open_connection("127.0.0.1", service.discovery_port)
-        head = [(b"authorization", b"Bearer " + token("sound"))]
+        head = [(b"authorization", b"Bearer " + bearer_token("sound"))]
         asked = encode(forms.DeltaDiscoveryRequest(node, forms.ASSIGNMENT))
         with trio.fail_after(10):
             while (await caller.request(b"POST", TABLES_PATH, head, asked)).status != 200:
@@ -151,15 +152,15 @@
         report.checks += 1
 
     async def run() -> None:
-        roster = StandInRoster(Notes(str(folder / "roster.notes")), 0.0)
+        roster = StandInRegistry(EventLog(str(folder / "roster.notes")), 0.0)
         for k, plan in enumerate(day.hosts):
             plan.port = 20_000 + k
-            roster.show(plan)
+            roster.register(plan)
         async with trio.open_nursery() as nursery:
             await nursery.start(roster.run)
-            sums = {n: hashlib.sha256(token(n)).hexdigest() for n in ("p1", "p2", "sound")}
+            sums = {n: hashlib.sha256(bearer_token(n)).hexdigest() for n in ("p1", "p2", "sound")}
             (folder / "credentials.json").write_bytes(msgspec.json.encode({"proxies": sums}))
-            terms = terms_of(day, 0, str(folder / "d"), f"http://127.0.0.1:{roster.port}", "")
+            terms = controller_config(day, 0, str(folder / "d"), f"http://127.0.0.1:{roster.port}", "")
             front = FrontTerms(
                 listen="127.0.0.1:0", credentials=str(folder / "credentials.json"), wait_ms=100,
                 header_ms=300, idle_ms=500, asks_per_s=10_000, asks_burst=10_000, proxy_connections_most=100,
--- a/willowhook/trial/guard_cases.py
+++ b/willowhook/trial/guard_cases.py
@@ -25,7 +25,7 @@
 from ..validation.validator import Validator
 from ..validation.verdict import Outcome
 from ..validation.world import World
-from .oracle import PlayedHost, PlayedProxy, Situation, play
+from .oracle import SimulatedEndpoint, SimulatedProxy, Situation, find_violations
 
 NOW = 1000 * TICKS_PER_SECOND
 SEMANTICS = ("idempotent", "deduplicated", "at_most_once")
@@ -36,7 +36,9 @@
     zones, kinds = ("norte", "sur"), ("wide", "usual")
     count = chance.randint(8, 24)
     hosts = {
-        f"h{k}": PlayedHost(size=chance.uniform(0.8, 1.25), kind=kinds[k % 2], zone=zones[(k // 2) % 2])
+        f"h{k}": SimulatedEndpoint(
+            weight=chance.uniform(0.8, 1.25), endpoint_class=kinds[k % 2], zone=zones[(k // 2) % 2]
+        )
         for k in range(count)
     }
     places: list[tuple[bool, tuple[str, ...]]] = [(False, ()), (False, ()), (False, ("wide",))]
@@ -46,47 +48,47 @@
     for _ in range(chance.randint(3, 12)):
         zone = chance.choice(zones)
         proxies.append(
-            PlayedProxy([chance.uniform(1, 20) for _ in SEMANTICS], zone, table(hosts, places, zone))
+            SimulatedProxy([chance.uniform(1, 20) for _ in SEMANTICS], zone, table(hosts, places, zone))
         )
     s = Situation(
         hosts, proxies, list(SEMANTICS), places, grace=2.5, cold_s=chance.uniform(8, 20),
-        start=chance.uniform(0.2, 0.4), multiple=chance.uniform(2.5, 4.0), fall_s=2.0,
-        fleet=len(proxies) * chance.choice((1, 1, 2)), lines=[], out=set(),
-        tries=[chance.choice((0, 1, 2, 3)), chance.choice((0, 1)), chance.choice((0, 1))],
-        levels=[chance.choice((0.0, 0.5, 1.0, 30.0, math.inf)) for _ in SEMANTICS],
-        version=(2, 1, 8), newest=(2, 1, 7), cost=chance.uniform(10, 60), waiting=chance.uniform(0, 500),
-        most_waiting=3200, rate=1600,
+        start_capacity=chance.uniform(0.2, 0.4), fall_multiple=chance.uniform(2.5, 4.0), fall_s=2.0,
+        fleet=len(proxies) * chance.choice((1, 1, 2)), tables=[], excluded=set(),
+        retry_modes=[chance.choice((0, 1, 2, 3)), chance.choice((0, 1)), chance.choice((0, 1))],
+        admission_limits=[chance.choice((0.0, 0.5, 1.0, 30.0, math.inf)) for _ in SEMANTICS],
+        version=(2, 1, 8), newest=(2, 1, 7), update_cost=chance.uniform(10, 60),
+        waiting=chance.uniform(0, 500), most_waiting=3200, rate=1600,
     )  # fmt: skip
     near = table(hosts, places, proxies[0].zone)
-    s.lines = [{host: weight * chance.uniform(0.7, 1.4) for host, weight in row.items()} for row in near]
+    s.tables = [{host: weight * chance.uniform(0.7, 1.4) for host, weight in row.items()} for row in near]
     return s
 
 
 def table(
-    hosts: dict[str, PlayedHost], places: list[tuple[bool, tuple[str, ...]]], zone: str
+    hosts: dict[str, SimulatedEndpoint], places: list[tuple[bool, tuple[str, ...]]], zone: str
 ) -> list[dict[str, float]]:
     """By route a line for every open host that may serve it; cold ones are left out."""
     return [
         {
-            name: host.size
+            name: host.weight
             for name, host in hosts.items()
             if host.mode == "open" and host.age > 1e6 and (not own or host.zone == zone)
-            and (not kinds or host.kind in kinds)
+            and (not kinds or host.endpoint_class in kinds)
         }
         for own, kinds in places
     ]  # fmt: skip
 
 
 def some(s: Situation, chance: random.Random, count: int, route: int = 0) -> list[str]:
-    return chance.sample(sorted(s.lines[route]), min(count, len(s.lines[route])))
+    return chance.sample(sorted(s.tables[route]), min(count, len(s.tables[route])))
 
 
-def cool(s: Situation, chance: random.Random, name: str) -> PlayedHost:
+def cool(s: Situation, chance: random.Random, name: str) -> SimulatedEndpoint:
     """This host has started lately; nobody has a line for it but the candidate, if that has one."""
-    host = s.hosts[name]
+    host = s.endpoints[name]
     host.age = chance.uniform(0, s.cold_s * 0.2)
     for proxy in s.proxies:
-        for row in proxy.lines:
+        for row in proxy.tables:
             row.pop(name, None)
     return host
 
@@ -95,44 +97,44 @@
 
 
 def no_lines(s: Situation, c: random.Random) -> None:
-    s.lines[c.randrange(3)] = {}
+    s.tables[c.randrange(3)] = {}
 
 
 def all_withdrawn(s: Situation, c: random.Random) -> None:
-    s.out = set(s.lines[c.randrange(3)])
+    s.excluded = set(s.tables[c.randrange(3)])
 
 
 def all_drain(s: Situation, c: random.Random) -> None:
     """Valid alone; but all that it names is draining, and will be gone."""
     keep = some(s, c, 2)
     for name in keep:
-        s.hosts[name].mode, s.hosts[name].since = "draining", c.uniform(0, 2)
-    s.lines[0] = {name: 1.0 for name in keep}
+        s.endpoints[name].mode, s.endpoints[name].since = "draining", c.uniform(0, 2)
+    s.tables[0] = {name: 1.0 for name in keep}
 
 
 def all_gone(s: Situation, c: random.Random) -> None:
     keep = some(s, c, 3)
     for name in keep:
-        s.hosts[name].mode, s.hosts[name].since = "gone", c.uniform(0, 2)
-    s.lines[0] = {name: 1.0 for name in keep}
+        s.endpoints[name].mode, s.endpoints[name].since = "gone", c.uniform(0, 2)
+    s.tables[0] = {name: 1.0 for name in keep}
 
 
 def only_cold_left(s: Situation, c: random.Random) -> None:
     """Valid alone; when the drain completes only a cold host is left, while warm ones are listed."""
     one, two = some(s, c, 2)
     cool(s, c, one)
-    s.hosts[two].mode, s.hosts[two].since = "draining", c.uniform(0, 2)
-    s.lines[0] = {one: 0.01, two: 1.0}
+    s.endpoints[two].mode, s.endpoints[two].since = "draining", c.uniform(0, 2)
+    s.tables[0] = {one: 0.01, two: 1.0}
 
 
 def cold_gets_all(s: Situation, c: random.Random) -> None:
     one = some(s, c, 1)[0]
     cool(s, c, one)
     for proxy in s.proxies[1:]:  # others were given it too
-        for row in proxy.lines:
+        for row in proxy.tables:
             if row:
                 row[one] = 3 * sum(row.values())
-    for row in s.lines:
+    for row in s.tables:
         if one in row:
             row[one] = 3 * sum(row.values())
 
@@ -142,12 +144,17 @@
     one = some(s, c, 1)[0]
     host = cool(s, c, one)
     total = sum(sum(p.rates) for p in s.proxies)
-    open_size = sum(h.size for h in s.hosts.values())
+    open_size = sum(h.weight for h in s.endpoints.values())
     share = min(
-        1.35 * s.multiple * (s.start + (1 - s.start) * host.age / s.cold_s) * host.size / open_size, 0.6
+        1.35
+        * s.fall_multiple
+        * (s.start_capacity + (1 - s.start_capacity) * host.age / s.cold_s)
+        * host.weight
+        / open_size,
+        0.6,
     )
     for k, proxy in enumerate(s.proxies):
-        for row in s.lines if k == 0 else proxy.lines:
+        for row in s.tables if k == 0 else proxy.tables:
             rest = sum(weight for name, weight in row.items() if name != one)
             if rest:
                 row[one] = share * rest / (1 - share)
@@ -155,56 +162,60 @@
 
 
 def drained_host(s: Situation, c: random.Random) -> None:
-    host = s.hosts[some(s, c, 1)[0]]
+    host = s.endpoints[some(s, c, 1)[0]]
     host.mode, host.since = "draining", s.grace + c.uniform(0, 30)
 
 
 def gone_host(s: Situation, c: random.Random) -> None:
-    host = s.hosts[some(s, c, 1)[0]]
+    host = s.endpoints[some(s, c, 1)[0]]
     host.mode, host.since = "gone", s.grace + c.uniform(0, 30)
 
 
 def unknown_host(s: Situation, c: random.Random) -> None:
-    s.lines[c.randrange(2)][f"x{c.randrange(99)}"] = c.uniform(0.01, 2)
+    s.tables[c.randrange(2)][f"x{c.randrange(99)}"] = c.uniform(0.01, 2)
 
 
 def no_address(s: Situation, c: random.Random) -> None:
-    s.hosts[some(s, c, 1)[0]].reachable = False
+    s.endpoints[some(s, c, 1)[0]].reachable = False
 
 
 def wrong_kind(s: Situation, c: random.Random) -> None:
-    s.lines[2][c.choice([n for n, h in s.hosts.items() if h.kind != "wide"])] = c.uniform(0.1, 1)
+    s.tables[2][c.choice([n for n, h in s.endpoints.items() if h.endpoint_class != "wide"])] = c.uniform(
+        0.1, 1
+    )
 
 
 def wrong_zone(s: Situation, c: random.Random) -> None:
-    s.places[1] = (True, ())
-    far = [n for n, h in s.hosts.items() if h.zone != s.proxies[0].zone]
-    s.lines[1] = {n: 1.0 for n, h in s.hosts.items() if h.zone == s.proxies[0].zone} | {c.choice(far): 1.0}
+    s.route_constraints[1] = (True, ())
+    far = [n for n, h in s.endpoints.items() if h.zone != s.proxies[0].zone]
+    s.tables[1] = {n: 1.0 for n, h in s.endpoints.items() if h.zone == s.proxies[0].zone} | {
+        c.choice(far): 1.0
+    }
 
 
 def tries_mutating(s: Situation, c: random.Random) -> None:
-    s.tries[2] = c.choice((2, 3))
+    s.retry_modes[2] = c.choice((2, 3))
 
 
 def tries_keyed(s: Situation, c: random.Random) -> None:
-    s.tries[1] = c.choice((2, 3))
+    s.retry_modes[1] = c.choice((2, 3))
 
 
 def tries_none(s: Situation, c: random.Random) -> None:
-    s.tries[c.randrange(3)] = c.choice((-1, 4, 7, 99))
+    s.retry_modes[c.randrange(3)] = c.choice((-1, 4, 7, 99))
 
 
 def weight_no_number(s: Situation, c: random.Random) -> None:
-    s.lines[0][some(s, c, 1)[0]] = c.choice((math.nan, math.inf, -1.0, -math.inf, 0.0))
+    s.tables[0][some(s, c, 1)[0]] = c.choice((math.nan, math.inf, -1.0, -math.inf, 0.0))
 
 
 def weights_round_away(s: Situation, c: random.Random) -> None:
-    names = sorted(s.lines[0])
-    s.lines[0] = {name: 1e-5 * (1 + 20 * (k % 2)) for k, name in enumerate(names)}
+    names = sorted(s.tables[0])
+    s.tables[0] = {name: 1e-5 * (1 + 20 * (k % 2)) for k, name in enumerate(names)}
 
 
 def weight_too_large(s: Situation, c: random.Random) -> None:
-    s.lines[0][some(s, c, 1)[0]] = c.uniform(200, 1e9)
+    s.tables[0][some(s, c, 1)[0]] = c.uniform(200, 1e9)
 
 
 def version_back(s: Situation, c: random.Random) -> None:
@@ -212,7 +223,7 @@
 
 
 def queue_full(s: Situation, c: random.Random) -> None:
-    s.waiting, s.cost = 3200 - c.uniform(0, 30), c.uniform(40, 400)
+    s.waiting, s.update_cost = 3200 - c.uniform(0, 30), c.uniform(40, 400)
 
 
 def too_many_messages(s: Situation, c: random.Random) -> None:
@@ -225,38 +236,41 @@
 
 
 def scaled(s: Situation, row: dict[str, float], wide: float, usual: float) -> dict[str, float]:
-    return {host: weight * (wide if s.hosts[host].kind == "wide" else usual) for host, weight in row.items()}
+    return {
+        host: weight * (wide if s.endpoints[host].endpoint_class == "wide" else usual)
+        for host, weight in row.items()
+    }
 
 
 def all_on_one(s: Situation, c: random.Random) -> None:
     one = some(s, c, 1)[0]
     for proxy in s.proxies[1:]:
-        proxy.lines = [
-            {one: 50.0, **{h: 0.1 for h in row if h != one}} if one in row else row for row in proxy.lines
+        proxy.tables = [
+            {one: 50.0, **{h: 0.1 for h in row if h != one}} if one in row else row for row in proxy.tables
         ]
     s.proxies[0].rates = [sum(sum(p.rates) for p in s.proxies) for _ in SEMANTICS]
-    s.lines = [heap_on(one, row) for row in s.lines]
+    s.tables = [heap_on(one, row) for row in s.tables]
     for extra in range(12):  # a large fleet, so that one host's fair part is small
-        s.hosts[f"e{extra}"] = PlayedHost(kind="wide", zone="norte")
+        s.endpoints[f"e{extra}"] = SimulatedEndpoint(endpoint_class="wide", zone="norte")
 
 
 def more_than_it_can(s: Situation, c: random.Random) -> None:
     total = sum(sum(p.rates) for p in s.proxies) * max(1.0, s.fleet / len(s.proxies))
-    usual = total / sum(h.size for h in s.hosts.values())
-    s.able = {"wide": usual * 0.5, "usual": 1e9}
+    usual = total / sum(h.weight for h in s.endpoints.values())
+    s.class_capacity = {"wide": usual * 0.5, "usual": 1e9}
     for proxy in s.proxies:
-        proxy.lines = [scaled(s, row, 0.05, 1.0) for row in proxy.lines]
-    s.lines = [scaled(s, row, 9.0, 0.2) for row in s.lines]
+        proxy.tables = [scaled(s, row, 0.05, 1.0) for row in proxy.tables]
+    s.tables = [scaled(s, row, 9.0, 0.2) for row in s.tables]
     s.proxies[0].rates = [rate * 30 for rate in s.proxies[0].rates]
 
 
 def route_missing(s: Situation, c: random.Random) -> None:
-    s.lines = s.lines[:2]
-    s.tries, s.levels = s.tries[:2], s.levels[:2]
+    s.tables = s.tables[:2]
+    s.retry_modes, s.admission_limits = s.retry_modes[:2], s.admission_limits[:2]
 
 
 def level_bad(s: Situation, c: random.Random) -> None:
-    s.levels[c.randrange(3)] = c.choice((-1.0, math.nan, -0.001))
+    s.admission_limits[c.randrange(3)] = c.choice((-1.0, math.nan, -0.001))
 
 
 BAD: tuple[Callable[[Situation, random.Random], None], ...] = (
@@ -278,46 +292,50 @@
     """A cold host enters at what it can do."""
     one = some(s, c, 1)[0]
     host = cool(s, c, one)
-    for row in s.lines:
+    for row in s.tables:
         if one in row:
-            row[one] = host.size * (s.start + (1 - s.start) * host.age / s.cold_s) * c.uniform(0.5, 1.0)
+            row[one] = (
+                host.weight
+                * (s.start_capacity + (1 - s.start_capacity) * host.age / s.cold_s)
+                * c.uniform(0.5, 1.0)
+            )
 
 
 def drain_withdrawn(s: Situation, c: random.Random) -> None:
     for name in some(s, c, 2):
-        s.hosts[name].mode, s.hosts[name].since = c.choice(("draining", "gone")), c.uniform(0, 60)
-        s.out.add(name)
+        s.endpoints[name].mode, s.endpoints[name].since = c.choice(("draining", "gone")), c.uniform(0, 60)
+        s.excluded.add(name)
 
 
 def drain_within_grace(s: Situation, c: random.Random) -> None:
     """Its withdrawal is on the way; the others are warm."""
     name = some(s, c, 1)[0]
-    s.hosts[name].mode, s.hosts[name].since = "draining", c.uniform(0, s.grace * 0.9)
+    s.endpoints[name].mode, s.endpoints[name].since = "draining", c.uniform(0, s.grace * 0.9)
 
 
 def only_withdraws(s: Situation, c: random.Random) -> None:
-    s.lines = [dict(row) for row in s.proxies[0].lines]
+    s.tables = [dict(row) for row in s.proxies[0].tables]
     for name in some(s, c, 3):
-        s.hosts[name].mode, s.hosts[name].since = "gone", c.uniform(0, 1)
-        s.out.add(name)
+        s.endpoints[name].mode, s.endpoints[name].since = "gone", c.uniform(0, 1)
+        s.excluded.add(name)
 
 
 def all_are_cold(s: Situation, c: random.Random) -> None:
     """Nothing warm is listed: the cold ones are all there is, and share evenly."""
-    for host in s.hosts.values():
+    for host in s.endpoints.values():
         host.age = c.uniform(0.3, 0.9) * s.cold_s
 
 
 def a_host_out(s: Situation, c: random.Random) -> None:
     """A host that drops calls is left out, whatever the list says."""
     name = some(s, c, 1)[0]
-    for row in s.lines:
+    for row in s.tables:
         if len(row) > 2:
             row.pop(name, None)
 
 
 def latency_weights(s: Situation, c: random.Random) -> None:
-    s.lines = [{name: weight * c.uniform(0.5, 2.0) for name, weight in row.items()} for row in s.lines]
+    s.tables = [{name: weight * c.uniform(0.5, 2.0) for name, weight in row.items()} for row in s.tables]
 
 
 def another_epoch(s: Situation, c: random.Random) -> None:
@@ -334,42 +352,48 @@
     """The same situation as the guard has it."""
     routes = tuple(
         RouteConstraints(f"r{k}", RequestSemantics(SEMANTICS[k]), own, (), kinds)
-        for k, (own, kinds) in enumerate(s.places)
+        for k, (own, kinds) in enumerate(s.route_constraints)
     )
     terms = ValidationSettings(
         routes,
         ticks_from_seconds(s.grace),
         ticks_from_seconds(s.cold_s),
-        s.start,
-        s.multiple,
+        s.start_capacity,
+        s.fall_multiple,
         s.rate / TICKS_PER_SECOND,
         s.most_waiting,
         s.messages_most,
         10 * TICKS_PER_SECOND,
         s.fleet,
-        capacity_per_second=s.able,
+        capacity_per_second=s.class_capacity,
     )
     world = World(terms)
     rows = []
-    for name, host in s.hosts.items():
+    for name, host in s.endpoints.items():
         if host.known:
             started = 0 if host.age > 1e6 else NOW - ticks_from_seconds(host.age)
             mode = EndpointMode(host.mode)
-            facts = ValidatedEndpoint(name, mode, 0, started, host.size, host.kind, host.zone, host.reachable)
+            facts = ValidatedEndpoint(
+                name, mode, 0, started, host.weight, host.endpoint_class, host.zone, host.reachable
+            )
             world.endpoints.by_name[name] = facts
             facts.since = NOW - ticks_from_seconds(host.since)
             rows.append(facts)
     world.endpoints.refresh()
     for k, proxy in enumerate(s.proxies):
-        held = ProxyTables(tuple(proxy.lines), frozenset(proxy.out), (1, 1, 1), (math.inf,) * 3)
-        if k == 0 and proxy.lines == s.lines:
-            held = ProxyTables(tuple(proxy.lines), frozenset(proxy.out), tuple(s.tries), (math.inf,) * 3)
+        held = ProxyTables(tuple(proxy.tables), frozenset(proxy.excluded), (1, 1, 1), (math.inf,) * 3)
+        if k == 0 and proxy.tables == s.tables:
+            held = ProxyTables(
+                tuple(proxy.tables), frozenset(proxy.excluded), tuple(s.retry_modes), (math.inf,) * 3
+            )
         world.add_proxy(k, proxy.zone, tuple(proxy.rates), held)
     world.proxies[0].newest = UpdateVersion(*s.newest)
     world.proxies[0].sent_at = [NOW - TICKS_PER_SECOND] * s.messages
     world.update_queue(NOW, s.waiting)
-    tables = ProxyTables(tuple(s.lines), frozenset(s.out), tuple(s.tries), tuple(s.levels))
-    return NOW, Validator(world), Candidate(0, tables, UpdateVersion(*s.version), round(s.cost))
+    tables = ProxyTables(
+        tuple(s.tables), frozenset(s.excluded), tuple(s.retry_modes), tuple(s.admission_limits)
+    )
+    return NOW, Validator(world), Candidate(0, tables, UpdateVersion(*s.version), round(s.update_cost))
 
 
 @dataclass
@@ -413,11 +437,11 @@
         for _ in range(50):
             s = calm(chance)
             make(s, chance)
-            if bool(play(s)) == bad:
+            if bool(find_violations(s)) == bad:
                 break
             result.unproven[name] = result.unproven.get(name, 0) + 1
         else:
-            raise RuntimeError(f"the oracle never agrees that a table is {name}: {play(s)}")
+            raise RuntimeError(f"the oracle never agrees that a table is {name}: {find_violations(s)}")
         now, validator, candidate = candidate_of(s)
         began = time.perf_counter()
         verdict = validator.validate(now, candidate)
@@ -425,7 +449,7 @@
         row = result.kinds.setdefault(name, {})
         row[verdict.outcome.value] = row.get(verdict.outcome.value, 0) + 1
         if bad and verdict.outcome is Outcome.PASSED:
-            result.missed.append(f"{name}, table {at}: {play(s)}; {verdict.lines()}")
+            result.missed.append(f"{name}, table {at}: {find_violations(s)}; {verdict.lines()}")
         elif not bad and verdict.outcome is not Outcome.PASSED:
             result.wrongly.append(f"{name}, table {at}: {verdict.lines()}")
     return result
--- a/willowhook/trial/herd.py
+++ b/willowhook/trial/herd.py
@@ -28,10 +28,10 @@
 from ..web.wire import ClientConnection, ConnectionLostError, open_connection
 from ..xds import forms
 from ..xds.codec import decode, encode
-from .day import draw, terms_of
-from .notes import Notes
-from .standin_link import token
-from .standin_roster import StandInRoster
+from .day import controller_config, draw_scenario
+from .notes import EventLog
+from .standin_link import bearer_token
+from .standin_roster import StandInRegistry
 from .swaps import Churn
 
 TABLES_PATH = b"/envoy.service.endpoint.v3.EndpointDiscoveryService/DeltaEndpoints"
@@ -67,7 +67,10 @@
 async def _follow(orders: Herd, name: str, rows: list[tuple[str, int, float]], chance: float) -> None:
     """One caller: asks, notes when each answer came, acknowledges."""
     node = forms.Node(name, "calls", forms.Locality(zone="norte"), {"term": 1, "director": "director-0"})
-    head = [(b"authorization", b"Bearer " + token(name)), (b"accept-encoding", orders.encoding.encode())]
+    head = [
+        (b"authorization", b"Bearer " + bearer_token(name)),
+        (b"accept-encoding", orders.encoding.encode()),
+    ]
     await trio.sleep(chance)
     caller: ClientConnection | None = None
     nonce = ""
@@ -176,7 +179,7 @@
     folder.mkdir(parents=True, exist_ok=True)
     names = [f"p{k}" for k in range(callers)]
     slow = names[:: round(1 / slow_share)] if slow_share else []
-    day = draw(3, 60.0, hosts=hosts, proxies=1, directors=1, calls_per_s=1.0, troubles=[], spare=0)
+    day = draw_scenario(3, 60.0, hosts=hosts, proxies=1, directors=1, calls_per_s=1.0, troubles=[], spare=0)
     day.channel = msgspec.structs.replace(
         day.channel, lines_per_s=1e8, most_waiting_lines=1e8, messages_most=0
     )
@@ -184,20 +187,20 @@
     report = HerdReport(callers, len(slow), hosts, 0, 0.0)
 
     async def run() -> None:
-        roster = StandInRoster(Notes(str(folder / "roster.notes")), 0.0)
+        roster = StandInRegistry(EventLog(str(folder / "roster.notes")), 0.0)
         for k, plan in enumerate(day.hosts):
             plan.port = 20_000 + k
-            roster.show(plan)
+            roster.register(plan)
         async with trio.open_nursery() as nursery:
             await nursery.start(roster.run)
             await _directed(nursery, roster)
             nursery.cancel_scope.cancel()
 
-    async def _directed(nursery: trio.Nursery, roster: StandInRoster) -> None:
-        sums = {name: hashlib.sha256(token(name)).hexdigest() for name in names}
+    async def _directed(nursery: trio.Nursery, roster: StandInRegistry) -> None:
+        sums = {name: hashlib.sha256(bearer_token(name)).hexdigest() for name in names}
         (folder / "credentials.json").write_bytes(msgspec.json.encode({"proxies": sums}))
         url = f"http://127.0.0.1:{roster.port}"
-        terms = terms_of(day, 0, str(folder / "d"), url, "")
+        terms = controller_config(day, 0, str(folder / "d"), url, "")
         front = FrontTerms(
             listen="127.0.0.1:0", credentials=str(folder / "credentials.json"), wait_ms=30_000,
             idle_ms=60_000, write_ms=4000,
--- a/willowhook/trial/nginx_director.py
+++ b/willowhook/trial/nginx_director.py
@@ -26,10 +26,10 @@
 from ..web.wire import ConnectionLostError, open_connection
 from .day import ProxyPlan
 from .nginx_same import Hosts
-from .notes import Notes
+from .notes import EventLog
 from .ports import PortReservations
-from .standin_proxy import DirectorPlace, ProxyOrders
-from .standin_roster import StandInRoster
+from .standin_proxy import ControllerAddress, ProxyWorkerConfig
+from .standin_roster import StandInRegistry
 
 CONF = """
 upstream tasks {
@@ -89,7 +89,7 @@
                 self.port = reservations.reserve()
                 for name in self.plan.hosts:
                     await self.hosts.start(name)
-                self.roster = StandInRoster(Notes(str(self.folder / "roster.notes")), 0.0)
+                self.roster = StandInRegistry(EventLog(str(self.folder / "roster.notes")), 0.0)
                 for entry in json.loads(host_list(self.plan)):
                     name = entry["Service"]["ID"]
                     entry["Service"] |= {"Address": "127.0.0.1", "Port": self.hosts.ports[name]}
@@ -132,11 +132,11 @@
         with trio.fail_after(10):
             while not lock.exists():
                 await trio.sleep(0.05)
-        place = DirectorPlace(terms.name, terms.files.folder, terms.zone)
+        place = ControllerAddress(terms.name, terms.files.folder, terms.zone)
         first = [
             (host.id, "127.0.0.1", self.hosts.ports[host.id], terms.zone) for host in self.plan.hosts.values()
         ]
-        orders = ProxyOrders(
+        orders = ProxyWorkerConfig(
             [ProxyPlan("proxy-0", terms.zone, 1.0, self.port)], [place], first[:1], list(terms.routes),
             str(self.folder / "proxy.notes"), 1, 1, terms.fleet.pick, 0, 2.0, 0.25, 0.25, 2.0, 0.2, 200.0,
         )  # fmt: skip
@@ -216,7 +216,7 @@
     def _drain(self, name: str, on: bool) -> None:
         check = {"CheckID": f"_service_maintenance:{name}", "Status": "critical"}
         entry: dict[str, Any] = {**self.roster.entries[name], "Checks": [check] if on else []}
-        self.roster._set(name, entry)
+        self.roster.set_entry(name, entry)
 
 
 def director_day(folder: Path) -> Seen:
--- a/willowhook/trial/nginx_same.py
+++ b/willowhook/trial/nginx_same.py
@@ -27,7 +27,7 @@
 from ..xds import forms, tables
 from .corpus import Sample, samples
 from .ports import PortReservations
-from .standin_blocks import BlocksProxy
+from .standin_blocks import StandInNginxProxy
 from .standin_proxy import hash_key, ring_pick
 
 STRIKES, EJECTED_S = 2, 2.0
@@ -207,7 +207,7 @@
             if each.name == "server" and each.place == plan.site.block.place
         )  # fmt: skip
         self.ways: dict[str, Callable[[Call], Awaitable[Reply]]] = {
-            "blocks": BlocksProxy(rows, site, hosts.ask, self.clock).answer,
+            "blocks": StandInNginxProxy(rows, site, hosts.ask, self.clock).answer,
             "tables": TablesProxy(files, hosts.ask, self.clock).answer,
         }
         self.ahead = 0.0  # of the clock, so that hosts that failed are tried again
--- a/willowhook/trial/restart.py
+++ b/willowhook/trial/restart.py
@@ -11,10 +11,10 @@
 import msgspec
 
 from ..ticks import TICKS_PER_SECOND
-from .day import Day, Trouble, draw
-from .judge import START, Judge
-from .notes import read_notes
-from .stage import play
+from .day import Fault, Scenario, draw_scenario
+from .judge import CONTROLLER_CLOCK_LEAD_TICKS, InvariantChecker
+from .notes import read_events
+from .stage import run_fleet
 
 WAYS = ("none", "kept", "aged")
 SOON = 3 * TICKS_PER_SECOND  # after a restart, in which what was remembered shows
@@ -32,21 +32,23 @@
     to_order_ms: float  # from a restart's first join to the first order, median
 
 
-def restart_day(seed: int, restarts: int) -> Day:
+def restart_day(seed: int, restarts: int) -> Scenario:
     length = 14.0 + 6.0 * restarts
-    troubles = [Trouble("fast_errors", 4.0, length - 6.0, 0.34, 0.9)]
-    troubles += [Trouble("director_killed", 10.0 + 6.0 * k, 0.7) for k in range(restarts)]
-    day = draw(seed, length, hosts=12, proxies=8, directors=1, calls_per_s=110.0, troubles=troubles, spare=0)
+    troubles = [Fault("fast_errors", 4.0, length - 6.0, 0.34, 0.9)]
+    troubles += [Fault("director_killed", 10.0 + 6.0 * k, 0.7) for k in range(restarts)]
+    day = draw_scenario(
+        seed, length, hosts=12, proxies=8, directors=1, calls_per_s=110.0, troubles=troubles, spare=0
+    )
     day.channel = msgspec.structs.replace(day.channel, messages_most=0)
     return day
 
 
 def one(seed: int, restarts: int, way: str, folder: Path) -> Restart:
-    out = play(restart_day(seed, restarts), folder, store=way)
-    proxies = [row for path in folder.glob("proxies*.notes") for row in read_notes(str(path))]
-    records = Judge.lines(folder / "director-0.records")
-    starts = [row["t"] - START for row in records if row["kind"] == "started"][1:]
-    sick = {row["host"] for path in folder.glob("host-*.notes") for row in read_notes(str(path))
+    out = run_fleet(restart_day(seed, restarts), folder, store=way)
+    proxies = [row for path in folder.glob("proxies*.notes") for row in read_events(str(path))]
+    records = InvariantChecker.read_entries(folder / "director-0.records")
+    starts = [row["t"] - CONTROLLER_CLOCK_LEAD_TICKS for row in records if row["kind"] == "started"][1:]
+    sick = {row["host"] for path in folder.glob("host-*.notes") for row in read_events(str(path))
             if row["kind"] == "set"}  # fmt: skip
     tries = failed = to_sick = 0
     waits = []
@@ -56,7 +58,11 @@
         if not joins:
             continue
         since = min(joins)
-        orders = [row["t"] - START for row in records if row["kind"] == "order" and row["t"] - START >= since]
+        orders = [
+            row["t"] - CONTROLLER_CLOCK_LEAD_TICKS
+            for row in records
+            if row["kind"] == "order" and row["t"] - CONTROLLER_CLOCK_LEAD_TICKS >= since
+        ]
         waits.append((min(orders, default=since) - since) / 10)
         for row in proxies:
             if row["kind"] == "try" and since <= row["began"] < since + SOON:
@@ -66,7 +72,7 @@
     bare = next((v.nearest for v in out.verdicts if v.rule == 1), "")
     longest = float(bare.partition("line ")[2].partition(" s")[0] or 0) * 1000
     share = max(tries, 1)
-    return Restart(way, out.kept, out.service, failed / share, tries, to_sick / share, longest,
+    return Restart(way, out.kept, out.service_level, failed / share, tries, to_sick / share, longest,
                    statistics.median(waits or [0.0]))  # fmt: skip
 
 
--- a/willowhook/trial/swaps.py
+++ b/willowhook/trial/swaps.py
@@ -37,9 +37,9 @@
 from ..files.swap import FileGroupWriter, read_group
 from ..records.writer import read_records
 from ..xds import tables
-from .day import draw, terms_of
-from .notes import read_notes
-from .stage import Stage
+from .day import controller_config, draw_scenario
+from .notes import read_events
+from .stage import FleetHarness
 
 EVERY = 40  # tenths of a millisecond between moments
 NAMES = {True: "one file", False: "a group"}
@@ -211,11 +211,13 @@
     Path(out).write_bytes(msgspec.json.encode([reads, torn]))
 
 
-class SwapStage(Stage):
+class SwapStage(FleetHarness):
     """A day without a director of its own: one runs in this process."""
 
     def __init__(self, folder: Path, proxies: int, durability: str) -> None:
-        day = draw(7, 600.0, hosts=6, proxies=proxies, directors=1, calls_per_s=60.0, troubles=[], spare=0)
+        day = draw_scenario(
+            7, 600.0, hosts=6, proxies=proxies, directors=1, calls_per_s=60.0, troubles=[], spare=0
+        )
         channel = msgspec.structs.replace(
             day.channel, lines_per_s=1e7, most_waiting_lines=1e7, messages_most=0
         )
@@ -223,7 +225,7 @@
         super().__init__(day, folder, durability=durability)
         self.swapped = 0
 
-    def start_director(self, rank: int) -> None:
+    def start_controller(self, rank: int) -> None:
         """It is in this process."""
 
 
@@ -249,11 +251,11 @@
 
     async def run() -> float:
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(stage.roster.notes.run)
-            await nursery.start(stage.roster.run)
+            nursery.start_soon(stage.registry.event_log.run)
+            await nursery.start(stage.registry.run)
             stage.nursery = nursery
-            terms = terms_of(
-                stage.day, 0, stage.director_folder(0), f"http://127.0.0.1:{stage.roster.port}",
+            terms = controller_config(
+                stage.day, 0, stage.controller_folder(0), f"http://127.0.0.1:{stage.registry.port}",
                 str(folder / "director-0.records"), durability=durability,
             )  # fmt: skip
             terms = msgspec.structs.replace(
@@ -261,10 +263,10 @@
             )
             service = quiet_service(terms)
             with trio.CancelScope() as playing:
-                nursery.start_soon(stage.play, nursery)
-                while not stage.crews:
+                nursery.start_soon(stage.run_scenario, nursery)
+                while not stage.proxy_workers:
                     await trio.sleep(0.05)
-                    if stage.open_hosts() and not hasattr(service, "controller"):
+                    if stage.open_endpoints() and not hasattr(service, "controller"):
                         await nursery.start(service.run)
                 began = time.perf_counter()
                 others = [
@@ -286,14 +288,14 @@
                 (folder / "stop").write_bytes(b"")
                 for other in others:
                     await trio.to_thread.run_sync(other.wait)
-                stage.end()
+                stage.stop()
                 playing.cancel()
             nursery.cancel_scope.cancel()
         return took
 
     took = trio.run(run)
     got = [msgspec.json.decode(path.read_bytes()) for path in sorted(folder.glob("reader-*.json"))]
-    notes = [row for path in folder.glob("proxies*.notes") for row in read_notes(str(path))]
+    notes = [row for path in folder.glob("proxies*.notes") for row in read_events(str(path))]
     ends = [
         row["after"] / 10
         for row in read_records(str(folder / "director-0.records"))
--- a/willowhook/trial/takeover.py
+++ b/willowhook/trial/takeover.py
@@ -27,33 +27,33 @@
 from ..ticks import TICKS_PER_SECOND
 from ..xds import forms, tables
 from ..xds.codec import encode, encode_response, read_response
-from .day import ZONES, Day, Trouble, draw
-from .notes import read_notes
-from .stage import Outcome, Stage
+from .day import ZONES, Fault, Scenario, draw_scenario
+from .notes import read_events
+from .stage import FleetHarness, RunResult
 
 WAYS = ("kill", "kill", "stop", "both", "late")
 
 
-def takeover_day(seed: int, kills: int, every_s: float, **size: Any) -> Day:
+def takeover_day(seed: int, kills: int, every_s: float, **size: Any) -> Scenario:
     """A day as long as so many strikes take; hosts fail and are replaced all along."""
     length = 8.0 + kills * every_s + 6.0
     troubles = []
     at, k = 6.0, 0
     kinds = ("host_crash", "deploy", "host_hang", "fast_errors", "streams_lost")
     while at < length - 12:
-        troubles.append(Trouble(kinds[k % len(kinds)], at, 3.0, 0.15, 0.8))
+        troubles.append(Fault(kinds[k % len(kinds)], at, 3.0, 0.15, 0.8))
         at, k = at + 5.0, k + 1
     size = {"hosts": 10, "proxies": 8, "directors": 2, "calls_per_s": 80.0, "spare": 0, **size}
-    day = draw(seed, length, troubles=troubles, **size)
+    day = draw_scenario(seed, length, troubles=troubles, **size)
     # a director that starts again and again sends more
     day.channel = msgspec.structs.replace(day.channel, messages_most=0)
     return day
 
 
-class TakeoverStage(Stage):
+class TakeoverStage(FleetHarness):
     """A day on which directors are struck every `every_s`, `kills` times."""
 
-    def __init__(self, day: Day, folder: Path, kills: int, every_s: float, **more: Any) -> None:
+    def __init__(self, day: Scenario, folder: Path, kills: int, every_s: float, **more: Any) -> None:
         super().__init__(day, folder, **more)
         self.kills, self.every = kills, every_s
         self.kept: dict[str, dict[str, dict[str, bytes]]] = defaultdict(dict)  # director, proxy: an old group
@@ -69,7 +69,7 @@
 
     async def strike(self, way: str, away_s: float) -> None:
         free = [
-            rank for rank in range(self.day.directors) if rank not in self.busy and rank in self.directors
+            rank for rank in range(self.day.directors) if rank not in self.busy and rank in self.controllers
         ]
         if way == "late":
             self.count[way] += self.late_rename()
@@ -81,25 +81,25 @@
         self.busy.update(dict.fromkeys(ranks))
         for rank in ranks:
             if way == "stop":
-                process = self.directors[rank]
+                process = self.controllers[rank]
                 process.send_signal(signal.SIGSTOP)
-                self.notes.note("director_stopped", d=f"director-{rank}")
+                self.event_log.record("director_stopped", d=f"director-{rank}")
             else:
-                self.kill_director(rank)
+                self.kill_controller(rank)
         await trio.sleep(away_s)
         for rank in ranks:
             if way == "stop":
-                self.directors[rank].send_signal(signal.SIGCONT)
-                self.notes.note("director_goes_on", d=f"director-{rank}")
+                self.controllers[rank].send_signal(signal.SIGCONT)
+                self.event_log.record("director_goes_on", d=f"director-{rank}")
             else:
-                self.start_director(rank)
+                self.start_controller(rank)
             del self.busy[rank]
 
     def late_rename(self) -> int:
         """Files of earlier stays land now, in every folder, with more tries ordered than ever was."""
         landed = 0
         for rank in range(self.day.directors):
-            down = Path(self.director_folder(rank)) / OUTBOUND_FOLDER
+            down = Path(self.controller_folder(rank)) / OUTBOUND_FOLDER
             kept = self.kept[f"director-{rank}"]
             for place in sorted(down.iterdir()) if down.is_dir() else ():
                 try:
@@ -133,30 +133,30 @@
             remove(ops, str(place / ".late"))
             ops.symlink(name, str(place / ".late"))
             ops.rename(str(place / ".late"), str(place / CURRENT))
-            self.notes.note("late", p=place.name, v=version)
+            self.event_log.record("late", p=place.name, v=version)
         except OSError:
             return  # the folder has just gone: so has the writer of before
 
-    async def play(self, nursery: trio.Nursery) -> None:
+    async def run_scenario(self, nursery: trio.Nursery) -> None:
         async def strikes() -> None:
             while not hasattr(self, "zero"):
                 await trio.sleep(0.05)
             await self.strike_directors()
 
         nursery.start_soon(strikes)
-        await super().play(nursery)
+        await super().run_scenario(nursery)
 
-    def all_alive(self) -> None:
+    def check_processes(self) -> None:
         for rank in list(self.busy):
-            if rank in self.directors:
-                self.directors[rank].send_signal(signal.SIGCONT)
-        self.directors = {rank: p for rank, p in self.directors.items() if p.poll() is None}
-        super().all_alive()
+            if rank in self.controllers:
+                self.controllers[rank].send_signal(signal.SIGCONT)
+        self.controllers = {rank: p for rank, p in self.controllers.items() if p.poll() is None}
+        super().check_processes()
 
 
 @dataclass
 class Takeover:
-    outcome: Outcome
+    outcome: RunResult
     strikes: dict[str, int]
     late: int
     void: int
@@ -176,21 +176,22 @@
         done = ", ".join(f"{count} {way}" for way, count in sorted(self.strikes.items()))
         late = ranked[int(len(ranked) * 0.99)]
         return [
-            *[verdict.line() for verdict in self.outcome.verdicts],
+            *[verdict.summary() for verdict in self.outcome.verdicts],
             f"strikes: {done}; {self.late} late renames landed, {self.void} seen and void",
             f"terms with orders of two directors: {len(self.two_rulers)}",
             *self.two_rulers[:5],
             f"from a death to ruled again: median {statistics.median(ranked):.2f} s, p99 {late:.2f} s"
             f" over {len(ranked)}; a death shows within {self.detection_s:.2f} s",
             f"{self.joins} joins, at most {self.peak_joins} in one second",
-            f"service {self.outcome.service:.3f}; {self.outcome.answered} answered of {self.outcome.calls}",
+            f"service {self.outcome.service_level:.3f};"
+            f" {self.outcome.answered} answered of {self.outcome.calls}",
         ]
 
 
-def look_back(stage: TakeoverStage, outcome: Outcome) -> Takeover:
+def look_back(stage: TakeoverStage, outcome: RunResult) -> Takeover:
     """What the notes say of who ruled whom, and how soon again."""
     folder = stage.folder
-    notes = [row for path in sorted(folder.glob("proxies*.notes")) for row in read_notes(str(path))]
+    notes = [row for path in sorted(folder.glob("proxies*.notes")) for row in read_events(str(path))]
     notes.sort(key=lambda row: row["t"])
     rulers: dict[tuple[str, int], dict[str, int]] = defaultdict(dict)
     applied: dict[str, list[int]] = defaultdict(list)
@@ -210,7 +211,7 @@
                 f"{name} at {(t - stage.zero) / TICKS_PER_SECOND:.2f} s" for name, t in by.items()
             )
             two.append(f"{proxy} in term {term}: {told}")
-    events = read_notes(str(folder / "stage.notes"))
+    events = read_events(str(folder / "stage.notes"))
     waits = []
     for row in events:
         if row["kind"] != "director_died":
@@ -243,7 +244,7 @@
 
 def orphans(folder: Path, proxies: int, hosts: int, calls_per_s: float, seed: int = 1) -> Takeover:
     """All proxies lose their one director at once, for good, and go to the other."""
-    day = draw(
+    day = draw_scenario(
         seed, 26.0, hosts=hosts, proxies=proxies, directors=2, calls_per_s=calls_per_s, troubles=[], spare=0
     )
     for plan in day.proxies:
@@ -257,5 +258,5 @@
 class OrphanStage(TakeoverStage):
     async def strike_directors(self) -> None:
         await trio.sleep(max((self.zero - monotonic_ticks()) / TICKS_PER_SECOND + 10.0, 0))
-        self.kill_director(0)
+        self.kill_controller(0)
         self.count["kill"] += 1
--- a/willowhook/trial/versions.py
+++ b/willowhook/trial/versions.py
@@ -20,22 +20,22 @@
 from ..controlplane.service import Service
 from ..records.writer import read_records
 from ..ticks import TICKS_PER_SECOND
-from .beliefs import Beliefs, check
-from .day import Day, Trouble, draw, terms_of
-from .notes import read_notes
-from .stage import Outcome, Stage
+from .beliefs import BeliefReport, check_beliefs
+from .day import Fault, Scenario, controller_config, draw_scenario
+from .notes import read_events
+from .stage import FleetHarness, RunResult
 from .swaps import Churn
 
 
-def versions_day(seed: int, proxies: int, length: float) -> Day:
+def versions_day(seed: int, proxies: int, length: float) -> Scenario:
     troubles = []
     at, k = 4.0, 0
     kinds = ("proxy_killed", "director_killed", "proxy_killed", "deploy", "streams_lost", "host_crash")
     while at < length - 8:
         kind = kinds[k % len(kinds)]
-        troubles.append(Trouble(kind, at, 1.5 if kind == "director_killed" else 1.0, 0.15))
+        troubles.append(Fault(kind, at, 1.5 if kind == "director_killed" else 1.0, 0.15))
         at, k = at + 2.5, k + 1
-    day = draw(
+    day = draw_scenario(
         seed, length, troubles=troubles, hosts=16, proxies=proxies, directors=2, calls_per_s=120.0, spare=0
     )
     day.channel = msgspec.structs.replace(day.channel, messages_most=0)
@@ -44,18 +44,18 @@
 
 @dataclass
 class VersionsReport:
-    beliefs: Beliefs
-    outcome: Outcome
+    beliefs: BeliefReport
+    outcome: RunResult
 
     def lines(self) -> list[str]:
         out = self.outcome
-        rows = [verdict.line() for verdict in out.verdicts]
-        rows.append(f"service {out.service:.3f}; {out.answered} of {out.calls} calls answered")
-        return [*rows, *self.beliefs.lines()]
+        rows = [verdict.summary() for verdict in out.verdicts]
+        rows.append(f"service {out.service_level:.3f}; {out.answered} of {out.calls} calls answered")
+        return [*rows, *self.beliefs.summary_lines()]
 
     @property
     def good(self) -> bool:
-        return self.outcome.kept and not self.beliefs.wrong and self.beliefs.applied > 0
+        return self.outcome.kept and not self.beliefs.violations and self.beliefs.applied > 0
 
 
 def versions(
@@ -63,10 +63,10 @@
 ) -> VersionsReport:
     if folder.exists():
         shutil.rmtree(folder)
-    stage = Stage(versions_day(seed, proxies, length), folder, say=say, front="mixed")
+    stage = FleetHarness(versions_day(seed, proxies, length), folder, say=say, front="mixed")
     stage.refuse = refuse
     outcome = trio.run(stage.run)
-    return VersionsReport(check(folder), outcome)
+    return VersionsReport(check_beliefs(folder), outcome)
 
 
 ODD = 7.777  # the weight that some refuse
@@ -117,15 +117,17 @@
         return self.halts > 0 and not self.left and not self.resent and self.newest >= self.proxies * 0.9
 
 
-class BadStage(Stage):
+class BadStage(FleetHarness):
     """A day without calls to speak of; its one director runs in this process."""
 
-    def start_director(self, rank: int) -> None:
+    def start_controller(self, rank: int) -> None:
         """It is in this process."""
 
 
 def bad_version(folder: Path, proxies: int, share: float, front: str) -> BadReport:
-    day = draw(7, 600.0, hosts=8, proxies=proxies, directors=1, calls_per_s=5.0, troubles=[], spare=0)
+    day = draw_scenario(
+        7, 600.0, hosts=8, proxies=proxies, directors=1, calls_per_s=5.0, troubles=[], spare=0
+    )
     day.channel = msgspec.structs.replace(day.channel, messages_most=0)
     stage = BadStage(day, folder, front=front)
     stage.odd_weight, stage.odd_share = round(ODD * 10_000), share
@@ -137,25 +139,27 @@
             return not len(held[0].channel) and len(held[0].publisher.sessions) == proxies
 
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(stage.roster.notes.run)
-            await nursery.start(stage.roster.run)
+            nursery.start_soon(stage.registry.event_log.run)
+            await nursery.start(stage.registry.run)
             stage.nursery = nursery
-            url = f"http://127.0.0.1:{stage.roster.port}"
-            terms = terms_of(day, 0, stage.director_folder(0), url, str(folder / "director-0.records"))
-            terms = stage.with_front(terms, 0)
+            url = f"http://127.0.0.1:{stage.registry.port}"
+            terms = controller_config(
+                day, 0, stage.controller_folder(0), url, str(folder / "director-0.records")
+            )
+            terms = stage.with_discovery_server(terms, 0)
             held.append(Service(terms, decider=partial(Steps, idle)))
             with trio.CancelScope() as playing:
-                nursery.start_soon(stage.play, nursery)
+                nursery.start_soon(stage.run_scenario, nursery)
                 while not hasattr(held[0], "controller"):
                     await trio.sleep(0.05)
-                    if len(stage.open_hosts()) == len(day.hosts):
+                    if len(stage.open_endpoints()) == len(day.hosts):
                         await nursery.start(held[0].run)
                 decider: Any = held[0].controller
                 with trio.move_on_after(60):
                     while decider.moment < Steps.odd_at + 6:
                         await trio.sleep(0.1)
                 await trio.sleep(1.0)
-                stage.end()
+                stage.stop()
                 playing.cancel()
             nursery.cancel_scope.cancel()
 
@@ -166,7 +170,7 @@
 def _bad_report(folder: Path, proxies: int) -> BadReport:
     records = read_records(str(folder / "director-0.records"))
     start = 100_000 * TICKS_PER_SECOND
-    notes = [row for path in folder.glob("proxies*.notes") for row in read_notes(str(path))]
+    notes = [row for path in folder.glob("proxies*.notes") for row in read_events(str(path))]
     refusals: dict[str, int] = {}
     for row in notes:
         if row["kind"] == "refused" and "odd weight" in row["cause"]:
