--- a/willowhook/trial/beliefs.py
+++ b/willowhook/trial/beliefs.py
@@ -13,7 +13,7 @@
 
 from .judge import CONTROLLER_CLOCK_LEAD_TICKS, Entries, InvariantChecker
 
-FLUSH = 4000  # tenths of a millisecond of its record that a killed director may take with it
+UNFLUSHED_TICKS = 4000  # tenths of a millisecond of its record that a killed director may take with it
 
 
 @dataclass
@@ -32,7 +32,7 @@
         ]
 
 
-def _stays(proxies: Entries) -> dict[str, list[tuple[int, int, str, int]]]:
+def _sessions(proxies: Entries) -> dict[str, list[tuple[int, int, str, int]]]:
     """By proxy: from when to when it followed which director in which term."""
     found: dict[str, list[tuple[int, int, str, int]]] = defaultdict(list)
     here: dict[str, tuple[int, str, int]] = {}
@@ -47,7 +47,9 @@
     return found
 
 
-def _runs(proxies: Entries, out: BeliefReport) -> dict[tuple[str, str], list[tuple[int, str, str, int]]]:
+def _applied_versions(
+    proxies: Entries, out: BeliefReport
+) -> dict[tuple[str, str], list[tuple[int, str, str, int]]]:
     """By proxy and part: when it began to run which version, of which director and term."""
     runs: dict[tuple[str, str], list[tuple[int, str, str, int]]] = defaultdict(list)
     acked: dict[tuple[str, str], str] = {}
@@ -86,7 +88,7 @@
     ]
     proxies = sorted(rows, key=lambda row: row["t"])
     stage = [row for path in folder.glob("stage.notes") for row in InvariantChecker.read_entries(path)]
-    stays, runs = _stays(proxies), _runs(proxies, out)
+    stays, runs = _sessions(proxies), _applied_versions(proxies, out)
     for path in sorted(folder.glob("director-*.records")):
         name = path.stem
         died = [row["t"] for row in stage if row["kind"] == "director_died" and row["d"] == name]
@@ -96,12 +98,12 @@
                 told[row["proxy"], row["part"], row["term"]].append(
                     (row["t"] - CONTROLLER_CLOCK_LEAD_TICKS, row["version"])
                 )
-        _certain(name, told, stays, runs, out)
-        _applied(name, told, runs, died, out)
+        _check_certain(name, told, stays, runs, out)
+        _check_uncertain_before(name, told, runs, died, out)
     return out
 
 
-def _certain(
+def _check_certain(
     name: str, told: dict[tuple[str, str, int], list[tuple[int, str]]],
     stays: dict[str, list[tuple[int, int, str, int]]],
     runs: dict[tuple[str, str], list[tuple[int, str, str, int]]], out: BeliefReport,
@@ -119,14 +121,14 @@
                 out.violations.append(f"{name} was certain that {proxy} runs {part} {version}: it ran {what}")
 
 
-def _applied(
+def _check_uncertain_before(
     name: str, told: dict[tuple[str, str, int], list[tuple[int, str]]],
     runs: dict[tuple[str, str], list[tuple[int, str, str, int]]], died: list[int], out: BeliefReport,
 ) -> None:  # fmt: skip
     """Before a proxy applies something, the director has ceased to be certain."""
     for (proxy, part), rows in runs.items():
         for t, version, who, term in rows:
-            if who != name or any(0 <= d - t < FLUSH for d in died):
+            if who != name or any(0 <= d - t < UNFLUSHED_TICKS for d in died):
                 continue
             book = told.get((proxy, part, term), [])
             at = bisect.bisect_right([row[0] for row in book], t) - 1
--- a/willowhook/trial/day.py
+++ b/willowhook/trial/day.py
@@ -1,4 +1,7 @@
-"""A trial's day: what there is, what calls come, which troubles strike; all drawn ahead from a seed."""
+"""The scenario of a test fleet: its processes, its requests and its faults, all drawn from a seed in advance.
+
+A scenario is handed to the client processes as JSON, so its field names are part of that file format.
+"""
 
 from __future__ import annotations
 
@@ -19,33 +22,40 @@
 )
 
 ZONES = ("norte", "sur")
-KINDS = {"wide": (4, 1.5), "usual": (2, 1.0), "old": (3, 0.6)}  # cores, speed of one
-WORK_MS = {"load": 210.0, "save": 130.0, "submit": 210.0}
-SHARES = {"load": 0.45, "save": 0.37, "submit": 0.18}
+ENDPOINT_CLASSES = {"wide": (4, 1.5), "usual": (2, 1.0), "old": (3, 0.6)}  # cores, speed of each core
+MEAN_WORK_MS = {"load": 210.0, "save": 130.0, "submit": 210.0}
+ROUTE_SHARES = {"load": 0.45, "save": 0.37, "submit": 0.18}
 
 
 class EndpointPlan(msgspec.Struct):
+    """An endpoint of the fleet: its place and its capacity."""
+
     id: str
     zone: str
     kind: str
     cores: int
     speed: float
-    waiting: int  # calls that may wait for a core
-    connections: int
+    waiting: int  # most requests that may wait for a core
+    connections: int  # most open connections
     handshake_ms: float
-    port: int = 0
+    port: int = 0  # 0 until its process has started
 
 
 class ProxyPlan(msgspec.Struct):
+    """A proxy of the fleet."""
+
     id: str
     zone: str
-    share: float  # of all calls
+    share: float  # of all requests
     port: int = 0
-    form: str = "files"  # by which its director speaks to it: files, whole, delta
+    form: str = "files"  # how its controller sends updates: files, whole (complete xDS responses) or delta
 
 
 class Fault(msgspec.Struct):
-    """One trouble: `kind` strikes at `at_s` for `for_s`; `part` of those it may strike, `size` how hard."""
+    """A fault of this kind that is injected at `at_s` and lasts `for_s`.
+
+    `part` is the fraction of the possible targets that it affects, and `size` its severity.
+    """
 
     kind: str
     at_s: float
@@ -56,26 +66,29 @@
 
 
 class Scenario(msgspec.Struct):
+    """Everything that a run of a test fleet needs; encoded as JSON for the client processes."""
+
     seed: int
     length_s: float
     calls_per_s: float
     hosts: list[EndpointPlan]
     proxies: list[ProxyPlan]
     routes: list[RouteTerms]
-    directors: int
+    directors: int  # number of controllers
     channel: ChannelTerms
     rules: RuleTerms
     fleet: FleetTerms
-    troubles: list[Fault]
-    roster_late_s: float = 0.5
+    troubles: list[Fault]  # by start time
+    roster_late_s: float = 0.5  # delay of the registry's entries
     redial_s: float = 0.3
     director_lost_after_s: float = 1.0
     client_retries: int = 1
     client_wait_ms: float = 100.0
-    host_slots: int = 0  # hosts that start later (grow)
+    host_slots: int = 0  # endpoints that start only with the fault "grow"
 
 
-def routes() -> list[RouteTerms]:
+def default_routes() -> list[RouteTerms]:
+    """One route of each semantics."""
     return [
         RouteTerms(name="load", path="/load-task", slo_time_ms=1500, time_limit_ms=5000, importance=1,
                    late_importance=0.1, semantics="repeatable"),
@@ -90,111 +103,127 @@
     seed: int, length_s: float = 40, hosts: int = 12, proxies: int = 8, directors: int = 2,
     calls_per_s: float = 110.0, troubles: list[Fault] | None = None, spare: int = 2,
 ) -> Scenario:  # fmt: skip
-    """A day of this size; `troubles` None draws a bad day of at least eight kinds."""
-    chance = random.Random(seed)
-    plans = []
-    names = [*KINDS]
-    for k in range(hosts + spare):
-        kind = names[k % 3] if k < 3 else chance.choices(names, (0.44, 0.3, 0.26))[0]
-        cores, speed = KINDS[kind]
-        speed *= chance.uniform(0.9, 1.1)
-        name, speed = f"host-{chance.randrange(1 << 24):06x}", round(speed, 3)
-        plans.append(EndpointPlan(name, ZONES[k % 2], kind, cores, speed, cores * 20, 400, 8.0))
-    weights = [chance.lognormvariate(0, 0.6) for _ in range(proxies)]
-    fleet = [ProxyPlan(f"proxy-{k}", ZONES[k % 2], weights[k] / sum(weights)) for k in range(proxies)]
-    lines = max(1600.0, 5.0 * proxies * 8)
+    """A scenario of this size. If `troubles` is None, faults of at least eight kinds are drawn."""
+    rng = random.Random(seed)
+    endpoint_plans = []
+    class_names = [*ENDPOINT_CLASSES]
+    for index in range(hosts + spare):
+        endpoint_class = (
+            class_names[index % 3] if index < 3 else rng.choices(class_names, (0.44, 0.3, 0.26))[0]
+        )
+        cores, speed = ENDPOINT_CLASSES[endpoint_class]
+        speed *= rng.uniform(0.9, 1.1)
+        name, speed = f"host-{rng.randrange(1 << 24):06x}", round(speed, 3)
+        endpoint_plans.append(
+            EndpointPlan(name, ZONES[index % 2], endpoint_class, cores, speed, cores * 20, 400, 8.0)
+        )
+    weights = [rng.lognormvariate(0, 0.6) for _ in range(proxies)]
+    proxy_plans = [ProxyPlan(f"proxy-{k}", ZONES[k % 2], weights[k] / sum(weights)) for k in range(proxies)]
+    entries_per_s = max(1600.0, 5.0 * proxies * 8)
     channel = ChannelTerms(
-        lines_per_s=lines, head_lines=6, most_waiting_lines=max(2 * lines, proxies * 16), late_ms=20,
-        late_most_ms=300, messages_most=60, messages_over_ms=10_000, order_price=0.05,
+        lines_per_s=entries_per_s, head_lines=6, most_waiting_lines=max(2 * entries_per_s, proxies * 16),
+        late_ms=20, late_most_ms=300, messages_most=60, messages_over_ms=10_000, order_price=0.05,
     )  # fmt: skip
     rules = RuleTerms(
         bare_ms=2500, drain_grace_ms=2500, start_capacity=0.3, cold_ms=10_000, fall_multiple=4, fall_ms=2000
     )
-    terms = FleetTerms(proxies=proxies, pick="pair", standing=5, admit="rps", report_every_ms=500,
-                       reports_per_s=2000, cross_zone_price=0.04)  # fmt: skip
+    fleet_config = FleetTerms(
+        proxies=proxies, pick="pair", standing=5, admit="rps", report_every_ms=500, reports_per_s=2000,
+        cross_zone_price=0.04,
+    )  # fmt: skip
     if troubles is None:
         troubles = draw_faults(random.Random(seed + 1), length_s)
-    return Scenario(seed, length_s, calls_per_s, plans, fleet, routes(), directors, channel, rules, terms,
-               sorted(troubles, key=lambda row: row.at_s), host_slots=spare)  # fmt: skip
-
-
-def draw_faults(chance: random.Random, length_s: float) -> list[Fault]:
-    """At least eight kinds, some overlapping; a director killed and back is always among them."""
-    always = [
-        Fault("director_killed", 0, chance.uniform(2, 4)),
-        Fault("host_crash", 0, chance.uniform(4, 8), 0.15),
-        Fault("deploy", 0, chance.uniform(5, 8), chance.uniform(0.2, 0.35)),
-        Fault("host_hang", 0, chance.uniform(4, 8), 0.1),
-        Fault("fast_errors", 0, chance.uniform(4, 8), 0.15, chance.uniform(0.5, 1.0)),
-        Fault("streams_lost", 0, 0.3, chance.uniform(0.3, 0.8)),
-        Fault("roster_away", 0, chance.uniform(4, 8)),
-        Fault("host_slow", 0, chance.uniform(5, 9), 0.15, chance.uniform(2, 5)),
+    return Scenario(
+        seed, length_s, calls_per_s, endpoint_plans, proxy_plans, default_routes(), directors, channel, rules,
+        fleet_config, sorted(troubles, key=lambda fault: fault.at_s), host_slots=spare,
+    )  # fmt: skip
+
+
+def draw_faults(rng: random.Random, length_s: float) -> list[Fault]:
+    """Faults of at least eight kinds, some of which overlap. One kills and restarts a controller."""
+    mandatory = [
+        Fault("director_killed", 0, rng.uniform(2, 4)),
+        Fault("host_crash", 0, rng.uniform(4, 8), 0.15),
+        Fault("deploy", 0, rng.uniform(5, 8), rng.uniform(0.2, 0.35)),
+        Fault("host_hang", 0, rng.uniform(4, 8), 0.1),
+        Fault("fast_errors", 0, rng.uniform(4, 8), 0.15, rng.uniform(0.5, 1.0)),
+        Fault("streams_lost", 0, 0.3, rng.uniform(0.3, 0.8)),
+        Fault("roster_away", 0, rng.uniform(4, 8)),
+        Fault("host_slow", 0, rng.uniform(5, 9), 0.15, rng.uniform(2, 5)),
     ]
-    more = [
-        Fault("burst", 0, chance.uniform(3, 5), 1, chance.uniform(1.3, 1.7)),
-        Fault("disk_full", 0, chance.uniform(1.0, 1.8)),
-        Fault("proxy_killed", 0, chance.uniform(1.5, 3), 0.3),
-        Fault("zone_cut", 0, chance.uniform(4, 6)),
-        Fault("route_unanswered", 0, chance.uniform(4, 8), 0.1, route="submit"),
-        Fault("false_load", 0, chance.uniform(6, 9), 0.2, 0.05),
-        Fault("one_sided", 0, chance.uniform(4, 7), 0.2, chance.uniform(0.3, 0.8)),
-        Fault("roster_frozen", 0, chance.uniform(4, 7)),
-        Fault("shrink", 0, chance.uniform(4, 6), 0.15),
+    optional = [
+        Fault("burst", 0, rng.uniform(3, 5), 1, rng.uniform(1.3, 1.7)),
+        Fault("disk_full", 0, rng.uniform(1.0, 1.8)),
+        Fault("proxy_killed", 0, rng.uniform(1.5, 3), 0.3),
+        Fault("zone_cut", 0, rng.uniform(4, 6)),
+        Fault("route_unanswered", 0, rng.uniform(4, 8), 0.1, route="submit"),
+        Fault("false_load", 0, rng.uniform(6, 9), 0.2, 0.05),
+        Fault("one_sided", 0, rng.uniform(4, 7), 0.2, rng.uniform(0.3, 0.8)),
+        Fault("roster_frozen", 0, rng.uniform(4, 7)),
+        Fault("shrink", 0, rng.uniform(4, 6), 0.15),
         Fault("grow", 0, 1.0),
-        Fault("conn_squeeze", 0, chance.uniform(4, 7), 0.3, 0.05),
-        Fault("decline", 0, chance.uniform(6, 9), 0.1),
+        Fault("conn_squeeze", 0, rng.uniform(4, 7), 0.3, 0.05),
+        Fault("decline", 0, rng.uniform(6, 9), 0.1),
     ]
-    picked = always + chance.sample(more, 3)
-    chance.shuffle(picked)
-    first, room = 4.0, length_s - 4.0 - 8.0
-    for k, trouble in enumerate(picked):
-        trouble.at_s = round(first + room * (k + chance.uniform(0, 0.8)) / len(picked), 2)
+    picked = mandatory + rng.sample(optional, 3)
+    rng.shuffle(picked)
+    first_s, span_s = 4.0, length_s - 4.0 - 8.0
+    for index, fault in enumerate(picked):
+        fault.at_s = round(first_s + span_s * (index + rng.uniform(0, 0.8)) / len(picked), 2)
     return picked
 
 
 def controller_config(
-    day: Scenario, rank: int, folder: str, roster_url: str, records: str, **files: Any
+    scenario: Scenario, rank: int, folder: str, registry_url: str, record_file: str, **file_settings: Any
 ) -> Terms:
-    """What this director of the day is told."""
-    lost = max(2000.0, 3 * day.fleet.report_every_ms)
+    """The configuration of the controller with this rank."""
+    proxy_lost_after_ms = max(2000.0, 3 * scenario.fleet.report_every_ms)
     return Terms(
-        name=f"director-{rank}", rank=rank, directors=day.directors, zone=ZONES[rank % 2], zones=ZONES,
-        seed=day.seed, files=FileTerms(folder=folder, proxy_lost_after_ms=lost, **files),
-        roster=RosterTerms(url=roster_url, service="tasks", wait_ms=4000, timeout_ms=1000),
-        routes=tuple(day.routes), channel=day.channel, rules=day.rules, fleet=day.fleet,
-        records=RecordTerms(file=records),
+        name=f"director-{rank}", rank=rank, directors=scenario.directors, zone=ZONES[rank % 2], zones=ZONES,
+        seed=scenario.seed,
+        files=FileTerms(folder=folder, proxy_lost_after_ms=proxy_lost_after_ms, **file_settings),
+        roster=RosterTerms(url=registry_url, service="tasks", wait_ms=4000, timeout_ms=1000),
+        routes=tuple(scenario.routes), channel=scenario.channel, rules=scenario.rules, fleet=scenario.fleet,
+        records=RecordTerms(file=record_file),
     )  # fmt: skip
 
 
 class Arrival(msgspec.Struct):
-    at: float
+    """A request that a client makes."""
+
+    at: float  # seconds after the start of the scenario
     id: str
-    proxy: int
+    proxy: int  # index of the proxy that it goes to
     route: str
-    work_ms: float
-    key: str
+    work_ms: float  # on a core of speed 1
+    key: str  # idempotency key
 
 
-def arrivals(day: Scenario) -> list[Arrival]:
-    """All calls of the day, from its seed alone: the same whatever serves them."""
-    chance = random.Random(day.seed * 7 + 3)
-    found, at, k = list[Arrival](), 0.0, 0
-    bursts = [row for row in day.troubles if row.kind == "burst"]
-    shares = [proxy.share for proxy in day.proxies]
-    names, parts = [*SHARES], [*SHARES.values()]
+def arrivals(scenario: Scenario) -> list[Arrival]:
+    """All requests of a scenario. They depend on nothing but its seed, rates and bursts."""
+    rng = random.Random(scenario.seed * 7 + 3)
+    requests, at, number = list[Arrival](), 0.0, 0
+    bursts = [burst for burst in scenario.troubles if burst.kind == "burst"]
+    shares = [proxy.share for proxy in scenario.proxies]
+    route_names, route_shares = [*ROUTE_SHARES], [*ROUTE_SHARES.values()]
     while True:
-        rate = day.calls_per_s * min(1.0, 0.4 + at / 3)  # the first seconds are slower
-        for row in bursts:
-            if row.at_s <= at < row.at_s + row.for_s:
-                rate *= row.size
-        at += chance.expovariate(rate)
-        if at >= day.length_s:
-            return found
-        route = chance.choices(names, parts)[0]
-        work = min(chance.lognormvariate(-0.18, 0.6), 6.0) * WORK_MS[route]
-        found.append(
+        rate = scenario.calls_per_s * min(1.0, 0.4 + at / 3)  # ramp up over the first seconds
+        for burst in bursts:
+            if burst.at_s <= at < burst.at_s + burst.for_s:
+                rate *= burst.size
+        at += rng.expovariate(rate)
+        if at >= scenario.length_s:
+            return requests
+        route = rng.choices(route_names, route_shares)[0]
+        work_ms = min(rng.lognormvariate(-0.18, 0.6), 6.0) * MEAN_WORK_MS[route]
+        requests.append(
             Arrival(
-                at, f"c{k}", chance.choices(range(len(shares)), shares)[0], route, round(work, 2), f"k{k}"
+                at,
+                f"c{number}",
+                rng.choices(range(len(shares)), shares)[0],
+                route,
+                round(work_ms, 2),
+                f"k{number}",
             )
         )
-        k += 1
+        number += 1
--- a/willowhook/trial/oracle.py
+++ b/willowhook/trial/oracle.py
@@ -10,7 +10,7 @@
 import math
 from dataclasses import dataclass, field
 
-STEP = 0.25
+STEP_S = 0.25
 
 
 @dataclass
@@ -61,7 +61,7 @@
     class_capacity: dict[str, float] = field(default_factory=dict)  # calls a second by kind, where told
 
 
-def published(lines: dict[str, float]) -> dict[str, int] | None:
+def encoded_weights(lines: dict[str, float]) -> dict[str, int] | None:
     """The whole numbers that a reader would see; None if there are none."""
     found = {}
     for host, weight in lines.items():
@@ -79,7 +79,7 @@
     return {host: weight / total for host, weight in lines.items() if host not in out} if total else {}
 
 
-def ability(s: Situation, host: SimulatedEndpoint, after: float) -> float:
+def capacity_fraction(s: Situation, host: SimulatedEndpoint, after: float) -> float:
     """The part of its usual work that a host can do, so long from now."""
     age = host.age + after
     return 1.0 if age >= s.cold_s else s.start_capacity + (1 - s.start_capacity) * age / s.cold_s
@@ -96,7 +96,7 @@
         if not level >= 0:
             wrong.append("a level that lets in less than nothing")
     for lines in s.tables:
-        whole = published(lines)
+        whole = encoded_weights(lines)
         if whole is None:
             wrong.append("a weight that cannot be published")
             return wrong
@@ -115,11 +115,11 @@
         wrong.append("more messages to one proxy than may")
     proxy = SimulatedProxy(s.proxies[0].rates, s.proxies[0].zone, s.tables, s.excluded)
     fleet = [proxy, *s.proxies[1:]]
-    wrong += played(s, proxy, fleet)
+    wrong += simulate(s, proxy, fleet)
     return wrong
 
 
-def played(s: Situation, proxy: SimulatedProxy, fleet: list[SimulatedProxy]) -> list[str]:
+def simulate(s: Situation, proxy: SimulatedProxy, fleet: list[SimulatedProxy]) -> list[str]:
     wrong: dict[str, None] = {}
     more = max(1.0, s.fleet / len(fleet))
     total = sum(sum(one.rates) for one in fleet) * more
@@ -171,18 +171,18 @@
                 continue
             if met.age < s.cold_s:
                 rows = window.setdefault(host, [])
-                rows.append(calls * STEP)
-                del rows[: max(0, len(rows) - round(s.fall_s / STEP))]
-                can = s.fall_multiple * ability(s, met, time) * met.weight * everyday * s.fall_s
-                if len(rows) * STEP >= s.fall_s and sum(rows) > can:
+                rows.append(calls * STEP_S)
+                del rows[: max(0, len(rows) - round(s.fall_s / STEP_S))]
+                can = s.fall_multiple * capacity_fraction(s, met, time) * met.weight * everyday * s.fall_s
+                if len(rows) * STEP_S >= s.fall_s and sum(rows) > can:
                     wrong["a cold host falls over"] = None
             if time == 0.0 and calls > before.get(host, 0.0) * 1.05:
                 # what other directors' proxies send is spread over the fleet
                 calls = calls / more + total * (1 - 1 / more) * met.weight / size_of_all
                 told = s.class_capacity.get(met.endpoint_class)
-                if told and calls > told * ability(s, met, 0.0):
+                if told and calls > told * capacity_fraction(s, met, 0.0):
                     wrong["a host is given more than it can do"] = None
                 if calls > 6.0 * met.weight * everyday:
                     wrong["one host is given nearly all"] = None
-        time += STEP
+        time += STEP_S
     return list(wrong)
--- a/willowhook/trial/ports.py
+++ b/willowhook/trial/ports.py
@@ -1,4 +1,4 @@
-"""Ports on loopback that stay one server's own, also before it listens and between two of its lives."""
+"""Ports on loopback that stay reserved for one server: before it listens, and while it restarts."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 class PortReservations:
     """Holds ports until it is closed; servers that reuse addresses can listen at them meanwhile.
 
-    A port that is only drawn and released may be given to anyone before its server listens.
+    A port that is merely chosen and released could be given to another process before its server listens.
     """
 
     def __init__(self) -> None:
@@ -25,7 +25,7 @@
         self.close()
 
     def reserve(self) -> int:
-        """A port that the kernel gives to nobody else. Raises OSError if there is none."""
+        """Reserves a port that the kernel gives to no other process. Raises OSError if there is none."""
         reservation = socket.socket()
         self._sockets.append(reservation)
         reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/willowhook/trial/power.py
+++ b/willowhook/trial/power.py
@@ -13,15 +13,15 @@
 from dataclasses import dataclass, field
 from itertools import product
 
-PARTS = (0.0, 0.5, 1.0)  # of a write that came to lie
+WRITTEN_FRACTIONS = (0.0, 0.5, 1.0)  # of a write that came to lie
 
 
 @dataclass
-class Node:
+class FileNode:
     synced: bytes = b""
     pending: list[bytes] = field(default_factory=list)
 
-    def now(self) -> bytes:
+    def content(self) -> bytes:
         return self.synced + b"".join(self.pending)
 
 
@@ -29,10 +29,10 @@
     """`before(what)` is called before each operation, and may raise OSError; `after()` when it is done."""
 
     def __init__(self) -> None:
-        self.names: dict[str, Node] = {}  # as a process sees them
-        self.durable: dict[str, Node] = {}
-        self.waiting: list[tuple[str, str, str, Node]] = []  # what, name, other name, node
-        self.handles: dict[int, Node] = {}
+        self.names: dict[str, FileNode] = {}  # as a process sees them
+        self.durable_names: dict[str, FileNode] = {}
+        self.pending_changes: list[tuple[str, str, str, FileNode]] = []  # what, name, other name, node
+        self.handles: dict[int, FileNode] = {}
         self.count = 0
         self.before: Callable[[str], None] = lambda what: None
         self.after: Callable[[], None] = lambda: None
@@ -40,12 +40,12 @@
     @staticmethod
     def load(files: dict[str, bytes]) -> PowerDisk:
         disk = PowerDisk()
-        disk.names = {name: Node(data) for name, data in files.items()}
-        disk.durable = dict(disk.names)
+        disk.names = {name: FileNode(data) for name, data in files.items()}
+        disk.durable_names = dict(disk.names)
         return disk
 
     def files(self) -> dict[str, bytes]:
-        return {name: node.now() for name, node in self.names.items()}
+        return {name: node.content() for name, node in self.names.items()}
 
     def listdir(self, folder: str) -> list[str]:
         return list(self.names)
@@ -54,15 +54,15 @@
         name = path.rpartition("/")[2]
         if name not in self.names:
             raise FileNotFoundError(errno.ENOENT, name)
-        return self.names[name].now()
+        return self.names[name].content()
 
     def create(self, path: str) -> int:
         name = path.rpartition("/")[2]
         self.before(f"create {name}")
         if name in self.names:
             raise FileExistsError(errno.EEXIST, name)
-        node = self.names[name] = Node()
-        self.waiting.append(("create", name, "", node))
+        node = self.names[name] = FileNode()
+        self.pending_changes.append(("create", name, "", node))
         self.count += 1
         self.handles[self.count] = node
         self.after()
@@ -77,7 +77,7 @@
     def sync(self, handle: int) -> None:
         self.before("sync")
         node = self.handles[handle]
-        node.synced, node.pending = node.now(), []
+        node.synced, node.pending = node.content(), []
         self.after()
 
     def close(self, handle: int) -> None:
@@ -87,36 +87,39 @@
         one, other = old.rpartition("/")[2], new.rpartition("/")[2]
         self.before(f"rename {other}")
         node = self.names[other] = self.names.pop(one)
-        self.waiting.append(("rename", one, other, node))
+        self.pending_changes.append(("rename", one, other, node))
         self.after()
 
     def unlink(self, path: str) -> None:
         name = path.rpartition("/")[2]
         self.before(f"unlink {name}")
         node = self.names.pop(name)
-        self.waiting.append(("unlink", name, "", node))
+        self.pending_changes.append(("unlink", name, "", node))
         self.after()
 
     def sync_folder(self, folder: str) -> None:
         self.before("sync_folder")
-        self.durable, self.waiting = dict(self.names), []
+        self.durable_names, self.pending_changes = dict(self.names), []
         self.after()
 
     # When the power fails.
 
-    def _name_states(self) -> list[dict[str, Node]]:
-        found: list[dict[str, Node]] = []
+    def _name_states(self) -> list[dict[str, FileNode]]:
+        found: list[dict[str, FileNode]] = []
         seen: set[tuple[tuple[str, int], ...]] = set()
-        many = len(self.waiting) > 8
-        choices = product((False, True), repeat=0 if many else len(self.waiting))
+        many = len(self.pending_changes) > 8
+        choices = product((False, True), repeat=0 if many else len(self.pending_changes))
         picks = (
-            [tuple(k < n for k in range(len(self.waiting))) for n in range(len(self.waiting) + 1)]
+            [
+                tuple(k < n for k in range(len(self.pending_changes)))
+                for n in range(len(self.pending_changes) + 1)
+            ]
             if many
             else choices
         )
         for pick in picks:
-            names, late = dict(self.durable), set[str]()
-            for taken, (what, name, other, node) in zip(pick, self.waiting, strict=True):
+            names, late = dict(self.durable_names), set[str]()
+            for taken, (what, name, other, node) in zip(pick, self.pending_changes, strict=True):
                 if not taken:
                     late |= {name, other}
                     continue
@@ -137,14 +140,14 @@
         return found
 
     @staticmethod
-    def _contents(node: Node, chance: random.Random, most: int) -> list[bytes]:
+    def _contents(node: FileNode, chance: random.Random, most: int) -> list[bytes]:
         count = len(node.pending)
         if not count:
             return [node.synced]
-        if len(PARTS) ** count <= most:
-            picks = list(product(PARTS, repeat=count))
+        if len(WRITTEN_FRACTIONS) ** count <= most:
+            picks = list(product(WRITTEN_FRACTIONS, repeat=count))
         else:
-            picks = [tuple(chance.choice(PARTS) for _ in range(count)) for _ in range(most)]
+            picks = [tuple(chance.choice(WRITTEN_FRACTIONS) for _ in range(count)) for _ in range(most)]
             picks += [(1.0,) * count, (0.0,) * count]
         found: dict[bytes, None] = {}
         for pick in picks:
--- a/willowhook/trial/standin_blocks.py
+++ b/willowhook/trial/standin_blocks.py
@@ -18,8 +18,8 @@
 from ..web.wire import Call, ConnectionLostError, Reply
 from .nginx_check import brute
 
-Ask = Callable[[str, Call, bytes], Awaitable[Reply]]  # host, call, path; raises Broken
-UNSAFE = (b"POST", b"LOCK", b"PATCH")
+SendRequest = Callable[[str, Call, bytes], Awaitable[Reply]]  # host, call, path; raises Broken
+NON_IDEMPOTENT_METHODS = (b"POST", b"LOCK", b"PATCH")
 
 
 @dataclass(slots=True)
@@ -27,63 +27,67 @@
     name: str
     weight: int
     backup: bool
-    most_fails: int
-    now: float = 0.0  # of the turn
-    out: int = 0
-    fails: int = 0
-    until: float = 0.0
+    max_failures: int
+    current_weight: float = 0.0  # of the turn
+    open_requests: int = 0
+    failures: int = 0
+    unavailable_until: float = 0.0
 
 
 @dataclass(slots=True)
-class Pool:
+class UpstreamPool:
     peers: list[Peer]
-    how: list[str] = field(default_factory=list)
+    method: list[str] = field(default_factory=list)
 
-    def able(self, clock: float, tried: list[str]) -> list[Peer]:
-        rows = [p for p in self.peers if p.name not in tried and p.until <= clock]
+    def available(self, clock: float, tried: list[str]) -> list[Peer]:
+        rows = [p for p in self.peers if p.name not in tried and p.unavailable_until <= clock]
         return [p for p in rows if not p.backup] or [p for p in rows if p.backup]
 
     def pick(self, clock: float, tried: list[str], key: str, chance: random.Random) -> Peer | None:
-        rows = self.able(clock, tried)
+        rows = self.available(clock, tried)
         if not rows:
             return None
-        word = self.how[0] if self.how else ""
+        word = self.method[0] if self.method else ""
         if word in ("hash", "ip_hash"):
             points = [p for p in rows for _ in range(p.weight)]
             return points[zlib.crc32(f"{key}{len(tried)}".encode()) % len(points)]
-        if word == "random" and len(self.how) == 1:
+        if word == "random" and len(self.method) == 1:
             return chance.choices(rows, [p.weight for p in rows])[0]
         if word in ("least_conn", "random"):
-            least = min(p.out / p.weight for p in rows)
-            rows = [p for p in rows if p.out / p.weight == least]
+            least = min(p.open_requests / p.weight for p in rows)
+            rows = [p for p in rows if p.open_requests / p.weight == least]
         for peer in rows:  # in turn, smoothly
-            peer.now += peer.weight
-        best = max(rows, key=lambda peer: peer.now)
-        best.now -= sum(peer.weight for peer in rows)
+            peer.current_weight += peer.weight
+        best = max(rows, key=lambda peer: peer.current_weight)
+        best.current_weight -= sum(peer.weight for peer in rows)
         return best
 
 
 class StandInNginxProxy:
     """`ask` makes one try; `clock` in seconds."""
 
-    def __init__(self, rows: list[Directive], site: Directive, ask: Ask, clock: Callable[[], float]) -> None:
-        self._ask, self._clock = ask, clock
-        self._chance = random.Random(4)
-        self._top = [inner for row in rows for inner in (row.block or [] if row.name == "http" else [row])]
-        self._site = site.block or []
-        self._locations = read_all(self._site, lambda at, fault: None)
-        self._around: dict[int, list[list[Directive]]] = {}
-        self._nest(self._locations, [self._top, self._site])
-        self._pools = {row.arg(0): self._pool(row) for row in self._top if row.name == "upstream"}
-
-    def _nest(self, locations: list[Location], around: list[list[Directive]]) -> None:
+    def __init__(
+        self, rows: list[Directive], site: Directive, ask: SendRequest, clock: Callable[[], float]
+    ) -> None:
+        self._send, self._clock = ask, clock
+        self._rng = random.Random(4)
+        self._http_directives = [
+            inner for row in rows for inner in (row.block or [] if row.name == "http" else [row])
+        ]
+        self._server_directives = site.block or []
+        self._locations = read_all(self._server_directives, lambda at, fault: None)
+        self._enclosing_blocks: dict[int, list[list[Directive]]] = {}
+        self._index_locations(self._locations, [self._http_directives, self._server_directives])
+        self._pools = {row.arg(0): self._pool(row) for row in self._http_directives if row.name == "upstream"}
+
+    def _index_locations(self, locations: list[Location], around: list[list[Directive]]) -> None:
         for each in locations:
             blocks = [*around, each.directive.block or []]
-            self._around[id(each)] = blocks
-            self._nest(each.inner, blocks)
+            self._enclosing_blocks[id(each)] = blocks
+            self._index_locations(each.inner, blocks)
 
     @staticmethod
-    def _pool(row: Directive) -> Pool:
+    def _pool(row: Directive) -> UpstreamPool:
         peers: dict[str, Peer] = {}
         how: list[str] = []
         for each in row.block or []:
@@ -100,20 +104,20 @@
                 peers[name] = Peer(name, int(told.get("weight", 1)), "backup" in told, fails)
             elif each.name in ("hash", "ip_hash", "least_conn", "random"):
                 how = [each.name, *words]
-        return Pool(list(peers.values()), how)
+        return UpstreamPool(list(peers.values()), how)
 
-    def _said(self, location: Location, name: str) -> list[str]:
+    def _directive_arguments(self, location: Location, name: str) -> list[str]:
         """The words of the innermost block that has this directive."""
-        for block in reversed(self._around[id(location)]):
+        for block in reversed(self._enclosing_blocks[id(location)]):
             for row in block:
                 if row.name == name:
                     return [word.text for word in row.args]
         return []
 
     def _value(self, variable: str, path: str, call: Call) -> str:
-        for row in self._top:
+        for row in self._http_directives:
             if row.name == "split_clients" and row.arg(1).strip("${}") == variable:
-                point, total = self._chance.random() * 100, 0.0
+                point, total = self._rng.random() * 100, 0.0
                 for each in row.block or []:
                     if each.name == "*":
                         return each.arg(0)
@@ -177,36 +181,42 @@
                 asked = re.sub(row.arg(0), row.arg(1).replace("$", "\\"), asked, count=1)
         if slash and location.regex is None:
             asked = slash + uri + path[len(location.pattern) :]
-        pool = self._pools.get(name) or Pool([Peer(name if ":" in name else f"{name}:80", 1, False, 1)])
+        pool = self._pools.get(name) or UpstreamPool(
+            [Peer(name if ":" in name else f"{name}:80", 1, False, 1)]
+        )
         self._pools.setdefault(name, pool)
-        return await self._pass(location, pool, call, asked + ("?" + query if query else ""))
+        return await self._forward(location, pool, call, asked + ("?" + query if query else ""))
 
-    async def _pass(self, location: Location, pool: Pool, call: Call, asked: str) -> Reply:
-        after = self._said(location, "proxy_next_upstream") or ["error", "timeout"]
-        told = self._said(location, "proxy_next_upstream_tries")
+    async def _forward(self, location: Location, pool: UpstreamPool, call: Call, asked: str) -> Reply:
+        after = self._directive_arguments(location, "proxy_next_upstream") or ["error", "timeout"]
+        told = self._directive_arguments(location, "proxy_next_upstream_tries")
         most = int(told[0]) if told and int(told[0]) else len(pool.peers)
         # else tried again only where nothing was sent
-        safe_only = call.method in UNSAFE and "non_idempotent" not in after
-        key = self._key(pool.how[1], asked, call) if pool.how[:1] == ["hash"] else self._key("", asked, call)
+        safe_only = call.method in NON_IDEMPOTENT_METHODS and "non_idempotent" not in after
+        key = (
+            self._key(pool.method[1], asked, call)
+            if pool.method[:1] == ["hash"]
+            else self._key("", asked, call)
+        )
         tried: list[str] = []
         reply = Reply(502)
         while len(tried) < most:
-            peer = pool.pick(self._clock(), tried, key, self._chance)
+            peer = pool.pick(self._clock(), tried, key, self._rng)
             if peer is None:
                 return reply
             tried.append(peer.name)
-            peer.out += 1
+            peer.open_requests += 1
             try:
-                reply = await self._ask(peer.name, call, asked.encode("latin-1"))
-                peer.fails = 0
+                reply = await self._send(peer.name, call, asked.encode("latin-1"))
+                peer.failures = 0
                 failed, sent = f"http_{reply.status}" in after, True
             except ConnectionLostError as fault:
                 reply, failed, sent = Reply(502), "error" in after, fault.sent
-                peer.fails += 1
-                if peer.most_fails and peer.fails >= peer.most_fails:
-                    peer.until = self._clock() + 10.0
+                peer.failures += 1
+                if peer.max_failures and peer.failures >= peer.max_failures:
+                    peer.unavailable_until = self._clock() + 10.0
             finally:
-                peer.out -= 1
+                peer.open_requests -= 1
             if not failed or "off" in after or (safe_only and sent):
                 return reply
         return reply
--- a/willowhook/trial/standin_client.py
+++ b/willowhook/trial/standin_client.py
@@ -30,15 +30,15 @@
     parts: int = 1
 
 
-class Clients:
-    def __init__(self, orders: ClientWorkerConfig, day: Scenario) -> None:
-        self.o, self.day = orders, day
-        self.notes = EventLog(orders.notes)
-        self.routes = {route.name: route for route in day.routes}
-        self.idle: dict[int, list[ClientConnection]] = {}
-        self.chance = random.Random(day.seed + 11)
-
-    async def one(self, arrival: Arrival) -> None:
+class ClientWorker:
+    def __init__(self, orders: ClientWorkerConfig, scenario: Scenario) -> None:
+        self.config, self.scenario = orders, scenario
+        self.event_log = EventLog(orders.notes)
+        self.routes = {route.name: route for route in scenario.routes}
+        self.idle_connections: dict[int, list[ClientConnection]] = {}
+        self.rng = random.Random(scenario.seed + 11)
+
+    async def make_request(self, arrival: Arrival) -> None:
         route = self.routes[arrival.route]
         began = monotonic_ticks()
         out, attempts = "dropped", 0
@@ -49,16 +49,16 @@
                 head = [(b"x-attempt", attempt.encode()), (b"x-work-ms", str(arrival.work_ms).encode())]
                 if route.semantics == "keyed":
                     head.append((b"x-key", arrival.key.encode()))
-                status, proof = await self.ask(self.o.ports[arrival.proxy], route.path, head)
+                status, proof = await self.send_attempt(self.config.ports[arrival.proxy], route.path, head)
                 if status == 200:
                     out = "answered"
                     break
                 out = "throttled" if status == 429 else "dropped"
                 may = status == 429 or proof or route.semantics == "repeatable"
-                if attempts > self.day.client_retries or not may:
+                if attempts > self.scenario.client_retries or not may:
                     break
-                await trio.sleep(self.day.client_wait_ms / 1000 * (0.5 + self.chance.random()))
-        self.notes.record(
+                await trio.sleep(self.scenario.client_wait_ms / 1000 * (0.5 + self.rng.random()))
+        self.event_log.record(
             "call",
             c=arrival.id,
             r=arrival.route,
@@ -68,11 +68,11 @@
             attempts=attempts,
         )
 
-    async def ask(self, port: int, path: str, head: list[tuple[bytes, bytes]]) -> tuple[int, bool]:
-        idle = self.idle.setdefault(port, [])
+    async def send_attempt(self, port: int, path: str, head: list[tuple[bytes, bytes]]) -> tuple[int, bool]:
+        idle_connections = self.idle_connections.setdefault(port, [])
         caller: ClientConnection | None = None
-        while idle and caller is None:
-            caller = idle.pop()
+        while idle_connections and caller is None:
+            caller = idle_connections.pop()
             if not caller.usable or not caller.is_open():
                 await caller.close()
                 caller = None
@@ -85,7 +85,7 @@
         finally:
             if caller is not None:
                 if caller.usable:
-                    idle.append(caller)
+                    idle_connections.append(caller)
                 else:
                     with trio.CancelScope(shield=True):
                         await caller.close()
@@ -93,17 +93,17 @@
 
     async def run(self) -> None:
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self.notes.run)
+            nursery.start_soon(self.event_log.run)
             async with trio.open_nursery() as calls:
-                for k, arrival in enumerate(arrivals(self.day)):
-                    if k % self.o.parts != self.o.part:
+                for k, arrival in enumerate(arrivals(self.scenario)):
+                    if k % self.config.parts != self.config.part:
                         continue
-                    wait = (self.o.start - monotonic_ticks()) / TICKS_PER_SECOND + arrival.at
+                    wait = (self.config.start - monotonic_ticks()) / TICKS_PER_SECOND + arrival.at
                     if wait > 0:
                         await trio.sleep(wait)
-                    calls.start_soon(self.one, arrival)
+                    calls.start_soon(self.make_request, arrival)
             nursery.cancel_scope.cancel()
-        self.notes.flush()
+        self.event_log.flush()
 
 
 def main() -> None:
@@ -111,7 +111,7 @@
     orders = msgspec.json.decode(sys.argv[1].encode(), type=ClientWorkerConfig)
     with open(orders.day, "rb") as file:
         day = msgspec.json.decode(file.read(), type=Scenario)
-    trio.run(Clients(orders, day).run)
+    trio.run(ClientWorker(orders, day).run)
 
 
 if __name__ == "__main__":
--- a/willowhook/trial/standin_host.py
+++ b/willowhook/trial/standin_host.py
@@ -40,85 +40,89 @@
 
 class StandInEndpoint:
     def __init__(self, orders: EndpointProcessConfig) -> None:
-        self.o, self.plan = orders, orders.plan
-        self.notes = EventLog(orders.notes)
-        self.chance = random.Random(orders.seed)
-        self.born = monotonic_ticks()
+        self.config, self.plan = orders, orders.plan
+        self.event_log = EventLog(orders.notes)
+        self.rng = random.Random(orders.seed)
+        self.started_at = monotonic_ticks()
         self.cores = trio.Semaphore(orders.plan.cores)
-        self.waiting = self.open = self.busy = 0
-        self.used, self.used_at, self.told = 0.0, monotonic_ticks(), 0.0
+        self.waiting = self.open_connections = self.busy = 0
+        self.used_core_ticks, self.measured_at, self.utilization = 0.0, monotonic_ticks(), 0.0
         self.hang = self.draining = False
         self.slow, self.fail, self.squeeze = 1.0, 0.0, 1.0
         self.unanswered, self.false_load = "", -1.0
-        self.window: deque[tuple[int, float, str]] = deque()  # work that came lately: when, how much, whose
-        self.came = 0.0
-        self.nearest = 0.0
+        self.recent_work: deque[tuple[int, float, str]] = (
+            deque()
+        )  # work that came lately: when, how much, whose
+        self.recent_work_sum = 0.0
+        self.peak_overload_share = 0.0
 
     # Capacity.
 
-    def warmth(self) -> float:
-        if not self.o.cold_s:
+    def warm_fraction(self) -> float:
+        if not self.config.cold_s:
             return 1.0
-        age = (monotonic_ticks() - self.born) / TICKS_PER_SECOND
-        start = self.o.start_capacity
-        return min(1.0, start + (1 - start) * age / self.o.cold_s)
+        age = (monotonic_ticks() - self.started_at) / TICKS_PER_SECOND
+        start = self.config.start_capacity
+        return min(1.0, start + (1 - start) * age / self.config.cold_s)
 
-    def weigh(self, work: float, proxy: str) -> None:
+    def check_overload(self, work: float, proxy: str) -> None:
         """Too much for a cold host, over its window: it falls."""
-        if not self.o.cold_s or self.warmth() >= 1:
+        if not self.config.cold_s or self.warm_fraction() >= 1:
             return
         now = monotonic_ticks()
-        self.window.append((now, work, proxy))
-        self.came += work
-        while self.window and self.window[0][0] < now - self.o.fall_s * TICKS_PER_SECOND:
-            self.came -= self.window.popleft()[1]
-        able = self.plan.cores * self.plan.speed * self.warmth()
-        budget = self.o.fall_multiple * self.o.fall_s * able
-        if self.came / budget > self.nearest:
-            self.nearest = self.came / budget
-            self.notes.record("cold_load", host=self.plan.id, share=round(self.nearest, 4))
-        if self.came > budget:
+        self.recent_work.append((now, work, proxy))
+        self.recent_work_sum += work
+        while self.recent_work and self.recent_work[0][0] < now - self.config.fall_s * TICKS_PER_SECOND:
+            self.recent_work_sum -= self.recent_work.popleft()[1]
+        able = self.plan.cores * self.plan.speed * self.warm_fraction()
+        budget = self.config.fall_multiple * self.config.fall_s * able
+        if self.recent_work_sum / budget > self.peak_overload_share:
+            self.peak_overload_share = self.recent_work_sum / budget
+            self.event_log.record("cold_load", host=self.plan.id, share=round(self.peak_overload_share, 4))
+        if self.recent_work_sum > budget:
             by: dict[str, float] = {}
-            for _, part, who in self.window:
+            for _, part, who in self.recent_work:
                 by[who] = by.get(who, 0.0) + part
-            since = self.window[0][0]
-            self.notes.record("fell", host=self.plan.id, born=self.born, since=since, work=self.came, by=by)
-            self.notes.flush()
+            since = self.recent_work[0][0]
+            self.event_log.record(
+                "fell", host=self.plan.id, born=self.started_at, since=since, work=self.recent_work_sum, by=by
+            )
+            self.event_log.flush()
             os._exit(9)
 
-    def gauge(self) -> None:
+    def update_utilization(self) -> None:
         now = monotonic_ticks()
-        span = now - self.used_at
+        span = now - self.measured_at
         if span >= TICKS_PER_SECOND // 4:
-            self.told = min(1.0, self.used / (span * self.plan.cores))
-            self.used, self.used_at = 0.0, now
+            self.utilization = min(1.0, self.used_core_ticks / (span * self.plan.cores))
+            self.used_core_ticks, self.measured_at = 0.0, now
 
-    def load(self) -> bytes:
-        self.gauge()
-        busy = self.told if self.false_load < 0 else self.false_load
+    def load_header(self) -> bytes:
+        self.update_utilization()
+        busy = self.utilization if self.false_load < 0 else self.false_load
         return orca.write({orca.UTILIZATION: busy, "named_metrics.queue": float(self.waiting)})
 
     # Calls.
 
     async def answer(self, call: Call) -> Reply | None:
-        told = [(orca.HEADER, self.load())]
+        utilization = [(orca.HEADER, self.load_header())]
         if call.target == b"/load":
             if self.hang:
                 await trio.sleep_forever()
-            return Reply(200, told)
+            return Reply(200, utilization)
         route = call.headers.get(b"x-route", b"").decode()
         attempt = call.headers.get(b"x-attempt", b"").decode()
         proxy = call.headers.get(b"x-proxy", b"").decode()
         work = float(call.headers.get(b"x-work-ms", b"1")) / 1000
-        back = [*told, (NOT_EXECUTED_HEADER.encode(), b"1")]
-        self.notes.record("got", host=self.plan.id, c=attempt, r=route, p=proxy)
+        back = [*utilization, (NOT_EXECUTED_HEADER.encode(), b"1")]
+        self.event_log.record("got", host=self.plan.id, c=attempt, r=route, p=proxy)
         if self.draining:
             return Reply(503, back, b"draining", close=True)
-        self.weigh(work, proxy)
+        self.check_overload(work, proxy)
         if self.hang or route == self.unanswered:
             await trio.sleep_forever()
-        if self.fail and self.chance.random() < self.fail:
-            return Reply(500, told, b"failed")
+        if self.fail and self.rng.random() < self.fail:
+            return Reply(500, utilization, b"failed")
         if self.waiting >= self.plan.waiting:
             return Reply(503, back, b"full")
         self.waiting += 1
@@ -128,25 +132,27 @@
             self.waiting -= 1
         try:
             key = call.headers.get(b"x-key", b"").decode()
-            if self.repeated(route, key, attempt):
-                return Reply(200, told, b"done before")
-            took = work / (self.plan.speed * self.warmth()) * self.slow
-            self.notes.record("effect", host=self.plan.id, c=attempt, r=route, key=key, zone=self.plan.zone)
-            self.notes.flush()  # the process may be killed at any time
+            if self.is_repeat(route, key, attempt):
+                return Reply(200, utilization, b"done before")
+            took = work / (self.plan.speed * self.warm_fraction()) * self.slow
+            self.event_log.record(
+                "effect", host=self.plan.id, c=attempt, r=route, key=key, zone=self.plan.zone
+            )
+            self.event_log.flush()  # the process may be killed at any time
             # once begun, it runs to its end, whoever still waits
             with trio.CancelScope(shield=True):
                 await trio.sleep(took)
-            self.used += took * TICKS_PER_SECOND
+            self.used_core_ticks += took * TICKS_PER_SECOND
         finally:
             self.cores.release()
-        return Reply(200, [(orca.HEADER, self.load())], b"done")
+        return Reply(200, [(orca.HEADER, self.load_header())], b"done")
 
-    def repeated(self, route: str, key: str, attempt: str) -> bool:
+    def is_repeat(self, route: str, key: str, attempt: str) -> bool:
         """Marks of keys are files that a zone's hosts share; a repeat within the window has no effect."""
-        window = self.o.windows.get(route, 0.0)
-        if not window:
+        recent_work = self.config.windows.get(route, 0.0)
+        if not recent_work:
             return False
-        path = f"{self.o.marks}/{key}"
+        path = f"{self.config.marks}/{key}"
         try:
             fd = os.open(path, os.O_CREAT | os.O_EXCL | os.O_WRONLY)
             os.write(fd, str(monotonic_ticks()).encode())
@@ -155,23 +161,23 @@
         except FileExistsError:
             with open(path, "rb") as file:
                 at = int(file.read() or b"0")
-            if monotonic_ticks() - at <= window * TICKS_PER_SECOND:
-                self.notes.record("repeat_dropped", host=self.plan.id, c=attempt)
+            if monotonic_ticks() - at <= recent_work * TICKS_PER_SECOND:
+                self.event_log.record("repeat_dropped", host=self.plan.id, c=attempt)
                 return True
             with open(path, "w") as out:
                 out.write(str(monotonic_ticks()))
             return False
 
     async def serve(self, stream: trio.SocketStream) -> None:
-        if self.open >= max(1, int(self.plan.connections * self.squeeze)):
+        if self.open_connections >= max(1, int(self.plan.connections * self.squeeze)):
             await trio.aclose_forcefully(stream)
             return
-        self.open += 1
-        self.used += self.plan.handshake_ms * TICKS_PER_SECOND / 1000
+        self.open_connections += 1
+        self.used_core_ticks += self.plan.handshake_ms * TICKS_PER_SECOND / 1000
         try:
             await serve_connection(stream, self.answer)
         finally:
-            self.open -= 1
+            self.open_connections -= 1
 
     # Troubles.
 
@@ -179,12 +185,12 @@
         if not hasattr(self, name):
             raise AttributeError(name)
         setattr(self, name, value)
-        self.notes.record("set", host=self.plan.id, name=name, value=value)
+        self.event_log.record("set", host=self.plan.id, name=name, value=value)
 
     async def run(self) -> None:
-        self.notes.record("born", host=self.plan.id, cold=bool(self.o.cold_s))
+        self.event_log.record("born", host=self.plan.id, cold=bool(self.config.cold_s))
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self.notes.run)
+            nursery.start_soon(self.event_log.run)
             listen = partial(trio.serve_tcp, self.serve, 0, host="127.0.0.1")
             listeners: Any = await nursery.start(listen)
             port = listeners[0].socket.getsockname()[1]
--- a/willowhook/trial/standin_roster.py
+++ b/willowhook/trial/standin_roster.py
@@ -15,8 +15,8 @@
 
 
 class StandInRegistry:
-    def __init__(self, event_log: EventLog, late_s: float) -> None:
-        self.event_log, self.late = event_log, late_s
+    def __init__(self, event_log: EventLog, delay_s: float) -> None:
+        self.event_log, self.delay_s = event_log, delay_s
         self.index = 1
         self.entries: dict[str, dict[str, Any]] = {}  # as they are shown
         self.changed = trio.Event()
@@ -36,19 +36,19 @@
 
     def register(self, plan: EndpointPlan, draining: bool = False, started: float = 0.0) -> None:
         """The host is listed, a while from now."""
-        self._later(plan.id, self.make_entry(plan, draining, started))
+        self._set_after_delay(plan.id, self.make_entry(plan, draining, started))
 
     def deregister(self, host: str) -> None:
-        self._later(host, None)
+        self._set_after_delay(host, None)
 
-    def _later(self, host: str, entry: dict[str, Any] | None) -> None:
+    def _set_after_delay(self, host: str, entry: dict[str, Any] | None) -> None:
         if self.nursery is None:
             self.set_entry(host, entry)
         else:
-            self.nursery.start_soon(self._after, host, entry)
+            self.nursery.start_soon(self._delayed_set, host, entry)
 
-    async def _after(self, host: str, entry: dict[str, Any] | None) -> None:
-        await trio.sleep(self.late)
+    async def _delayed_set(self, host: str, entry: dict[str, Any] | None) -> None:
+        await trio.sleep(self.delay_s)
         self.set_entry(host, entry)
 
     def set_entry(self, host: str, entry: dict[str, Any] | None) -> None:
