--- a/willowhook/trial/standin_blocks.py
+++ b/willowhook/trial/standin_blocks.py
@@ -1,8 +1,9 @@
-"""A stand-in for a proxy that runs upstream and location blocks, by the published rules, not the import.
+"""A stand-in for nginx as a proxy: it runs upstream and location blocks by the published rules.
 
-It reads the tree of directives itself and shares only the reader of the language and the brute-force search
-with the rest.  It serves locations, `return`, `proxy_pass` with and without a URI, weights in turn, least
-connections, chance, hashes, backups, `max_fails`, `proxy_next_upstream`, splits, maps.
+It reads the tree of directives itself and does not use the import; they share only the parser and the
+exhaustive search for a location. It has locations, `return`, `proxy_pass` with and without a URI, round
+robin with weights, least connections, random choice, hashes, backups, `max_fails`, `proxy_next_upstream`,
+splits and maps.
 """
 
 from __future__ import annotations
@@ -18,131 +19,148 @@
 from ..web.wire import Call, ConnectionLostError, Reply
 from .nginx_check import brute
 
-SendRequest = Callable[[str, Call, bytes], Awaitable[Reply]]  # host, call, path; raises Broken
+# endpoint, request, path; raises ConnectionLostError
+SendRequest = Callable[[str, Call, bytes], Awaitable[Reply]]
 NON_IDEMPOTENT_METHODS = (b"POST", b"LOCK", b"PATCH")
 
 
 @dataclass(slots=True)
 class Peer:
+    """A server of an upstream block."""
+
     name: str
     weight: int
     backup: bool
     max_failures: int
-    current_weight: float = 0.0  # of the turn
+    current_weight: float = 0.0  # of smooth weighted round robin
     open_requests: int = 0
     failures: int = 0
-    unavailable_until: float = 0.0
+    unavailable_until: float = 0.0  # after `max_fails`
 
 
 @dataclass(slots=True)
 class UpstreamPool:
+    """An upstream block: its servers and its balancing method, with arguments."""
+
     peers: list[Peer]
     method: list[str] = field(default_factory=list)
 
     def available(self, clock: float, tried: list[str]) -> list[Peer]:
-        rows = [p for p in self.peers if p.name not in tried and p.unavailable_until <= clock]
-        return [p for p in rows if not p.backup] or [p for p in rows if p.backup]
-
-    def pick(self, clock: float, tried: list[str], key: str, chance: random.Random) -> Peer | None:
-        rows = self.available(clock, tried)
-        if not rows:
+        """The servers that were not tried and are available; backups only if there is no other."""
+        peers = [p for p in self.peers if p.name not in tried and p.unavailable_until <= clock]
+        return [p for p in peers if not p.backup] or [p for p in peers if p.backup]
+
+    def pick(self, clock: float, tried: list[str], key: str, rng: random.Random) -> Peer | None:
+        """Chooses the server of the next attempt."""
+        peers = self.available(clock, tried)
+        if not peers:
             return None
-        word = self.method[0] if self.method else ""
-        if word in ("hash", "ip_hash"):
-            points = [p for p in rows for _ in range(p.weight)]
+        method_name = self.method[0] if self.method else ""
+        if method_name in ("hash", "ip_hash"):
+            points = [peer for peer in peers for _ in range(peer.weight)]
             return points[zlib.crc32(f"{key}{len(tried)}".encode()) % len(points)]
-        if word == "random" and len(self.method) == 1:
-            return chance.choices(rows, [p.weight for p in rows])[0]
-        if word in ("least_conn", "random"):
-            least = min(p.open_requests / p.weight for p in rows)
-            rows = [p for p in rows if p.open_requests / p.weight == least]
-        for peer in rows:  # in turn, smoothly
+        if method_name == "random" and len(self.method) == 1:
+            return rng.choices(peers, [peer.weight for peer in peers])[0]
+        if method_name in ("least_conn", "random"):
+            fewest = min(peer.open_requests / peer.weight for peer in peers)
+            peers = [peer for peer in peers if peer.open_requests / peer.weight == fewest]
+        for peer in peers:  # smooth weighted round robin
             peer.current_weight += peer.weight
-        best = max(rows, key=lambda peer: peer.current_weight)
-        best.current_weight -= sum(peer.weight for peer in rows)
+        best = max(peers, key=lambda peer: peer.current_weight)
+        best.current_weight -= sum(peer.weight for peer in peers)
         return best
 
 
 class StandInNginxProxy:
-    """`ask` makes one try; `clock` in seconds."""
+    """Serves one server block; `send` makes one attempt, `clock` gives seconds."""
 
     def __init__(
-        self, rows: list[Directive], site: Directive, ask: SendRequest, clock: Callable[[], float]
+        self, directives: list[Directive], server: Directive, send: SendRequest, clock: Callable[[], float]
     ) -> None:
-        self._send, self._clock = ask, clock
+        self._send, self._clock = send, clock
         self._rng = random.Random(4)
         self._http_directives = [
-            inner for row in rows for inner in (row.block or [] if row.name == "http" else [row])
+            inner
+            for directive in directives
+            for inner in (directive.block or [] if directive.name == "http" else [directive])
         ]
-        self._server_directives = site.block or []
-        self._locations = read_all(self._server_directives, lambda at, fault: None)
+        self._server_directives = server.block or []
+        self._locations = read_all(self._server_directives, lambda position, error: None)
         self._enclosing_blocks: dict[int, list[list[Directive]]] = {}
         self._index_locations(self._locations, [self._http_directives, self._server_directives])
-        self._pools = {row.arg(0): self._pool(row) for row in self._http_directives if row.name == "upstream"}
-
-    def _index_locations(self, locations: list[Location], around: list[list[Directive]]) -> None:
-        for each in locations:
-            blocks = [*around, each.directive.block or []]
-            self._enclosing_blocks[id(each)] = blocks
-            self._index_locations(each.inner, blocks)
+        self._pools = {
+            directive.arg(0): self._pool(directive)
+            for directive in self._http_directives
+            if directive.name == "upstream"
+        }
+
+    def _index_locations(self, locations: list[Location], enclosing: list[list[Directive]]) -> None:
+        for location in locations:
+            blocks = [*enclosing, location.directive.block or []]
+            self._enclosing_blocks[id(location)] = blocks
+            self._index_locations(location.inner, blocks)
 
     @staticmethod
-    def _pool(row: Directive) -> UpstreamPool:
+    def _pool(directive: Directive) -> UpstreamPool:
         peers: dict[str, Peer] = {}
-        how: list[str] = []
-        for each in row.block or []:
-            words = [word.text for word in each.args]
-            if each.name == "server":
-                told = dict(word.partition("=")[::2] for word in words[1:])
-                if "down" in told or "drain" in told:
+        method: list[str] = []
+        for inner in directive.block or []:
+            words = [word.text for word in inner.args]
+            if inner.name == "server":
+                options = dict(word.partition("=")[::2] for word in words[1:])
+                if "down" in options or "drain" in options:
                     continue
                 name = words[0] if re.search(r":\d+$", words[0]) else f"{words[0]}:80"
                 if name in peers:
-                    peers[name].weight += int(told.get("weight", 1))
+                    peers[name].weight += int(options.get("weight", 1))
                     continue
-                fails = int(told.get("max_fails", 1))
-                peers[name] = Peer(name, int(told.get("weight", 1)), "backup" in told, fails)
-            elif each.name in ("hash", "ip_hash", "least_conn", "random"):
-                how = [each.name, *words]
-        return UpstreamPool(list(peers.values()), how)
+                max_failures = int(options.get("max_fails", 1))
+                peers[name] = Peer(name, int(options.get("weight", 1)), "backup" in options, max_failures)
+            elif inner.name in ("hash", "ip_hash", "least_conn", "random"):
+                method = [inner.name, *words]
+        return UpstreamPool(list(peers.values()), method)
 
     def _directive_arguments(self, location: Location, name: str) -> list[str]:
-        """The words of the innermost block that has this directive."""
+        """The arguments of this directive in the innermost block that has it."""
         for block in reversed(self._enclosing_blocks[id(location)]):
-            for row in block:
-                if row.name == name:
-                    return [word.text for word in row.args]
+            for directive in block:
+                if directive.name == name:
+                    return [word.text for word in directive.args]
         return []
 
     def _value(self, variable: str, path: str, call: Call) -> str:
-        for row in self._http_directives:
-            if row.name == "split_clients" and row.arg(1).strip("${}") == variable:
-                point, total = self._rng.random() * 100, 0.0
-                for each in row.block or []:
-                    if each.name == "*":
-                        return each.arg(0)
-                    total += float(each.name.rstrip("%"))
-                    if point < total:
-                        return each.arg(0)
-            if row.name == "map" and row.arg(1).strip("${}") == variable:
+        """The value of a `split_clients` or `map` variable; empty if it has none."""
+        for directive in self._http_directives:
+            if directive.name == "split_clients" and directive.arg(1).strip("${}") == variable:
+                draw, upper_bound = self._rng.random() * 100, 0.0
+                for entry in directive.block or []:
+                    if entry.name == "*":
+                        return entry.arg(0)
+                    upper_bound += float(entry.name.rstrip("%"))
+                    if draw < upper_bound:
+                        return entry.arg(0)
+            if directive.name == "map" and directive.arg(1).strip("${}") == variable:
                 subject = (
-                    path if row.arg(0) in ("$uri", "$request_uri") else self._key(row.arg(0), path, call)
+                    path
+                    if directive.arg(0) in ("$uri", "$request_uri")
+                    else self._key(directive.arg(0), path, call)
                 )
-                usual = ""
-                for each in row.block or []:
-                    if each.name == subject:
-                        return each.arg(0)
-                for each in row.block or []:
-                    flags = re.IGNORECASE if each.name.startswith("~*") else 0
-                    if each.name.startswith("~") and re.search(each.name.lstrip("~*"), subject, flags):
-                        return each.arg(0)
-                    if each.name == "default":
-                        usual = each.arg(0)
-                return usual
+                default = ""
+                for entry in directive.block or []:
+                    if entry.name == subject:
+                        return entry.arg(0)
+                for entry in directive.block or []:
+                    flags = re.IGNORECASE if entry.name.startswith("~*") else 0
+                    if entry.name.startswith("~") and re.search(entry.name.lstrip("~*"), subject, flags):
+                        return entry.arg(0)
+                    if entry.name == "default":
+                        default = entry.arg(0)
+                return default
         return ""
 
     @staticmethod
     def _key(text: str, path: str, call: Call) -> str:
+        """The value of a variable that a hash or a map uses; else the address of the client."""
         target = call.target.decode("latin-1")
         if text == "$request_uri":
             return target
@@ -153,70 +171,73 @@
                 text[5:], ""
             )
         if text.startswith("$cookie_"):
-            told = call.headers.get(b"cookie", b"").decode()
-            return dict(part.strip().partition("=")[::2] for part in told.split(";")).get(text[8:], "")
+            cookies = call.headers.get(b"cookie", b"").decode()
+            return dict(part.strip().partition("=")[::2] for part in cookies.split(";")).get(text[8:], "")
         return call.headers.get(b"x-source", b"").decode()
 
     async def answer(self, call: Call) -> Reply:
+        """Serves a request."""
         path, _, query = call.target.decode("latin-1").partition("?")
         location, _ = brute(self._locations, path)
         if location is None:
             return Reply(404)
         block = location.directive.block or []
-        for row in block:
-            if row.name == "return":
-                return Reply(int(row.arg(0)) if row.arg(0).isdigit() else 302)
-        passes = next((row.arg(0) for row in block if row.name == "proxy_pass"), None)
-        if passes is None:
+        for directive in block:
+            if directive.name == "return":
+                return Reply(int(directive.arg(0)) if directive.arg(0).isdigit() else 302)
+        target = next((directive.arg(0) for directive in block if directive.name == "proxy_pass"), None)
+        if target is None:
             return Reply(404)
-        rest = passes.partition("://")[2]
-        for tail in ("$request_uri", "$uri$is_args$args"):
-            rest = rest.removesuffix(tail)
-        name, slash, uri = rest.partition("/")
+        address = target.partition("://")[2]
+        for suffix in ("$request_uri", "$uri$is_args$args"):
+            address = address.removesuffix(suffix)
+        name, slash, uri = address.partition("/")
         if name.startswith("$"):
             name = self._value(name.strip("${}"), path, call)
-        asked = path
-        for row in block:
-            if row.name == "rewrite" and row.arg(2) == "break":
-                asked = re.sub(row.arg(0), row.arg(1).replace("$", "\\"), asked, count=1)
+        upstream_path = path
+        for directive in block:
+            if directive.name == "rewrite" and directive.arg(2) == "break":
+                upstream_path = re.sub(
+                    directive.arg(0), directive.arg(1).replace("$", "\\"), upstream_path, count=1
+                )
         if slash and location.regex is None:
-            asked = slash + uri + path[len(location.pattern) :]
+            upstream_path = slash + uri + path[len(location.pattern) :]
         pool = self._pools.get(name) or UpstreamPool(
             [Peer(name if ":" in name else f"{name}:80", 1, False, 1)]
         )
         self._pools.setdefault(name, pool)
-        return await self._forward(location, pool, call, asked + ("?" + query if query else ""))
-
-    async def _forward(self, location: Location, pool: UpstreamPool, call: Call, asked: str) -> Reply:
-        after = self._directive_arguments(location, "proxy_next_upstream") or ["error", "timeout"]
-        told = self._directive_arguments(location, "proxy_next_upstream_tries")
-        most = int(told[0]) if told and int(told[0]) else len(pool.peers)
-        # else tried again only where nothing was sent
-        safe_only = call.method in NON_IDEMPOTENT_METHODS and "non_idempotent" not in after
+        return await self._forward(location, pool, call, upstream_path + ("?" + query if query else ""))
+
+    async def _forward(self, location: Location, pool: UpstreamPool, call: Call, upstream_path: str) -> Reply:
+        retry_conditions = self._directive_arguments(location, "proxy_next_upstream") or ["error", "timeout"]
+        arguments = self._directive_arguments(location, "proxy_next_upstream_tries")
+        max_attempts = int(arguments[0]) if arguments and int(arguments[0]) else len(pool.peers)
+        # such a request is retried only if nothing of it was sent
+        safe_only = call.method in NON_IDEMPOTENT_METHODS and "non_idempotent" not in retry_conditions
         key = (
-            self._key(pool.method[1], asked, call)
+            self._key(pool.method[1], upstream_path, call)
             if pool.method[:1] == ["hash"]
-            else self._key("", asked, call)
+            else self._key("", upstream_path, call)
         )
         tried: list[str] = []
         reply = Reply(502)
-        while len(tried) < most:
+        while len(tried) < max_attempts:
             peer = pool.pick(self._clock(), tried, key, self._rng)
             if peer is None:
                 return reply
             tried.append(peer.name)
             peer.open_requests += 1
             try:
-                reply = await self._send(peer.name, call, asked.encode("latin-1"))
+                reply = await self._send(peer.name, call, upstream_path.encode("latin-1"))
                 peer.failures = 0
-                failed, sent = f"http_{reply.status}" in after, True
-            except ConnectionLostError as fault:
-                reply, failed, sent = Reply(502), "error" in after, fault.sent
+                failed, sent = f"http_{reply.status}" in retry_conditions, True
+            except ConnectionLostError as error:
+                reply, failed, sent = Reply(502), "error" in retry_conditions, error.sent
                 peer.failures += 1
                 if peer.max_failures and peer.failures >= peer.max_failures:
                     peer.unavailable_until = self._clock() + 10.0
             finally:
                 peer.open_requests -= 1
-            if not failed or "off" in after or (safe_only and sent):
+            if not failed or "off" in retry_conditions or (safe_only and sent):
                 return reply
         return reply
--- a/willowhook/trial/standin_client.py
+++ b/willowhook/trial/standin_client.py
@@ -1,7 +1,8 @@
-"""Stand-in clients: an open loop of the day's calls, repeated as clients do, each with an id.
+"""Stand-in clients: they make the scenario's requests at their times, and retry them as clients do.
 
-`python -m willowhook.trial.standin_client JSON`.  A call that may run again is repeated after any failure;
-any other only after an answer that proves that it never ran.
+`python -m willowhook.trial.standin_client JSON`. The times do not depend on the answers (an open loop). Each
+request has an id. A repeatable request is retried after any failure, any other one only after an answer that
+proves that it was not executed.
 """
 
 from __future__ import annotations
@@ -22,40 +23,47 @@
 
 
 class ClientWorkerConfig(msgspec.Struct):
-    day: str  # file
-    ports: list[int]
-    notes: str
-    start: int  # when the day begins, by the machine's clock
-    part: int = 0  # this process makes every nth call
+    """What a client process does, as the JSON of its command line."""
+
+    day: str  # path of the scenario
+    ports: list[int]  # of the proxies
+    notes: str  # path of the event log
+    start: int  # of the scenario, in ticks of the monotonic clock
+    part: int = 0  # this process makes every nth request, n being `parts`
     parts: int = 1
 
 
 class ClientWorker:
-    def __init__(self, orders: ClientWorkerConfig, scenario: Scenario) -> None:
-        self.config, self.scenario = orders, scenario
-        self.event_log = EventLog(orders.notes)
+    """Makes the requests of one process."""
+
+    def __init__(self, config: ClientWorkerConfig, scenario: Scenario) -> None:
+        self.config, self.scenario = config, scenario
+        self.event_log = EventLog(config.notes)
         self.routes = {route.name: route for route in scenario.routes}
         self.idle_connections: dict[int, list[ClientConnection]] = {}
         self.rng = random.Random(scenario.seed + 11)
 
     async def make_request(self, arrival: Arrival) -> None:
+        """Makes a request and its retries, within the time limit of its route, and records the outcome."""
         route = self.routes[arrival.route]
         began = monotonic_ticks()
-        out, attempts = "dropped", 0
+        outcome, attempts = "dropped", 0
         with trio.move_on_after(route.time_limit_ms / 1000):
             while True:
-                attempt = f"{arrival.id}.{attempts}"
+                attempt_id = f"{arrival.id}.{attempts}"
                 attempts += 1
-                head = [(b"x-attempt", attempt.encode()), (b"x-work-ms", str(arrival.work_ms).encode())]
+                headers = [(b"x-attempt", attempt_id.encode()), (b"x-work-ms", str(arrival.work_ms).encode())]
                 if route.semantics == "keyed":
-                    head.append((b"x-key", arrival.key.encode()))
-                status, proof = await self.send_attempt(self.config.ports[arrival.proxy], route.path, head)
+                    headers.append((b"x-key", arrival.key.encode()))
+                status, is_not_executed = await self.send_attempt(
+                    self.config.ports[arrival.proxy], route.path, headers
+                )
                 if status == 200:
-                    out = "answered"
+                    outcome = "answered"
                     break
-                out = "throttled" if status == 429 else "dropped"
-                may = status == 429 or proof or route.semantics == "repeatable"
-                if attempts > self.scenario.client_retries or not may:
+                outcome = "throttled" if status == 429 else "dropped"
+                may_retry = status == 429 or is_not_executed or route.semantics == "repeatable"
+                if attempts > self.scenario.client_retries or not may_retry:
                     break
                 await trio.sleep(self.scenario.client_wait_ms / 1000 * (0.5 + self.rng.random()))
         self.event_log.record(
@@ -64,54 +72,59 @@
             r=arrival.route,
             began=began,
             took=monotonic_ticks() - began,
-            out=out,
+            out=outcome,
             attempts=attempts,
         )
 
-    async def send_attempt(self, port: int, path: str, head: list[tuple[bytes, bytes]]) -> tuple[int, bool]:
-        idle_connections = self.idle_connections.setdefault(port, [])
-        caller: ClientConnection | None = None
-        while idle_connections and caller is None:
-            caller = idle_connections.pop()
-            if not caller.usable or not caller.is_open():
-                await caller.close()
-                caller = None
+    async def send_attempt(
+        self, port: int, path: str, headers: list[tuple[bytes, bytes]]
+    ) -> tuple[int, bool]:
+        """The status, 0 for a lost connection, and whether the request was provably not executed."""
+        idle = self.idle_connections.setdefault(port, [])
+        connection: ClientConnection | None = None
+        while idle and connection is None:
+            connection = idle.pop()
+            if not connection.usable or not connection.is_open():
+                await connection.close()
+                connection = None
         try:
-            if caller is None:
-                caller = await open_connection("127.0.0.1", port, 1.0)
-            reply = await caller.request(b"POST", path.encode(), head, b"{}")
-        except ConnectionLostError as fault:
-            return 0, not fault.sent
+            if connection is None:
+                connection = await open_connection("127.0.0.1", port, 1.0)
+            reply = await connection.request(b"POST", path.encode(), headers, b"{}")
+        except ConnectionLostError as error:
+            return 0, not error.sent
         finally:
-            if caller is not None:
-                if caller.usable:
-                    idle_connections.append(caller)
+            if connection is not None:
+                if connection.usable:
+                    idle.append(connection)
                 else:
                     with trio.CancelScope(shield=True):
-                        await caller.close()
+                        await connection.close()
         return reply.status, reply.header(NOT_EXECUTED_HEADER.encode()) is not None
 
     async def run(self) -> None:
+        """Makes all requests of this process, and waits until they are done."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.event_log.run)
-            async with trio.open_nursery() as calls:
-                for k, arrival in enumerate(arrivals(self.scenario)):
-                    if k % self.config.parts != self.config.part:
+            async with trio.open_nursery() as requests:
+                for number, arrival in enumerate(arrivals(self.scenario)):
+                    if number % self.config.parts != self.config.part:
                         continue
-                    wait = (self.config.start - monotonic_ticks()) / TICKS_PER_SECOND + arrival.at
-                    if wait > 0:
-                        await trio.sleep(wait)
-                    calls.start_soon(self.make_request, arrival)
+                    wait_s = (self.config.start - monotonic_ticks()) / TICKS_PER_SECOND + arrival.at
+                    if wait_s > 0:
+                        await trio.sleep(wait_s)
+                    requests.start_soon(self.make_request, arrival)
             nursery.cancel_scope.cancel()
         self.event_log.flush()
 
 
 def main() -> None:
+    """Entry point; the interrupt of a terminal is left to the parent process."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
-    orders = msgspec.json.decode(sys.argv[1].encode(), type=ClientWorkerConfig)
-    with open(orders.day, "rb") as file:
-        day = msgspec.json.decode(file.read(), type=Scenario)
-    trio.run(ClientWorker(orders, day).run)
+    config = msgspec.json.decode(sys.argv[1].encode(), type=ClientWorkerConfig)
+    with open(config.day, "rb") as file:
+        scenario = msgspec.json.decode(file.read(), type=Scenario)
+    trio.run(ClientWorker(config, scenario).run)
 
 
 if __name__ == "__main__":
--- a/willowhook/trial/standin_host.py
+++ b/willowhook/trial/standin_host.py
@@ -1,7 +1,7 @@
-"""A stand-in host: a process with cores, a waiting room, a cold start, a drain and a ledger of effects.
+"""A stand-in endpoint: a process with cores, a queue, a slow start, draining and a log of executed requests.
 
-`python -m willowhook.trial.standin_host JSON`.  Work is waited for, not done; it is told in times of a core
-of speed 1.  A host that falls over, for being sent too much while cold, ends and stays down.
+`python -m willowhook.trial.standin_host JSON`. Work is a sleep; its amount is the time on a core of speed 1.
+An endpoint that gets too much work while it warms up ends its process and stays down.
 """
 
 from __future__ import annotations
@@ -27,38 +27,41 @@
 
 
 class EndpointProcessConfig(msgspec.Struct):
+    """What an endpoint process does, as the JSON of its command line."""
+
     plan: EndpointPlan
-    notes: str
-    marks: str  # folder of marks against repeats, shared by the hosts of a zone
+    notes: str  # path of the event log
+    marks: str  # folder of the idempotency keys that were used; the endpoints of a zone share it
     seed: int
-    windows: dict[str, float]  # by route: how long a repeat is dropped, s; 0: never
+    windows: dict[str, float]  # by route: seconds for which a repeat is dropped; 0: never
     start_capacity: float
-    cold_s: float  # 0: warm already
+    cold_s: float  # length of the slow start; 0: already warm
     fall_multiple: float
     fall_s: float
 
 
 class StandInEndpoint:
-    def __init__(self, orders: EndpointProcessConfig) -> None:
-        self.config, self.plan = orders, orders.plan
-        self.event_log = EventLog(orders.notes)
-        self.rng = random.Random(orders.seed)
+    """Serves requests with limited capacity; faults are set as attributes by commands."""
+
+    def __init__(self, config: EndpointProcessConfig) -> None:
+        self.config, self.plan = config, config.plan
+        self.event_log = EventLog(config.notes)
+        self.rng = random.Random(config.seed)
         self.started_at = monotonic_ticks()
-        self.cores = trio.Semaphore(orders.plan.cores)
+        self.cores = trio.Semaphore(config.plan.cores)
         self.waiting = self.open_connections = self.busy = 0
         self.used_core_ticks, self.measured_at, self.utilization = 0.0, monotonic_ticks(), 0.0
         self.hang = self.draining = False
         self.slow, self.fail, self.squeeze = 1.0, 0.0, 1.0
         self.unanswered, self.false_load = "", -1.0
-        self.recent_work: deque[tuple[int, float, str]] = (
-            deque()
-        )  # work that came lately: when, how much, whose
+        self.recent_work: deque[tuple[int, float, str]] = deque()  # time, work and proxy
         self.recent_work_sum = 0.0
         self.peak_overload_share = 0.0
 
-    # Capacity.
+    # Capacity
 
     def warm_fraction(self) -> float:
+        """The part of its capacity that it has now."""
         if not self.config.cold_s:
             return 1.0
         age = (monotonic_ticks() - self.started_at) / TICKS_PER_SECOND
@@ -66,7 +69,7 @@
         return min(1.0, start + (1 - start) * age / self.config.cold_s)
 
     def check_overload(self, work: float, proxy: str) -> None:
-        """Too much for a cold host, over its window: it falls."""
+        """Ends the process if a warming endpoint got more work in its window than it tolerates."""
         if not self.config.cold_s or self.warm_fraction() >= 1:
             return
         now = monotonic_ticks()
@@ -74,57 +77,65 @@
         self.recent_work_sum += work
         while self.recent_work and self.recent_work[0][0] < now - self.config.fall_s * TICKS_PER_SECOND:
             self.recent_work_sum -= self.recent_work.popleft()[1]
-        able = self.plan.cores * self.plan.speed * self.warm_fraction()
-        budget = self.config.fall_multiple * self.config.fall_s * able
+        capacity = self.plan.cores * self.plan.speed * self.warm_fraction()
+        budget = self.config.fall_multiple * self.config.fall_s * capacity
         if self.recent_work_sum / budget > self.peak_overload_share:
             self.peak_overload_share = self.recent_work_sum / budget
             self.event_log.record("cold_load", host=self.plan.id, share=round(self.peak_overload_share, 4))
         if self.recent_work_sum > budget:
-            by: dict[str, float] = {}
-            for _, part, who in self.recent_work:
-                by[who] = by.get(who, 0.0) + part
+            work_by_proxy: dict[str, float] = {}
+            for _, amount, sender in self.recent_work:
+                work_by_proxy[sender] = work_by_proxy.get(sender, 0.0) + amount
             since = self.recent_work[0][0]
             self.event_log.record(
-                "fell", host=self.plan.id, born=self.started_at, since=since, work=self.recent_work_sum, by=by
+                "fell",
+                host=self.plan.id,
+                born=self.started_at,
+                since=since,
+                work=self.recent_work_sum,
+                by=work_by_proxy,
             )
             self.event_log.flush()
             os._exit(9)
 
     def update_utilization(self) -> None:
+        """Computes the utilization of the cores, once a quarter of a second has passed."""
         now = monotonic_ticks()
-        span = now - self.measured_at
-        if span >= TICKS_PER_SECOND // 4:
-            self.utilization = min(1.0, self.used_core_ticks / (span * self.plan.cores))
+        elapsed = now - self.measured_at
+        if elapsed >= TICKS_PER_SECOND // 4:
+            self.utilization = min(1.0, self.used_core_ticks / (elapsed * self.plan.cores))
             self.used_core_ticks, self.measured_at = 0.0, now
 
     def load_header(self) -> bytes:
+        """The load in ORCA format, with the false utilization of a fault if one is set."""
         self.update_utilization()
-        busy = self.utilization if self.false_load < 0 else self.false_load
-        return orca.write({orca.UTILIZATION: busy, "named_metrics.queue": float(self.waiting)})
+        utilization = self.utilization if self.false_load < 0 else self.false_load
+        return orca.write({orca.UTILIZATION: utilization, "named_metrics.queue": float(self.waiting)})
 
-    # Calls.
+    # Requests
 
     async def answer(self, call: Call) -> Reply | None:
-        utilization = [(orca.HEADER, self.load_header())]
+        """Executes a request, or answers that it was not executed."""
+        load_headers = [(orca.HEADER, self.load_header())]
         if call.target == b"/load":
             if self.hang:
                 await trio.sleep_forever()
-            return Reply(200, utilization)
+            return Reply(200, load_headers)
         route = call.headers.get(b"x-route", b"").decode()
         attempt = call.headers.get(b"x-attempt", b"").decode()
         proxy = call.headers.get(b"x-proxy", b"").decode()
         work = float(call.headers.get(b"x-work-ms", b"1")) / 1000
-        back = [*utilization, (NOT_EXECUTED_HEADER.encode(), b"1")]
+        refusal_headers = [*load_headers, (NOT_EXECUTED_HEADER.encode(), b"1")]
         self.event_log.record("got", host=self.plan.id, c=attempt, r=route, p=proxy)
         if self.draining:
-            return Reply(503, back, b"draining", close=True)
+            return Reply(503, refusal_headers, b"draining", close=True)
         self.check_overload(work, proxy)
         if self.hang or route == self.unanswered:
             await trio.sleep_forever()
         if self.fail and self.rng.random() < self.fail:
-            return Reply(500, utilization, b"failed")
+            return Reply(500, load_headers, b"failed")
         if self.waiting >= self.plan.waiting:
-            return Reply(503, back, b"full")
+            return Reply(503, refusal_headers, b"full")
         self.waiting += 1
         try:
             await self.cores.acquire()
@@ -133,24 +144,24 @@
         try:
             key = call.headers.get(b"x-key", b"").decode()
             if self.is_repeat(route, key, attempt):
-                return Reply(200, utilization, b"done before")
-            took = work / (self.plan.speed * self.warm_fraction()) * self.slow
+                return Reply(200, load_headers, b"done before")
+            duration_s = work / (self.plan.speed * self.warm_fraction()) * self.slow
             self.event_log.record(
                 "effect", host=self.plan.id, c=attempt, r=route, key=key, zone=self.plan.zone
             )
-            self.event_log.flush()  # the process may be killed at any time
-            # once begun, it runs to its end, whoever still waits
+            self.event_log.flush()  # so that a kill does not lose it
+            # work that has begun runs to its end even if the client has left
             with trio.CancelScope(shield=True):
-                await trio.sleep(took)
-            self.used_core_ticks += took * TICKS_PER_SECOND
+                await trio.sleep(duration_s)
+            self.used_core_ticks += duration_s * TICKS_PER_SECOND
         finally:
             self.cores.release()
         return Reply(200, [(orca.HEADER, self.load_header())], b"done")
 
     def is_repeat(self, route: str, key: str, attempt: str) -> bool:
-        """Marks of keys are files that a zone's hosts share; a repeat within the window has no effect."""
-        recent_work = self.config.windows.get(route, 0.0)
-        if not recent_work:
+        """Whether this key was used in the window of the route. Used keys are files that a zone shares."""
+        window_s = self.config.windows.get(route, 0.0)
+        if not window_s:
             return False
         path = f"{self.config.marks}/{key}"
         try:
@@ -160,8 +171,8 @@
             return False
         except FileExistsError:
             with open(path, "rb") as file:
-                at = int(file.read() or b"0")
-            if monotonic_ticks() - at <= recent_work * TICKS_PER_SECOND:
+                used_at = int(file.read() or b"0")
+            if monotonic_ticks() - used_at <= window_s * TICKS_PER_SECOND:
                 self.event_log.record("repeat_dropped", host=self.plan.id, c=attempt)
                 return True
             with open(path, "w") as out:
@@ -169,6 +180,7 @@
             return False
 
     async def serve(self, stream: trio.SocketStream) -> None:
+        """Serves a connection; closes it at once if there are too many."""
         if self.open_connections >= max(1, int(self.plan.connections * self.squeeze)):
             await trio.aclose_forcefully(stream)
             return
@@ -179,15 +191,17 @@
         finally:
             self.open_connections -= 1
 
-    # Troubles.
+    # Faults
 
     def set(self, name: str, value: object) -> None:
+        """Sets an attribute that a fault changes. Raises AttributeError if there is none of this name."""
         if not hasattr(self, name):
             raise AttributeError(name)
         setattr(self, name, value)
         self.event_log.record("set", host=self.plan.id, name=name, value=value)
 
     async def run(self) -> None:
+        """Listens, prints the port, and serves until its standard input ends."""
         self.event_log.record("born", host=self.plan.id, cold=bool(self.config.cold_s))
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.event_log.run)
@@ -195,11 +209,12 @@
             listeners: Any = await nursery.start(listen)
             port = listeners[0].socket.getsockname()[1]
             print(port, flush=True)
-            await serve_commands({"set": self.set})  # until the one who started it is gone
+            await serve_commands({"set": self.set})  # until the parent process closes standard input
             nursery.cancel_scope.cancel()
 
 
 def main() -> None:
+    """Entry point; the interrupt of a terminal is left to the parent process."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     trio.run(StandInEndpoint(msgspec.json.decode(sys.argv[1].encode(), type=EndpointProcessConfig)).run)
 
--- a/willowhook/trial/standin_roster.py
+++ b/willowhook/trial/standin_roster.py
@@ -1,4 +1,4 @@
-"""A stand-in roster: a service catalogue's health endpoint with blocking queries; late, failing, frozen."""
+"""A stand-in registry: the health query of a service catalogue, which can be late, fail or freeze."""
 
 from __future__ import annotations
 
@@ -15,17 +15,20 @@
 
 
 class StandInRegistry:
+    """A service registry on loopback, whose entries the test sets."""
+
     def __init__(self, event_log: EventLog, delay_s: float) -> None:
         self.event_log, self.delay_s = event_log, delay_s
-        self.index = 1
-        self.entries: dict[str, dict[str, Any]] = {}  # as they are shown
+        self.index = 1  # of the last change, as the catalogue counts them
+        self.entries: dict[str, dict[str, Any]] = {}  # as clients see them
         self.changed = trio.Event()
         self.is_unavailable = self.is_frozen = False
-        self.body_override: bytes | None = None  # a roster that lies
+        self.body_override: bytes | None = None  # replaces the list, to send wrong data
         self.port = 0
         self.nursery: trio.Nursery | None = None
 
     def make_entry(self, plan: EndpointPlan, draining: bool, started: float) -> dict[str, Any]:
+        """An entry in the catalogue's format; `started` is a wall-clock time, 0 if it is warm."""
         checks = [{"CheckID": f"_service_maintenance:{plan.id}", "Status": "critical"}] if draining else []
         meta = {"kind": plan.kind, "started": f"{started:.3f}" if started else "0"}
         return {
@@ -35,10 +38,11 @@
         }
 
     def register(self, plan: EndpointPlan, draining: bool = False, started: float = 0.0) -> None:
-        """The host is listed, a while from now."""
+        """Lists the endpoint, after the configured delay."""
         self._set_after_delay(plan.id, self.make_entry(plan, draining, started))
 
     def deregister(self, host: str) -> None:
+        """Removes the endpoint, after the configured delay."""
         self._set_after_delay(host, None)
 
     def _set_after_delay(self, host: str, entry: dict[str, Any] | None) -> None:
@@ -52,6 +56,7 @@
         self.set_entry(host, entry)
 
     def set_entry(self, host: str, entry: dict[str, Any] | None) -> None:
+        """Sets or removes an entry at once."""
         if entry is None:
             self.entries.pop(host, None)
         else:
@@ -61,42 +66,48 @@
             self.wake_watchers()
 
     def wake_watchers(self) -> None:
+        """Lets all blocking queries look again."""
         self.changed.set()
         self.changed = trio.Event()
 
     def unfreeze(self) -> None:
+        """Shows the changes since the registry was frozen."""
         self.is_frozen = False
         self.wake_watchers()
 
     async def answer(self, call: Call) -> Reply | None:
+        """Answers a query, once the list is newer than its index or its wait time is over."""
         if self.is_unavailable:
             return Reply(500, body=b"no leader")
-        parts = urlsplit(call.target.decode("latin-1"))
-        query = parse_qs(parts.query)
+        target = urlsplit(call.target.decode("latin-1"))
+        query = parse_qs(target.query)
         index = int(query.get("index", ["0"])[0])
-        wait = float(query.get("wait", ["0s"])[0].rstrip("s"))
-        who = call.headers.get(b"user-agent", b"").decode().removeprefix("willowhook/")
-        with trio.move_on_after(wait):
+        wait_s = float(query.get("wait", ["0s"])[0].rstrip("s"))
+        client_name = call.headers.get(b"user-agent", b"").decode().removeprefix("willowhook/")
+        with trio.move_on_after(wait_s):
             while index and (self.index <= index or self.is_frozen) and not self.is_unavailable:
                 await self.changed.wait()
         if self.is_unavailable:
             return Reply(500, body=b"no leader")
         if self.body_override is not None:
             return Reply(200, [(b"x-consul-index", b"%d" % (self.index + 1))], self.body_override)
-        shown = self.index if not self.is_frozen else index or self.index
-        rows = [
+        shown_index = self.index if not self.is_frozen else index or self.index
+        listed = [
             [
-                e["Service"]["ID"],
-                "draining" if e["Checks"] else "open",
-                float(e["Service"]["Meta"]["started"]),
+                entry["Service"]["ID"],
+                "draining" if entry["Checks"] else "open",
+                float(entry["Service"]["Meta"]["started"]),
             ]
-            for e in self.entries.values()
+            for entry in self.entries.values()
         ]
-        if shown != index:
-            self.event_log.record("listed", d=who, index=shown, hosts=rows, wall=time.time())
-        return Reply(200, [(b"x-consul-index", b"%d" % shown)], msgspec.json.encode([*self.entries.values()]))
+        if shown_index != index:
+            self.event_log.record("listed", d=client_name, index=shown_index, hosts=listed, wall=time.time())
+        return Reply(
+            200, [(b"x-consul-index", b"%d" % shown_index)], msgspec.json.encode([*self.entries.values()])
+        )
 
     async def run(self, task_status: trio.TaskStatus[int]) -> None:
+        """Serves queries, and reports its port when it listens."""
         async with trio.open_nursery() as nursery:
             self.nursery = nursery
 
