--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -1,4 +1,4 @@
-"""Ports of stand-ins and of tests: one for each server, also while many run at once."""
+"""Reserved ports of stand-ins and tests: no two servers get the same one, also in parallel runs."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from willowhook.trial.ports import PortReservations
 
-MANY = 250  # drawn from 14,000, two of them would be the same nine times in ten
+PORT_COUNT = 250  # drawn at random from 14,000 ports, two would be the same nine times in ten
 
 
 def listen(port: int) -> socket.socket:
@@ -20,11 +20,11 @@
 
 
 def test_reserved_ports_differ_and_can_be_listened_at() -> None:
-    """Guards against two servers of one test, or of tests that run at once, with the same port."""
+    """Guards against one port for two servers of a test, or of tests that run in parallel."""
     with PortReservations() as reservations:
-        ports = [reservations.reserve() for _ in range(MANY)]
-        assert len(set(ports)) == MANY
-        for _ in range(2):  # a server that restarts has the same port
+        ports = [reservations.reserve() for _ in range(PORT_COUNT)]
+        assert len(set(ports)) == PORT_COUNT
+        for _ in range(2):  # a restarted server keeps its port
             with listen(ports[0]):
                 pass
 
--- a/willowhook/trial/beliefs.py
+++ b/willowhook/trial/beliefs.py
@@ -1,7 +1,7 @@
-"""Whether a director knows what its proxies run, or knows that it does not: its record beside their notes.
+"""Checks a controller's belief about the versions that its proxies run, by its records and their event logs.
 
-Shares no code with the director.  Each time that a proxy applied something, the director must have marked it
-as not certain before; each time that the director says what a proxy runs, the proxy must run just that.
+It shares no code with the controller. Before a proxy applies an update, the controller must have recorded
+that it is uncertain; whenever the controller records a version as certain, the proxy must run exactly that.
 """
 
 from __future__ import annotations
@@ -13,128 +13,144 @@
 
 from .judge import CONTROLLER_CLOCK_LEAD_TICKS, Entries, InvariantChecker
 
-UNFLUSHED_TICKS = 4000  # tenths of a millisecond of its record that a killed director may take with it
+UNFLUSHED_TICKS = 4000  # a killed controller may lose its records of this time before its death
 
 
 @dataclass
 class BeliefReport:
-    applied: int = 0  # versions
-    certain: int = 0  # times that a director said what a proxy runs
+    """The counts and the violations of one run."""
+
+    applied: int = 0  # versions that proxies applied
+    certain: int = 0  # records that a proxy runs a certain version
     refused: int = 0
-    restarts: int = 0  # of proxies that came back with what they had
+    restarts: int = 0  # of proxies that restored their acknowledged state
     violations: list[str] = field(default_factory=list)
 
     def summary_lines(self) -> list[str]:
+        """The counts, and some of the violations."""
         return [
-            f"{self.applied} versions applied, {self.refused} refused, {self.restarts} proxies came back",
-            f"{self.certain} times a director was certain; {len(self.violations)} violations",
+            f"{self.applied} versions applied, {self.refused} refused, {self.restarts} proxies restarted",
+            f"{self.certain} times a controller was certain; {len(self.violations)} violations",
             *self.violations[:8],
         ]
 
 
 def _sessions(proxies: Entries) -> dict[str, list[tuple[int, int, str, int]]]:
-    """By proxy: from when to when it followed which director in which term."""
-    found: dict[str, list[tuple[int, int, str, int]]] = defaultdict(list)
-    here: dict[str, tuple[int, str, int]] = {}
-    for row in proxies:
-        if row["kind"] == "joined":
-            here[row["p"]] = (row["t"], row["d"], row["term"])
-        elif row["kind"] in ("left", "died") and row["p"] in here:
-            since, who, term = here.pop(row["p"])
-            found[row["p"]].append((since, row["t"], who, term))
-    for proxy, (since, who, term) in here.items():
-        found[proxy].append((since, 1 << 62, who, term))
-    return found
+    """By proxy: start, end, controller and term of its sessions."""
+    sessions: dict[str, list[tuple[int, int, str, int]]] = defaultdict(list)
+    open_sessions: dict[str, tuple[int, str, int]] = {}
+    for event in proxies:
+        if event["kind"] == "joined":
+            open_sessions[event["p"]] = (event["t"], event["d"], event["term"])
+        elif event["kind"] in ("left", "died") and event["p"] in open_sessions:
+            since, controller, term = open_sessions.pop(event["p"])
+            sessions[event["p"]].append((since, event["t"], controller, term))
+    for proxy, (since, controller, term) in open_sessions.items():
+        sessions[proxy].append((since, 1 << 62, controller, term))
+    return sessions
 
 
 def _applied_versions(
-    proxies: Entries, out: BeliefReport
+    proxies: Entries, result: BeliefReport
 ) -> dict[tuple[str, str], list[tuple[int, str, str, int]]]:
-    """By proxy and part: when it began to run which version, of which director and term."""
-    runs: dict[tuple[str, str], list[tuple[int, str, str, int]]] = defaultdict(list)
-    acked: dict[tuple[str, str], str] = {}
+    """By proxy and resource type: time, version, controller and term of each version that it began to run."""
+    versions: dict[tuple[str, str], list[tuple[int, str, str, int]]] = defaultdict(list)
+    acknowledged: dict[tuple[str, str], str] = {}
     newest: dict[tuple[str, str, str, int], tuple[int, ...]] = {}
-    for row in proxies:
-        if row["kind"] == "acked":
-            acked[row["p"], row["part"]] = row["version"]
-        elif row["kind"] == "refused":
-            out.refused += 1
-        elif row["kind"] == "took_up":
-            out.restarts += 1
-            for part, version in row["versions"].items():
-                runs[row["p"], part].append((row["t"], version, "", 0))
-                if acked.get((row["p"], part)) != version:
-                    out.violations.append(
-                        f"{row['p']} came back with {part} {version}, which it had not acknowledged"
+    for event in proxies:
+        if event["kind"] == "acked":
+            acknowledged[event["p"], event["part"]] = event["version"]
+        elif event["kind"] == "refused":
+            result.refused += 1
+        elif event["kind"] == "took_up":
+            result.restarts += 1
+            for part, version in event["versions"].items():
+                versions[event["p"], part].append((event["t"], version, "", 0))
+                if acknowledged.get((event["p"], part)) != version:
+                    result.violations.append(
+                        f"{event['p']} restored {part} {version}, which it had not acknowledged"
                     )
-        elif row["kind"] == "applied":
-            out.applied += 1
-            part = row.get("part", "group")
-            version = row["version"] if part != "group" else ".".join(map(str, [row["term"], *row["v"]]))
-            told = tuple(int(n) for n in version.split("."))
-            key = (row["p"], part, row["d"], row["term"])
-            if key in newest and told < newest[key]:
-                out.violations.append(f"{row['p']} went back from {newest[key]} to {version}")
-            newest[key] = told
-            runs[row["p"], part].append((row["t"], version, row["d"], row["term"]))
-    return runs
+        elif event["kind"] == "applied":
+            result.applied += 1
+            part = event.get("part", "group")
+            version = (
+                event["version"] if part != "group" else ".".join(map(str, [event["term"], *event["v"]]))
+            )
+            numbers = tuple(int(n) for n in version.split("."))
+            key = (event["p"], part, event["d"], event["term"])
+            if key in newest and numbers < newest[key]:
+                result.violations.append(f"{event['p']} went back from {newest[key]} to {version}")
+            newest[key] = numbers
+            versions[event["p"], part].append((event["t"], version, event["d"], event["term"]))
+    return versions
 
 
 def check_beliefs(folder: Path) -> BeliefReport:
-    """Reads what one day left behind."""
-    out = BeliefReport()
-    rows = [
-        row for path in sorted(folder.glob("proxies*.notes")) for row in InvariantChecker.read_entries(path)
+    """Checks the logs of one run."""
+    result = BeliefReport()
+    events = [
+        entry
+        for path in sorted(folder.glob("proxies*.notes"))
+        for entry in InvariantChecker.read_entries(path)
+    ]
+    proxy_events = sorted(events, key=lambda entry: entry["t"])
+    harness_events = [
+        entry for path in folder.glob("stage.notes") for entry in InvariantChecker.read_entries(path)
     ]
-    proxies = sorted(rows, key=lambda row: row["t"])
-    stage = [row for path in folder.glob("stage.notes") for row in InvariantChecker.read_entries(path)]
-    stays, runs = _sessions(proxies), _applied_versions(proxies, out)
+    sessions, versions = _sessions(proxy_events), _applied_versions(proxy_events, result)
     for path in sorted(folder.glob("director-*.records")):
         name = path.stem
-        died = [row["t"] for row in stage if row["kind"] == "director_died" and row["d"] == name]
-        told: dict[tuple[str, str, int], list[tuple[int, str]]] = defaultdict(list)
-        for row in InvariantChecker.read_entries(path):
-            if row["kind"] == "belief":
-                told[row["proxy"], row["part"], row["term"]].append(
-                    (row["t"] - CONTROLLER_CLOCK_LEAD_TICKS, row["version"])
+        deaths = [
+            entry["t"] for entry in harness_events if entry["kind"] == "director_died" and entry["d"] == name
+        ]
+        beliefs: dict[tuple[str, str, int], list[tuple[int, str]]] = defaultdict(list)
+        for entry in InvariantChecker.read_entries(path):
+            if entry["kind"] == "belief":
+                beliefs[entry["proxy"], entry["part"], entry["term"]].append(
+                    (entry["t"] - CONTROLLER_CLOCK_LEAD_TICKS, entry["version"])
                 )
-        _check_certain(name, told, stays, runs, out)
-        _check_uncertain_before(name, told, runs, died, out)
-    return out
+        _check_certain(name, beliefs, sessions, versions, result)
+        _check_uncertain_before(name, beliefs, versions, deaths, result)
+    return result
 
 
 def _check_certain(
-    name: str, told: dict[tuple[str, str, int], list[tuple[int, str]]],
-    stays: dict[str, list[tuple[int, int, str, int]]],
-    runs: dict[tuple[str, str], list[tuple[int, str, str, int]]], out: BeliefReport,
+    name: str, beliefs: dict[tuple[str, str, int], list[tuple[int, str]]],
+    sessions: dict[str, list[tuple[int, int, str, int]]],
+    versions: dict[tuple[str, str], list[tuple[int, str, str, int]]], result: BeliefReport,
 ) -> None:  # fmt: skip
-    """What a director says that a proxy runs, it runs then."""
-    for (proxy, part, term), rows in told.items():
-        stay = next((s for s in stays[proxy] if s[2:] == (name, term)), None)
-        for t, version in rows:
-            if not version or stay is None or not stay[0] <= t < stay[1]:
-                continue  # it has left, which the director is still to hear
-            out.certain += 1
-            before = [row for row in runs[proxy, part] if row[0] <= t]
-            if not before or before[-1][1] != version:
-                what = before[-1][1] if before else "nothing"
-                out.violations.append(f"{name} was certain that {proxy} runs {part} {version}: it ran {what}")
+    """Each version that the controller records as certain is the one that the proxy runs."""
+    for (proxy, part, term), records in beliefs.items():
+        session = next((c for c in sessions[proxy] if c[2:] == (name, term)), None)
+        for t, version in records:
+            if not version or session is None or not session[0] <= t < session[1]:
+                continue  # the session is over, which the controller may not know yet
+            result.certain += 1
+            earlier = [run for run in versions[proxy, part] if run[0] <= t]
+            if not earlier or earlier[-1][1] != version:
+                running = earlier[-1][1] if earlier else "nothing"
+                result.violations.append(
+                    f"{name} was certain that {proxy} runs {part} {version}: it ran {running}"
+                )
 
 
 def _check_uncertain_before(
-    name: str, told: dict[tuple[str, str, int], list[tuple[int, str]]],
-    runs: dict[tuple[str, str], list[tuple[int, str, str, int]]], died: list[int], out: BeliefReport,
+    name: str, beliefs: dict[tuple[str, str, int], list[tuple[int, str]]],
+    versions: dict[tuple[str, str], list[tuple[int, str, str, int]]], deaths: list[int], result: BeliefReport,
 ) -> None:  # fmt: skip
-    """Before a proxy applies something, the director has ceased to be certain."""
-    for (proxy, part), rows in runs.items():
-        for t, version, who, term in rows:
-            if who != name or any(0 <= d - t < UNFLUSHED_TICKS for d in died):
+    """Before a proxy applies a version, the controller records that it is uncertain."""
+    for (proxy, part), applied in versions.items():
+        for t, version, controller, term in applied:
+            if controller != name or any(0 <= death - t < UNFLUSHED_TICKS for death in deaths):
                 continue
-            book = told.get((proxy, part, term), [])
-            at = bisect.bisect_right([row[0] for row in book], t) - 1
-            if at >= 0 and book[at][1] and book[at][1] != version:
-                out.violations.append(
-                    f"{name} was certain that {proxy} runs {part} {book[at][1]} when it came to run {version}"
+            records = beliefs.get((proxy, part, term), [])
+            index = bisect.bisect_right([record[0] for record in records], t) - 1
+            if index >= 0 and records[index][1] and records[index][1] != version:
+                result.violations.append(
+                    f"{name} was certain that {proxy} runs {part} {records[index][1]}"
+                    f" when it came to run {version}"
+                )
+            elif index < 0:
+                result.violations.append(
+                    f"{name} had no record of {proxy} when it came to run {part} {version}"
                 )
-            elif at < 0:
-                out.violations.append(f"{name} had not told of {proxy} when it came to run {part} {version}")
