--- a/willowhook/trial/day.py
+++ b/willowhook/trial/day.py
@@ -118,7 +118,10 @@
             EndpointPlan(name, ZONES[index % 2], endpoint_class, cores, speed, cores * 20, 400, 8.0)
         )
     weights = [rng.lognormvariate(0, 0.6) for _ in range(proxies)]
-    proxy_plans = [ProxyPlan(f"proxy-{k}", ZONES[k % 2], weights[k] / sum(weights)) for k in range(proxies)]
+    proxy_plans = [
+        ProxyPlan(f"proxy-{index}", ZONES[index % 2], weights[index] / sum(weights))
+        for index in range(proxies)
+    ]
     entries_per_s = max(1600.0, 5.0 * proxies * 8)
     channel = ChannelTerms(
         lines_per_s=entries_per_s, head_lines=6, most_waiting_lines=max(2 * entries_per_s, proxies * 16),
--- a/willowhook/trial/judge.py
+++ b/willowhook/trial/judge.py
@@ -17,9 +17,8 @@
 
 from ..ticks import TICKS_PER_SECOND
 
-CONTROLLER_CLOCK_LEAD_TICKS = (
-    100_000 * TICKS_PER_SECOND
-)  # of a controller's record times before the machine's clock
+# a controller's clock is ahead of the machine's monotonic clock by this
+CONTROLLER_CLOCK_LEAD_TICKS = 100_000 * TICKS_PER_SECOND
 Entries = list[dict[str, Any]]
 
 
@@ -85,8 +84,8 @@
 
     def read_sorted(self, folder: Path, pattern: str) -> Entries:
         """The entries of all matching logs, by time."""
-        rows = [row for path in sorted(folder.glob(pattern)) for row in self.read_entries(path)]
-        return sorted(rows, key=lambda row: row["t"])
+        entries = [entry for path in sorted(folder.glob(pattern)) for entry in self.read_entries(path)]
+        return sorted(entries, key=lambda entry: entry["t"])
 
     def time_text(self, t: int) -> str:
         """A time as seconds after the start of the scenario."""
@@ -100,13 +99,13 @@
         """
         sessions: dict[str, list[tuple[int, int, str]]] = defaultdict(list)
         open_at: dict[str, tuple[int, str]] = {}
-        end = max((row["t"] for row in self.proxy_events), default=0)
-        for row in self.proxy_events:
-            if row["kind"] == "joined":
-                open_at[row["p"]] = (row["t"], row["d"])
-            elif row["kind"] in ("left", "died") and row["p"] in open_at:
-                since, controller = open_at.pop(row["p"])
-                sessions[row["p"]].append((since, row["t"], controller))
+        end = max((event["t"] for event in self.proxy_events), default=0)
+        for event in self.proxy_events:
+            if event["kind"] == "joined":
+                open_at[event["p"]] = (event["t"], event["d"])
+            elif event["kind"] in ("left", "died") and event["p"] in open_at:
+                since, controller = open_at.pop(event["p"])
+                sessions[event["p"]].append((since, event["t"], controller))
         for proxy, (since, controller) in open_at.items():
             sessions[proxy].append((since, end, controller))
         return {
@@ -118,17 +117,19 @@
         split_sessions = []
         for since, until, controller in sessions:
             for died in [
-                row["t"]
-                for row in self.harness_events
-                if row["kind"] == "director_died" and row["d"] == controller
+                event["t"]
+                for event in self.harness_events
+                if event["kind"] == "director_died" and event["d"] == controller
             ]:
                 if since < died < until:
                     split_sessions.append((since, died, controller))
                     joins = [
-                        row for row in self.controller_records.get(controller, []) if row["kind"] == "joined"
+                        event
+                        for event in self.controller_records.get(controller, [])
+                        if event["kind"] == "joined"
                     ]
                     join_times = [
-                        row["t"] - CONTROLLER_CLOCK_LEAD_TICKS for row in joins if row["proxy"] == proxy
+                        event["t"] - CONTROLLER_CLOCK_LEAD_TICKS for event in joins if event["proxy"] == proxy
                     ]
                     since = min((t for t in join_times if t > died), default=until)
             if since < until:
@@ -138,10 +139,10 @@
     def find_endpoint_lists(self) -> dict[str, list[tuple[int, dict[str, tuple[str, float]], float]]]:
         """By controller: time, endpoints and wall-clock time of each list that the registry sent to it."""
         lists: dict[str, list[tuple[int, dict[str, tuple[str, float]], float]]] = defaultdict(list)
-        for row in self.registry_events:
-            if row["kind"] == "listed":
-                endpoints = {host: (mode, started) for host, mode, started in row["hosts"]}
-                lists[row["d"]].append((row["t"], endpoints, row["wall"]))
+        for event in self.registry_events:
+            if event["kind"] == "listed":
+                endpoints = {host: (mode, started) for host, mode, started in event["hosts"]}
+                lists[event["d"]].append((event["t"], endpoints, event["wall"]))
         return lists
 
     def check_all(self) -> list[Verdict]:
@@ -171,9 +172,9 @@
         """A proxy may lack entries for a route only for a limited time."""
         longest, violations = 0, []
         usable: dict[str, list[tuple[int, dict[str, int]]]] = defaultdict(list)
-        for row in self.proxy_events:
-            if row["kind"] in ("up", "applied"):
-                usable[row["p"]].append((row["t"], row["usable"]))
+        for event in self.proxy_events:
+            if event["kind"] in ("up", "applied"):
+                usable[event["p"]].append((event["t"], event["usable"]))
         for proxy, sessions in self.sessions.items():
             for since, until, controller in sessions:
                 steps = self.warm_times(controller)
@@ -269,7 +270,7 @@
         """Counts the drain grace from the later of the list and the start of the session."""
         latest, violations = 0, []
         closed = {controller: self.closed_spans(controller) for controller in self.endpoint_lists}
-        starts = {proxy: [since for since, _, _ in rows] for proxy, rows in self.sessions.items()}
+        starts = {proxy: [since for since, _, _ in spans] for proxy, spans in self.sessions.items()}
         for event in self.proxy_events:
             if event["kind"] != "sent":
                 continue
@@ -389,7 +390,7 @@
         """The most messages that one proxy applied within the message window, in one session."""
         peak = 0
         times: dict[tuple[str, str, int, str], list[int]] = defaultdict(list)
-        starts = {proxy: [since for since, _, _ in rows] for proxy, rows in self.sessions.items()}
+        starts = {proxy: [since for since, _, _ in spans] for proxy, spans in self.sessions.items()}
         for event in self.proxy_events:
             if event["kind"] == "applied":
                 session = bisect.bisect_right(starts.get(event["p"], []), event["t"])
--- a/willowhook/trial/oracle.py
+++ b/willowhook/trial/oracle.py
@@ -17,7 +17,7 @@
 class SimulatedEndpoint:
     """An endpoint as service discovery shows it."""
 
-    mode: str = "open"  # open, draining or gone
+    mode: str = "open"  # open, draining or gone (removed from the list)
     since: float = 0.0  # seconds since the mode was notified
     age: float = 1e9  # seconds since its start
     weight: float = 1.0
--- a/willowhook/trial/stage.py
+++ b/willowhook/trial/stage.py
@@ -486,21 +486,27 @@
             self.send_command(process, do="set", name=name, value=restored)
 
     async def strike_host_hang(self, fault: Fault) -> None:
+        """Endpoints accept requests and never answer."""
         await self.set_on_endpoints(fault, "hang", True, False)
 
     async def strike_host_slow(self, fault: Fault) -> None:
+        """Requests take `size` times as long, 3 by default."""
         await self.set_on_endpoints(fault, "slow", fault.size or 3.0, 1.0)
 
     async def strike_fast_errors(self, fault: Fault) -> None:
+        """Endpoints answer this fraction of the requests with an error at once."""
         await self.set_on_endpoints(fault, "fail", fault.size or 0.7, 0.0)
 
     async def strike_route_unanswered(self, fault: Fault) -> None:
+        """Endpoints never answer the requests of one route."""
         await self.set_on_endpoints(fault, "unanswered", fault.route or self.day.routes[0].name, "")
 
     async def strike_false_load(self, fault: Fault) -> None:
+        """Endpoints report this utilization instead of their own."""
         await self.set_on_endpoints(fault, "false_load", fault.size, -1.0)
 
     async def strike_conn_squeeze(self, fault: Fault) -> None:
+        """Endpoints accept only this fraction of their connections."""
         await self.set_on_endpoints(fault, "squeeze", fault.size or 0.05, 1.0)
 
     async def crash_endpoint(self, endpoint: EndpointProcess) -> None:
@@ -516,6 +522,7 @@
         self.registry.deregister(endpoint.plan.id)
 
     async def strike_host_crash(self, fault: Fault) -> None:
+        """Endpoints crash, and restart with a slow start."""
         endpoints = self.sample_endpoints(fault.part)
         for endpoint in endpoints:
             await self.crash_endpoint(endpoint)
@@ -574,10 +581,12 @@
         await self.start_endpoint(endpoint, True)
 
     async def strike_shrink(self, fault: Fault) -> None:
+        """Endpoints drain and are not replaced."""
         for endpoint in self.sample_endpoints(fault.part):
             self.nursery.start_soon(self.drain_endpoint, endpoint, fault.for_s)
 
     async def strike_grow(self, fault: Fault) -> None:
+        """The spare endpoints start, with a slow start."""
         for name in self.spare_endpoints:
             if self.endpoints[name].process is None:
                 await self.start_endpoint(self.endpoints[name], True)
@@ -586,23 +595,27 @@
         """Nothing to inject: `arrivals` has the additional requests."""
 
     async def strike_roster_away(self, fault: Fault) -> None:
+        """All queries of the registry fail."""
         self.registry.is_unavailable = True
         self.registry.wake_watchers()
         await trio.sleep(fault.for_s)
         self.registry.is_unavailable = False
 
     async def strike_roster_frozen(self, fault: Fault) -> None:
+        """The registry does not show changes."""
         self.registry.is_frozen = True
         await trio.sleep(fault.for_s)
         self.registry.unfreeze()
 
     async def strike_roster_lies(self, fault: Fault) -> None:
+        """The registry sends a list with invalid entries."""
         self.registry.body_override = b'[{"Service": {"ID": "x", "Port": 99999}}]'
         self.registry.wake_watchers()
         await trio.sleep(fault.for_s)
         self.registry.body_override = None
 
     async def strike_director_killed(self, fault: Fault) -> None:
+        """A controller is killed and restarted."""
         if self.controllers:
             rank = self.chance.choice(sorted(self.controllers))
             self.kill_controller(rank)
@@ -630,27 +643,32 @@
                 resource.prlimit(process.pid, resource.RLIMIT_FSIZE, limits)
 
     async def strike_proxy_killed(self, fault: Fault) -> None:
+        """Proxies are killed and restarted with a standing table."""
         names = self.sample_proxies(fault.part)
         self.send_to_proxies(do="kill", proxies=names)
         await trio.sleep(fault.for_s)
         self.send_to_proxies(do="start", proxies=names, hosts=self.open_endpoints())
 
     async def strike_streams_lost(self, fault: Fault) -> None:
+        """Proxies lose their sessions, and cannot start new ones for the duration."""
         self.send_to_proxies(
             do="drop_streams", proxies=self.sample_proxies(fault.part or 0.5), away_s=fault.for_s
         )
 
     async def strike_no_director(self, fault: Fault) -> None:
+        """Proxies lose their sessions, and cannot start new ones for the duration."""
         self.send_to_proxies(
             do="drop_streams", proxies=self.sample_proxies(fault.part or 0.5), away_s=fault.for_s
         )
 
     async def strike_zone_cut(self, fault: Fault) -> None:
+        """A network partition separates one zone from the others."""
         self.send_to_proxies(do="cut", zones=[self.chance.choice(ZONES)])
         await trio.sleep(fault.for_s)
         self.send_to_proxies(do="cut", zones=[])
 
     async def strike_one_sided(self, fault: Fault) -> None:
+        """Half of the proxies lose a fraction of their attempts to some endpoints."""
         endpoints = [endpoint.plan.id for endpoint in self.sample_endpoints(fault.part)]
         proxies = self.sample_proxies(0.5)
         self.send_to_proxies(do="lossy", proxies=proxies, hosts=endpoints, share=fault.size or 0.5)
--- a/willowhook/trial/standin_proxy.py
+++ b/willowhook/trial/standin_proxy.py
@@ -187,7 +187,7 @@
 
     def load_standing_table(self) -> None:
         """Installs the standing table: some endpoints, of its own zone if that has at least three."""
-        same_zone = [row for row in self.config.hosts if row[3] == self.plan.zone]
+        same_zone = [endpoint for endpoint in self.config.hosts if endpoint[3] == self.plan.zone]
         candidates = same_zone if len(same_zone) >= 3 else self.config.hosts
         drawn = (
             self.config.hosts
@@ -199,9 +199,9 @@
         routes: list[forms.Route] = []
         self.clusters = {}
         paths: list[tuple[RouteTerms, PathTerms | RouteTerms]] = []
-        for row in self.config.routes:
-            paths += [(row, row), *((row, path) for path in row.more)]
-        for route, path in sorted(paths, key=lambda row: (row[1].order, -len(row[1].path))):
+        for terms in self.config.routes:
+            paths += [(terms, terms), *((terms, path) for path in terms.more)]
+        for route, path in sorted(paths, key=lambda pair: (pair[1].order, -len(pair[1].path))):
             name = f"{route.name}@standing"
             pick, dial_ticks = self.config.pick, ticks_from_seconds(self.config.dial_s)
             self.clusters[name] = tables.cluster(name, "standing", "", pick, dial_ticks, self.config.strikes)
@@ -270,7 +270,7 @@
                 for table in tables.read_tables(files["eds.json"])[1]:
                     assignments[table.cluster_name] = table
             if "cds" in received:
-                clusters = {row.name: row for row in tables.read_clusters(files["cds.json"])[1]}
+                clusters = {cluster.name: cluster for cluster in tables.read_clusters(files["cds.json"])[1]}
             if "rds" in received:
                 configurations = tables.read_routes(files["rds.json"])[1]
                 routes = configurations[0].virtual_hosts[0].routes
@@ -291,7 +291,8 @@
             self.acknowledge(received, str(error) or "incomplete")
             return
         used_tables = {
-            clusters[r.route.cluster].eds_cluster_config.service_name for r in tables.cluster_routes(routes)
+            clusters[route.route.cluster].eds_cluster_config.service_name
+            for route in tables.cluster_routes(routes)
         }
         self.assignments = {name: table for name, table in assignments.items() if name in used_tables}
         self.clusters, self.routes = clusters, routes
