--- a/willowhook/trial/judge.py
+++ b/willowhook/trial/judge.py
@@ -223,7 +223,7 @@
             semantics = self.limits.routes.get(events[0]["r"], "mutating")
             if (
                 len(events) > 1 and semantics != "repeatable"
-            ):  # a zone drops repeats, so each of these took effect
+            ):  # a zone drops repeats, so that each of these took effect
                 places = ", ".join(f"{event['host']} at {self.time_text(event['t'])}" for event in events)
                 violations.append(f"{attempt} ({events[0]['r']}) had effect {len(events)} times: {places}")
         attempts: dict[str, Entries] = defaultdict(list)
@@ -296,7 +296,7 @@
     # 4: no endpoint fails because it gets too much work while it warms up.
 
     def check_slow_start(self) -> Verdict:
-        """An overload counts if proxies that listed_at of the slow start sent two thirds of the work."""
+        """An overload counts if proxies that knew of the slow start sent two thirds of the work."""
         peak, violations = 0.0, []
         applied: dict[str, list[int]] = defaultdict(list)
         for event in self.proxy_events:
