--- a/willowhook/trial/day.py
+++ b/willowhook/trial/day.py
@@ -203,7 +203,7 @@
 
 
 def arrivals(scenario: Scenario) -> list[Arrival]:
-    """All requests of a scenario: drawn from its seed alone, so that they are the same whatever serves them."""
+    """All requests of a scenario, drawn from its seed alone: the same whatever serves them."""
     rng = random.Random(scenario.seed * 7 + 3)
     requests, at, number = list[Arrival](), 0.0, 0
     bursts = [burst for burst in scenario.troubles if burst.kind == "burst"]
