--- a/willowhook/trial/corpus.py
+++ b/willowhook/trial/corpus.py
@@ -12,12 +12,12 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from ..nginx.plan import Asked
+from ..nginx.plan import ImportOptions
 from ..nginx.syntax import parse
-from ..nginx.verdicts import CARRIED, DIFFERS, LEFT, REFUSED, verdicts
+from ..nginx.verdicts import CARRIED, DIFFERS, NOT_CARRIED, REFUSED, diagnose
 
 FOLDER = Path(__file__).parent / "corpus"
-MARKS = {"=": CARRIED, "~": DIFFERS, "-": LEFT, "!": REFUSED}
+MARKS = {"=": CARRIED, "~": DIFFERS, "-": NOT_CARRIED, "!": REFUSED}
 HEAD = re.compile(r"^### (?P<name>.*?)(?:: (?P<options>--.*))?$")
 
 
@@ -25,12 +25,12 @@
 class Sample:
     name: str
     place: str  # file and line
-    asked: Asked
+    asked: ImportOptions
     text: str
     wanted: tuple[str, ...]  # verdicts, in order
 
 
-def _asked(options: str) -> Asked:
+def _asked(options: str) -> ImportOptions:
     rows: dict[str, list[str]] = {}
     words = shlex.split(options)
     for option, value in zip(words[::2], words[1::2], strict=True):
@@ -38,8 +38,8 @@
     keyed = tuple(
         (path, int(window)) for path, _, window in (row.partition("=") for row in rows.get("keyed", ()))
     )
-    return Asked(
-        host="".join(rows.get("host", ())), mutating=tuple(rows.get("mutating", ())),
+    return ImportOptions(
+        server_name="".join(rows.get("host", ())), mutating=tuple(rows.get("mutating", ())),
         repeatable=tuple(rows.get("repeatable", ())), keyed=keyed,
     )  # fmt: skip
 
@@ -66,11 +66,11 @@
 def wrong(sample: Sample) -> list[str]:
     """Where its verdicts are not those wanted; empty if all are, and each but the carried says why."""
     rows = parse(sample.text, sample.place)
-    found, _ = verdicts(rows, sample.asked)
+    found, _ = diagnose(rows, sample.asked)
     told = [
-        f"{sample.place} {sample.name}: {row.line()}; wanted {want}"
+        f"{sample.place} {sample.name}: {row.report_line()}; wanted {want}"
         for row, want in zip(found, sample.wanted, strict=False)
-        if row.what != want or (row.what != CARRIED and not row.why)
+        if row.outcome != want or (row.outcome != CARRIED and not row.reason)
     ]  # fmt: skip
     if len(found) != len(sample.wanted):
         told.append(f"{sample.place} {sample.name}: {len(found)} directives, {len(sample.wanted)} marks")
--- a/willowhook/trial/nginx_check.py
+++ b/willowhook/trial/nginx_check.py
@@ -10,11 +10,11 @@
 from dataclasses import dataclass, field
 
 from ..nginx.flat import FirstMatch, Flattener
-from ..nginx.locations import Location, Matcher, read_all
-from ..nginx.plan import CARRIED, Asked, Plan
-from ..nginx.setup import Setup
-from ..nginx.syntax import SyntaxFault, parse
-from ..nginx.verdicts import verdicts
+from ..nginx.locations import Location, LocationMatcher, read_locations
+from ..nginx.plan import CARRIED, ImportOptions, ImportPlan
+from ..nginx.setup import NginxConfig
+from ..nginx.syntax import ConfigSyntaxError, parse
+from ..nginx.verdicts import diagnose
 from .corpus import samples
 
 PIECES = ["/", "a", "b", "ab", "/a", "/ab/", ".x", ".X", "1"]
@@ -26,25 +26,25 @@
 def brute(rows: list[Location], uri: str) -> tuple[Location | None, bool]:
     """The published rules, read one by one over all locations; and whether the search is over."""
     for row in rows:
-        if row.kind == "=" and row.pattern == uri:
+        if row.modifier == "=" and row.pattern == uri:
             return row, True
     chosen: Location | None = None
     for row in rows:
         longer = chosen is None or len(row.pattern) > len(chosen.pattern)
-        if row.kind in ("", "^~") and uri.startswith(row.pattern) and longer:
+        if row.modifier in ("", "^~") and uri.startswith(row.pattern) and longer:
             chosen = row
     remembered = chosen
     if chosen is not None:
-        deeper, over = brute(chosen.inner, uri)
+        deeper, over = brute(chosen.nested, uri)
         if over:
             return deeper, True
         remembered = deeper or chosen
-    if chosen is None or chosen.kind != "^~":
+    if chosen is None or chosen.modifier != "^~":
         for row in rows:
-            if row.kind in ("~", "~*"):
-                flags = re.IGNORECASE if row.kind == "~*" else 0
+            if row.modifier in ("~", "~*"):
+                flags = re.IGNORECASE if row.modifier == "~*" else 0
                 if re.search(row.pattern.replace("(?<", "(?P<"), uri, flags):
-                    return brute(row.inner, uri)[0] or row, True
+                    return brute(row.nested, uri)[0] or row, True
     return remembered, False
 
 
@@ -77,8 +77,8 @@
     chance, count, found = random.Random(seed), 0, list[str]()
     while count < uris:
         text = block(chance, "/", 2)
-        rows = read_all(parse(text))
-        matcher = Matcher(rows)
+        rows = read_locations(parse(text))
+        matcher = LocationMatcher(rows)
         for _ in range(min(50, uris - count)):
             uri = a_uri(chance)
             count += 1
@@ -103,21 +103,21 @@
     chance, made = random.Random(seed), Lists()
     while made.asked < uris:
         rows = parse(f"server {{ {block(chance, '/', 2, 'return 204;')} }}")
-        setup = Setup(rows)
-        plan = Plan(setup, Asked())
-        site = setup.sites[0]
+        setup = NginxConfig(rows)
+        plan = ImportPlan(setup, ImportOptions())
+        site = setup.server_blocks[0]
         flat = FirstMatch(Flattener(site).entries())
         made.configs += 1
-        made.told_in += any(what != CARRIED for what, _ in plan.notes.values())
+        made.told_in += any(what != CARRIED for what, _ in plan.outcomes.values())
         for _ in range(min(50, uris - made.asked)):
             uri = a_uri(chance)
             made.asked += 1
-            place, entry = site.place(uri), flat.find(uri)
-            here = entry.place.location.directive if entry is not None else None
+            place, entry = site.find_location(uri), flat.find(uri)
+            here = entry.location_config.location.directive if entry is not None else None
             if place is None or place.location.directive is here:
                 continue
             made.differ += 1
-            if plan.notes.get(id(place.location.directive), (CARRIED, ""))[0] == CARRIED:
+            if plan.outcomes.get(id(place.location.directive), (CARRIED, ""))[0] == CARRIED:
                 made.untold.append(f"{uri}: {place.location}")
     return made
 
@@ -150,9 +150,9 @@
         began = time.perf_counter()
         try:
             rows = parse(text)
-            found, _ = verdicts(rows, sample.asked)
-        except SyntaxFault as fault:
-            if fault.place.line < 1 or fault.place.column < 1 or not fault.cause:
+            found, _ = diagnose(rows, sample.asked)
+        except ConfigSyntaxError as fault:
+            if fault.position.line < 1 or fault.position.column < 1 or not fault.cause:
                 made.crashes.append(f"no place or cause: {text!r}")
             continue
         except Exception as fault:  # any other is what this looks for
--- a/willowhook/trial/nginx_director.py
+++ b/willowhook/trial/nginx_director.py
@@ -19,10 +19,10 @@
 import trio
 
 from ..config.terms import RosterTerms, Terms
-from ..nginx.plan import Asked
-from ..nginx.result import host_list, terms_of
+from ..nginx.plan import ImportOptions
+from ..nginx.result import controller_config, endpoint_list
 from ..nginx.syntax import parse
-from ..nginx.verdicts import verdicts
+from ..nginx.verdicts import diagnose
 from ..web.wire import ConnectionLostError, open_connection
 from .day import ProxyPlan
 from .nginx_same import Hosts
@@ -77,9 +77,9 @@
         self.folder, self.seen = folder, seen
         self._count = 0
         rows = parse(CONF, "day")
-        _, plan = verdicts(rows, Asked(mutating=("/submit-task",)))
+        _, plan = diagnose(rows, ImportOptions(mutating=("/submit-task",)))
         self.plan = plan
-        self.terms: Terms = terms_of(plan, 4, str(folder / "director"), "http://127.0.0.1:1")
+        self.terms: Terms = controller_config(plan, 4, str(folder / "director"), "http://127.0.0.1:1")
         self._processes: list[subprocess.Popen[bytes]] = []
 
     async def run(self) -> None:
@@ -87,10 +87,10 @@
             async with trio.open_nursery() as nursery:
                 self.hosts = Hosts(nursery, reservations)
                 self.port = reservations.reserve()
-                for name in self.plan.hosts:
+                for name in self.plan.endpoints:
                     await self.hosts.start(name)
                 self.roster = StandInRegistry(EventLog(str(self.folder / "roster.notes")), 0.0)
-                for entry in json.loads(host_list(self.plan)):
+                for entry in json.loads(endpoint_list(self.plan)):
                     name = entry["Service"]["ID"]
                     entry["Service"] |= {"Address": "127.0.0.1", "Port": self.hosts.ports[name]}
                     entry["Service"]["Meta"]["started"] = "0"
@@ -134,7 +134,8 @@
                 await trio.sleep(0.05)
         place = ControllerAddress(terms.name, terms.files.folder, terms.zone)
         first = [
-            (host.id, "127.0.0.1", self.hosts.ports[host.id], terms.zone) for host in self.plan.hosts.values()
+            (host.id, "127.0.0.1", self.hosts.ports[host.id], terms.zone)
+            for host in self.plan.endpoints.values()
         ]
         orders = ProxyWorkerConfig(
             [ProxyPlan("proxy-0", terms.zone, 1.0, self.port)], [place], first[:1], list(terms.routes),
--- a/willowhook/trial/nginx_same.py
+++ b/willowhook/trial/nginx_same.py
@@ -18,11 +18,11 @@
 
 import trio
 
-from ..nginx.flat import uris
-from ..nginx.plan import LEFT, REFUSED, Asked, Plan
-from ..nginx.result import table_files, terms_of
+from ..nginx.flat import probe_uris
+from ..nginx.plan import NOT_CARRIED, REFUSED, ImportOptions, ImportPlan
+from ..nginx.result import controller_config, table_files
 from ..nginx.syntax import parse
-from ..nginx.verdicts import verdicts
+from ..nginx.verdicts import diagnose
 from ..web.wire import Call, ClientConnection, ConnectionLostError, Reply, open_connection, serve_connection
 from ..xds import forms, tables
 from .corpus import Sample, samples
@@ -197,14 +197,14 @@
 class Bench:
     """One sample before its hosts."""
 
-    def __init__(self, sample: Sample, plan: Plan, files: dict[str, bytes], hosts: Hosts) -> None:
+    def __init__(self, sample: Sample, plan: ImportPlan, files: dict[str, bytes], hosts: Hosts) -> None:
         self.sample, self.plan, self.hosts = sample, plan, hosts
-        assert plan.site is not None
+        assert plan.server_block is not None
         rows = parse(sample.text, sample.place)
         # the same site in a tree of its own, found by its place
         site = next(
             each for top in rows for each in top.walk()
-            if each.name == "server" and each.place == plan.site.block.place
+            if each.name == "server" and each.position == plan.server_block.block.position
         )  # fmt: skip
         self.ways: dict[str, Callable[[Call], Awaitable[Reply]]] = {
             "blocks": StandInNginxProxy(rows, site, hosts.ask, self.clock).answer,
@@ -268,16 +268,16 @@
 async def one(sample: Sample, count: int, found: Same) -> None:
     """Raises what broke a stand-in."""
     rows = parse(sample.text, sample.place)
-    told, plan = verdicts(rows, sample.asked)
-    if not plan.routes or plan.site is None or plan.setup.faults:
+    told, plan = diagnose(rows, sample.asked)
+    if not plan.routes or plan.server_block is None or plan.config.errors:
         return  # nothing to serve, or what the program of the blocks would not start with
-    files = table_files(plan, terms_of(plan, 8, "run/x", "http://127.0.0.1:1"))
-    refused = {str(row.place) for row in told if row.what == REFUSED}
+    files = table_files(plan, controller_config(plan, 8, "run/x", "http://127.0.0.1:1"))
+    refused = {str(row.position) for row in told if row.outcome == REFUSED}
     found.samples += 1
     with PortReservations() as reservations, trio.CancelScope() as scope:
         async with trio.open_nursery() as nursery:
             hosts = Hosts(nursery, reservations)
-            for name in plan.hosts:
+            for name in plan.endpoints:
                 await hosts.start(name)
             bench = Bench(sample, plan, files, hosts)
             await bench.open(nursery)
@@ -289,16 +289,16 @@
             scope.cancel()
 
 
-def _paths(plan: Plan, asked: Asked, refused: set[str]) -> list[str]:
+def _paths(plan: ImportPlan, asked: ImportOptions, refused: set[str]) -> list[str]:
     """Some paths of each route; none whose location was refused, which is said to be served otherwise."""
-    site, by, rows = plan.site, Counter[int](), list[str]()
+    site, by, rows = plan.server_block, Counter[int](), list[str]()
     assert site is not None
-    for uri in uris(site, asked.declared()):
-        place = site.place(uri)
+    for uri in probe_uris(site, asked.declared_paths()):
+        place = site.find_location(uri)
         if place is None or by[id(place)] >= 3 or not uri.isascii() or "%" in uri or "#" in uri:
             continue
-        marks = {str(each.place) for each in place.location.directive.walk()}
-        if marks & refused or any(str(each.place) in refused for each in site.block.args):
+        marks = {str(each.position) for each in place.location.directive.walk()}
+        if marks & refused or any(str(each.position) in refused for each in site.block.args):
             continue
         by[id(place)] += 1
         rows.append(uri)
@@ -331,13 +331,13 @@
     plan, hosts = bench.plan, bench.hosts
     for group in plan.groups.values():
         names = [name for name, each in plan.groups.items() if each is group]
-        upstream = plan.setup.upstreams.get(names[0])
+        upstream = plan.config.upstreams.get(names[0])
         said = (
-            [plan.notes.get(id(server.directive), ("", ""))[0] for server in upstream.servers]
+            [plan.outcomes.get(id(server.directive), ("", ""))[0] for server in upstream.servers]
             if upstream
             else []
         )
-        if LEFT in said:
+        if NOT_CARRIED in said:
             continue  # said to be served otherwise
         first = [name for name, _, tier, draining in group.rows if tier == 0 and not draining]
         later = [name for name, _, tier, draining in group.rows if tier and not draining]
@@ -366,11 +366,11 @@
     await trio.sleep(0)
 
 
-def _serves(plan: Plan, path: str, group: str) -> bool:
-    site = plan.site
-    place = site.place(path) if site is not None else None
+def _serves(plan: ImportPlan, path: str, group: str) -> bool:
+    site = plan.server_block
+    place = site.find_location(path) if site is not None else None
     target = place.target if place is not None else None
-    if target is None or target.why or len(target.parts) != 1 or target.choice is not None:
+    if target is None or target.unknown_reason or len(target.parts) != 1 or target.mapping is not None:
         return False
     return target.parts[0][0] == group
 
--- a/willowhook/trial/standin_blocks.py
+++ b/willowhook/trial/standin_blocks.py
@@ -14,7 +14,7 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
 
-from ..nginx.locations import Location, read_all
+from ..nginx.locations import Location, read_locations
 from ..nginx.syntax import Directive
 from ..web.wire import Call, ConnectionLostError, Reply
 from .nginx_check import brute
@@ -85,7 +85,7 @@
             for inner in (directive.block or [] if directive.name == "http" else [directive])
         ]
         self._server_directives = server.block or []
-        self._locations = read_all(self._server_directives, lambda position, error: None)
+        self._locations = read_locations(self._server_directives, lambda position, error: None)
         self._enclosing_blocks: dict[int, list[list[Directive]]] = {}
         self._index_locations(self._locations, [self._http_directives, self._server_directives])
         self._pools = {
@@ -98,7 +98,7 @@
         for location in locations:
             blocks = [*enclosing, location.directive.block or []]
             self._enclosing_blocks[id(location)] = blocks
-            self._index_locations(location.inner, blocks)
+            self._index_locations(location.nested, blocks)
 
     @staticmethod
     def _pool(directive: Directive) -> UpstreamPool:
