--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -14,7 +14,7 @@
 
 from willowhook.config.example import EXAMPLE
 from willowhook.records.writer import read_records
-from willowhook.trial.badday import one, report, short_day
+from willowhook.trial.badday import report_lines, run_with_baselines, short_scenario
 from willowhook.trial.day import Fault, arrivals, draw_scenario
 from willowhook.trial.judge import Verdict
 from willowhook.trial.stage import FleetHarness
@@ -79,13 +79,13 @@
 
 
 def test_a_short_bad_day_keeps_the_rules(tmp_path: Path) -> None:
-    outcome = one(short_day(3), tmp_path, (), lambda text: None)
+    outcome = run_with_baselines(short_scenario(3), tmp_path, (), lambda text: None)
     records = [record for path in tmp_path.glob("*/director-*.records") for record in read_records(str(path))]
     not_passed = [record for record in records if record["kind"] == "guard" and record["what"] != "passed"]
     # update validation rejects nothing that the invariant checker accepts
     assert not not_passed, not_passed[0]
-    assert outcome.director.kept, "\n".join(report(outcome))
-    assert outcome.director.service_level > 0.5 and outcome.director.answered > 200
+    assert outcome.controlled.kept, "\n".join(report_lines(outcome))
+    assert outcome.controlled.service_level > 0.5 and outcome.controlled.answered > 200
 
 
 def test_arrivals_are_the_same_whatever_serves_them() -> None:
--- a/willowhook/trial/badday.py
+++ b/willowhook/trial/badday.py
@@ -19,20 +19,20 @@
 
 
 @dataclass
-class Round:
+class SeedResult:
     seed: int
-    director: RunResult
+    controlled: RunResult
     baselines: dict[str, RunResult]
     folder: Path
 
 
-def one(
+def run_with_baselines(
     day: Scenario, folder: Path, baselines: Sequence[str], say: Callable[[str], None], **more: Any
-) -> Round:
+) -> SeedResult:
     """The day with directors, then the same arrivals and troubles with each baseline."""
     first = run_fleet(day, folder / "director", say=say, **more)
     others = {how: run_fleet(fresh(day), folder / how, how) for how in baselines}
-    return Round(day.seed, first, others, folder)
+    return SeedResult(day.seed, first, others, folder)
 
 
 def fresh(day: Scenario) -> Scenario:
@@ -45,9 +45,9 @@
     return copy
 
 
-def report(done: Round) -> list[str]:
+def report_lines(done: SeedResult) -> list[str]:
     """What a person reads of one round."""
-    got = done.director
+    got = done.controlled
     lines = [verdict.summary() for verdict in got.verdicts]
     routes = ", ".join(f"{name} {value:.3f}" for name, value in got.by_route.items())
     lines.append(f"service {got.service_level:.3f} ({routes}; worst ten seconds {got.worst_interval:.3f})")
@@ -74,18 +74,21 @@
     return f"median {statistics.median(ranked):.3f}, from {ranked[0]:.3f} to {ranked[-1]:.3f}"
 
 
-def many(
+def run_seeds(
     seeds: Sequence[int], make: Callable[[int], Scenario], folder: str, baselines: Sequence[str],
     at_once: int, say: Callable[[str], None], **more: Any,
-) -> list[Round]:  # fmt: skip
+) -> list[SeedResult]:  # fmt: skip
     """Days of several seeds, some at once; each in a process of its own."""
     root = Path(folder or tempfile.mkdtemp(prefix="willowhook-"))
     found = []
     with concurrent.futures.ProcessPoolExecutor(at_once) as pool:
-        jobs = [pool.submit(one, make(seed), root / str(seed), baselines, _quiet, **more) for seed in seeds]
+        jobs = [
+            pool.submit(run_with_baselines, make(seed), root / str(seed), baselines, _quiet, **more)
+            for seed in seeds
+        ]
         for job in jobs:
             done = job.result()
-            for line in report(done):
+            for line in report_lines(done):
                 say(line)
             found.append(done)
     return found
@@ -95,23 +98,23 @@
     return None
 
 
-def summary(rounds: Sequence[Round]) -> list[str]:
+def summary_lines(rounds: Sequence[SeedResult]) -> list[str]:
     """Over all seeds: rules, service and its spread beside the baselines."""
-    kept = sum(row.director.kept for row in rounds)
+    kept = sum(row.controlled.kept for row in rounds)
     lines = [f"rules kept on {kept} of {len(rounds)} days"]
-    lines.append(f"service with directors: {spread([row.director.service_level for row in rounds])}")
+    lines.append(f"service with directors: {spread([row.controlled.service_level for row in rounds])}")
     for how in rounds[0].baselines if rounds else ():
         values = [row.baselines[how].service_level for row in rounds]
-        ahead = [row.director.service_level - row.baselines[how].service_level for row in rounds]
+        ahead = [row.controlled.service_level - row.baselines[how].service_level for row in rounds]
         lines.append(f"service, {how}: {spread(values)}; directors ahead by {spread(ahead)}")
     return lines
 
 
-def usual_day(seed: int, length_s: float = 40.0) -> Scenario:
+def default_scenario(seed: int, length_s: float = 40.0) -> Scenario:
     return draw_scenario(seed, length_s)
 
 
-def short_day(seed: int) -> Scenario:
+def short_scenario(seed: int) -> Scenario:
     """For CI: few hosts, a quarter of the time, five troubles."""
     troubles = [
         Fault("host_crash", 2.0, 4.0, 0.2),
@@ -124,7 +127,7 @@
     return draw_scenario(seed, 12.0, hosts=6, proxies=4, calls_per_s=40.0, troubles=troubles, spare=0)
 
 
-def replay_day(kinds: Sequence[str], seed: int, length_s: float, **size: Any) -> Scenario:
+def replay_scenario(kinds: Sequence[str], seed: int, length_s: float, **size: Any) -> Scenario:
     """A day on which these kinds of trouble strike, one after the other, over the middle of it."""
     room = length_s - 12.0
     troubles = [
@@ -141,7 +144,7 @@
 
 
 # what the bench calls them
-BENCH = {
+BENCHMARK_FAULT_NAMES = {
     "crash": "host_crash", "hang": "host_hang", "slow": "host_slow", "class_fail": "route_unanswered",
     "ageing": "decline", "false_reports": "false_load", "discovery_down": "roster_away",
     "balancer_crash": "director_killed", "counter_down": "no_director", "reconnect": "streams_lost",
