--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -35,7 +35,7 @@
 from willowhook.front.turns import WakeupQueue
 from willowhook.records.writer import read_records
 from willowhook.ticks import TICKS_PER_SECOND
-from willowhook.trial.swaps import Churn
+from willowhook.trial.swaps import ChurnDecider
 from willowhook.web.wire import Call, ClientConnection, Reply, open_connection, serve_connection
 from willowhook.xds import forms, tables
 from willowhook.xds.codec import decode, encode
@@ -512,34 +512,34 @@
     run_controller(tmp_path, scenario)
 
 
-class RandomCommands(Churn):
+class RandomCommands(ChurnDecider):
     """Sends random commands for a while, then gives all endpoints one weight and changes nothing more."""
 
     remaining = 60
 
     def evaluate(self, now: int) -> None:
-        if self.hosts and len(self.joined) == 3 and self.remaining > 0:
+        if self.endpoints and len(self.joined_proxies) == 3 and self.remaining > 0:
             self.remaining -= 1
             generator = random.Random(self.remaining)
-            for name in self.hosts:
-                self.host.set_weight(generator.randrange(3), name, generator.choice([0.0, 0.5, 1.0, 2.5]))
-            name, is_excluded = generator.choice(self.hosts), generator.random() < 0.5
-            (self.host.exclude_endpoint if is_excluded else self.host.readmit_endpoint)(name)
+            for name in self.endpoints:
+                self.runtime.set_weight(generator.randrange(3), name, generator.choice([0.0, 0.5, 1.0, 2.5]))
+            name, is_excluded = generator.choice(self.endpoints), generator.random() < 0.5
+            (self.runtime.exclude_endpoint if is_excluded else self.runtime.readmit_endpoint)(name)
             table, route = generator.randrange(3), generator.randrange(2)
-            self.host.set_admission(
+            self.runtime.set_admission(
                 table, route, AdmissionLimit(generator.randrange(3), 5.0 * self.remaining)
             )
-            for proxy in self.joined:
-                self.host.bind(proxy, self.remaining % 3, [self.remaining % 2])
+            for proxy in self.joined_proxies:
+                self.runtime.bind(proxy, self.remaining % 3, [self.remaining % 2])
         if self.remaining == 0:
             self.remaining = -1
-            for name in self.hosts:
-                self.host.set_weight(1, name, 1.0)
-            for proxy in self.joined:
-                self.host.bind(proxy, 1, self.routes)
-        self.host.schedule_evaluation(200)
+            for name in self.endpoints:
+                self.runtime.set_weight(1, name, 1.0)
+            for proxy in self.joined_proxies:
+                self.runtime.bind(proxy, 1, self.routes)
+        self.runtime.schedule_evaluation(200)
 
-    def order(self) -> None:
+    def send_commands(self) -> None:
         """A new endpoint list alone changes nothing."""
 
 
--- a/tests/test_nginx.py
+++ b/tests/test_nginx.py
@@ -22,7 +22,7 @@
 from willowhook.nginx.verdicts import CARRIED, DIFFERS, LEFT, REFUSED
 from willowhook.roster.forms import parse_endpoints
 from willowhook.trial import nginx_check
-from willowhook.trial.corpus import Sample, samples, wrong
+from willowhook.trial.corpus import Sample, load_samples, verdict_errors
 from willowhook.xds import tables
 
 GOOD = """
@@ -127,12 +127,12 @@
 
 
 def test_the_matcher_beside_a_brute_force_reading() -> None:
-    assert nginx_check.match(20_000) == (20_000, [])
+    assert nginx_check.check_matcher(20_000) == (20_000, [])
 
 
 def test_a_list_that_says_other_than_the_search_is_told_of() -> None:
-    made = nginx_check.lists(10_000)
-    assert made.asked == 10_000 and made.differ > 0 and not made.untold
+    made = nginx_check.check_lists(10_000)
+    assert made.uris == 10_000 and made.differ > 0 and not made.unreported
 
 
 @pytest.mark.parametrize(
@@ -233,24 +233,24 @@
     assert done.exit_code == 2 and "nginx.conf:4:" in done.output
 
 
-@pytest.mark.parametrize("sample", samples(), ids=lambda sample: sample.name)
+@pytest.mark.parametrize("sample", load_samples(), ids=lambda sample: sample.name)
 def test_each_directive_has_its_verdict(sample: Sample) -> None:
-    assert wrong(sample) == []
+    assert verdict_errors(sample) == []
 
 
 def test_the_corpus_is_whole_and_a_wrong_mark_is_seen() -> None:
-    rows = samples()
+    rows = load_samples()
     assert len(rows) >= 120 and len({row.name for row in rows}) == len(rows)
     assert {mark for row in rows for mark in row.wanted} == {CARRIED, DIFFERS, LEFT, REFUSED}
     one = rows[0]
-    assert wrong(replace(one, wanted=(REFUSED, *one.wanted[1:]))) and wrong(
+    assert verdict_errors(replace(one, wanted=(REFUSED, *one.wanted[1:]))) and verdict_errors(
         replace(one, wanted=one.wanted[1:])
     )
 
 
 def test_mutated_samples_are_read_with_a_verdict_each_or_told() -> None:
-    made = nginx_check.fuzz(1500)
-    assert (made.crashes, made.unaccounted) == ([], []) and 0 < made.read < 1500 and made.slowest_s < 2
+    made = nginx_check.check_mutated_samples(1500)
+    assert (made.crashes, made.unaccounted) == ([], []) and 0 < made.parsed < 1500 and made.slowest_s < 2
 
 
 A_CONF = """
--- a/tests/test_nginx_served.py
+++ b/tests/test_nginx_served.py
@@ -11,17 +11,19 @@
 from willowhook.nginx.plan import Asked
 from willowhook.trial import nginx_same
 from willowhook.trial.corpus import Sample
-from willowhook.trial.nginx_director import director_day
-from willowhook.trial.nginx_same import Same, apart, one, same
+from willowhook.trial.nginx_director import run_imported_scenario
+from willowhook.trial.nginx_same import Comparison, compare_sample, compare_samples, share_difference
 
 
 def test_some_samples_are_served_alike() -> None:
-    found = same(60, only=14)
-    assert found.good, found.lines()
-    assert found.paths > 20 and found.deaths > 5 and found.repeats["blocks"] > 0
+    found = compare_samples(60, only=14)
+    assert found.passed, found.lines()
+    assert found.paths > 20 and found.primary_outages > 5 and found.repeats["blocks"] > 0
 
 
-def played(text: str, asked: Asked, monkeypatch: pytest.MonkeyPatch, change: tuple[bytes, bytes]) -> Same:
+def played(
+    text: str, asked: Asked, monkeypatch: pytest.MonkeyPatch, change: tuple[bytes, bytes]
+) -> Comparison:
     """A sample whose imported tables are falsified on their way to the proxy."""
     real = nginx_same.table_files
 
@@ -31,8 +33,8 @@
         return {name: data.replace(*change) for name, data in files.items()}
 
     monkeypatch.setattr(nginx_same, "table_files", false)
-    found = Same()
-    trio.run(one, Sample("false", "false:1", asked, text, ()), 200, found)
+    found = Comparison()
+    trio.run(compare_sample, Sample("false", "false:1", asked, text, ()), 200, found)
     return found
 
 
@@ -50,22 +52,22 @@
     change: tuple[bytes, bytes], told: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     found = played(CONF, Asked(), monkeypatch, change)
-    assert not found.good and any(told in line for line in found.differ), found.lines()
+    assert not found.passed and any(told in line for line in found.differences), found.lines()
 
 
 def test_a_retry_that_repeats_an_effect_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
     change = (b'"connect-failure,refused-stream,retriable-headers"', b'"5xx,reset,connect-failure"')
     found = played(CONF, Asked(mutating=("/submit-task",)), monkeypatch, change)
-    assert found.repeats["tables"] > 0 and not found.good
+    assert found.repeats["tables"] > 0 and not found.passed
 
 
 def test_shares_apart_by_chance_are_the_same_and_others_not() -> None:
-    assert apart(Counter(a=100, b=100), Counter(a=108, b=92)) == ""
-    assert "a" in apart(Counter(a=100, b=100), Counter(a=150, b=50))
-    assert "reached hosts" in apart(Counter(a=1), Counter())
+    assert share_difference(Counter(a=100, b=100), Counter(a=108, b=92)) == ""
+    assert "a" in share_difference(Counter(a=100, b=100), Counter(a=150, b=50))
+    assert "reached hosts" in share_difference(Counter(a=1), Counter())
 
 
 def test_a_director_on_an_import_uses_backups_when_it_must(tmp_path: Path) -> None:
-    seen = director_day(tmp_path)
-    assert seen.good, seen.lines()
+    seen = run_imported_scenario(tmp_path)
+    assert seen.passed, seen.lines()
     assert seen.waits["a primary alone again"] >= 4.5
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -37,9 +37,9 @@
     after_recovery,
 )  # fmt: skip
 from willowhook.store.store import DEBUG, OUTCOMES, Op, Reader, Store, StoreError, StoreInUseError
-from willowhook.trial.cuts import cuts
+from willowhook.trial.cuts import run_cuts
 from willowhook.trial.power import PowerDisk
-from willowhook.trial.submits import submits
+from willowhook.trial.submits import run_submits
 
 
 def log(count: int, safes: dict[int, int] | None = None) -> bytes:
@@ -64,14 +64,14 @@
 
 
 def test_every_injury_of_a_small_history_is_recovered_or_told() -> None:
-    report = cuts(4, 14, 10, lambda text: None)
+    report = run_cuts(4, 14, 10, lambda text: None)
     assert not report.wrong, report.wrong[:5]
-    assert report.cuts > 500 and report.failures > 200 and report.told > 500
+    assert report.cuts > 500 and report.failures > 200 and report.reported_damage > 500
 
 
 def test_the_trial_sees_a_store_that_does_not_sync(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(PowerDisk, "sync", lambda self, handle: None)
-    assert cuts(4, 10, 10, lambda text: None).wrong
+    assert run_cuts(4, 10, 10, lambda text: None).wrong
 
 
 def put(key: str, value: bytes = b"v", space: str = "orders", at: int = 0) -> list[Op]:
@@ -511,5 +511,5 @@
 
 
 def test_a_program_that_submits_and_is_killed_repeats_nothing_that_may_have_run(tmp_path: Path) -> None:
-    done = submits(tmp_path, 3, 2, lambda text: None)
-    assert done.good and done.told["done"] > 10, done.lines()
+    done = run_submits(tmp_path, 3, 2, lambda text: None)
+    assert done.passed and done.reported_outcomes["done"] > 10, done.lines()
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -14,7 +14,7 @@
 
 from willowhook.config.example import EXAMPLE
 from willowhook.records.writer import read_records
-from willowhook.trial.badday import one, report, short_day
+from willowhook.trial.badday import report_lines, run_with_baselines, short_scenario
 from willowhook.trial.day import Trouble, arrivals, draw
 from willowhook.trial.judge import Verdict
 from willowhook.trial.stage import Stage
@@ -68,12 +68,12 @@
 
 
 def test_a_short_bad_day_keeps_the_rules(tmp_path: Path) -> None:
-    done = one(short_day(3), tmp_path, (), lambda text: None)
+    done = run_with_baselines(short_scenario(3), tmp_path, (), lambda text: None)
     records = [row for path in tmp_path.glob("*/director-*.records") for row in read_records(str(path))]
     stopped = [row for row in records if row["kind"] == "guard" and row["what"] != "passed"]
     assert not stopped, stopped[0]  # nor does the guard find fault with what the judge lets pass
-    assert done.director.kept, "\n".join(report(done))
-    assert done.director.service > 0.5 and done.director.answered > 200
+    assert done.controlled.kept, "\n".join(report_lines(done))
+    assert done.controlled.service > 0.5 and done.controlled.answered > 200
 
 
 def test_arrivals_are_the_same_whatever_serves_them() -> None:
--- a/tests/test_validation.py
+++ b/tests/test_validation.py
@@ -15,7 +15,7 @@
 from willowhook.cli.main import main
 from willowhook.decisions.settings import RequestSemantics
 from willowhook.ticks import TICKS_PER_SECOND
-from willowhook.trial.guard_cases import BAD, GOOD, confusion
+from willowhook.trial.guard_cases import BAD_CASES, GOOD_CASES, measure_confusion
 from willowhook.validation.case import exceeds
 from willowhook.validation.model import (
     Candidate,
@@ -82,9 +82,9 @@
 
 
 def test_all_kinds_of_bad_tables_are_stopped_and_no_good_table_is() -> None:
-    result = confusion(12 * (len(BAD) + len(GOOD)), 5)
-    assert result.good, result.missed[:2] + result.wrongly[:2]
-    assert len(BAD) >= 15 and len(result.kinds) == len(BAD) + len(GOOD)
+    result = measure_confusion(12 * (len(BAD_CASES) + len(GOOD_CASES)), 5)
+    assert result.passed, result.false_passes[:2] + result.false_findings[:2]
+    assert len(BAD_CASES) >= 15 and len(result.kinds) == len(BAD_CASES) + len(GOOD_CASES)
 
 
 def test_a_valid_table_is_refused_while_all_its_endpoints_drain() -> None:
--- a/willowhook/cli/trial.py
+++ b/willowhook/cli/trial.py
@@ -50,9 +50,9 @@
 
     from ..trial import badday as days
 
-    make = days.short_day if short else partial(days.usual_day, length_s=length)
+    make = days.short_scenario if short else partial(days.default_scenario, length_s=length)
     names = days.BASELINES if baselines else ()
-    rounds = days.many(
+    rounds = days.run_seeds(
         range(seed, seed + seeds),
         make,
         folder,
@@ -65,9 +65,9 @@
         store=store,
     )
     if seeds > 1:
-        for line in days.summary(rounds):
+        for line in days.summary_lines(rounds):
             click.echo(line)
-    sys.exit(0 if all(row.director.kept for row in rounds) else 1)
+    sys.exit(0 if all(row.controlled.kept for row in rounds) else 1)
 
 
 @trial.command()
@@ -94,19 +94,19 @@
     from ..trial import badday as days
     from ..trial.stage import TROUBLES
 
-    kinds = tuple(days.BENCH.get(kind, kind) for kind in kinds)
+    kinds = tuple(days.BENCHMARK_FAULT_NAMES.get(kind, kind) for kind in kinds)
     unknown = [kind for kind in kinds if kind not in TROUBLES and kind != "none"]
     if unknown:
-        known = ", ".join(["none", *TROUBLES, *days.BENCH])
+        known = ", ".join(["none", *TROUBLES, *days.BENCHMARK_FAULT_NAMES])
         raise click.BadParameter(f"{', '.join(unknown)}: known are {known}")
     names = [kind for kind in kinds if kind != "none"]
     size = {"hosts": hosts, "proxies": proxies, "directors": directors, "calls_per_s": calls}
-    day = days.replay_day(names, seed, length, **size)
+    day = days.replay_scenario(names, seed, length, **size)
     root = Path(folder or tempfile.mkdtemp(prefix="willowhook-"))
-    done = days.one(day, root, (), click.echo, guard=guard, front=front, store=store)
-    for line in days.report(done):
+    done = days.run_with_baselines(day, root, (), click.echo, guard=guard, front=front, store=store)
+    for line in days.report_lines(done):
         click.echo(line)
-    sys.exit(0 if done.director.kept else 1)
+    sys.exit(0 if done.controlled.kept else 1)
 
 
 @trial.command()
@@ -120,12 +120,12 @@
     """Swaps without rest under load: no torn read, no call without a host, and what a swap costs."""
     import tempfile
 
-    from ..trial.swaps import swaps as run
+    from ..trial.swaps import run_swaps as run
 
     done = run(Path(folder or tempfile.mkdtemp(prefix="willowhook-")), count, readers, durability, click.echo)
     for line in done.lines():
         click.echo(line)
-    sys.exit(0 if done.good else 1)
+    sys.exit(0 if done.passed else 1)
 
 
 @trial.command()
@@ -158,14 +158,14 @@
     """Kill, stop and start directors over and over; nothing may take effect twice."""
     import tempfile
 
-    from ..trial.takeover import takeover as run
+    from ..trial.takeover import run_takeover as run
 
     root = Path(folder or tempfile.mkdtemp(prefix="willowhook-"))
     size: dict[str, Any] = {"directors": directors, "proxies": proxies, "front": front, "store": store}
     done = run(seed, kills, every, root, click.echo, fence, not undisturbed, **size)
     for line in done.lines():
         click.echo(line)
-    sys.exit(0 if done.good else 1)
+    sys.exit(0 if done.passed else 1)
 
 
 @trial.command()
@@ -202,12 +202,12 @@
     """All proxies lose their director at once and go to the one that is left."""
     import tempfile
 
-    from ..trial.takeover import orphans as run
+    from ..trial.takeover import run_orphans as run
 
     done = run(Path(folder or tempfile.mkdtemp(prefix="willowhook-")), proxies, hosts, calls)
     for line in done.lines():
         click.echo(line)
-    sys.exit(0 if done.good else 1)
+    sys.exit(0 if done.passed else 1)
 
 
 @trial.command("guard")
@@ -215,12 +215,12 @@
 @click.option("--seed", type=int, default=1, show_default=True)
 def guard_trial(tables: int, seed: int) -> None:
     """Bad and good tables, each shown to be so by an oracle that plays it forward, before the guard."""
-    from ..trial.guard_cases import confusion
+    from ..trial.guard_cases import measure_confusion
 
-    done = confusion(tables, seed)
+    done = measure_confusion(tables, seed)
     for line in done.lines():
         click.echo(line)
-    sys.exit(0 if done.good else 1)
+    sys.exit(0 if done.passed else 1)
 
 
 @trial.command()
@@ -234,13 +234,13 @@
     """Both fronts mixed, with refusals, restarts and deaths: does a director know what its proxies run?"""
     import tempfile
 
-    from ..trial.versions import versions as run
+    from ..trial.versions import run_versions as run
 
     root = Path(folder or tempfile.mkdtemp(prefix="willowhook-"))
     done = run(root, seed, proxies, length, refuse, click.echo)
     for line in done.lines():
         click.echo(line)
-    sys.exit(0 if done.good else 1)
+    sys.exit(0 if done.passed else 1)
 
 
 @trial.command("bad-version")
@@ -252,12 +252,12 @@
     """A table that some proxies refuse: its roll-out stops, and who runs it goes back."""
     import tempfile
 
-    from ..trial.versions import bad_version as run
+    from ..trial.versions import run_bad_version as run
 
     done = run(Path(folder or tempfile.mkdtemp(prefix="willowhook-")), proxies, share, front)
     for line in done.lines():
         click.echo(line)
-    sys.exit(0 if done.good else 1)
+    sys.exit(0 if done.passed else 1)
 
 
 @trial.command()
@@ -270,13 +270,13 @@
     """Many calls wait, and one change comes: how long until the last has it, and what that costs."""
     import tempfile
 
-    from ..trial.herd import herd as run
+    from ..trial.herd import run_herd as run
 
     root = Path(folder or tempfile.mkdtemp(prefix="willowhook-"))
     done = run(root, callers, slow, hosts, encoding, click.echo)
     for line in done.lines():
         click.echo(line)
-    sys.exit(0 if done.good else 1)
+    sys.exit(0 if done.passed else 1)
 
 
 @trial.command("fuzz-front")
@@ -287,13 +287,13 @@
     """Malformed calls at a real director's front: no crash, no hang, no growth."""
     import tempfile
 
-    from ..trial.fuzz import fuzz as run
+    from ..trial.fuzz import run_fuzz as run
 
     root = Path(folder or tempfile.mkdtemp(prefix="willowhook-"))
     done = run(root, inputs, seed, click.echo)
     for line in done.lines():
         click.echo(line)
-    sys.exit(0 if done.good else 1)
+    sys.exit(0 if done.passed else 1)
 
 
 @trial.command("cuts")
@@ -305,12 +305,12 @@
 )  # fmt: skip
 def cuts_trial(seed: int, steps: int, power_steps: int) -> None:
     """Every file of a store cut and flipped at every byte, and caught by power failures (in memory)."""
-    from ..trial.cuts import cuts as run
+    from ..trial.cuts import run_cuts as run
 
     done = run(seed, steps, power_steps, click.echo)
     for line in done.lines():
         click.echo(line)
-    sys.exit(0 if done.good else 1)
+    sys.exit(0 if done.passed else 1)
 
 
 @trial.command("store-kills")
@@ -321,12 +321,12 @@
     """A program that commits and compacts is killed, over and over."""
     import tempfile
 
-    from ..trial.kills import kills as run
+    from ..trial.kills import run_kills as run
 
     done = run(Path(folder or tempfile.mkdtemp(prefix="willowhook-")), kills, seed, click.echo)
     for line in done.lines():
         click.echo(line)
-    sys.exit(0 if done.good else 1)
+    sys.exit(0 if done.passed else 1)
 
 
 @trial.command("restart")
@@ -338,7 +338,7 @@
     """A director dies and comes back while hosts fail: with its store, without one, with one an hour old."""
     import tempfile
 
-    from ..trial.restart import restarts as run
+    from ..trial.restart import run_restarts as run
 
     root = Path(folder or tempfile.mkdtemp(prefix="willowhook-"))
     done = run(root, range(seed, seed + seeds), restarts, click.echo)
@@ -353,12 +353,12 @@
     """A program that submits is killed, over and over: no effect twice, no outcome told wrongly."""
     import tempfile
 
-    from ..trial.submits import submits as run
+    from ..trial.submits import run_submits as run
 
     done = run(Path(folder or tempfile.mkdtemp(prefix="willowhook-")), kills, seed, click.echo)
     for line in done.lines():
         click.echo(line)
-    sys.exit(0 if done.good else 1)
+    sys.exit(0 if done.passed else 1)
 
 
 @trial.command("nginx-same")
@@ -369,12 +369,12 @@
 @click.option("--at-once", type=click.IntRange(1, 32), default=4, show_default=True)
 def nginx_same(calls: int, only: int, at_once: int) -> None:
     """Blocks and what was imported of them serve side by side: the same hosts, backups, answers, effects."""
-    from ..trial.nginx_same import same
+    from ..trial.nginx_same import compare_samples
 
-    done = same(calls, click.echo, only, at_once)
+    done = compare_samples(calls, click.echo, only, at_once)
     for line in done.lines():
         click.echo(line)
-    sys.exit(0 if done.good else 1)
+    sys.exit(0 if done.passed else 1)
 
 
 @trial.command("nginx-check")
@@ -384,23 +384,23 @@
 def nginx_check(uris: int, inputs: int, seed: int) -> None:
     """Locations beside the rules read one by one, lists beside the search, mutated samples (memory)."""
     from ..trial import nginx_check as checks
-    from ..trial.corpus import samples, wrong
+    from ..trial.corpus import load_samples, verdict_errors
 
-    rows = samples()
-    bad = [line for sample in rows for line in wrong(sample)]
+    rows = load_samples()
+    bad = [line for sample in rows for line in verdict_errors(sample)]
     click.echo(f"{len(rows)} samples, {sum(len(row.wanted) for row in rows)} verdicts: {len(bad)} wrong")
-    asked, apart = checks.match(uris, seed)
+    asked, apart = checks.check_matcher(uris, seed)
     click.echo(f"{asked} URIs, matcher beside the rules: {len(apart)} differ")
-    lists = checks.lists(uris, seed)
-    told = f"{lists.differ} differ, {len(lists.untold)} of them untold, in {lists.configs} configurations"
-    click.echo(f"{lists.asked} URIs, lists beside the search: {told}")
-    fuzz = checks.fuzz(inputs, seed)
-    click.echo(f"{fuzz.inputs} mutated inputs: {fuzz.read} read with {fuzz.directives} directives,"
+    lists = checks.check_lists(uris, seed)
+    told = f"{lists.differ} differ, {len(lists.unreported)} of them untold, in {lists.configs} configurations"
+    click.echo(f"{lists.uris} URIs, lists beside the search: {told}")
+    fuzz = checks.check_mutated_samples(inputs, seed)
+    click.echo(f"{fuzz.inputs} mutated inputs: {fuzz.parsed} read with {fuzz.directives} directives,"
                f" {len(fuzz.unaccounted)} unaccounted, {len(fuzz.crashes)} crashes,"
                f" slowest {fuzz.slowest_s * 1000:.0f} ms")  # fmt: skip
-    for line in [*bad, *apart, *lists.untold, *fuzz.unaccounted, *fuzz.crashes][:20]:
+    for line in [*bad, *apart, *lists.unreported, *fuzz.unaccounted, *fuzz.crashes][:20]:
         click.echo(line)
-    sys.exit(1 if bad or apart or lists.untold or fuzz.unaccounted or fuzz.crashes else 0)
+    sys.exit(1 if bad or apart or lists.unreported or fuzz.unaccounted or fuzz.crashes else 0)
 
 
 @trial.command("nginx-director")
@@ -409,12 +409,12 @@
     """A director on what an import made: its hosts, weights, closed paths, and when backups serve."""
     import tempfile
 
-    from ..trial.nginx_director import director_day
+    from ..trial.nginx_director import run_imported_scenario
 
-    done = director_day(Path(folder or tempfile.mkdtemp(prefix="willowhook-")))
+    done = run_imported_scenario(Path(folder or tempfile.mkdtemp(prefix="willowhook-")))
     for line in done.lines():
         click.echo(line)
-    sys.exit(0 if done.good else 1)
+    sys.exit(0 if done.passed else 1)
 
 
 @trial.command("flood")
@@ -432,10 +432,10 @@
     """Proxies report steadily, all at once, ten times too often, some hostile: how long decisions take."""
     import tempfile
 
-    from ..trial.flood import flood
+    from ..trial.flood import run_flood
 
     root = Path(folder or tempfile.mkdtemp(prefix="willowhook-"))
-    done = flood(root / "flood", proxies, hosts, phase_s, per_s, click.echo, seed=seed)
+    done = run_flood(root / "flood", proxies, hosts, phase_s, per_s, click.echo, seed=seed)
     for line in done.lines():
         click.echo(line)
-    sys.exit(0 if done.good else 1)
+    sys.exit(0 if done.passed else 1)
--- a/willowhook/trial/badday.py
+++ b/willowhook/trial/badday.py
@@ -19,18 +19,20 @@
 
 
 @dataclass
-class Round:
+class SeedResult:
     seed: int
-    director: Outcome
+    controlled: Outcome
     baselines: dict[str, Outcome]
     folder: Path
 
 
-def one(day: Day, folder: Path, baselines: Sequence[str], say: Callable[[str], None], **more: Any) -> Round:
+def run_with_baselines(
+    day: Day, folder: Path, baselines: Sequence[str], say: Callable[[str], None], **more: Any
+) -> SeedResult:
     """The day with directors, then the same arrivals and troubles with each baseline."""
     first = play(day, folder / "director", say=say, **more)
     others = {how: play(fresh(day), folder / how, how) for how in baselines}
-    return Round(day.seed, first, others, folder)
+    return SeedResult(day.seed, first, others, folder)
 
 
 def fresh(day: Day) -> Day:
@@ -43,9 +45,9 @@
     return copy
 
 
-def report(done: Round) -> list[str]:
+def report_lines(done: SeedResult) -> list[str]:
     """What a person reads of one round."""
-    got = done.director
+    got = done.controlled
     lines = [verdict.line() for verdict in got.verdicts]
     routes = ", ".join(f"{name} {value:.3f}" for name, value in got.by_route.items())
     lines.append(f"service {got.service:.3f} ({routes}; worst ten seconds {got.worst:.3f})")
@@ -70,18 +72,21 @@
     return f"median {statistics.median(ranked):.3f}, from {ranked[0]:.3f} to {ranked[-1]:.3f}"
 
 
-def many(
+def run_seeds(
     seeds: Sequence[int], make: Callable[[int], Day], folder: str, baselines: Sequence[str], at_once: int,
     say: Callable[[str], None], **more: Any,
-) -> list[Round]:  # fmt: skip
+) -> list[SeedResult]:  # fmt: skip
     """Days of several seeds, some at once; each in a process of its own."""
     root = Path(folder or tempfile.mkdtemp(prefix="willowhook-"))
     found = []
     with concurrent.futures.ProcessPoolExecutor(at_once) as pool:
-        jobs = [pool.submit(one, make(seed), root / str(seed), baselines, _quiet, **more) for seed in seeds]
+        jobs = [
+            pool.submit(run_with_baselines, make(seed), root / str(seed), baselines, _quiet, **more)
+            for seed in seeds
+        ]
         for job in jobs:
             done = job.result()
-            for line in report(done):
+            for line in report_lines(done):
                 say(line)
             found.append(done)
     return found
@@ -91,23 +96,23 @@
     return None
 
 
-def summary(rounds: Sequence[Round]) -> list[str]:
+def summary_lines(rounds: Sequence[SeedResult]) -> list[str]:
     """Over all seeds: rules, service and its spread beside the baselines."""
-    kept = sum(row.director.kept for row in rounds)
+    kept = sum(row.controlled.kept for row in rounds)
     lines = [f"rules kept on {kept} of {len(rounds)} days"]
-    lines.append(f"service with directors: {spread([row.director.service for row in rounds])}")
+    lines.append(f"service with directors: {spread([row.controlled.service for row in rounds])}")
     for how in rounds[0].baselines if rounds else ():
         values = [row.baselines[how].service for row in rounds]
-        ahead = [row.director.service - row.baselines[how].service for row in rounds]
+        ahead = [row.controlled.service - row.baselines[how].service for row in rounds]
         lines.append(f"service, {how}: {spread(values)}; directors ahead by {spread(ahead)}")
     return lines
 
 
-def usual_day(seed: int, length_s: float = 40.0) -> Day:
+def default_scenario(seed: int, length_s: float = 40.0) -> Day:
     return draw(seed, length_s)
 
 
-def short_day(seed: int) -> Day:
+def short_scenario(seed: int) -> Day:
     """For CI: few hosts, a quarter of the time, five troubles."""
     troubles = [
         Trouble("host_crash", 2.0, 4.0, 0.2),
@@ -120,7 +125,7 @@
     return draw(seed, 12.0, hosts=6, proxies=4, calls_per_s=40.0, troubles=troubles, spare=0)
 
 
-def replay_day(kinds: Sequence[str], seed: int, length_s: float, **size: Any) -> Day:
+def replay_scenario(kinds: Sequence[str], seed: int, length_s: float, **size: Any) -> Day:
     """A day on which these kinds of trouble strike, one after the other, over the middle of it."""
     room = length_s - 12.0
     troubles = [
@@ -137,7 +142,7 @@
 
 
 # what the bench calls them
-BENCH = {
+BENCHMARK_FAULT_NAMES = {
     "crash": "host_crash", "hang": "host_hang", "slow": "host_slow", "class_fail": "route_unanswered",
     "ageing": "decline", "false_reports": "false_load", "discovery_down": "roster_away",
     "balancer_crash": "director_killed", "counter_down": "no_director", "reconnect": "streams_lost",
--- a/willowhook/trial/corpus.py
+++ b/willowhook/trial/corpus.py
@@ -44,7 +44,7 @@
     )  # fmt: skip
 
 
-def samples() -> list[Sample]:
+def load_samples() -> list[Sample]:
     """All of them; raises ValueError where a file is not in the form above."""
     found: list[Sample] = []
     for path in sorted(FOLDER.glob("*.conf")):
@@ -63,7 +63,7 @@
     return found
 
 
-def wrong(sample: Sample) -> list[str]:
+def verdict_errors(sample: Sample) -> list[str]:
     """Where its verdicts are not those wanted; empty if all are, and each but the carried says why."""
     rows = parse(sample.text, sample.place)
     found, _ = verdicts(rows, sample.asked)
--- a/willowhook/trial/cuts.py
+++ b/willowhook/trial/cuts.py
@@ -115,7 +115,7 @@
     flips: int = 0
     failures: int = 0  # of power
     bytes: int = 0
-    told: int = 0  # injuries that were told as damage
+    reported_damage: int = 0  # injuries that were told as damage
     seconds: float = 0.0
     wrong: list[str] = field(default_factory=list)
 
@@ -123,12 +123,12 @@
         return [
             f"{self.bytes} bytes: {self.cuts} cuts, {self.flips} flips, {self.failures} states after a power "
             f"failure, in {self.seconds:.0f} s",
-            f"{self.told} were told as damage; {len(self.wrong)} wrong",
+            f"{self.reported_damage} were told as damage; {len(self.wrong)} wrong",
             *self.wrong[:8],
         ]
 
     @property
-    def good(self) -> bool:
+    def passed(self) -> bool:
         return not self.wrong and self.cuts > 0
 
 
@@ -143,7 +143,7 @@
         report.wrong.append(f"{what}: it cannot be opened: {fault!r}")
         return
     state, damage = plain_of(store.state), store.recovery.corruptions  # type: ignore[arg-type]
-    report.told += bool(damage)
+    report.reported_damage += bool(damage)
     if not store.has_lost_entries:
         fits = [n for n, each in history.states.items() if each == state and acked <= n <= history.written]
         if not fits:
@@ -182,7 +182,7 @@
             report.wrong.append(f"{what}: {name} is told not to be done, and a try had left")
 
 
-def cuts(seed: int, steps: int, power_steps: int, say: Callable[[str], None]) -> CutReport:
+def run_cuts(seed: int, steps: int, power_steps: int, say: Callable[[str], None]) -> CutReport:
     report, began = CutReport(), time.perf_counter()
     disk = PowerDisk()
     history = script(disk, seed, steps)
--- a/willowhook/trial/flood.py
+++ b/willowhook/trial/flood.py
@@ -288,7 +288,7 @@
 
 
 @dataclass
-class Flood:
+class FloodReport:
     proxies: int
     phases: dict[str, Phase]
     phase_s: float
@@ -298,7 +298,7 @@
     cpu_s: float = 0.0
 
     @property
-    def good(self) -> bool:
+    def passed(self) -> bool:
         return not self.faults
 
     def lines(self) -> list[str]:
@@ -307,10 +307,10 @@
         return [f"{self.proxies} proxies", *rows, told, *self.faults]
 
 
-def flood(
+def run_flood(
     folder: Path, proxies: int, hosts: int, phase_s: float, per_s: float, say: Callable[[str], None],
     parts: int = 4, seed: int = 1,
-) -> Flood:  # fmt: skip
+) -> FloodReport:  # fmt: skip
     shutil.rmtree(folder, ignore_errors=True)
     folder.mkdir(parents=True)
     with PortReservations() as reservations:
@@ -321,7 +321,7 @@
 async def _flood(
     folder: Path, proxies: int, hosts: int, phase_s: float, per_s: float, say: Callable[[str], None],
     parts: int, seed: int, port: int,
-) -> Flood:  # fmt: skip
+) -> FloodReport:  # fmt: skip
     replace = msgspec.structs.replace
     day = draw(seed, hosts=1, proxies=proxies, directors=1, troubles=[], spare=0)
     chance = random.Random(seed)
@@ -334,7 +334,7 @@
     names = [f"proxy-{k}" for k in range(proxies)]
     sums = {name: hashlib.sha256(token(name)).hexdigest() for name in names}
     credentials.write_bytes(msgspec.json.encode({"proxies": sums}))
-    done = Flood(proxies, {name: Phase() for name in PHASES}, phase_s)
+    done = FloodReport(proxies, {name: Phase() for name in PHASES}, phase_s)
     async with trio.open_nursery() as nursery:
         await nursery.start(roster.run)
         url, records = f"http://127.0.0.1:{roster.port}", str(folder / "director-0.records")
@@ -406,7 +406,7 @@
 
 async def _probe(
     roster: StandInRoster, plans: list[HostPlan], place: Path, names: list[str], end: int, k: int,
-    changes: dict[int, int], done: Flood,
+    changes: dict[int, int], done: FloodReport,
 ) -> None:  # fmt: skip
     """The list changes ten times a second, and once in a phase a host drains, which must be kept in time."""
     drained = plans[k + 1]
@@ -451,7 +451,7 @@
 
 
 def _read(
-    done: Flood, records: str, start: int, phase_s: float, changes: dict[int, int], notes_of_roster: str
+    done: FloodReport, records: str, start: int, phase_s: float, changes: dict[int, int], notes_of_roster: str
 ) -> None:
     """The director's own count of reports, by phase; and whether its queue kept its limit."""
     rows = list(read_records(records))
--- a/willowhook/trial/fuzz.py
+++ b/willowhook/trial/fuzz.py
@@ -54,7 +54,7 @@
         ]
 
     @property
-    def good(self) -> bool:
+    def passed(self) -> bool:
         return not self.hung and self.checks > 0 and self.rss_mb[1] < self.rss_mb[0] * 1.3 + 10
 
 
@@ -109,7 +109,7 @@
     return bytes(data)
 
 
-def fuzz(folder: Path, inputs: int, seed: int, say: Callable[[str], None]) -> FuzzReport:
+def run_fuzz(folder: Path, inputs: int, seed: int, say: Callable[[str], None]) -> FuzzReport:
     folder.mkdir(parents=True, exist_ok=True)
     report = FuzzReport(inputs)
     day = draw(3, 60.0, hosts=6, proxies=1, directors=1, calls_per_s=1.0, troubles=[], spare=0)
--- a/willowhook/trial/guard_cases.py
+++ b/willowhook/trial/guard_cases.py
@@ -259,7 +259,7 @@
     s.levels[c.randrange(3)] = c.choice((-1.0, math.nan, -0.001))
 
 
-BAD: tuple[Callable[[Situation, random.Random], None], ...] = (
+BAD_CASES: tuple[Callable[[Situation, random.Random], None], ...] = (
     no_lines, all_withdrawn, all_drain, all_gone, only_cold_left, cold_gets_all, cold_by_sum, drained_host,
     gone_host, unknown_host, no_address, wrong_kind, wrong_zone, tries_mutating, tries_keyed, tries_none,
     weight_no_number, weights_round_away, weight_too_large, version_back, queue_full, too_many_messages,
@@ -324,7 +324,7 @@
     s.version = c.choice(((2, 2, 1), (3, 1, 1), (2, 1, 1000)))
 
 
-GOOD: tuple[Callable[[Situation, random.Random], None], ...] = (
+GOOD_CASES: tuple[Callable[[Situation, random.Random], None], ...] = (
     as_it_is, at_its_ramp, drain_withdrawn, drain_within_grace, only_withdraws, all_are_cold, a_host_out,
     latency_weights, another_epoch,
 )  # fmt: skip
@@ -373,11 +373,11 @@
 
 
 @dataclass
-class Confusion:
+class ConfusionMatrix:
     kinds: dict[str, dict[str, int]] = field(default_factory=dict)  # by kind, how often which verdict
     unproven: dict[str, int] = field(default_factory=dict)  # the oracle did not agree with the generator
-    missed: list[str] = field(default_factory=list)
-    wrongly: list[str] = field(default_factory=list)
+    false_passes: list[str] = field(default_factory=list)
+    false_findings: list[str] = field(default_factory=list)
     took_us: list[float] = field(default_factory=list)
 
     def lines(self) -> list[str]:
@@ -395,20 +395,22 @@
             f"a check: median {statistics.median(ranked):.0f} us,"
             f" p99 {ranked[int(len(ranked) * 0.99)]:.0f} us"
         )
-        found.append(f"bad tables passed: {len(self.missed)}; good tables not passed: {len(self.wrongly)}")
-        return [*found, *self.missed[:5], *self.wrongly[:5]]
+        found.append(
+            f"bad tables passed: {len(self.false_passes)}; good tables not passed: {len(self.false_findings)}"
+        )
+        return [*found, *self.false_passes[:5], *self.false_findings[:5]]
 
     @property
-    def good(self) -> bool:
-        return not self.missed and not self.wrongly
+    def passed(self) -> bool:
+        return not self.false_passes and not self.false_findings
 
 
-def confusion(tables: int, seed: int) -> Confusion:
+def measure_confusion(tables: int, seed: int) -> ConfusionMatrix:
     """So many tables, half of them bad, all kinds in turn."""
-    chance, result = random.Random(seed), Confusion()
+    chance, result = random.Random(seed), ConfusionMatrix()
     for at in range(tables):
         bad = at % 2 == 0
-        make = BAD[at // 2 % len(BAD)] if bad else GOOD[at // 2 % len(GOOD)]
+        make = BAD_CASES[at // 2 % len(BAD_CASES)] if bad else GOOD_CASES[at // 2 % len(GOOD_CASES)]
         name = f"{'bad' if bad else 'good'} {make.__name__}"
         for _ in range(50):
             s = calm(chance)
@@ -425,7 +427,7 @@
         row = result.kinds.setdefault(name, {})
         row[verdict.outcome.value] = row.get(verdict.outcome.value, 0) + 1
         if bad and verdict.outcome is Outcome.PASSED:
-            result.missed.append(f"{name}, table {at}: {play(s)}; {verdict.lines()}")
+            result.false_passes.append(f"{name}, table {at}: {play(s)}; {verdict.lines()}")
         elif not bad and verdict.outcome is not Outcome.PASSED:
-            result.wrongly.append(f"{name}, table {at}: {verdict.lines()}")
+            result.false_findings.append(f"{name}, table {at}: {verdict.lines()}")
     return result
--- a/willowhook/trial/herd.py
+++ b/willowhook/trial/herd.py
@@ -32,28 +32,28 @@
 from .notes import Notes
 from .standin_link import token
 from .standin_roster import StandInRoster
-from .swaps import Churn
+from .swaps import ChurnDecider
 
 TABLES_PATH = b"/envoy.service.endpoint.v3.EndpointDiscoveryService/DeltaEndpoints"
 PARTS = 4  # processes of callers
 CHANGES = 5
 
 
-class OnDemand(Churn):
+class OnDemand(ChurnDecider):
     """Orders a new weight for every host whenever `go` says so."""
 
     go = 0
 
     def evaluate(self, now: int) -> None:
-        if OnDemand.go > self.moment and self.hosts:
+        if OnDemand.go > self.moment and self.endpoints:
             self.moment = OnDemand.go
-            for name in self.hosts:
-                self.host.set_weight(0, name, 1 + self.moment / 100)
-        self.host.schedule_evaluation(20)
+            for name in self.endpoints:
+                self.runtime.set_weight(0, name, 1 + self.moment / 100)
+        self.runtime.schedule_evaluation(20)
 
-    def order(self) -> None:
-        for name in self.hosts:
-            self.host.set_weight(0, name, 1.0)
+    def send_commands(self) -> None:
+        for name in self.endpoints:
+            self.runtime.set_weight(0, name, 1.0)
 
 
 class Herd(msgspec.Struct):
@@ -166,11 +166,11 @@
         ]
 
     @property
-    def good(self) -> bool:
+    def passed(self) -> bool:
         return not self.missed and bool(self.last_ms)
 
 
-def herd(
+def run_herd(
     folder: Path, callers: int, slow_share: float, hosts: int, encoding: str, say: Callable[[str], None]
 ) -> HerdReport:
     folder.mkdir(parents=True, exist_ok=True)
--- a/willowhook/trial/kills.py
+++ b/willowhook/trial/kills.py
@@ -76,11 +76,11 @@
         ]
 
     @property
-    def good(self) -> bool:
+    def passed(self) -> bool:
         return not self.wrong and self.acknowledged > self.kills
 
 
-def kills(folder: Path, count: int, seed: int, say: Callable[[str], None]) -> KillReport:
+def run_kills(folder: Path, count: int, seed: int, say: Callable[[str], None]) -> KillReport:
     report, chance, began = KillReport(), random.Random(seed), time.perf_counter()
     acked: dict[tuple[str, str], int] = {}
     tried: dict[tuple[str, str], int] = {}
--- a/willowhook/trial/nginx_check.py
+++ b/willowhook/trial/nginx_check.py
@@ -15,7 +15,7 @@
 from ..nginx.setup import Setup
 from ..nginx.syntax import SyntaxFault, parse
 from ..nginx.verdicts import verdicts
-from .corpus import samples
+from .corpus import load_samples
 
 PIECES = ["/", "a", "b", "ab", "/a", "/ab/", ".x", ".X", "1"]
 EXPRESSIONS = [r"\.x$", "a+b", "/ab", "[b1]", "^/a", "x", "^/ab/.*[1x]$", "(a|b)1"]
@@ -72,7 +72,7 @@
     return "/" + "".join(chance.choice(PIECES) for _ in range(chance.randint(0, 5)))
 
 
-def match(uris: int, seed: int = 5) -> tuple[int, list[str]]:
+def check_matcher(uris: int, seed: int = 5) -> tuple[int, list[str]]:
     """URIs asked of the matcher and of the brute reading, fifty a configuration; where they differ."""
     chance, count, found = random.Random(seed), 0, list[str]()
     while count < uris:
@@ -88,20 +88,20 @@
 
 
 @dataclass(slots=True)
-class Lists:
+class ListCheck:
     """How often the flat list says other than the search, and whether the import told of it."""
 
-    asked: int = 0
+    uris: int = 0
     differ: int = 0
-    untold: list[str] = field(default_factory=list)
+    unreported: list[str] = field(default_factory=list)
     configs: int = 0
     told_in: int = 0  # configurations
 
 
-def lists(uris: int, seed: int = 9) -> Lists:
+def check_lists(uris: int, seed: int = 9) -> ListCheck:
     """Random URIs, none of them those by which the import checks itself."""
-    chance, made = random.Random(seed), Lists()
-    while made.asked < uris:
+    chance, made = random.Random(seed), ListCheck()
+    while made.uris < uris:
         rows = parse(f"server {{ {block(chance, '/', 2, 'return 204;')} }}")
         setup = Setup(rows)
         plan = Plan(setup, Asked())
@@ -109,32 +109,32 @@
         flat = FirstMatch(Flattener(site).entries())
         made.configs += 1
         made.told_in += any(what != CARRIED for what, _ in plan.notes.values())
-        for _ in range(min(50, uris - made.asked)):
+        for _ in range(min(50, uris - made.uris)):
             uri = a_uri(chance)
-            made.asked += 1
+            made.uris += 1
             place, entry = site.place(uri), flat.find(uri)
             here = entry.place.location.directive if entry is not None else None
             if place is None or place.location.directive is here:
                 continue
             made.differ += 1
             if plan.notes.get(id(place.location.directive), (CARRIED, ""))[0] == CARRIED:
-                made.untold.append(f"{uri}: {place.location}")
+                made.unreported.append(f"{uri}: {place.location}")
     return made
 
 
 @dataclass(slots=True)
-class Fuzz:
+class MutationCheck:
     inputs: int = 0
-    read: int = 0  # the rest was told of with place and cause
+    parsed: int = 0  # the rest was told of with place and cause
     directives: int = 0
     unaccounted: list[str] = field(default_factory=list)
     crashes: list[str] = field(default_factory=list)
     slowest_s: float = 0.0
 
 
-def fuzz(inputs: int, seed: int = 3) -> Fuzz:
+def check_mutated_samples(inputs: int, seed: int = 3) -> MutationCheck:
     """Samples with pieces put in, taken out and swapped: each is read with a verdict each, or told of."""
-    chance, made, corpus = random.Random(seed), Fuzz(), samples()
+    chance, made, corpus = random.Random(seed), MutationCheck(), load_samples()
     for _ in range(inputs):
         sample = chance.choice(corpus)
         text = sample.text
@@ -160,7 +160,7 @@
             continue
         finally:
             made.slowest_s = max(made.slowest_s, time.perf_counter() - began)
-        made.read += 1
+        made.parsed += 1
         walked = [id(each) for top in rows for each in top.walk()]
         made.directives += len(walked)
         if len(found) != len(walked):
--- a/willowhook/trial/nginx_director.py
+++ b/willowhook/trial/nginx_director.py
@@ -46,7 +46,7 @@
 
 
 @dataclass
-class Seen:
+class Observations:
     """What calls met, by the name of each stretch of the day."""
 
     hosts: dict[str, Counter[str]] = field(default_factory=dict)
@@ -56,7 +56,7 @@
     guard: dict[str, int] = field(default_factory=dict)  # the guard's verdicts
 
     @property
-    def good(self) -> bool:
+    def passed(self) -> bool:
         return not self.faults
 
     def lines(self) -> list[str]:
@@ -72,7 +72,7 @@
 class DirectorDay:
     """One director, one proxy, one process each; hosts, roster and calls are here."""
 
-    def __init__(self, folder: Path, seen: Seen) -> None:
+    def __init__(self, folder: Path, seen: Observations) -> None:
         folder.mkdir(parents=True, exist_ok=True)
         self.folder, self.seen = folder, seen
         self._count = 0
@@ -219,7 +219,7 @@
         self.roster._set(name, entry)
 
 
-def director_day(folder: Path) -> Seen:
-    seen = Seen()
+def run_imported_scenario(folder: Path) -> Observations:
+    seen = Observations()
     trio.run(DirectorDay(folder, seen).run)
     return seen
--- a/willowhook/trial/nginx_same.py
+++ b/willowhook/trial/nginx_same.py
@@ -25,7 +25,7 @@
 from ..nginx.verdicts import verdicts
 from ..web.wire import Call, ClientConnection, ConnectionLostError, Reply, open_connection, serve_connection
 from ..xds import forms, tables
-from .corpus import Sample, samples
+from .corpus import Sample, load_samples
 from .ports import PortReservations
 from .standin_blocks import BlocksProxy
 from .standin_proxy import hash_key, ring_pick
@@ -160,25 +160,25 @@
 
 
 @dataclass(slots=True)
-class Same:
+class Comparison:
     samples: int = 0
     paths: int = 0
     calls: int = 0
-    differ: list[str] = field(default_factory=list)
-    deaths: int = 0  # times that all primaries of a route died
+    differences: list[str] = field(default_factory=list)
+    primary_outages: int = 0  # times that all primaries of a route died
     repeats: dict[str, int] = field(default_factory=lambda: {"blocks": 0, "tables": 0})
     mutating_calls: int = 0
 
     @property
-    def good(self) -> bool:
-        return not self.differ and not self.repeats["tables"]
+    def passed(self) -> bool:
+        return not self.differences and not self.repeats["tables"]
 
-    def add(self, other: Same) -> None:
+    def add(self, other: Comparison) -> None:
         self.samples += other.samples
         self.paths += other.paths
         self.calls += other.calls
-        self.differ += other.differ
-        self.deaths += other.deaths
+        self.differences += other.differences
+        self.primary_outages += other.primary_outages
         self.mutating_calls += other.mutating_calls
         for way, times in other.repeats.items():
             self.repeats[way] += times
@@ -186,11 +186,11 @@
     def lines(self) -> list[str]:
         return [
             f"{self.samples} samples, {self.paths} paths, {self.calls} calls each way:"
-            f" {len(self.differ)} differ",
-            f"{self.deaths} times all primaries died: backups, or nobody, at both alike",
+            f" {len(self.differences)} differ",
+            f"{self.primary_outages} times all primaries died: backups, or nobody, at both alike",
             f"{self.mutating_calls} mutating calls at failing hosts; had their effect twice:"
             f" {self.repeats['blocks']} by the blocks, {self.repeats['tables']} by the tables",
-            *self.differ,
+            *self.differences,
         ]
 
 
@@ -252,7 +252,7 @@
         return made
 
 
-def apart(one: Counter[str], other: Counter[str]) -> str:
+def share_difference(one: Counter[str], other: Counter[str]) -> str:
     """How two shares differ beyond what chance does in one of ten thousand comparisons; else empty."""
     a, b = sum(one.values()), sum(other.values())
     if not a or not b:
@@ -265,7 +265,7 @@
     return ""
 
 
-async def one(sample: Sample, count: int, found: Same) -> None:
+async def compare_sample(sample: Sample, count: int, found: Comparison) -> None:
     """Raises what broke a stand-in."""
     rows = parse(sample.text, sample.place)
     told, plan = verdicts(rows, sample.asked)
@@ -305,12 +305,12 @@
     return random.Random(3).sample(rows, min(len(rows), MOST_URIS))
 
 
-async def _compare(bench: Bench, path: str, count: int, found: Same, sample: Sample) -> None:
+async def _compare(bench: Bench, path: str, count: int, found: Comparison, sample: Sample) -> None:
     a = await bench.calls("blocks", path, count)
     b = await bench.calls("tables", path, count)
     found.paths += 1
     found.calls += count
-    why = apart(a.hosts, b.hosts)
+    why = share_difference(a.hosts, b.hosts)
     if not why and set(a.paths) != set(b.paths):
         why = f"hosts are asked for {sorted(a.paths)} and {sorted(b.paths)}"
     if not why and a.hosts and set(a.answers) != set(b.answers):
@@ -318,7 +318,7 @@
     if not why and not a.hosts and not _alike(a.answers, b.answers):
         why = f"answers {dict(a.answers)} and {dict(b.answers)}"
     if why:
-        found.differ.append(f"{sample.place} {sample.name}: {path}: {why}")
+        found.differences.append(f"{sample.place} {sample.name}: {path}: {why}")
 
 
 def _alike(a: Counter[int], b: Counter[int]) -> bool:
@@ -326,7 +326,7 @@
     return set(a) == set(b) or (min(a) >= 300 and min(b) >= 400)
 
 
-async def _deaths(bench: Bench, paths: list[str], found: Same, sample: Sample) -> None:
+async def _deaths(bench: Bench, paths: list[str], found: Comparison, sample: Sample) -> None:
     """All primaries of a group die: the backups serve, or nobody does, at both."""
     plan, hosts = bench.plan, bench.hosts
     for group in plan.groups.values():
@@ -351,16 +351,20 @@
         for way in ("blocks", "tables"):
             await bench.calls(way, path, 8)  # until it is noticed
             met[way] = await bench.calls(way, path, 60)
-        found.deaths += 1
+        found.primary_outages += 1
         for way, seen in met.items():
             if set(seen.hosts) - set(later):
-                found.differ.append(f"{sample.place} {sample.name}: {path}: {way} meets {dict(seen.hosts)}")
+                found.differences.append(
+                    f"{sample.place} {sample.name}: {path}: {way} meets {dict(seen.hosts)}"
+                )
             if later and seen.answers[200] < 57:
-                found.differ.append(
+                found.differences.append(
                     f"{sample.place} {sample.name}: {path}: {way}, by backups: {dict(seen.answers)}"
                 )
             if not later and seen.answers[200]:
-                found.differ.append(f"{sample.place} {sample.name}: {path}: {way} answers without a host")
+                found.differences.append(
+                    f"{sample.place} {sample.name}: {path}: {way} answers without a host"
+                )
         for name in first:
             await hosts.start(name)
     await trio.sleep(0)
@@ -375,7 +379,7 @@
     return target.parts[0][0] == group
 
 
-async def _mutating(bench: Bench, found: Same, sample: Sample) -> None:
+async def _mutating(bench: Bench, found: Comparison, sample: Sample) -> None:
     """Every host has the effect and then fails, one way or the other: nobody may have it twice."""
     for path in sample.asked.mutating:
         for how in ("cut", "failing"):
@@ -392,15 +396,17 @@
             bench.hosts.how[name] = "good"
 
 
-def _alone(sample: Sample, count: int) -> Same:
-    found = Same()
-    trio.run(one, sample, count, found)
+def _alone(sample: Sample, count: int) -> Comparison:
+    found = Comparison()
+    trio.run(compare_sample, sample, count, found)
     return found
 
 
-def same(count: int, say: Callable[[str], None] = lambda text: None, only: int = 0, at_once: int = 1) -> Same:
+def compare_samples(
+    count: int, say: Callable[[str], None] = lambda text: None, only: int = 0, at_once: int = 1
+) -> Comparison:
     """`count` calls a path each way; `only`: of so many samples, evenly chosen; 0: all."""
-    found, rows = Same(), samples()
+    found, rows = Comparison(), load_samples()
     if only:
         rows = rows[:: max(1, len(rows) // only)][:only]
     with ProcessPoolExecutor(at_once) as pool:
@@ -409,6 +415,6 @@
         )
         for part in each:
             found.add(part)
-            for line in part.differ:
+            for line in part.differences:
                 say(line)
     return found
--- a/willowhook/trial/restart.py
+++ b/willowhook/trial/restart.py
@@ -21,7 +21,7 @@
 
 
 @dataclass
-class Restart:
+class RestartResult:
     way: str
     kept: bool
     service: float
@@ -41,7 +41,7 @@
     return day
 
 
-def one(seed: int, restarts: int, way: str, folder: Path) -> Restart:
+def one(seed: int, restarts: int, way: str, folder: Path) -> RestartResult:
     out = play(restart_day(seed, restarts), folder, store=way)
     proxies = [row for path in folder.glob("proxies*.notes") for row in read_notes(str(path))]
     records = Judge.lines(folder / "director-0.records")
@@ -66,11 +66,11 @@
     bare = next((v.nearest for v in out.verdicts if v.rule == 1), "")
     longest = float(bare.partition("line ")[2].partition(" s")[0] or 0) * 1000
     share = max(tries, 1)
-    return Restart(way, out.kept, out.service, failed / share, tries, to_sick / share, longest,
+    return RestartResult(way, out.kept, out.service, failed / share, tries, to_sick / share, longest,
                    statistics.median(waits or [0.0]))  # fmt: skip
 
 
-def restarts(folder: Path, seeds: range, count: int, say: Callable[[str], None]) -> list[Restart]:
+def run_restarts(folder: Path, seeds: range, count: int, say: Callable[[str], None]) -> list[RestartResult]:
     with concurrent.futures.ProcessPoolExecutor(3) as pool:
         jobs = [pool.submit(one, s, count, way, folder / f"{s}-{way}") for s in seeds for way in WAYS]
         found = [job.result() for job in jobs]
--- a/willowhook/trial/submits.py
+++ b/willowhook/trial/submits.py
@@ -80,11 +80,11 @@
     kills: int = 0
     calls: int = 0
     effects: int = 0
-    told: Counter[str] = field(default_factory=Counter)
+    reported_outcomes: Counter[str] = field(default_factory=Counter)
     wrong: list[str] = field(default_factory=list)
 
     def lines(self) -> list[str]:
-        rows = ", ".join(f"{what} {count}" for what, count in sorted(self.told.items()))
+        rows = ", ".join(f"{what} {count}" for what, count in sorted(self.reported_outcomes.items()))
         return [
             f"{self.kills} kills, {self.calls} calls, {self.effects} effects; told: {rows}",
             f"{len(self.wrong)} wrong",
@@ -92,11 +92,11 @@
         ]
 
     @property
-    def good(self) -> bool:
+    def passed(self) -> bool:
         return not self.wrong and self.effects > self.kills
 
 
-def submits(folder: Path, kills: int, seed: int, say: Callable[[str], None]) -> SubmitReport:
+def run_submits(folder: Path, kills: int, seed: int, say: Callable[[str], None]) -> SubmitReport:
     report, chance = SubmitReport(), random.Random(seed)
     effects: Counter[str] = Counter()
     told: dict[str, str] = {}
@@ -150,7 +150,11 @@
             nursery.cancel_scope.cancel()
 
     trio.run(run)
-    report.calls, report.effects, report.told = len(told), sum(effects.values()), Counter(told.values())
+    report.calls, report.effects, report.reported_outcomes = (
+        len(told),
+        sum(effects.values()),
+        Counter(told.values()),
+    )
     for call, count in effects.items():
         if count > 1:
             report.wrong.append(f"{call} had effect {count} times")
--- a/willowhook/trial/swaps.py
+++ b/willowhook/trial/swaps.py
@@ -46,25 +46,25 @@
 STEPS, GROUP = 1000, 5  # weights and levels say the moment, modulo this; levels change every fifth time
 
 
-class Churn:
+class ChurnDecider:
     """In the module's place: binds who joins, and changes everything whenever the channel is empty."""
 
     def __init__(
         self,
         idle: Callable[[], bool],
-        host: ControllerRuntime,
+        runtime: ControllerRuntime,
         settings: DeploymentSettings,
         seed: int,
         now: int,
     ) -> None:
-        self.idle, self.host, self.settings = idle, host, settings
+        self.idle, self.runtime, self.settings = idle, runtime, settings
         self.routes = range(len(settings.routes))
-        self.hosts: list[str] = []
+        self.endpoints: list[str] = []
         self.known: dict[str, None] = {}
-        self.joined: list[int] = []
+        self.joined_proxies: list[int] = []
         self.moment, self.mark = 0, 0
-        host.watch_endpoints()
-        host.schedule_evaluation(EVERY)
+        runtime.watch_endpoints()
+        runtime.schedule_evaluation(EVERY)
 
     def queue_estimate(self) -> float:
         """Nothing is estimated: the comparison with the true queue is not of interest here."""
@@ -78,40 +78,40 @@
         match event:
             case EndpointListReceived():
                 ready = [row for row in event.entries if row.state is EndpointState.IN_SERVICE]
-                self.hosts = [row.name for row in ready]
-                self.order()
+                self.endpoints = [row.name for row in ready]
+                self.send_commands()
             case EndpointListLost():
                 # it is asked for again only when ordered: one question may be lost at a start
-                self.host.watch_endpoints()
+                self.runtime.watch_endpoints()
             case ProxyJoined():
-                self.joined.append(event.proxy)
-                self.host.bind(event.proxy, 0, self.routes)
+                self.joined_proxies.append(event.proxy)
+                self.runtime.bind(event.proxy, 0, self.routes)
             case ProxyLeft():
-                self.joined.remove(event.proxy)
+                self.joined_proxies.remove(event.proxy)
             case EvaluationDue():
                 self.evaluate(now)
 
-    def order(self) -> None:
+    def send_commands(self) -> None:
         """All lines and levels of this moment."""
         self.moment += 1
         says = self.moment % STEPS + GROUP
-        for name in dict.fromkeys([*self.known, *self.hosts]):
-            self.host.set_weight(0, name, says / 100 if name in self.hosts else 0.0)
-        self.known = dict.fromkeys(self.hosts)
+        for name in dict.fromkeys([*self.known, *self.endpoints]):
+            self.runtime.set_weight(0, name, says / 100 if name in self.endpoints else 0.0)
+        self.known = dict.fromkeys(self.endpoints)
         if self.moment % GROUP == 0 or self.moment == 1:  # a moment of two files; the others are of one
             for route in self.routes:
-                self.host.set_admission(
+                self.runtime.set_admission(
                     0, route, AdmissionLimit(RetryMode.IF_NOT_EXECUTED, 20.0 + says // GROUP)
                 )
 
     def evaluate(self, now: int) -> None:
-        if self.hosts and self.idle():
-            self.order()
-        self.host.schedule_evaluation(EVERY)
+        if self.endpoints and self.idle():
+            self.send_commands()
+        self.runtime.schedule_evaluation(EVERY)
 
     def flush(self, now: int) -> None:
         self.mark = (self.mark + 1) % 65536
-        self.host.send_sync_marker(self.mark)
+        self.runtime.send_sync_marker(self.mark)
 
 
 class TimedShelf(FileGroupWriter):
@@ -168,7 +168,7 @@
         ]
 
     @property
-    def good(self) -> bool:
+    def passed(self) -> bool:
         return not self.torn and not self.without_host and not self.refused and self.reads > 0
 
 
@@ -234,7 +234,7 @@
     def idle() -> bool:
         return not len(held[0].channel)
 
-    held.append(Service(terms, decider=partial(Churn, idle), file_writer=TimedShelf))
+    held.append(Service(terms, decider=partial(ChurnDecider, idle), file_writer=TimedShelf))
     return held[0]
 
 
@@ -243,7 +243,9 @@
     return sum(sink.file_writer.swap_count for sink in sinks if isinstance(sink, FileUpdateSink))
 
 
-def swaps(folder: Path, count: int, readers: int, durability: str, say: Callable[[str], None]) -> SwapReport:
+def run_swaps(
+    folder: Path, count: int, readers: int, durability: str, say: Callable[[str], None]
+) -> SwapReport:
     stage = SwapStage(folder, readers, durability)
     TimedShelf.took, TimedShelf.bare, TimedShelf.plain = {}, [], []
 
--- a/willowhook/trial/takeover.py
+++ b/willowhook/trial/takeover.py
@@ -155,7 +155,7 @@
 
 
 @dataclass
-class Takeover:
+class TakeoverReport:
     outcome: Outcome
     strikes: dict[str, int]
     late: int
@@ -168,7 +168,7 @@
     found: list[str] = field(default_factory=list)
 
     @property
-    def good(self) -> bool:
+    def passed(self) -> bool:
         return self.outcome.kept and not self.two_rulers
 
     def lines(self) -> list[str]:
@@ -187,7 +187,7 @@
         ]
 
 
-def look_back(stage: TakeoverStage, outcome: Outcome) -> Takeover:
+def look_back(stage: TakeoverStage, outcome: Outcome) -> TakeoverReport:
     """What the notes say of who ruled whom, and how soon again."""
     folder = stage.folder
     notes = [row for path in sorted(folder.glob("proxies*.notes")) for row in read_notes(str(path))]
@@ -221,17 +221,17 @@
                 again = next((t for t in applied[proxy] if t > row["t"]), None)
                 if again is not None:
                     waits.append((again - row["t"]) / TICKS_PER_SECOND)
-    return Takeover(
+    return TakeoverReport(
         outcome, dict(stage.count), sum(row["kind"] == "late" for row in events),
         sum(row["kind"] == "void" for row in notes), two, waits, sum(seconds.values()),
         max(seconds.values(), default=0), stage.day.director_lost_after_s,
     )  # fmt: skip
 
 
-def takeover(
+def run_takeover(
     seed: int, kills: int, every_s: float, folder: Path, say: Callable[[str], None], fenced: bool = True,
     strikes: bool = True, front: str = "files", store: str = "none", **size: Any,
-) -> Takeover:  # fmt: skip
+) -> TakeoverReport:  # fmt: skip
     """`strikes` False: the same day with nobody struck, to set the service beside."""
     day = takeover_day(seed, kills, every_s, **size)
     shutil.rmtree(folder, ignore_errors=True)
@@ -241,7 +241,7 @@
     return look_back(stage, outcome)
 
 
-def orphans(folder: Path, proxies: int, hosts: int, calls_per_s: float, seed: int = 1) -> Takeover:
+def run_orphans(folder: Path, proxies: int, hosts: int, calls_per_s: float, seed: int = 1) -> TakeoverReport:
     """All proxies lose their one director at once, for good, and go to the other."""
     day = draw(
         seed, 26.0, hosts=hosts, proxies=proxies, directors=2, calls_per_s=calls_per_s, troubles=[], spare=0
--- a/willowhook/trial/versions.py
+++ b/willowhook/trial/versions.py
@@ -24,7 +24,7 @@
 from .day import Day, Trouble, draw, terms_of
 from .notes import read_notes
 from .stage import Outcome, Stage
-from .swaps import Churn
+from .swaps import ChurnDecider
 
 
 def versions_day(seed: int, proxies: int, length: float) -> Day:
@@ -54,11 +54,11 @@
         return [*rows, *self.beliefs.lines()]
 
     @property
-    def good(self) -> bool:
+    def passed(self) -> bool:
         return self.outcome.kept and not self.beliefs.wrong and self.beliefs.applied > 0
 
 
-def versions(
+def run_versions(
     folder: Path, seed: int, proxies: int, length: float, refuse: float, say: Callable[[str], None]
 ) -> VersionsReport:
     if folder.exists():
@@ -73,25 +73,25 @@
 STEP = TICKS_PER_SECOND  # between contents
 
 
-class Steps(Churn):
+class Steps(ChurnDecider):
     """In the module's place: a new content each second, one of which some proxies refuse."""
 
     odd_at = 6
 
     def evaluate(self, now: int) -> None:
-        if self.hosts and self.idle():
+        if self.endpoints and self.idle():
             self.moment += 1
-            for name in self.hosts:
-                self.host.set_weight(0, name, ODD if self.moment == self.odd_at else 1 + self.moment / 100)
-        self.host.schedule_evaluation(STEP)
+            for name in self.endpoints:
+                self.runtime.set_weight(0, name, ODD if self.moment == self.odd_at else 1 + self.moment / 100)
+        self.runtime.schedule_evaluation(STEP)
 
-    def order(self) -> None:
-        for name in self.hosts:
-            self.host.set_weight(0, name, 1.0)
+    def send_commands(self) -> None:
+        for name in self.endpoints:
+            self.runtime.set_weight(0, name, 1.0)
 
 
 @dataclass
-class BadReport:
+class BadVersionReport:
     proxies: int
     refusers: int
     ran: int  # proxies that ran the bad content
@@ -113,7 +113,7 @@
         ]
 
     @property
-    def good(self) -> bool:
+    def passed(self) -> bool:
         return self.halts > 0 and not self.left and not self.resent and self.newest >= self.proxies * 0.9
 
 
@@ -124,7 +124,7 @@
         """It is in this process."""
 
 
-def bad_version(folder: Path, proxies: int, share: float, front: str) -> BadReport:
+def run_bad_version(folder: Path, proxies: int, share: float, front: str) -> BadVersionReport:
     day = draw(7, 600.0, hosts=8, proxies=proxies, directors=1, calls_per_s=5.0, troubles=[], spare=0)
     day.channel = msgspec.structs.replace(day.channel, messages_most=0)
     stage = BadStage(day, folder, front=front)
@@ -163,7 +163,7 @@
     return _bad_report(folder, proxies)
 
 
-def _bad_report(folder: Path, proxies: int) -> BadReport:
+def _bad_report(folder: Path, proxies: int) -> BadVersionReport:
     records = read_records(str(folder / "director-0.records"))
     start = 100_000 * TICKS_PER_SECOND
     notes = [row for path in folder.glob("proxies*.notes") for row in read_notes(str(path))]
@@ -191,4 +191,4 @@
     newest = sum(rows[-1]["top"] >= top - 0.015 for rows in applied.values())
     stopped = (halts[0] - ordered) / 10 if halts and ordered else 0.0
     twice = sum(count > 2 for count in refusals.values())  # once with others, once alone
-    return BadReport(proxies, len(refusals), ran, stopped, ends, len(halts), left, twice, newest)
+    return BadVersionReport(proxies, len(refusals), ran, stopped, ends, len(halts), left, twice, newest)
