--- a/willowhook/trial/badday.py
+++ b/willowhook/trial/badday.py
@@ -1,4 +1,4 @@
-"""The scripted bad day: directors beside two baselines on the same arrivals, over any number of seeds."""
+"""Fault-injection scenarios: a fleet with controllers compared with two baselines on the same arrivals."""
 
 from __future__ import annotations
 
@@ -20,6 +20,8 @@
 
 @dataclass
 class SeedResult:
+    """Outcomes of one seed: the run with controllers and the runs of the baselines."""
+
     seed: int
     controlled: Outcome
     baselines: dict[str, Outcome]
@@ -27,45 +29,53 @@
 
 
 def run_with_baselines(
-    day: Day, folder: Path, baselines: Sequence[str], say: Callable[[str], None], **more: Any
+    day: Day, folder: Path, baselines: Sequence[str], say: Callable[[str], None], **options: Any
 ) -> SeedResult:
-    """The day with directors, then the same arrivals and troubles with each baseline."""
-    first = play(day, folder / "director", say=say, **more)
-    others = {how: play(fresh(day), folder / how, how) for how in baselines}
-    return SeedResult(day.seed, first, others, folder)
-
-
-def fresh(day: Day) -> Day:
-    """The same day, before anything was started in it."""
-    copy = msgspec.json.decode(msgspec.json.encode(day), type=Day)
-    for host in copy.hosts:
+    """Runs the scenario with controllers, then the same arrivals and faults with each baseline."""
+    controlled = play(day, folder / "director", say=say, **options)
+    baseline_outcomes = {
+        baseline: play(copy_without_ports(day), folder / baseline, baseline) for baseline in baselines
+    }
+    return SeedResult(day.seed, controlled, baseline_outcomes, folder)
+
+
+def copy_without_ports(day: Day) -> Day:
+    """Copies the scenario without the ports that an earlier run assigned."""
+    scenario = msgspec.json.decode(msgspec.json.encode(day), type=Day)
+    for host in scenario.hosts:
         host.port = 0
-    for proxy in copy.proxies:
+    for proxy in scenario.proxies:
         proxy.port = 0
-    return copy
+    return scenario
 
 
-def report_lines(done: SeedResult) -> list[str]:
-    """What a person reads of one round."""
-    got = done.controlled
-    lines = [verdict.line() for verdict in got.verdicts]
-    routes = ", ".join(f"{name} {value:.3f}" for name, value in got.by_route.items())
-    lines.append(f"service {got.service:.3f} ({routes}; worst ten seconds {got.worst:.3f})")
+def report_lines(result: SeedResult) -> list[str]:
+    """Describes the result of one seed for a reader."""
+    outcome = result.controlled
+    lines = [verdict.line() for verdict in outcome.verdicts]
+    service_by_route = ", ".join(f"{name} {value:.3f}" for name, value in outcome.by_route.items())
+    lines.append(f"service {outcome.service:.3f} ({service_by_route}; worst ten seconds {outcome.worst:.3f})")
     lines.append(
-        f"{got.calls} calls: {got.answered} answered, {got.throttled} throttled, {got.dropped} dropped"
+        f"{outcome.calls} requests: {outcome.answered} answered, "
+        f"{outcome.throttled} throttled, {outcome.dropped} dropped"
     )
-    for name, other in done.baselines.items():
-        lines.append(f"beside {name}: {other.service:.3f} (worst ten seconds {other.worst:.3f})")
-    for name, use in sorted(got.directors.items()):
+    for name, baseline_outcome in result.baselines.items():
+        lines.append(
+            f"baseline {name}: {baseline_outcome.service:.3f} "
+            f"(worst ten seconds {baseline_outcome.worst:.3f})"
+        )
+    for name, usage in sorted(outcome.directors.items()):
         lines.append(
-            f"{name}: {use['cpu_s']:.1f} s of CPU, {use['rss_mb']:.0f} MB, {use['messages']:.0f} messages;"
+            f"{name}: {usage['cpu_s']:.1f} s of CPU, {usage['rss_mb']:.0f} MB, "
+            f"{usage['messages']:.0f} messages;"
         )
-        lines[-1] += f" order to file median {use['median_ms']:.0f} ms, p99 {use['p99_ms']:.0f} ms"
-    verdict = "all rules kept" if got.kept else "RULES BROKEN"
-    return [*lines, f"seed {done.seed}: {verdict}; records in {done.folder}"]
+        lines[-1] += f" command to file median {usage['median_ms']:.0f} ms, p99 {usage['p99_ms']:.0f} ms"
+    verdict = "all rules kept" if outcome.kept else "RULES BROKEN"
+    return [*lines, f"seed {result.seed}: {verdict}; records in {result.folder}"]
 
 
-def spread(values: Sequence[float]) -> str:
+def format_spread(values: Sequence[float]) -> str:
+    """Formats the median, the minimum and the maximum."""
     if not values:
         return "-"
     ranked = sorted(values)
@@ -73,47 +83,54 @@
 
 
 def run_seeds(
-    seeds: Sequence[int], make: Callable[[int], Day], folder: str, baselines: Sequence[str], at_once: int,
-    say: Callable[[str], None], **more: Any,
+    seeds: Sequence[int], make_scenario: Callable[[int], Day], folder: str,
+    baselines: Sequence[str], at_once: int, say: Callable[[str], None], **options: Any,
 ) -> list[SeedResult]:  # fmt: skip
-    """Days of several seeds, some at once; each in a process of its own."""
+    """Runs several seeds, up to `at_once` at a time, each in its own process."""
     root = Path(folder or tempfile.mkdtemp(prefix="willowhook-"))
-    found = []
+    results = []
     with concurrent.futures.ProcessPoolExecutor(at_once) as pool:
         jobs = [
-            pool.submit(run_with_baselines, make(seed), root / str(seed), baselines, _quiet, **more)
+            pool.submit(
+                run_with_baselines, make_scenario(seed), root / str(seed), baselines, _discard, **options
+            )
             for seed in seeds
         ]
         for job in jobs:
-            done = job.result()
-            for line in report_lines(done):
+            result = job.result()
+            for line in report_lines(result):
                 say(line)
-            found.append(done)
-    return found
+            results.append(result)
+    return results
 
 
-def _quiet(text: str) -> None:
+def _discard(text: str) -> None:
     return None
 
 
 def summary_lines(rounds: Sequence[SeedResult]) -> list[str]:
-    """Over all seeds: rules, service and its spread beside the baselines."""
-    kept = sum(row.controlled.kept for row in rounds)
-    lines = [f"rules kept on {kept} of {len(rounds)} days"]
-    lines.append(f"service with directors: {spread([row.controlled.service for row in rounds])}")
-    for how in rounds[0].baselines if rounds else ():
-        values = [row.baselines[how].service for row in rounds]
-        ahead = [row.controlled.service - row.baselines[how].service for row in rounds]
-        lines.append(f"service, {how}: {spread(values)}; directors ahead by {spread(ahead)}")
+    """Summarizes all seeds: rules kept, and service compared with the baselines."""
+    kept = sum(result.controlled.kept for result in rounds)
+    lines = [f"rules kept in {kept} of {len(rounds)} scenarios"]
+    lines.append(
+        f"service with controllers: {format_spread([result.controlled.service for result in rounds])}"
+    )
+    for baseline in rounds[0].baselines if rounds else ():
+        values = [result.baselines[baseline].service for result in rounds]
+        ahead = [result.controlled.service - result.baselines[baseline].service for result in rounds]
+        lines.append(
+            f"service, {baseline}: {format_spread(values)}; controllers ahead by {format_spread(ahead)}"
+        )
     return lines
 
 
 def default_scenario(seed: int, length_s: float = 40.0) -> Day:
+    """Draws the default scenario with faults of at least eight kinds."""
     return draw(seed, length_s)
 
 
 def short_scenario(seed: int) -> Day:
-    """For CI: few hosts, a quarter of the time, five troubles."""
+    """A short scenario for CI: few endpoints, a quarter of the length, six faults."""
     troubles = [
         Trouble("host_crash", 2.0, 4.0, 0.2),
         Trouble("director_killed", 3.0, 1.5),
@@ -126,26 +143,26 @@
 
 
 def replay_scenario(kinds: Sequence[str], seed: int, length_s: float, **size: Any) -> Day:
-    """A day on which these kinds of trouble strike, one after the other, over the middle of it."""
-    room = length_s - 12.0
+    """Injects faults of these kinds one after the other, in the middle part of the scenario."""
+    active_s = length_s - 12.0
     troubles = [
         Trouble(
             kind,
-            round(4.0 + room * k / max(len(kinds), 1), 2),
-            min(6.0, max(2.0, room / 3)),
+            round(4.0 + active_s * index / max(len(kinds), 1), 2),
+            min(6.0, max(2.0, active_s / 3)),
             0.2,
-            SIZES.get(kind, 0.0),
+            FAULT_SIZES.get(kind, 0.0),
         )  # fmt: skip
-        for k, kind in enumerate(kinds)
+        for index, kind in enumerate(kinds)
     ]
     return draw(seed, length_s, troubles=troubles, **size)
 
 
-# what the bench calls them
+# The simulator's benchmark names of the fault kinds.
 BENCHMARK_FAULT_NAMES = {
     "crash": "host_crash", "hang": "host_hang", "slow": "host_slow", "class_fail": "route_unanswered",
     "ageing": "decline", "false_reports": "false_load", "discovery_down": "roster_away",
     "balancer_crash": "director_killed", "counter_down": "no_director", "reconnect": "streams_lost",
 }  # fmt: skip
-SIZES = {"host_slow": 4.0, "fast_errors": 0.8, "burst": 1.5, "one_sided": 0.5, "false_load": 0.05,
-         "conn_squeeze": 0.05}  # fmt: skip
+FAULT_SIZES = {"host_slow": 4.0, "fast_errors": 0.8, "burst": 1.5, "one_sided": 0.5, "false_load": 0.05,
+               "conn_squeeze": 0.05}  # fmt: skip
--- a/willowhook/trial/corpus.py
+++ b/willowhook/trial/corpus.py
@@ -1,8 +1,8 @@
-"""The corpus of nginx samples, written by hand, with the verdict that each directive must get.
+"""Reads the hand-written corpus of nginx samples, with the expected verdict of each directive.
 
-A sample begins with `### NAME` and may go on with `: --option value ...`.  A line of directives ends with
-`#: ` and a mark for each of them in order: `=` carried, `~` carried and differs, `-` not carried, `!`
-refused.
+A sample begins with `### NAME`, optionally followed by `: --option value ...`.  A line with directives ends
+with `#: ` and one mark for each of them in order: `=` carried, `~` carried but differs, `-` not carried,
+`!` refused.
 """
 
 from __future__ import annotations
@@ -16,62 +16,67 @@
 from ..nginx.syntax import parse
 from ..nginx.verdicts import CARRIED, DIFFERS, LEFT, REFUSED, verdicts
 
-FOLDER = Path(__file__).parent / "corpus"
-MARKS = {"=": CARRIED, "~": DIFFERS, "-": LEFT, "!": REFUSED}
-HEAD = re.compile(r"^### (?P<name>.*?)(?:: (?P<options>--.*))?$")
+CORPUS_FOLDER = Path(__file__).parent / "corpus"
+VERDICT_BY_MARK = {"=": CARRIED, "~": DIFFERS, "-": LEFT, "!": REFUSED}
+SAMPLE_HEADER = re.compile(r"^### (?P<name>.*?)(?:: (?P<options>--.*))?$")
 
 
 @dataclass(frozen=True, slots=True)
 class Sample:
+    """One sample configuration, the import's options and the expected verdicts."""
+
     name: str
     place: str  # file and line
     asked: Asked
     text: str
-    wanted: tuple[str, ...]  # verdicts, in order
+    wanted: tuple[str, ...]  # expected verdicts, in order
 
 
-def _asked(options: str) -> Asked:
-    rows: dict[str, list[str]] = {}
+def _parse_options(options: str) -> Asked:
+    values_by_option: dict[str, list[str]] = {}
     words = shlex.split(options)
     for option, value in zip(words[::2], words[1::2], strict=True):
-        rows.setdefault(option.removeprefix("--"), []).append(value)
+        values_by_option.setdefault(option.removeprefix("--"), []).append(value)
     keyed = tuple(
-        (path, int(window)) for path, _, window in (row.partition("=") for row in rows.get("keyed", ()))
+        (path, int(window))
+        for path, _, window in (value.partition("=") for value in values_by_option.get("keyed", ()))
     )
     return Asked(
-        host="".join(rows.get("host", ())), mutating=tuple(rows.get("mutating", ())),
-        repeatable=tuple(rows.get("repeatable", ())), keyed=keyed,
+        host="".join(values_by_option.get("host", ())), mutating=tuple(values_by_option.get("mutating", ())),
+        repeatable=tuple(values_by_option.get("repeatable", ())), keyed=keyed,
     )  # fmt: skip
 
 
 def load_samples() -> list[Sample]:
-    """All of them; raises ValueError where a file is not in the form above."""
-    found: list[Sample] = []
-    for path in sorted(FOLDER.glob("*.conf")):
+    """Reads all samples; raises ValueError if a file is not in the form above."""
+    loaded: list[Sample] = []
+    for path in sorted(CORPUS_FOLDER.glob("*.conf")):
         lines = path.read_text().splitlines()
-        heads = [at for at, line in enumerate(lines) if line.startswith("### ")]
-        for at, end in zip(heads, [*heads[1:], len(lines)], strict=True):
-            head = HEAD.match(lines[at])
-            if head is None:
-                raise ValueError(f"{path.name}:{at + 1}: no head of a sample")
-            body = lines[at + 1 : end]
+        header_lines = [start for start, line in enumerate(lines) if line.startswith("### ")]
+        for start, end in zip(header_lines, [*header_lines[1:], len(lines)], strict=True):
+            header = SAMPLE_HEADER.match(lines[start])
+            if header is None:
+                raise ValueError(f"{path.name}:{start + 1}: not a sample header")
+            body = lines[start + 1 : end]
             marks = "".join(line.rpartition("#: ")[2].strip() for line in body if "#: " in line)
-            wanted = tuple(MARKS[mark] for mark in marks)
-            asked = _asked(head["options"] or "")
-            place = f"{path.name}:{at + 1}"
-            found.append(Sample(head["name"], place, asked, "\n".join(body) + "\n", wanted))
-    return found
+            wanted = tuple(VERDICT_BY_MARK[mark] for mark in marks)
+            asked = _parse_options(header["options"] or "")
+            place = f"{path.name}:{start + 1}"
+            loaded.append(Sample(header["name"], place, asked, "\n".join(body) + "\n", wanted))
+    return loaded
 
 
 def verdict_errors(sample: Sample) -> list[str]:
-    """Where its verdicts are not those wanted; empty if all are, and each but the carried says why."""
-    rows = parse(sample.text, sample.place)
-    found, _ = verdicts(rows, sample.asked)
-    told = [
-        f"{sample.place} {sample.name}: {row.line()}; wanted {want}"
-        for row, want in zip(found, sample.wanted, strict=False)
-        if row.what != want or (row.what != CARRIED and not row.why)
+    """Lists unexpected verdicts, and verdicts other than `carried` that lack a reason."""
+    directives = parse(sample.text, sample.place)
+    found_verdicts, _ = verdicts(directives, sample.asked)
+    errors = [
+        f"{sample.place} {sample.name}: {verdict.line()}; expected {expected}"
+        for verdict, expected in zip(found_verdicts, sample.wanted, strict=False)
+        if verdict.what != expected or (verdict.what != CARRIED and not verdict.why)
     ]  # fmt: skip
-    if len(found) != len(sample.wanted):
-        told.append(f"{sample.place} {sample.name}: {len(found)} directives, {len(sample.wanted)} marks")
-    return told
+    if len(found_verdicts) != len(sample.wanted):
+        errors.append(
+            f"{sample.place} {sample.name}: {len(found_verdicts)} directives, {len(sample.wanted)} marks"
+        )
+    return errors
--- a/willowhook/trial/cuts.py
+++ b/willowhook/trial/cuts.py
@@ -1,8 +1,8 @@
-"""Every file of a store cut at every byte, flipped at every byte, and caught by power failures.
+"""Crash and corruption tests of the store: truncation and bit flips at every byte, and power failures.
 
-The history is written once, with what was acknowledged when.  After each injury the store is recovered and
-held against it: the state must be that of some number, or what is lost must be told with its place; no
-outcome may be told that is not true.
+A history of writes is recorded once, with the numbers that were acknowledged.  After each fault the store is
+recovered and compared with the history: its state must be the state after some number, or the loss must be
+reported with its place; no reported outcome may be false.
 """
 
 from __future__ import annotations
@@ -27,20 +27,20 @@
 from ..store.store import STORE_SPACE, Op, Store, StoreError, recover
 from .power import PowerDisk
 
-Plain = dict[tuple[str, str], bytes]
+PlainState = dict[tuple[str, str], bytes]
 
 
 @dataclass
 class History:
-    """Beside a plain dict: the state after each number, and which number was acknowledged when."""
+    """The state after each number as plain dicts, the last acknowledged number, and the true outcomes."""
 
-    states: dict[int, Plain] = field(default_factory=lambda: {0: {}})
-    acked: int = 0
-    truth: dict[str, str] = field(default_factory=dict)  # by call: whether it had its effect
+    states: dict[int, PlainState] = field(default_factory=lambda: {0: {}})
+    acknowledged: int = 0
+    true_outcomes: dict[str, str] = field(default_factory=dict)  # by request: whether it took effect
     written: int = 0
 
 
-def plain_of(state: dict[str, dict[str, object]]) -> Plain:
+def plain_state(state: dict[str, dict[str, object]]) -> PlainState:
     return {
         (space, key): bytes(entry.value)  # type: ignore[attr-defined]
         for space, rows in state.items()
@@ -49,81 +49,86 @@
     }
 
 
-def script(
+def write_history(
     disk: PowerDisk, seed: int, steps: int, note: Callable[[History], None] = lambda history: None
 ) -> History:
-    """Writes, groups, rolls and compactions on this disk."""
-    chance, history = random.Random(seed), History()
+    """Runs random writes, batches, segment rolls and compactions on this disk."""
+    generator, history = random.Random(seed), History()
     store = Store("s", disk, segment_bytes=700, store_id=12345, lock=False)
-    now: Plain = {}
-    calls: dict[str, RequestRecord] = {}
+    now: PlainState = {}
+    requests: dict[str, RequestRecord] = {}
     compacting = None
-    for k in range(steps):
+    for step in range(steps):
         ops: list[Op] = []
-        for _ in range(chance.randint(1, 3)):
-            what = chance.random()
-            if what < 0.4:
-                key, value = f"t{chance.randrange(6)}", chance.randbytes(chance.choice([3, 20, 90]))
-                ops.append(Op("orders", key, k, value))
+        for _ in range(generator.randint(1, 3)):
+            choice = generator.random()
+            if choice < 0.4:
+                key, value = f"t{generator.randrange(6)}", generator.randbytes(generator.choice([3, 20, 90]))
+                ops.append(Op("orders", key, step, value))
                 now["orders", key] = value
-            elif what < 0.5:
-                key = f"t{chance.randrange(6)}"
-                ops.append(Op("orders", key, k, None))
+            elif choice < 0.5:
+                key = f"t{generator.randrange(6)}"
+                ops.append(Op("orders", key, step, None))
                 now.pop(("orders", key), None)
             else:
-                name = f"c{chance.randrange(8)}"
-                found = calls.setdefault(name, RequestRecord())
-                _advance(found, chance, k, name, history)
-                value = msgspec.msgpack.encode(found.tries)
-                ops.append(Op("outcomes", name, k, value))
+                name = f"c{generator.randrange(8)}"
+                request = requests.setdefault(name, RequestRecord())
+                _advance_request(request, generator, step, name, history)
+                value = msgspec.msgpack.encode(request.tries)
+                ops.append(Op("outcomes", name, step, value))
                 now["outcomes", name] = value
         number = store.write(ops)
         assert number is not None
         history.states[number], history.written = dict(now), number
         note(history)
-        if chance.random() < 0.5:
+        if generator.random() < 0.5:
             batch = store.next_batch()
             store.write_batch(batch)
-            history.acked = batch[-1].number
+            history.acknowledged = batch[-1].number
             store.apply_batch(batch)
             note(history)
-        if compacting is None and chance.random() < 0.12 and store.number:
+        if compacting is None and generator.random() < 0.12 and store.number:
             compacting = store.compact(64)
         if compacting is not None and next(compacting, None) is None:
             compacting = None
     store.flush()
-    history.acked = store.number
+    history.acknowledged = store.number
     store.close()
     return history
 
 
-def _advance(found: RequestRecord, chance: random.Random, at: int, name: str, history: History) -> None:
-    out = [k for k, what in found.tries.items() if what == "out"]
-    if out and chance.random() < 0.7:
-        what = chance.choice([ANSWERED, NOT_EXECUTED, FAILED])
-        found.end_attempt(out[0], what)
-        if what == ANSWERED:
-            history.truth[name] = DONE
+def _advance_request(
+    request: RequestRecord, generator: random.Random, step: int, name: str, history: History
+) -> None:
+    pending = [number for number, outcome in request.tries.items() if outcome == "out"]
+    if pending and generator.random() < 0.7:
+        outcome = generator.choice([ANSWERED, NOT_EXECUTED, FAILED])
+        request.end_attempt(pending[0], outcome)
+        if outcome == ANSWERED:
+            history.true_outcomes[name] = DONE
     else:
-        found.start_attempt(len(found.tries), at)
-        history.truth.setdefault(name, UNKNOWN)  # it may have run from now on
+        request.start_attempt(len(request.tries), step)
+        history.true_outcomes.setdefault(name, UNKNOWN)  # it may have been executed from here on
 
 
 @dataclass
 class CutReport:
+    """Number of faults by kind, and the wrong results of recovery."""
+
     cuts: int = 0
     flips: int = 0
-    failures: int = 0  # of power
+    failures: int = 0  # power failures
     bytes: int = 0
-    reported_damage: int = 0  # injuries that were told as damage
+    reported_damage: int = 0  # faults that recovery reported as corruption
     seconds: float = 0.0
     wrong: list[str] = field(default_factory=list)
 
     def lines(self) -> list[str]:
         return [
-            f"{self.bytes} bytes: {self.cuts} cuts, {self.flips} flips, {self.failures} states after a power "
+            f"{self.bytes} bytes: {self.cuts} truncations, {self.flips} flips, "
+            f"{self.failures} states after a power "
             f"failure, in {self.seconds:.0f} s",
-            f"{self.reported_damage} were told as damage; {len(self.wrong)} wrong",
+            f"{self.reported_damage} were reported as corruption; {len(self.wrong)} wrong",
             *self.wrong[:8],
         ]
 
@@ -132,107 +137,128 @@
         return not self.wrong and self.cuts > 0
 
 
-def look(
-    files: dict[str, bytes], history: History, injured: str, report: CutReport, what: str, acked: int
+def check_recovery(
+    files: dict[str, bytes],
+    history: History,
+    damaged_file: str,
+    report: CutReport,
+    description: str,
+    acknowledged: int,
 ) -> None:
-    """Recovers these files and holds the result against the history."""
+    """Recovers the store from these files and compares the result with the history."""
     disk = PowerDisk.load(files)
     try:
         store = Store("s", disk, lock=False, store_id=12345)
-    except (StoreError, OSError, ValueError, msgspec.MsgspecError) as fault:
-        report.wrong.append(f"{what}: it cannot be opened: {fault!r}")
+    except (StoreError, OSError, ValueError, msgspec.MsgspecError) as error:
+        report.wrong.append(f"{description}: cannot be opened: {error!r}")
         return
-    state, damage = plain_of(store.state), store.recovery.corruptions  # type: ignore[arg-type]
-    report.reported_damage += bool(damage)
+    state, corruptions = plain_state(store.state), store.recovery.corruptions  # type: ignore[arg-type]
+    report.reported_damage += bool(corruptions)
     if not store.has_lost_entries:
-        fits = [n for n, each in history.states.items() if each == state and acked <= n <= history.written]
-        if not fits:
+        matching_numbers = [
+            number
+            for number, past_state in history.states.items()
+            if past_state == state and acknowledged <= number <= history.written
+        ]
+        if not matching_numbers:
             report.wrong.append(
-                f"{what}: a state that never was, or older than what was acknowledged ({acked})"
+                f"{description}: the state never existed, "
+                f"or is older than the acknowledged number ({acknowledged})"
             )
-    elif injured and injured not in {row.file for row in damage}:
-        report.wrong.append(f"{what}: told as damage of {[row.file for row in damage]}")
+    elif damaged_file and damaged_file not in {row.file for row in corruptions}:
+        report.wrong.append(f"{description}: reported as corruption of {[row.file for row in corruptions]}")
     for key, value in state.items():
-        if not any(each.get(key) == value for each in history.states.values()):
-            report.wrong.append(f"{what}: {key} has a value that was never written")
-    _outcomes(store, history, report, what, acked)
-    again = recover(PowerDisk.load(disk.files()), "s")
-    if plain_of(again.state) != state:  # type: ignore[arg-type]
-        report.wrong.append(f"{what}: a second recovery differs from the first")
+        if not any(past_state.get(key) == value for past_state in history.states.values()):
+            report.wrong.append(f"{description}: {key} has a value that was never written")
+    _check_outcomes(store, history, report, description, acknowledged)
+    second_recovery = recover(PowerDisk.load(disk.files()), "s")
+    if plain_state(second_recovery.state) != state:  # type: ignore[arg-type]
+        report.wrong.append(f"{description}: a second recovery differs from the first")
 
 
-def _outcomes(store: Store, history: History, report: CutReport, what: str, acked: int) -> None:
-    """Done only where it is true; not done only where no try had left, by what was acknowledged."""
-    for name in history.truth:
+def _check_outcomes(
+    store: Store, history: History, report: CutReport, description: str, acknowledged: int
+) -> None:
+    """Checks that `done` is reported only if true, `not done` only if no acknowledged attempt was sent."""
+    for name in history.true_outcomes:
         entry = store.get("outcomes", name)
-        found = None
+        recovered = None
         if entry is not None:
-            found = RequestRecord(tries=msgspec.msgpack.decode(entry.value, type=dict[int, str]))
-        told = after_recovery(found, store.has_lost_entries).state()
-        until = acked if store.has_lost_entries else store.recovery.number
-        latest = history.states[until].get(("outcomes", name))
+            recovered = RequestRecord(tries=msgspec.msgpack.decode(entry.value, type=dict[int, str]))
+        reported = after_recovery(recovered, store.has_lost_entries).state()
+        last_number = acknowledged if store.has_lost_entries else store.recovery.number
+        latest = history.states[last_number].get(("outcomes", name))
         known = (
             RequestRecord(tries=msgspec.msgpack.decode(latest, type=dict[int, str]))
             if latest
             else RequestRecord()
         )
-        if told == DONE and history.truth[name] != DONE:
-            report.wrong.append(f"{what}: {name} is told to be done, and never was")
-        if told == NOT_DONE and known.state() != NOT_DONE:
-            report.wrong.append(f"{what}: {name} is told not to be done, and a try had left")
+        if reported == DONE and history.true_outcomes[name] != DONE:
+            report.wrong.append(f"{description}: {name} is reported as done, but never was")
+        if reported == NOT_DONE and known.state() != NOT_DONE:
+            report.wrong.append(
+                f"{description}: {name} is reported as not done, but an attempt had been sent"
+            )
 
 
 def run_cuts(seed: int, steps: int, power_steps: int, say: Callable[[str], None]) -> CutReport:
-    report, began = CutReport(), time.perf_counter()
+    report, started_at = CutReport(), time.perf_counter()
     disk = PowerDisk()
-    history = script(disk, seed, steps)
+    history = write_history(disk, seed, steps)
     files = disk.files()
     report.bytes = sum(len(data) for data in files.values())
     say(f"{len(files)} files, {report.bytes} bytes, {history.written} numbers")
     for name, data in sorted(files.items()):
         if name == "reserve":
             continue
-        for at in range(len(data)):
+        for position in range(len(data)):
             report.cuts += 1
-            look({**files, name: data[:at]}, history, name, report, f"{name} cut at {at}", history.acked)
+            check_recovery(
+                {**files, name: data[:position]},
+                history,
+                name,
+                report,
+                f"{name} cut at {position}",
+                history.acknowledged,
+            )
             report.flips += 1
-            flipped = data[:at] + bytes([data[at] ^ 1 << at % 8]) + data[at + 1 :]
-            look(
+            flipped = data[:position] + bytes([data[position] ^ 1 << position % 8]) + data[position + 1 :]
+            check_recovery(
                 {**files, name: flipped},
                 history,
                 name,
                 report,
-                f"{name} flipped at {at}",
-                history.acked,
+                f"{name} flipped at {position}",
+                history.acknowledged,
             )
-    _power(seed, power_steps, report)
-    report.seconds = time.perf_counter() - began
+    _check_power_failures(seed, power_steps, report)
+    report.seconds = time.perf_counter() - started_at
     return report
 
 
-def _power(seed: int, steps: int, report: CutReport) -> None:
-    disk, chance = PowerDisk(), random.Random(seed)
+def _check_power_failures(seed: int, steps: int, report: CutReport) -> None:
+    disk, generator = PowerDisk(), random.Random(seed)
     seen: set[int] = set()
     current: list[History] = [History()]
 
     def note(history: History) -> None:
         current[0] = history
 
-    def after() -> None:
-        for files in disk.crashes(chance, 24):
-            key = hash(tuple(sorted(files.items())))
-            if key in seen:
+    def check_crashes() -> None:
+        for files in disk.crashes(generator, 24):
+            files_hash = hash(tuple(sorted(files.items())))
+            if files_hash in seen:
                 continue
-            seen.add(key)
+            seen.add(files_hash)
             report.failures += 1
-            look(
+            check_recovery(
                 files,
                 current[0],
                 "",
                 report,
                 f"power failed after operation {report.failures}",
-                current[0].acked,
+                current[0].acknowledged,
             )
 
-    disk.after = after
-    script(disk, seed, steps, note)
+    disk.after = check_crashes
+    write_history(disk, seed, steps, note)
--- a/willowhook/trial/flood.py
+++ b/willowhook/trial/flood.py
@@ -1,9 +1,10 @@
-"""A thousand proxies that report to one director: steadily, all at once, ten times too often; some hostile.
+"""Load test of one controller's report intake: a thousand proxies report steadily, all at once or too often.
 
-The reporters are stand-ins of a proxy's reporting side alone: they join, answer what they are sent and report
-sums of hosts that nobody asks, half through files and half by calls.  Beside them the list of hosts changes
-ten times a second: from the change to the moment in which the director decides on it is the delay.  Once a
-phase a host drains; that it is kept in time, and nobody without hosts, is read from the folders.
+The reporters are stand-ins for the reporting side of a proxy only: they join, acknowledge updates and report
+statistics of endpoints that receive no requests; half of them use files and half HTTP.  Some send malformed
+reports.  Meanwhile the endpoint list changes ten times a second; the measured delay is the time from a change
+to the controller's decision on it.  Once per phase an endpoint drains.  The outbound folders show whether it
+was drained in time and whether every proxy has endpoints.
 """
 
 from __future__ import annotations
@@ -44,17 +45,19 @@
 from .standin_roster import StandInRoster
 
 PHASES = ("steady", "at once", "ten times", "steady again")
-PERIOD_S = 2.0  # between reports
-SEEN = 12  # hosts of one report
-ASK = {
+PERIOD_S = 2.0  # between two reports of a proxy
+ENDPOINTS_PER_REPORT = 12
+DELTA_PATHS = {
     forms.ASSIGNMENT: b"/envoy.service.endpoint.v3.EndpointDiscoveryService/DeltaEndpoints",
     forms.CLUSTER: b"/envoy.service.cluster.v3.ClusterDiscoveryService/DeltaClusters",
     forms.ROUTES: b"/envoy.service.route.v3.RouteDiscoveryService/DeltaRoutes",
 }
-HOSTILE = ("cut", "huge", "deep", "lies", "old")
+MALFORMED_REPORT_KINDS = ("cut", "huge", "deep", "lies", "old")
 
 
-class Orders(msgspec.Struct):
+class ReporterSettings(msgspec.Struct):
+    """Settings of one process of reporters, handed over as a JSON file."""
+
     names: list[str]
     hostile: list[str]
     folder: str
@@ -69,201 +72,223 @@
 
 
 class Reporter:
-    """One proxy's reporting side."""
-
-    def __init__(self, orders: Orders, name: str, web: bool) -> None:
-        self.o, self.name, self.web = orders, name, web
-        self.chance = random.Random(f"{orders.seed} {name}")
-        self.bad = HOSTILE[self.chance.randrange(len(HOSTILE))] if name in orders.hostile else ""
+    """The reporting side of one proxy."""
+
+    def __init__(self, settings: ReporterSettings, name: str, over_http: bool) -> None:
+        self.settings, self.name, self.over_http = settings, name, over_http
+        self.random = random.Random(f"{settings.seed} {name}")
+        self.malformed_kind = (
+            MALFORMED_REPORT_KINDS[self.random.randrange(len(MALFORMED_REPORT_KINDS))]
+            if name in settings.hostile
+            else ""
+        )
         self.sent = self.asked = 0
-        self.every = orders.period_s
-        self.made = self._template()
-        self.last = time.time()
-        self.wait_s = self.chance.random() * 4
+        self.interval_s = settings.period_s
+        self.statistics = self._template()
+        self.last_report = time.time()
+        self.start_delay_s = self.random.random() * 4
         self.versions: dict[str, bytes] = {}
 
-    def node(self, **more: Any) -> forms.Node:
-        told = {"term": 1, "director": "director-0", "usual_calls_per_s": 5.0, **more}
-        return forms.Node(self.name, "calls", forms.Locality(zone="norte"), told)
+    def node(self, **fields: Any) -> forms.Node:
+        metadata = {"term": 1, "director": "director-0", "usual_calls_per_s": 5.0, **fields}
+        return forms.Node(self.name, "calls", forms.Locality(zone="norte"), metadata)
 
     def _template(self) -> list[forms.ClusterStats]:
-        """Sums of hosts that all do equally well: tables stay as they are, so reports are all there is."""
-        rows = []
-        for route in self.o.routes:
+        """Statistics of endpoints that all perform equally, so that the tables don't change."""
+        clusters = []
+        for route in self.settings.routes:
             zone = forms.UpstreamLocalityStats(forms.Locality(zone="norte"))
-            for address, port in self.chance.sample(self.o.hosts, SEEN):
-                at = forms.Address(forms.SocketAddress(address, port))
-                good = self.chance.randrange(1, 9)
-                row = forms.UpstreamEndpointStats(at, good, 0, 0, good)
-                row.load_metric_stats = [
-                    forms.LoadMetricStats("latency_seconds", good, 0.2 * good),
-                    forms.LoadMetricStats("cpu_utilization", good, 0.4 * good),
+            for address, port in self.random.sample(self.settings.hosts, ENDPOINTS_PER_REPORT):
+                endpoint_address = forms.Address(forms.SocketAddress(address, port))
+                successes = self.random.randrange(1, 9)
+                endpoint = forms.UpstreamEndpointStats(endpoint_address, successes, 0, 0, successes)
+                endpoint.load_metric_stats = [
+                    forms.LoadMetricStats("latency_seconds", successes, 0.2 * successes),
+                    forms.LoadMetricStats("cpu_utilization", successes, 0.4 * successes),
                 ]
-                zone.upstream_endpoint_stats.append(row)
-            rows.append(forms.ClusterStats(f"{route}@t0", "", [zone], 0, [], ""))
-        return rows
+                zone.upstream_endpoint_stats.append(endpoint)
+            clusters.append(forms.ClusterStats(f"{route}@t0", "", [zone], 0, [], ""))
+        return clusters
 
     def report(self) -> bytes:
         now = time.time()
-        if self.bad == "cut":
-            return self.whole(now)[:-40]
-        if self.bad == "huge":
+        if self.malformed_kind == "cut":
+            return self.complete_report(now)[:-40]
+        if self.malformed_kind == "huge":
             return b'{"node": {"id": "' + b"x" * 1_500_000 + b'"}}'
-        if self.bad == "deep":
+        if self.malformed_kind == "deep":
             return b"[" * 50_000
-        if self.bad == "lies":
-            return self.whole(now).replace(
+        if self.malformed_kind == "lies":
+            return self.complete_report(now).replace(
                 b'"total_successful_requests":', b'"total_successful_requests":9999999999'
             )
-        if self.bad == "old":  # what it reported first, again and again
-            self.old = getattr(self, "old", None) or self.whole(now)
-            return self.old
-        return self.whole(now)
-
-    def whole(self, now: float) -> bytes:
-        since, self.last = min(self.last, now - 0.001), now
-        for row in self.made:
-            row.load_report_interval = f"{max(now - since, 0.001):.4f}s"
+        if self.malformed_kind == "old":  # repeats its first report
+            self.first_report = getattr(self, "first_report", None) or self.complete_report(now)
+            return self.first_report
+        return self.complete_report(now)
+
+    def complete_report(self, now: float) -> bytes:
+        since, self.last_report = min(self.last_report, now - 0.001), now
+        for cluster in self.statistics:
+            cluster.load_report_interval = f"{max(now - since, 0.001):.4f}s"
         node = self.node(load_from=since, load_until=now, process="1")
-        return encode(forms.LoadStatsRequest(node, self.made))
+        return encode(forms.LoadStatsRequest(node, self.statistics))
 
-    # By files.
+    # Reporting by files.
 
     def join(self) -> None:
-        up = f"{self.o.folder}/{INBOUND_FOLDER}"
-        temp = f"{up}/.{self.name}"
-        shutil.rmtree(temp, ignore_errors=True)
-        os.mkdir(temp)
-        swap_file(DiskOps(), temp, STATUS_FILE, encode(forms.ClientConfig(self.node())))
-        os.rename(temp, f"{up}/{self.name}")
-
-    def answer_files(self, files: dict[str, bytes]) -> None:
-        """What lies there is answered at once, as proxies do."""
+        inbound = f"{self.settings.folder}/{INBOUND_FOLDER}"
+        temporary = f"{inbound}/.{self.name}"
+        shutil.rmtree(temporary, ignore_errors=True)
+        os.mkdir(temporary)
+        swap_file(DiskOps(), temporary, STATUS_FILE, encode(forms.ClientConfig(self.node())))
+        os.rename(temporary, f"{inbound}/{self.name}")
+
+    def acknowledge_files(self, files: dict[str, bytes]) -> None:
+        """Acknowledges new files at once, as proxies do."""
         for kind, url in forms.TYPE_URLS.items():
             data = files.get(f"{kind}.json")
             if data is None or self.versions.get(kind) == data:
                 continue
             self.versions[kind] = data
             try:
-                got = decode(data, forms.DiscoveryResponse)
-                said = forms.DiscoveryRequest(got.version_info, self.node(), [], url, got.nonce)
+                response = decode(data, forms.DiscoveryResponse)
+                acknowledgement = forms.DiscoveryRequest(
+                    response.version_info, self.node(), [], url, response.nonce
+                )
                 swap_file(
-                    DiskOps(), f"{self.o.folder}/{INBOUND_FOLDER}/{self.name}", f"{kind}.json", encode(said)
+                    DiskOps(),
+                    f"{self.settings.folder}/{INBOUND_FOLDER}/{self.name}",
+                    f"{kind}.json",
+                    encode(acknowledgement),
                 )
             except (OSError, MessageFormatError):
                 return
 
-    def pace(self) -> None:
+    def read_report_interval(self) -> None:
         try:
-            with open(f"{self.o.folder}/{REPORT_INTERVAL_FILE}", "rb") as file:
-                said = decode(file.read(), forms.LoadStatsResponse).load_reporting_interval
-            self.every = max(self.o.period_s, parse_duration(said))
+            with open(f"{self.settings.folder}/{REPORT_INTERVAL_FILE}", "rb") as file:
+                interval = decode(file.read(), forms.LoadStatsResponse).load_reporting_interval
+            self.interval_s = max(self.settings.period_s, parse_duration(interval))
         except (OSError, MessageFormatError):
-            self.every = self.o.period_s
+            self.interval_s = self.settings.period_s
 
-    # Both.
+    # Reporting by files or by HTTP.
 
     async def run(self) -> None:
-        caller: ClientConnection | None = None
-        if not self.web:
-            await trio.sleep(self.wait_s)
+        connection: ClientConnection | None = None
+        if not self.over_http:
+            await trio.sleep(self.start_delay_s)
             self.join()
         else:
-            await trio.sleep(self.wait_s + 0.5)
+            await trio.sleep(self.start_delay_s + 0.5)
         while True:
             phase = self.phase()
-            if self.web:
-                caller = await self._post(caller)
+            if self.over_http:
+                connection = await self._post(connection)
             else:
-                self.pace()
+                self.read_report_interval()
                 try:
                     swap_file(
-                        DiskOps(), f"{self.o.folder}/{INBOUND_FOLDER}/{self.name}", LOAD_FILE, self.report()
+                        DiskOps(),
+                        f"{self.settings.folder}/{INBOUND_FOLDER}/{self.name}",
+                        LOAD_FILE,
+                        self.report(),
                     )
                     self.sent += 1
                 except OSError:
-                    self.join()  # it was given up, and comes again
-            now = (monotonic_ticks() - self.o.start) / TICKS_PER_SECOND
+                    self.join()  # the controller removed this proxy's folder: join again
+            elapsed_s = (monotonic_ticks() - self.settings.start) / TICKS_PER_SECOND
             if phase == 1:
-                await trio.sleep(max(0.0, (math.floor(now / self.every) + 1) * self.every - now))
+                await trio.sleep(
+                    max(0.0, (math.floor(elapsed_s / self.interval_s) + 1) * self.interval_s - elapsed_s)
+                )
             elif phase == 2:
-                await trio.sleep(self.o.period_s / 10)
+                await trio.sleep(self.settings.period_s / 10)
             else:
-                await trio.sleep(self.every * (0.9 + 0.2 * self.chance.random()))
+                await trio.sleep(self.interval_s * (0.9 + 0.2 * self.random.random()))
 
     def phase(self) -> int:
         return min(
-            max(0, int((monotonic_ticks() - self.o.start) / TICKS_PER_SECOND / self.o.phase_s)),
+            max(0, int((monotonic_ticks() - self.settings.start) / TICKS_PER_SECOND / self.settings.phase_s)),
             len(PHASES) - 1,
         )
 
-    async def _post(self, caller: ClientConnection | None) -> ClientConnection | None:
-        head = [(b"authorization", b"Bearer " + token(self.name))]
+    async def _post(self, connection: ClientConnection | None) -> ClientConnection | None:
+        headers = [(b"authorization", b"Bearer " + token(self.name))]
         try:
-            if caller is None or not caller.usable:
-                caller = await open_connection("127.0.0.1", self.o.port, 5.0)
+            if connection is None or not connection.usable:
+                connection = await open_connection("127.0.0.1", self.settings.port, 5.0)
             with trio.fail_after(5.0):
-                reply = await caller.request(b"POST", LOADS, head, self.report())
+                reply = await connection.request(b"POST", LOADS, headers, self.report())
             self.sent += 1
             if reply.status == 200:
-                said = decode(reply.body, forms.LoadStatsResponse)
-                self.every = max(self.o.period_s, parse_duration(said.load_reporting_interval))
-            return caller
+                response = decode(reply.body, forms.LoadStatsResponse)
+                self.interval_s = max(
+                    self.settings.period_s, parse_duration(response.load_reporting_interval)
+                )
+            return connection
         except (ConnectionLostError, MessageFormatError, trio.TooSlowError):
-            if caller is not None:
-                await caller.close()
+            if connection is not None:
+                await connection.close()
             return None
 
-    async def follow(self, kind: str) -> None:
-        """What it is to hold of one type, by calls that wait."""
-        head = [(b"authorization", b"Bearer " + token(self.name))]
-        caller: ClientConnection | None = None
+    async def follow_updates(self, type_url: str) -> None:
+        """Follows the updates of one resource type by long polling, and acknowledges them."""
+        headers = [(b"authorization", b"Bearer " + token(self.name))]
+        connection: ClientConnection | None = None
         nonce = ""
-        await trio.sleep(self.wait_s)
+        await trio.sleep(self.start_delay_s)
         while True:
             try:
-                if caller is None or not caller.usable:
-                    caller, nonce = await open_connection("127.0.0.1", self.o.port, 5.0), ""
-                    asked = forms.DeltaDiscoveryRequest(self.node(), kind)
+                if connection is None or not connection.usable:
+                    connection, nonce = await open_connection("127.0.0.1", self.settings.port, 5.0), ""
+                    request = forms.DeltaDiscoveryRequest(self.node(), type_url)
                 else:
-                    asked = forms.DeltaDiscoveryRequest(type_url=kind, response_nonce=nonce)
-                reply = await caller.request(b"POST", ASK[kind], head, encode(asked))
+                    request = forms.DeltaDiscoveryRequest(type_url=type_url, response_nonce=nonce)
+                reply = await connection.request(b"POST", DELTA_PATHS[type_url], headers, encode(request))
                 if reply.status == 200:
                     nonce = decode(reply.body, forms.DeltaDiscoveryResponse).nonce
                 elif reply.status != 304:
                     await trio.sleep(0.5)
                     nonce = ""
             except (ConnectionLostError, MessageFormatError):
-                caller = None
+                connection = None
                 await trio.sleep(0.3)
 
 
-async def _report_all(orders: Orders) -> None:
-    rows = [Reporter(orders, name, int(name.rpartition("-")[2]) % 2 == 1) for name in orders.names]
-    by_name = {row.name: row for row in rows}
-    followers = FileGroupFollower("inotify", 0.02, lambda name, files: by_name[name].answer_files(files))
+async def _run_reporters(settings: ReporterSettings) -> None:
+    reporters = [Reporter(settings, name, int(name.rpartition("-")[2]) % 2 == 1) for name in settings.names]
+    reporter_by_name = {reporter.name: reporter for reporter in reporters}
+    followers = FileGroupFollower(
+        "inotify", 0.02, lambda name, files: reporter_by_name[name].acknowledge_files(files)
+    )
     with trio.move_on_after(
-        (orders.start - monotonic_ticks()) / TICKS_PER_SECOND + orders.phase_s * len(PHASES)
+        (settings.start - monotonic_ticks()) / TICKS_PER_SECOND + settings.phase_s * len(PHASES)
     ):
         async with trio.open_nursery() as nursery:
             nursery.start_soon(followers.run)
-            for row in rows:
-                nursery.start_soon(row.run)
-                if not row.web:
-                    followers.follow(row.name, f"{orders.folder}/{OUTBOUND_FOLDER}", row.name)
-                for kind in ASK if row.web else ():
-                    nursery.start_soon(row.follow, kind)
+            for reporter in reporters:
+                nursery.start_soon(reporter.run)
+                if not reporter.over_http:
+                    followers.follow(reporter.name, f"{settings.folder}/{OUTBOUND_FOLDER}", reporter.name)
+                for kind in DELTA_PATHS if reporter.over_http else ():
+                    nursery.start_soon(reporter.follow_updates, kind)
             print("ready", flush=True)
-    Path(orders.out).write_bytes(msgspec.json.encode({row.name: row.sent for row in rows}))
+    Path(settings.out).write_bytes(
+        msgspec.json.encode({reporter.name: reporter.sent for reporter in reporters})
+    )
 
 
-def report_all(path: str) -> None:
-    """The main of a process of reporters."""
-    trio.run(_report_all, msgspec.json.decode(Path(path).read_bytes(), type=Orders))
+def run_reporters(path: str) -> None:
+    """Main function of a process of reporters."""
+    trio.run(_run_reporters, msgspec.json.decode(Path(path).read_bytes(), type=ReporterSettings))
 
 
 @dataclass
-class Phase:
+class PhaseResult:
+    """Delays and the controller's intake counters of one phase."""
+
     delays_ms: list[float] = field(default_factory=list)
     looked_at: int = 0
     came: int = 0
@@ -276,35 +301,41 @@
     rss_mb: float = 0.0
 
     def line(self, name: str, length_s: float) -> str:
-        rows = sorted(self.delays_ms) or [0.0]
-        p99 = rows[min(len(rows) - 1, int(len(rows) * 0.99))]
-        each = self.spent_us / max(self.looked_at, 1)
+        ranked_ms = sorted(self.delays_ms) or [0.0]
+        p99 = ranked_ms[min(len(ranked_ms) - 1, int(len(ranked_ms) * 0.99))]
+        us_per_report = self.spent_us / max(self.looked_at, 1)
         return (
-            f"{name:13} delay median {statistics.median(rows):5.1f} ms, p99 {p99:5.1f}, max {rows[-1]:5.1f}"
-            f" of {len(rows)}; came {self.came / length_s:.0f}/s, seen {self.looked_at / length_s:.0f}/s,"
-            f" {each:.0f} us each; waiting {self.waiting} ({self.bytes / 1e6:.1f} MB);"
+            f"{name:13} delay median {statistics.median(ranked_ms):5.1f} ms, p99 {p99:5.1f}, "
+            f"max {ranked_ms[-1]:5.1f}"
+            f" of {len(ranked_ms)}; received {self.came / length_s:.0f}/s, "
+            f"processed {self.looked_at / length_s:.0f}/s,"
+            f" {us_per_report:.0f} us each; waiting {self.waiting} ({self.bytes / 1e6:.1f} MB);"
             f" every {self.interval_ms:.0f} ms; {self.rss_mb:.0f} MB"
         )
 
 
 @dataclass
 class FloodReport:
+    """Results of all phases, and the invariants that were broken."""
+
     proxies: int
-    phases: dict[str, Phase]
+    phases: dict[str, PhaseResult]
     phase_s: float
-    faults: list[str] = field(default_factory=list)
+    failures: list[str] = field(default_factory=list)
     quarantined: int = 0
     hostile: int = 0
     cpu_s: float = 0.0
 
     @property
     def passed(self) -> bool:
-        return not self.faults
+        return not self.failures
 
     def lines(self) -> list[str]:
-        rows = [phase.line(name, self.phase_s) for name, phase in self.phases.items()]
-        told = f"{self.hostile} hostile, {self.quarantined} left aside; director {self.cpu_s:.1f} s of CPU"
-        return [f"{self.proxies} proxies", *rows, told, *self.faults]
+        phases = [phase.line(name, self.phase_s) for name, phase in self.phases.items()]
+        summary = (
+            f"{self.hostile} hostile, {self.quarantined} quarantined; controller {self.cpu_s:.1f} s of CPU"
+        )
+        return [f"{self.proxies} proxies", *phases, summary, *self.failures]
 
 
 def run_flood(
@@ -315,35 +346,40 @@
     folder.mkdir(parents=True)
     with PortReservations() as reservations:
         port = reservations.reserve()
-        return trio.run(_flood, folder, proxies, hosts, phase_s, per_s, say, parts, seed, port)
+        return trio.run(_run_flood, folder, proxies, hosts, phase_s, per_s, say, parts, seed, port)
 
 
-async def _flood(
+async def _run_flood(
     folder: Path, proxies: int, hosts: int, phase_s: float, per_s: float, say: Callable[[str], None],
     parts: int, seed: int, port: int,
 ) -> FloodReport:  # fmt: skip
     replace = msgspec.structs.replace
     day = draw(seed, hosts=1, proxies=proxies, directors=1, troubles=[], spare=0)
-    chance = random.Random(seed)
-    plans = [HostPlan(f"host-{k}", "norte", "usual", 4, 1.0, 80, 400, 8.0, 30_000 + k) for k in range(hosts)]
+    generator = random.Random(seed)
+    plans = [
+        HostPlan(f"host-{index}", "norte", "usual", 4, 1.0, 80, 400, 8.0, 30_000 + index)
+        for index in range(hosts)
+    ]
     roster = StandInRoster(Notes(str(folder / "roster.notes")), 0.0)
     for plan in plans:
         roster.show(plan)
-    place = folder / "director-0"
+    controller_folder = folder / "director-0"
     credentials = folder / "credentials.json"
-    names = [f"proxy-{k}" for k in range(proxies)]
-    sums = {name: hashlib.sha256(token(name)).hexdigest() for name in names}
-    credentials.write_bytes(msgspec.json.encode({"proxies": sums}))
-    done = FloodReport(proxies, {name: Phase() for name in PHASES}, phase_s)
+    names = [f"proxy-{index}" for index in range(proxies)]
+    token_hashes = {name: hashlib.sha256(token(name)).hexdigest() for name in names}
+    credentials.write_bytes(msgspec.json.encode({"proxies": token_hashes}))
+    report = FloodReport(proxies, {name: PhaseResult() for name in PHASES}, phase_s)
     async with trio.open_nursery() as nursery:
         await nursery.start(roster.run)
         url, records = f"http://127.0.0.1:{roster.port}", str(folder / "director-0.records")
         day.fleet = replace(
             day.fleet, proxies=proxies + 50, report_every_ms=PERIOD_S * 1000, reports_per_s=per_s
         )
-        lines = max(4000.0, 20.0 * proxies)
-        day.channel = replace(day.channel, lines_per_s=lines, most_waiting_lines=4 * lines, messages_most=0)
-        terms = terms_of(day, 0, str(place), url, records)
+        entries_per_s = max(4000.0, 20.0 * proxies)
+        day.channel = replace(
+            day.channel, lines_per_s=entries_per_s, most_waiting_lines=4 * entries_per_s, messages_most=0
+        )
+        terms = terms_of(day, 0, str(controller_folder), url, records)
         front = FrontTerms(
             listen=f"127.0.0.1:{port}", credentials=str(credentials), wait_ms=10_000,
             connections_most=max(4000, 4 * proxies + 400),
@@ -353,135 +389,150 @@
         path.write_bytes(msgspec.json.format(msgspec.json.encode(terms)))
         with open(folder / "director-0.log", "wb") as log:
             command = [sys.executable, "-m", "willowhook.cli", "director", "--config", str(path)]
-            director = subprocess.Popen(command, stderr=log, stdout=subprocess.DEVNULL)
+            controller = subprocess.Popen(command, stderr=log, stdout=subprocess.DEVNULL)
         reporters: list[subprocess.Popen[bytes]] = []
         try:
             with trio.fail_after(20):
-                while not (place / "lock").exists():
+                while not (controller_folder / "lock").exists():
                     await trio.sleep(0.05)
             await trio.sleep(1.0)
-            hostile = chance.sample(names, max(1, proxies // 100))
-            done.hostile = len(hostile)
-            settle = 6.0 + proxies / 80
-            start = monotonic_ticks() + ticks_from_seconds(settle)
+            hostile = generator.sample(names, max(1, proxies // 100))
+            report.hostile = len(hostile)
+            settle_s = 6.0 + proxies / 80
+            start = monotonic_ticks() + ticks_from_seconds(settle_s)
             for part in range(parts):
-                orders = Orders(
-                    names[part::parts], hostile, str(place), port,
+                settings = ReporterSettings(
+                    names[part::parts], hostile, str(controller_folder), port,
                     [("127.0.0.1", plan.port) for plan in plans], [r.name for r in day.routes], PERIOD_S,
                     start, phase_s, seed, str(folder / f"sent-{part}.json"),
                 )  # fmt: skip
-                one = folder / f"reporters-{part}.json"
-                one.write_bytes(msgspec.json.encode(orders))
-                code = f"from willowhook.trial.flood import report_all; report_all({str(one)!r})"
+                settings_path = folder / f"reporters-{part}.json"
+                settings_path.write_bytes(msgspec.json.encode(settings))
+                code = (
+                    f"from willowhook.trial.flood import run_reporters; run_reporters({str(settings_path)!r})"
+                )
                 reporters.append(subprocess.Popen([sys.executable, "-c", code]))
             await trio.sleep(max(0.0, (start - monotonic_ticks()) / TICKS_PER_SECOND))
-            marks = [_usage(director.pid)]
+            usages = [_usage(controller.pid)]
             changes: dict[int, int] = {}
-            files = [name for name in names[::2] if name not in hostile]
-            for k, name in enumerate(PHASES):
-                end = start + round((k + 1) * phase_s * TICKS_PER_SECOND)
-                await _probe(roster, plans, place, files, end, k, changes, done)
-                marks.append(_usage(director.pid))
-                done.phases[name].rss_mb = marks[-1][1]
+            file_reporters = [name for name in names[::2] if name not in hostile]
+            for index, name in enumerate(PHASES):
+                end = start + round((index + 1) * phase_s * TICKS_PER_SECOND)
+                await _change_endpoint_list(
+                    roster, plans, controller_folder, file_reporters, end, index, changes, report
+                )
+                usages.append(_usage(controller.pid))
+                report.phases[name].rss_mb = usages[-1][1]
                 say(f"{name}: {len(changes)} changes so far")
-            done.cpu_s = marks[-1][0] - marks[0][0]
-            done.faults += _check(place, names, hostile)
+            report.cpu_s = usages[-1][0] - usages[0][0]
+            report.failures += _check_outbound_folders(controller_folder, names, hostile)
         finally:
-            for process in [*reporters, director]:
+            for process in [*reporters, controller]:
                 process.terminate()
-            for process in [*reporters, director]:
+            for process in [*reporters, controller]:
                 process.wait()
             nursery.cancel_scope.cancel()
     roster.notes.flush()
-    _read(done, records, start, phase_s, changes, str(folder / "roster.notes"))
-    return done
+    _read_results(report, records, start, phase_s, changes, str(folder / "roster.notes"))
+    return report
 
 
 def _usage(pid: int) -> tuple[float, float]:
-    """Seconds of CPU and MB."""
+    """Returns the process's CPU time in seconds and its resident memory in MB."""
     parts = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     cpu = (int(parts[11]) + int(parts[12])) / os.sysconf("SC_CLK_TCK")
     return cpu, int(parts[21]) * os.sysconf("SC_PAGE_SIZE") / 1e6
 
 
-async def _probe(
-    roster: StandInRoster, plans: list[HostPlan], place: Path, names: list[str], end: int, k: int,
-    changes: dict[int, int], done: FloodReport,
+async def _change_endpoint_list(
+    roster: StandInRoster, plans: list[HostPlan], controller_folder: Path, names: list[str], end: int,
+    phase: int, changes: dict[int, int], report: FloodReport,
 ) -> None:  # fmt: skip
-    """The list changes ten times a second, and once in a phase a host drains, which must be kept in time."""
-    drained = plans[k + 1]
-    half, at = (monotonic_ticks() + end) // 2, 0
+    """Changes the endpoint list ten times a second, and checks that one endpoint is drained in time."""
+    drained = plans[phase + 1]
+    halfway, drained_at = (monotonic_ticks() + end) // 2, 0
     while monotonic_ticks() < end:
         entry = roster.entries[plans[0].id]
-        entry["Service"]["Meta"]["mark"] = str(len(changes))  # it means nothing to anybody
+        # ignored by all readers; it makes the entry differ
+        entry["Service"]["Meta"]["mark"] = str(len(changes))
         roster._set(plans[0].id, entry)
         changes[roster.index] = monotonic_ticks()
-        if monotonic_ticks() > half and not at:
-            at = monotonic_ticks()
+        if monotonic_ticks() > halfway and not drained_at:
+            drained_at = monotonic_ticks()
             roster._set(drained.id, roster.entry(drained, True, 0.0))
         await trio.sleep(0.1)
-    await trio.sleep(max(0.0, (at - monotonic_ticks()) / TICKS_PER_SECOND + 2.5))
-    late = [name for name in names if _sends_to(place, name, drained.id)]
+    await trio.sleep(max(0.0, (drained_at - monotonic_ticks()) / TICKS_PER_SECOND + 2.5))
+    late = [name for name in names if _sends_to(controller_folder, name, drained.id)]
     if late:
-        done.faults.append(f"{len(late)} proxies send to {drained.id} 2.5 s after it began to drain (rule 3)")
+        report.failures.append(
+            f"{len(late)} proxies send to {drained.id} 2.5 s after it began to drain (rule 3)"
+        )
 
 
-def _sends_to(place: Path, name: str, host: str) -> bool:
+def _sends_to(controller_folder: Path, name: str, host: str) -> bool:
     try:
-        rows = tables.read_tables(read_group(str(place / OUTBOUND_FOLDER / name))[1]["eds.json"])[1]
+        assignments = tables.read_tables(
+            read_group(str(controller_folder / OUTBOUND_FOLDER / name))[1]["eds.json"]
+        )[1]
     except (OSError, MessageFormatError, KeyError):
         return False
-    return any(line[0] == host and not line[5] for table in rows for line in tables.lines(table))
+    return any(line[0] == host and not line[5] for table in assignments for line in tables.lines(table))
 
 
-def _check(place: Path, names: list[str], hostile: list[str]) -> list[str]:
-    """By what lies in the folders: nobody who reports was given up, and every table has hosts (rule 1)."""
-    found = []
+def _check_outbound_folders(controller_folder: Path, names: list[str], hostile: list[str]) -> list[str]:
+    """Checks in the outbound folders that no reporter was dropped and every table has endpoints (rule 1)."""
+    failures = []
     for name in names[::2]:
         if name in hostile:
             continue
         try:
-            _, files = read_group(str(place / OUTBOUND_FOLDER / name))
-            rows = tables.read_tables(files["eds.json"])[1]
-            if not rows or any(not tables.lines(table) for table in rows):
-                found.append(f"{name} has a table without a host")
-        except (OSError, MessageFormatError, KeyError) as fault:
-            found.append(f"{name} has no tables: {fault}")
-    return found[:5]
+            _, files = read_group(str(controller_folder / OUTBOUND_FOLDER / name))
+            assignments = tables.read_tables(files["eds.json"])[1]
+            if not assignments or any(not tables.lines(table) for table in assignments):
+                failures.append(f"{name} has a table without an endpoint")
+        except (OSError, MessageFormatError, KeyError) as error:
+            failures.append(f"{name} has no tables: {error}")
+    return failures[:5]
 
 
-def _read(
-    done: FloodReport, records: str, start: int, phase_s: float, changes: dict[int, int], notes_of_roster: str
+def _read_results(
+    report: FloodReport, records: str, start: int, phase_s: float, changes: dict[int, int], discovery_log: str
 ) -> None:
-    """The director's own count of reports, by phase; and whether its queue kept its limit."""
-    rows = list(read_records(records))
-    offset = 100_000 * TICKS_PER_SECOND  # of its clock beside the machine's
-    notes = [row for row in rows if row["kind"] == "intake"]
-    # the lists that the roster gave, in order, are those that the director decided on, after its own last one
-    given = [row["index"] for row in read_notes(notes_of_roster) if row["kind"] == "listed"]
-    decided = [row["t"] - offset for row in rows if row["kind"] == "list"][1:]
-    for number, at in changes.items():
-        k = next((k for k, index in enumerate(given) if index >= number), len(given))
-        phase = done.phases[
-            PHASES[min(max(0, int((at - start) / TICKS_PER_SECOND / phase_s)), len(PHASES) - 1)]
+    """Reads the controller's report counters by phase, and checks that its queue kept its limit."""
+    all_records = list(read_records(records))
+    offset = 100_000 * TICKS_PER_SECOND  # of the controller's clock relative to the machine's
+    intake_records = [row for row in all_records if row["kind"] == "intake"]
+    # The controller decides on the lists that service discovery served in their order; its first list is
+    # not among them.
+    served_indexes = [row["index"] for row in read_notes(discovery_log) if row["kind"] == "listed"]
+    decided_at = [row["t"] - offset for row in all_records if row["kind"] == "list"][1:]
+    for number, changed_at in changes.items():
+        position = next(
+            (position for position, index in enumerate(served_indexes) if index >= number),
+            len(served_indexes),
+        )
+        phase = report.phases[
+            PHASES[min(max(0, int((changed_at - start) / TICKS_PER_SECOND / phase_s)), len(PHASES) - 1)]
         ]
-        if k >= len(decided):
-            done.faults.append(f"change {number} was never decided on")
+        if position >= len(decided_at):
+            report.failures.append(f"no decision on change {number}")
         else:
-            phase.delays_ms.append((decided[k] - at) / 10)
-    for k, phase in enumerate(done.phases.values()):
-        since = start + offset + round(k * phase_s * TICKS_PER_SECOND)
-        inside = [row for row in notes if since <= row["t"] < since + phase_s * TICKS_PER_SECOND]
-        if len(inside) < 2:
+            phase.delays_ms.append((decided_at[position] - changed_at) / 10)
+    for position, phase in enumerate(report.phases.values()):
+        since = start + offset + round(position * phase_s * TICKS_PER_SECOND)
+        in_phase = [row for row in intake_records if since <= row["t"] < since + phase_s * TICKS_PER_SECOND]
+        if len(in_phase) < 2:
             continue
-        a, b = inside[0], inside[-1]
-        scale = phase_s * TICKS_PER_SECOND / (b["t"] - a["t"])
+        first, last = in_phase[0], in_phase[-1]
+        scale = phase_s * TICKS_PER_SECOND / (last["t"] - first["t"])
         for name in ("looked_at", "came", "dropped", "spent_us", "handed"):
-            setattr(phase, name, round((b[name] - a[name]) * scale))
-        phase.waiting, phase.bytes = max(r["waiting"] for r in inside), max(r["bytes"] for r in inside)
-        phase.interval_ms = b["interval"] / 10
-    done.quarantined = len({row["proxy"] for row in rows if row["kind"] == "quarantined"})
-    most = json.loads(Path(records.replace(".records", ".json")).read_text())["channel"]["most_waiting_lines"]
-    over = [row for row in rows if row["kind"] == "queue" and row["waiting"] > most]
+            setattr(phase, name, round((last[name] - first[name]) * scale))
+        phase.waiting, phase.bytes = max(r["waiting"] for r in in_phase), max(r["bytes"] for r in in_phase)
+        phase.interval_ms = last["interval"] / 10
+    report.quarantined = len({row["proxy"] for row in all_records if row["kind"] == "quarantined"})
+    queue_limit = json.loads(Path(records.replace(".records", ".json")).read_text())["channel"][
+        "most_waiting_lines"
+    ]
+    over = [row for row in all_records if row["kind"] == "queue" and row["waiting"] > queue_limit]
     if over:
-        done.faults.append(f"the queue was over its limit {len(over)} times")
+        report.failures.append(f"the queue exceeded its limit {len(over)} times")
--- a/willowhook/trial/fuzz.py
+++ b/willowhook/trial/fuzz.py
@@ -1,7 +1,7 @@
-"""Malformed HTTP and JSON, without end, at a real director's front: no crash, no hang, no growth.
+"""Fuzzes the HTTP front of a real controller with malformed HTTP and JSON: no crash, hang or memory growth.
 
-Each input is a sound call that was cut, doubled, flipped, stuffed or mixed with another.  A sound proxy goes
-on beside them and must be served after every thousand.
+Each input is a valid request that was truncated, duplicated, bit-flipped, padded or mixed with another.
+After every thousand inputs a well-behaved proxy must still be served.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 from ..xds import forms
 from ..xds.codec import encode
 from .day import draw, terms_of
-from .herd import TABLES_PATH, OnDemand, Silent
+from .herd import TABLES_PATH, OnDemandDecider, SilentLog
 from .notes import Notes
 from .standin_link import token
 from .standin_roster import StandInRoster
 
-AT_ONCE = 24
+CONCURRENT_INPUTS = 24
 PATHS = (
     b"/v3/discovery:endpoints", b"/v3/discovery:clusters", b"/v3/discovery:routes", TABLES_PATH,
     b"/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats", b"/", b"*", b"//x?y#z",
@@ -38,19 +38,21 @@
 
 @dataclass
 class FuzzReport:
+    """Responses by status, hung requests and memory use of one run."""
+
     inputs: int
     seconds: float = 0.0
     by_status: dict[str, int] = field(default_factory=dict)
-    hung: int = 0  # that had neither an answer nor an end within the time
-    rss_mb: tuple[float, float] = (0.0, 0.0)  # after a tenth, at the end
-    checks: int = 0  # times that the sound proxy was served
+    hung: int = 0  # requests with neither a response nor a closed connection within the time limit
+    rss_mb: tuple[float, float] = (0.0, 0.0)  # after a tenth of the inputs, and at the end
+    checks: int = 0  # times that the well-behaved proxy was served
 
     def lines(self) -> list[str]:
         rows = ", ".join(f"{name} {count}" for name, count in sorted(self.by_status.items()))
         return [
             f"{self.inputs} inputs in {self.seconds:.0f} s: {rows}",
             f"{self.hung} hung; {self.rss_mb[0]:.0f} MB after a tenth, {self.rss_mb[1]:.0f} MB at the end; "
-            f"the sound proxy was served {self.checks} times",
+            f"the well-behaved proxy was served {self.checks} times",
         ]
 
     @property
@@ -58,8 +60,8 @@
         return not self.hung and self.checks > 0 and self.rss_mb[1] < self.rss_mb[0] * 1.3 + 10
 
 
-def sound(chance: random.Random, name: str) -> tuple[bytes, bytes]:
-    """A head and a body that a proxy might send."""
+def valid_request(generator: random.Random, name: str) -> tuple[bytes, bytes]:
+    """Returns the header and the body of a request that a proxy might send."""
     node = forms.Node(name, "calls", forms.Locality(zone="norte"), {"term": 1, "director": "director-0"})
     bodies = [
         encode(forms.DiscoveryRequest("1.1", node, ["a"], forms.ASSIGNMENT, "1.1", forms.Status(3, "no"))),
@@ -67,45 +69,49 @@
         encode(forms.LoadStatsRequest(node, [forms.ClusterStats("load@t", load_report_interval="1s")])),
         encode(forms.DiscoveryRequest(node=forms.Node(name, metadata={"term": 1, "holds": [{"a": 1}] * 3}))),
     ]
-    body = chance.choice(bodies)
-    lines = [
-        b"POST " + chance.choice(PATHS) + b" HTTP/1.1", b"host: a", b"authorization: Bearer " + token(name),
-        b"accept-encoding: " + chance.choice([b"gzip", b"zstd;q=0.5, *", b"", b";;;", b"," * 200]),
+    body = generator.choice(bodies)
+    header_lines = [
+        b"POST " + generator.choice(PATHS) + b" HTTP/1.1", b"host: a",
+        b"authorization: Bearer " + token(name),
+        b"accept-encoding: " + generator.choice([b"gzip", b"zstd;q=0.5, *", b"", b";;;", b"," * 200]),
         b"content-length: %d" % len(body),
     ]  # fmt: skip
-    return b"\r\n".join(lines) + b"\r\n\r\n", body
-
-
-def spoiled(chance: random.Random) -> bytes:
-    name = chance.choice(["p1", "p2", "nobody", "p1" * 40, "../p1"])
-    head, body = sound(chance, name)
-    data = bytearray(head + body)
-    for _ in range(chance.randint(1, 4)):
-        at = chance.randrange(len(data) + 1) if chance.random() < 0.7 else len(head) - 2
-        way = chance.randrange(9)
-        if way == 0 and data:
-            data[at % len(data)] ^= 1 << chance.randrange(8)
-        elif way == 1:
-            del data[at:]
-        elif way == 2:
-            data[at:at] = chance.randbytes(chance.randint(1, 40))
-        elif way == 3:
-            data[at:at] = chance.choice(
+    return b"\r\n".join(header_lines) + b"\r\n\r\n", body
+
+
+def malformed_request(generator: random.Random) -> bytes:
+    """Returns a valid request with one to four random mutations."""
+    name = generator.choice(["p1", "p2", "nobody", "p1" * 40, "../p1"])
+    header, body = valid_request(generator, name)
+    data = bytearray(header + body)
+    for _ in range(generator.randint(1, 4)):
+        position = generator.randrange(len(data) + 1) if generator.random() < 0.7 else len(header) - 2
+        mutation = generator.randrange(9)
+        if mutation == 0 and data:
+            data[position % len(data)] ^= 1 << generator.randrange(8)
+        elif mutation == 1:
+            del data[position:]
+        elif mutation == 2:
+            data[position:position] = generator.randbytes(generator.randint(1, 40))
+        elif mutation == 3:
+            data[position:position] = generator.choice(
                 [b"[" * 3000, b'{"a":' * 2000, b'"' + b"x" * 5000, b"\x00", b"\xff\xfe"]
             )
-        elif way == 4:
-            data[at:at] = chance.choice([b"1e999", b"-0", b"9" * 400, b"NaN", b"null", b"true", b'"\\ud800"'])
-        elif way == 5:
-            data += b"".join(sound(chance, "p2"))
-        elif way == 6:
-            data[at:at] = chance.choice(
+        elif mutation == 4:
+            data[position:position] = generator.choice(
+                [b"1e999", b"-0", b"9" * 400, b"NaN", b"null", b"true", b'"\\ud800"']
+            )
+        elif mutation == 5:
+            data += b"".join(valid_request(generator, "p2"))
+        elif mutation == 6:
+            data[position:position] = generator.choice(
                 [b"transfer-encoding: chunked\r\n", b"content-length: 5\r\n", b"\r\n"]
             )
-        elif way == 7:
-            data[at:at] = data[: chance.randrange(len(data) + 1)]
+        elif mutation == 7:
+            data[position:position] = data[: generator.randrange(len(data) + 1)]
         elif len(data) > 10:
-            one, other = sorted((chance.randrange(len(data)), chance.randrange(len(data))))
-            del data[one:other]
+            start, end = sorted((generator.randrange(len(data)), generator.randrange(len(data))))
+            del data[start:end]
     return bytes(data)
 
 
@@ -117,18 +123,22 @@
         day.channel, lines_per_s=1e6, most_waiting_lines=1e6, messages_most=0
     )
 
-    async def one(port: int, data: bytes, cut: bool) -> None:
+    async def send_input(port: int, data: bytes, send_eof: bool) -> None:
         status = "closed"
         with trio.move_on_after(8.0) as limit:
             try:
                 stream = await trio.open_tcp_stream("127.0.0.1", port)
                 async with stream:
                     await stream.send_all(data)
-                    if cut:
+                    if send_eof:
                         await stream.send_eof()
-                    got = await stream.receive_some(4096)
-                    if got:
-                        status = got[9:12].decode("latin-1") if got.startswith(b"HTTP/1.1 ") else "no HTTP"
+                    response = await stream.receive_some(4096)
+                    if response:
+                        status = (
+                            response[9:12].decode("latin-1")
+                            if response.startswith(b"HTTP/1.1 ")
+                            else "no HTTP"
+                        )
             except (trio.BrokenResourceError, OSError):
                 status = "broken off"
         if limit.cancelled_caught:
@@ -136,51 +146,56 @@
             report.hung += 1
         report.by_status[status] = report.by_status.get(status, 0) + 1
 
-    async def served(service: Service, term: int) -> None:
-        """The sound proxy, in a stay of its own."""
+    async def check_served(service: Service, term: int) -> None:
+        """Serves the well-behaved proxy once, in a new session."""
         node = forms.Node(
             "sound", "calls", forms.Locality(zone="norte"), {"term": term, "director": "director-0"}
         )
-        caller = await open_connection("127.0.0.1", service.discovery_port)
-        head = [(b"authorization", b"Bearer " + token("sound"))]
-        asked = encode(forms.DeltaDiscoveryRequest(node, forms.ASSIGNMENT))
+        connection = await open_connection("127.0.0.1", service.discovery_port)
+        headers = [(b"authorization", b"Bearer " + token("sound"))]
+        request = encode(forms.DeltaDiscoveryRequest(node, forms.ASSIGNMENT))
         with trio.fail_after(10):
-            while (await caller.request(b"POST", TABLES_PATH, head, asked)).status != 200:
-                asked = encode(forms.DeltaDiscoveryRequest(type_url=forms.ASSIGNMENT))
-        await caller.close()
+            while (await connection.request(b"POST", TABLES_PATH, headers, request)).status != 200:
+                request = encode(forms.DeltaDiscoveryRequest(type_url=forms.ASSIGNMENT))
+        await connection.close()
         report.checks += 1
 
     async def run() -> None:
         roster = StandInRoster(Notes(str(folder / "roster.notes")), 0.0)
-        for k, plan in enumerate(day.hosts):
-            plan.port = 20_000 + k
+        for index, plan in enumerate(day.hosts):
+            plan.port = 20_000 + index
             roster.show(plan)
         async with trio.open_nursery() as nursery:
             await nursery.start(roster.run)
-            sums = {n: hashlib.sha256(token(n)).hexdigest() for n in ("p1", "p2", "sound")}
-            (folder / "credentials.json").write_bytes(msgspec.json.encode({"proxies": sums}))
+            token_hashes = {name: hashlib.sha256(token(name)).hexdigest() for name in ("p1", "p2", "sound")}
+            (folder / "credentials.json").write_bytes(msgspec.json.encode({"proxies": token_hashes}))
             terms = terms_of(day, 0, str(folder / "d"), f"http://127.0.0.1:{roster.port}", "")
             front = FrontTerms(
                 listen="127.0.0.1:0", credentials=str(folder / "credentials.json"), wait_ms=100,
                 header_ms=300, idle_ms=500, asks_per_s=10_000, asks_burst=10_000, proxy_connections_most=100,
             )  # fmt: skip
             terms = msgspec.structs.replace(terms, front=front)
-            service = Service(terms, decider=partial(OnDemand, bool))
-            service.log = Silent()
+            service = Service(terms, decider=partial(OnDemandDecider, bool))
+            service.log = SilentLog()
             await nursery.start(service.run)
-            chance, began, early = random.Random(seed), time.perf_counter(), 0.0
-            for k in range(0, inputs, AT_ONCE):
-                async with trio.open_nursery() as some:
-                    for _ in range(min(AT_ONCE, inputs - k)):
-                        some.start_soon(one, service.discovery_port, spoiled(chance), chance.random() < 0.9)
-                if not early and k >= inputs / 10:
-                    early = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
-                if k // 1000 != (k - AT_ONCE) // 1000:
-                    await served(service, k + 1)
-            report.seconds = time.perf_counter() - began
-            report.rss_mb = (early, resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024)
+            generator, started_at, early_rss_mb = random.Random(seed), time.perf_counter(), 0.0
+            for index in range(0, inputs, CONCURRENT_INPUTS):
+                async with trio.open_nursery() as batch:
+                    for _ in range(min(CONCURRENT_INPUTS, inputs - index)):
+                        batch.start_soon(
+                            send_input,
+                            service.discovery_port,
+                            malformed_request(generator),
+                            generator.random() < 0.9,
+                        )
+                if not early_rss_mb and index >= inputs / 10:
+                    early_rss_mb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
+                if index // 1000 != (index - CONCURRENT_INPUTS) // 1000:
+                    await check_served(service, index + 1)
+            report.seconds = time.perf_counter() - started_at
+            report.rss_mb = (early_rss_mb, resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024)
             nursery.cancel_scope.cancel()
 
-    OnDemand.go = 0
+    OnDemandDecider.requested_change = 0
     trio.run(run)
     return report
--- a/willowhook/trial/kills.py
+++ b/willowhook/trial/kills.py
@@ -1,4 +1,4 @@
-"""A program that commits and compacts is killed, over and over: nothing acknowledged is lost."""
+"""Kills a program that commits and compacts repeatedly, and checks that no acknowledged record is lost."""
 
 from __future__ import annotations
 
@@ -18,31 +18,31 @@
 from ..store.commit import Committer
 from ..store.store import DEBUG, OUTCOMES, Op, Store
 
-WRITERS = 24
+WRITER_COUNT = 24
 
 
 def value_of(key: str, count: int) -> bytes:
-    """So that what is read says itself whether it was ever written."""
+    """A value that encodes its key and count, so that a reader can tell whether it was ever written."""
     return f"{key} {count} ".encode() * (1 + count % 9)
 
 
-def write_on(folder: str) -> None:
-    """The main of the program that is killed: says on its output what was acknowledged."""
+def run_writer(folder: str) -> None:
+    """Main function of the program that is killed; it prints attempted and acknowledged writes."""
     store = Store(folder, segment_bytes=20_000, ranks={"debug": DEBUG, "outcomes": OUTCOMES})
     committer = Committer(store)
-    out = os.fdopen(1, "wb", buffering=0)
+    output = os.fdopen(1, "wb", buffering=0)
 
-    async def one(k: int) -> None:
-        key, space = f"k{k}", ("debug", "orders", "outcomes")[k % 3]
+    async def write_repeatedly(index: int) -> None:
+        key, space = f"k{index}", ("debug", "orders", "outcomes")[index % 3]
         entry = store.get(space, key)
         count = int(entry.value.split()[1]) if entry is not None else 0
         while True:
             count += 1
-            out.write(b"try %s %s %d\n" % (space.encode(), key.encode(), count))
+            output.write(b"try %s %s %d\n" % (space.encode(), key.encode(), count))
             await committer.commit([Op(space, key, count, value_of(key, count))])
-            out.write(b"ok %s %s %d\n" % (space.encode(), key.encode(), count))
+            output.write(b"ok %s %s %d\n" % (space.encode(), key.encode(), count))
 
-    async def tidy() -> None:
+    async def compact_repeatedly() -> None:
         while True:
             await trio.sleep(0.01)
             for _ in store.compact(2000):
@@ -51,15 +51,17 @@
     async def run() -> None:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(committer.run)
-            nursery.start_soon(tidy)
-            for k in range(WRITERS):
-                nursery.start_soon(one, k)
+            nursery.start_soon(compact_repeatedly)
+            for index in range(WRITER_COUNT):
+                nursery.start_soon(write_repeatedly, index)
 
     trio.run(run)
 
 
 @dataclass
 class KillReport:
+    """Counts, recovery times and wrong records of one run."""
+
     kills: int = 0
     acknowledged: int = 0
     seconds: float = 0.0
@@ -71,7 +73,7 @@
         return [
             f"{self.kills} kills, {self.acknowledged} acknowledged records, in {self.seconds:.0f} s; "
             f"recovery median {ranked[len(ranked) // 2]:.1f} ms, at most {ranked[-1]:.1f} ms",
-            f"{len(self.wrong)} lost or invented",
+            f"{len(self.wrong)} lost or never written",
             *self.wrong[:8],
         ]
 
@@ -81,51 +83,52 @@
 
 
 def run_kills(folder: Path, count: int, seed: int, say: Callable[[str], None]) -> KillReport:
-    report, chance, began = KillReport(), random.Random(seed), time.perf_counter()
-    acked: dict[tuple[str, str], int] = {}
-    tried: dict[tuple[str, str], int] = {}
-    code = f"from willowhook.trial.kills import write_on; write_on({str(folder / 's')!r})"
+    report, generator, started_at = KillReport(), random.Random(seed), time.perf_counter()
+    acknowledged: dict[tuple[str, str], int] = {}
+    attempted: dict[tuple[str, str], int] = {}
+    code = f"from willowhook.trial.kills import run_writer; run_writer({str(folder / 's')!r})"
     for _ in range(count):
         process = subprocess.Popen([sys.executable, "-c", code], stdout=subprocess.PIPE)
         assert process.stdout is not None
         data, end = b"", 0.0
-        lives = chance.uniform(0.0, 0.12)
+        lifetime_s = generator.uniform(0.0, 0.12)
         while not end or time.perf_counter() < end:
             ready, _, _ = select.select([process.stdout], [], [], 0.005 if end else 10)
             if ready:
                 data += os.read(process.stdout.fileno(), 1 << 16)
-                end = end or time.perf_counter() + lives
+                end = end or time.perf_counter() + lifetime_s
         process.send_signal(signal.SIGKILL)
         data += process.stdout.read()
         process.wait()
         process.stdout.close()
         report.kills += 1
         for line in data.split(b"\n")[:-1]:
-            what, space, key, number = line.decode().split()
-            book = acked if what == "ok" else tried
-            book[space, key] = max(book.get((space, key), 0), int(number))
-            report.acknowledged += what == "ok"
-        _look(folder, report, acked, tried)
-    report.seconds = time.perf_counter() - began
+            event, space, key, number = line.decode().split()
+            counts = acknowledged if event == "ok" else attempted
+            counts[space, key] = max(counts.get((space, key), 0), int(number))
+            report.acknowledged += event == "ok"
+        _check_store(folder, report, acknowledged, attempted)
+    report.seconds = time.perf_counter() - started_at
     return report
 
 
-def _look(
-    folder: Path, report: KillReport, acked: dict[tuple[str, str], int], tried: dict[tuple[str, str], int]
+def _check_store(
+    folder: Path, report: KillReport, acknowledged: dict[tuple[str, str], int],
+    attempted: dict[tuple[str, str], int]
 ) -> None:  # fmt: skip
-    at = time.perf_counter()
+    started_at = time.perf_counter()
     store = Store(str(folder / "s"))
-    report.recover_ms.append((time.perf_counter() - at) * 1000)
-    what = f"after kill {report.kills}"
-    report.wrong += [f"{what}: {row.describe()}" for row in store.recovery.corruptions]
-    for (space, key), number in acked.items():
+    report.recover_ms.append((time.perf_counter() - started_at) * 1000)
+    description = f"after kill {report.kills}"
+    report.wrong += [f"{description}: {row.describe()}" for row in store.recovery.corruptions]
+    for (space, key), number in acknowledged.items():
         entry = store.get(space, key)
         count = int(entry.value.split()[1]) if entry is not None else 0
         if count < number:
-            report.wrong.append(f"{what}: {space} {key} {number} was acknowledged, {count} is there")
+            report.wrong.append(f"{description}: {space} {key} {number} was acknowledged, {count} is there")
     for space, rows in store.state.items():
         for key, entry in rows.items():
             count = int(entry.value.split()[1])
-            if count > tried.get((space, key), 0) or entry.value != value_of(key, count):
-                report.wrong.append(f"{what}: {space} {key} {count} was never written")
+            if count > attempted.get((space, key), 0) or entry.value != value_of(key, count):
+                report.wrong.append(f"{description}: {space} {key} {count} was never written")
     store.close()
--- a/willowhook/trial/nginx_check.py
+++ b/willowhook/trial/nginx_check.py
@@ -1,5 +1,7 @@
-"""Checks of the nginx reader at length: the matcher beside a reading of the rules one by one, lists beside
-the search, and mutated samples.  In memory, no sockets.
+"""Randomized checks of the nginx reader, in memory.
+
+The location matcher is compared with a brute-force reading of the published rules, the flattened route lists
+with the location search, and mutated samples are parsed.
 """
 
 from __future__ import annotations
@@ -23,16 +25,16 @@
          "weight=-1", "~", "=", "^~", "(", "\x00", "\u00e9", "proxy_pass", "*", "100%"]  # fmt: skip
 
 
-def brute(rows: list[Location], uri: str) -> tuple[Location | None, bool]:
-    """The published rules, read one by one over all locations; and whether the search is over."""
-    for row in rows:
-        if row.kind == "=" and row.pattern == uri:
-            return row, True
+def brute(locations: list[Location], uri: str) -> tuple[Location | None, bool]:
+    """Applies the published rules one by one to all locations; also returns whether the search is over."""
+    for location in locations:
+        if location.kind == "=" and location.pattern == uri:
+            return location, True
     chosen: Location | None = None
-    for row in rows:
-        longer = chosen is None or len(row.pattern) > len(chosen.pattern)
-        if row.kind in ("", "^~") and uri.startswith(row.pattern) and longer:
-            chosen = row
+    for location in locations:
+        longer = chosen is None or len(location.pattern) > len(chosen.pattern)
+        if location.kind in ("", "^~") and uri.startswith(location.pattern) and longer:
+            chosen = location
     remembered = chosen
     if chosen is not None:
         deeper, over = brute(chosen.inner, uri)
@@ -40,92 +42,95 @@
             return deeper, True
         remembered = deeper or chosen
     if chosen is None or chosen.kind != "^~":
-        for row in rows:
-            if row.kind in ("~", "~*"):
-                flags = re.IGNORECASE if row.kind == "~*" else 0
-                if re.search(row.pattern.replace("(?<", "(?P<"), uri, flags):
-                    return brute(row.inner, uri)[0] or row, True
+        for location in locations:
+            if location.kind in ("~", "~*"):
+                flags = re.IGNORECASE if location.kind == "~*" else 0
+                if re.search(location.pattern.replace("(?<", "(?P<"), uri, flags):
+                    return brute(location.inner, uri)[0] or location, True
     return remembered, False
 
 
-def block(chance: random.Random, within: str, depth: int, body: str = "") -> str:
-    """Locations by chance, nested as far as `depth`."""
-    rows, seen = [], set[tuple[str, str]]()
-    for _ in range(chance.randint(1, 5)):
-        kind = chance.choice(["=", "^~", "", "", "~", "~*"])
+def random_locations(generator: random.Random, within: str, depth: int, body: str = "") -> str:
+    """Draws random locations, nested up to `depth` levels."""
+    locations, seen = [], set[tuple[str, str]]()
+    for _ in range(generator.randint(1, 5)):
+        kind = generator.choice(["=", "^~", "", "", "~", "~*"])
         if kind in ("~", "~*"):
-            pattern = chance.choice(EXPRESSIONS)
+            pattern = generator.choice(EXPRESSIONS)
         else:
-            pattern = within + "".join(chance.choice(PIECES) for _ in range(chance.randint(0, 3)))
+            pattern = within + "".join(generator.choice(PIECES) for _ in range(generator.randint(0, 3)))
         key = ("p" if kind in ("", "^~") else kind, pattern)
         if key in seen or not pattern:
             continue
         seen.add(key)
         inner = ""
-        if depth and kind != "=" and chance.random() < 0.4:
-            inner = block(chance, pattern if kind in ("", "^~") else "", depth - 1, body)
-        rows.append(f"location {kind} {pattern} {{ {body} {inner} }}")
-    return " ".join(rows)
+        if depth and kind != "=" and generator.random() < 0.4:
+            inner = random_locations(generator, pattern if kind in ("", "^~") else "", depth - 1, body)
+        locations.append(f"location {kind} {pattern} {{ {body} {inner} }}")
+    return " ".join(locations)
 
 
-def a_uri(chance: random.Random) -> str:
-    return "/" + "".join(chance.choice(PIECES) for _ in range(chance.randint(0, 5)))
+def random_uri(generator: random.Random) -> str:
+    """Draws a URI of up to five pieces."""
+    return "/" + "".join(generator.choice(PIECES) for _ in range(generator.randint(0, 5)))
 
 
 def check_matcher(uris: int, seed: int = 5) -> tuple[int, list[str]]:
-    """URIs asked of the matcher and of the brute reading, fifty a configuration; where they differ."""
-    chance, count, found = random.Random(seed), 0, list[str]()
+    """Compares matcher and brute-force reading, fifty URIs per configuration; returns the differences."""
+    generator, count, differences = random.Random(seed), 0, list[str]()
     while count < uris:
-        text = block(chance, "/", 2)
-        rows = read_all(parse(text))
-        matcher = Matcher(rows)
+        text = random_locations(generator, "/", 2)
+        locations = read_all(parse(text))
+        matcher = Matcher(locations)
         for _ in range(min(50, uris - count)):
-            uri = a_uri(chance)
+            uri = random_uri(generator)
             count += 1
-            if matcher.find(uri) is not brute(rows, uri)[0]:
-                found.append(f"{uri}: {text}")
-    return count, found
+            if matcher.find(uri) is not brute(locations, uri)[0]:
+                differences.append(f"{uri}: {text}")
+    return count, differences
 
 
 @dataclass(slots=True)
 class ListCheck:
-    """How often the flat list says other than the search, and whether the import told of it."""
+    """How often the flattened list differs from the search, and whether the import reported it."""
 
     uris: int = 0
     differ: int = 0
     unreported: list[str] = field(default_factory=list)
     configs: int = 0
-    told_in: int = 0  # configurations
+    configs_with_notes: int = 0  # configurations with a reported difference
 
 
 def check_lists(uris: int, seed: int = 9) -> ListCheck:
-    """Random URIs, none of them those by which the import checks itself."""
-    chance, made = random.Random(seed), ListCheck()
-    while made.uris < uris:
-        rows = parse(f"server {{ {block(chance, '/', 2, 'return 204;')} }}")
-        setup = Setup(rows)
+    """Compares list and search for random URIs, which are not those of the import's own check."""
+    generator, check = random.Random(seed), ListCheck()
+    while check.uris < uris:
+        directives = parse(f"server {{ {random_locations(generator, '/', 2, 'return 204;')} }}")
+        setup = Setup(directives)
         plan = Plan(setup, Asked())
         site = setup.sites[0]
-        flat = FirstMatch(Flattener(site).entries())
-        made.configs += 1
-        made.told_in += any(what != CARRIED for what, _ in plan.notes.values())
-        for _ in range(min(50, uris - made.uris)):
-            uri = a_uri(chance)
-            made.uris += 1
-            place, entry = site.place(uri), flat.find(uri)
-            here = entry.place.location.directive if entry is not None else None
-            if place is None or place.location.directive is here:
+        first_match = FirstMatch(Flattener(site).entries())
+        check.configs += 1
+        check.configs_with_notes += any(what != CARRIED for what, _ in plan.notes.values())
+        for _ in range(min(50, uris - check.uris)):
+            uri = random_uri(generator)
+            check.uris += 1
+            place, entry = site.place(uri), first_match.find(uri)
+            listed_directive = entry.place.location.directive if entry is not None else None
+            if place is None or place.location.directive is listed_directive:
                 continue
-            made.differ += 1
+            check.differ += 1
             if plan.notes.get(id(place.location.directive), (CARRIED, ""))[0] == CARRIED:
-                made.unreported.append(f"{uri}: {place.location}")
-    return made
+                check.unreported.append(f"{uri}: {place.location}")
+    return check
 
 
 @dataclass(slots=True)
 class MutationCheck:
+    """How mutated samples were parsed, and which made the reader fail."""
+
     inputs: int = 0
-    parsed: int = 0  # the rest was told of with place and cause
+    parsed: int = 0  # the others were rejected with place and cause
     directives: int = 0
     unaccounted: list[str] = field(default_factory=list)
     crashes: list[str] = field(default_factory=list)
@@ -133,36 +138,36 @@
 
 
 def check_mutated_samples(inputs: int, seed: int = 3) -> MutationCheck:
-    """Samples with pieces put in, taken out and swapped: each is read with a verdict each, or told of."""
-    chance, made, corpus = random.Random(seed), MutationCheck(), load_samples()
+    """Parses mutated samples: each gets a verdict per directive, or is rejected with place and cause."""
+    generator, check, corpus = random.Random(seed), MutationCheck(), load_samples()
     for _ in range(inputs):
-        sample = chance.choice(corpus)
+        sample = generator.choice(corpus)
         text = sample.text
-        for _ in range(chance.randint(1, 4)):
-            at = chance.randrange(len(text) + 1)
-            piece = chance.choice(NOISE)
-            if chance.random() < 0.3:
-                other = chance.choice(corpus).text
-                start = chance.randrange(len(other))
-                piece = other[start : start + chance.randint(1, 60)]
-            text = text[:at] + piece + text[at + chance.choice((0, 0, 1, 5)) :]
-        made.inputs += 1
-        began = time.perf_counter()
+        for _ in range(generator.randint(1, 4)):
+            position = generator.randrange(len(text) + 1)
+            piece = generator.choice(NOISE)
+            if generator.random() < 0.3:
+                other = generator.choice(corpus).text
+                start = generator.randrange(len(other))
+                piece = other[start : start + generator.randint(1, 60)]
+            text = text[:position] + piece + text[position + generator.choice((0, 0, 1, 5)) :]
+        check.inputs += 1
+        started_at = time.perf_counter()
         try:
-            rows = parse(text)
-            found, _ = verdicts(rows, sample.asked)
-        except SyntaxFault as fault:
-            if fault.place.line < 1 or fault.place.column < 1 or not fault.cause:
-                made.crashes.append(f"no place or cause: {text!r}")
+            directives = parse(text)
+            found_verdicts, _ = verdicts(directives, sample.asked)
+        except SyntaxFault as error:
+            if error.place.line < 1 or error.place.column < 1 or not error.cause:
+                check.crashes.append(f"no place or cause: {text!r}")
             continue
-        except Exception as fault:  # any other is what this looks for
-            made.crashes.append(f"{type(fault).__name__}: {fault}: {text!r}")
+        except Exception as error:  # any other exception is a defect
+            check.crashes.append(f"{type(error).__name__}: {error}: {text!r}")
             continue
         finally:
-            made.slowest_s = max(made.slowest_s, time.perf_counter() - began)
-        made.parsed += 1
-        walked = [id(each) for top in rows for each in top.walk()]
-        made.directives += len(walked)
-        if len(found) != len(walked):
-            made.unaccounted.append(text)
-    return made
+            check.slowest_s = max(check.slowest_s, time.perf_counter() - started_at)
+        check.parsed += 1
+        walked = [id(directive) for top_level in directives for directive in top_level.walk()]
+        check.directives += len(walked)
+        if len(found_verdicts) != len(walked):
+            check.unaccounted.append(text)
+    return check
--- a/willowhook/trial/nginx_director.py
+++ b/willowhook/trial/nginx_director.py
@@ -1,7 +1,7 @@
-"""A real director on what an import made: the catalogue's list, a stand-in proxy, hosts, and what calls meet.
+"""Runs a real controller on an imported nginx configuration, with a stand-in proxy and stand-in endpoints.
 
-Backups serve when the last primary drains or dies, and not before nor long after; shares follow the weights
-of the blocks; a path that was closed stays closed.  Loopback, processes of their own.
+Backups must serve only while the last primary drains or is dead; shares must follow the weights of the server
+blocks; a closed path must stay closed.  Everything runs on loopback, controller and proxy in own processes.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from ..nginx.verdicts import verdicts
 from ..web.wire import ConnectionLostError, open_connection
 from .day import ProxyPlan
-from .nginx_same import Hosts
+from .nginx_same import StandInEndpoints
 from .notes import Notes
 from .ports import PortReservations
 from .standin_proxy import DirectorPlace, ProxyOrders
@@ -47,37 +47,37 @@
 
 @dataclass
 class Observations:
-    """What calls met, by the name of each stretch of the day."""
+    """Endpoints and statuses that requests met, by the name of each part of the scenario."""
 
     hosts: dict[str, Counter[str]] = field(default_factory=dict)
     answers: dict[str, Counter[int]] = field(default_factory=dict)
-    waits: dict[str, float] = field(default_factory=dict)  # seconds until what was awaited came
-    faults: list[str] = field(default_factory=list)
-    guard: dict[str, int] = field(default_factory=dict)  # the guard's verdicts
+    waits: dict[str, float] = field(default_factory=dict)  # seconds until the awaited state was reached
+    failures: list[str] = field(default_factory=list)
+    guard_verdicts: dict[str, int] = field(default_factory=dict)  # verdicts of update validation
 
     @property
     def passed(self) -> bool:
-        return not self.faults
+        return not self.failures
 
     def lines(self) -> list[str]:
-        rows = [f"{name}: {dict(met.most_common())}" for name, met in self.hosts.items()]
-        rows += [f"{name}: after {wait:.2f} s" for name, wait in self.waits.items()]
-        return [*rows, f"guard: {self.guard}", *self.faults]
+        lines = [f"{name}: {dict(counts.most_common())}" for name, counts in self.hosts.items()]
+        lines += [f"{name}: after {wait:.2f} s" for name, wait in self.waits.items()]
+        return [*lines, f"update validation: {self.guard_verdicts}", *self.failures]
 
-    def want(self, what: bool, text: str) -> None:
-        if not what:
-            self.faults.append(text)
+    def expect(self, holds: bool, failure: str) -> None:
+        if not holds:
+            self.failures.append(failure)
 
 
-class DirectorDay:
-    """One director, one proxy, one process each; hosts, roster and calls are here."""
+class ImportedScenario:
+    """Runs a controller and a proxy as processes; endpoints, service discovery and clients run here."""
 
-    def __init__(self, folder: Path, seen: Observations) -> None:
+    def __init__(self, folder: Path, observations: Observations) -> None:
         folder.mkdir(parents=True, exist_ok=True)
-        self.folder, self.seen = folder, seen
-        self._count = 0
-        rows = parse(CONF, "day")
-        _, plan = verdicts(rows, Asked(mutating=("/submit-task",)))
+        self.folder, self.observations = folder, observations
+        self._request_count = 0
+        directives = parse(CONF, "day")
+        _, plan = verdicts(directives, Asked(mutating=("/submit-task",)))
         self.plan = plan
         self.terms: Terms = terms_of(plan, 4, str(folder / "director"), "http://127.0.0.1:1")
         self._processes: list[subprocess.Popen[bytes]] = []
@@ -85,7 +85,7 @@
     async def run(self) -> None:
         with PortReservations() as reservations, trio.CancelScope() as scope:
             async with trio.open_nursery() as nursery:
-                self.hosts = Hosts(nursery, reservations)
+                self.hosts = StandInEndpoints(nursery, reservations)
                 self.port = reservations.reserve()
                 for name in self.plan.hosts:
                     await self.hosts.start(name)
@@ -97,26 +97,31 @@
                     self.roster.entries[name] = entry
                 await nursery.start(self.roster.run)
                 try:
-                    await self._start()
-                    await self._play()
+                    await self._start_processes()
+                    await self._run_scenario()
                 finally:
                     for process in self._processes:
                         process.terminate()
                     for process in self._processes:
                         process.wait()
                 scope.cancel()
-        self._guard()
+        self._check_validation()
 
-    def _guard(self) -> None:
+    def _check_validation(self) -> None:
         with open(self.folder / "director.records", "rb") as file:
             for line in file:
-                row = json.loads(line)
-                if row.get("kind") == "guarded":
-                    self.seen.guard = row["counts"]
-        self.seen.want(self.seen.guard.get("passed", 0) > 0, "the guard passed nothing")
-        self.seen.want(not self.seen.guard.get("refused", 0), f"the guard refused: {self.seen.guard}")
+                record = json.loads(line)
+                if record.get("kind") == "guarded":
+                    self.observations.guard_verdicts = record["counts"]
+        self.observations.expect(
+            self.observations.guard_verdicts.get("passed", 0) > 0, "update validation passed no update"
+        )
+        self.observations.expect(
+            not self.observations.guard_verdicts.get("refused", 0),
+            f"update validation refused updates: {self.observations.guard_verdicts}",
+        )
 
-    async def _start(self) -> None:
+    async def _start_processes(self) -> None:
         replace = msgspec.structs.replace
         url = f"http://127.0.0.1:{self.roster.port}"
         roster = RosterTerms(url=url, service=self.terms.roster.service, wait_ms=4000, timeout_ms=1000)
@@ -125,7 +130,7 @@
         terms = replace(self.terms, roster=roster, rules=rules, records=records)
         path = self.folder / "director.json"
         path.write_bytes(msgspec.json.format(msgspec.json.encode(terms)))
-        log = open(self.folder / "log", "ab")  # noqa: SIM115 - of the processes
+        log = open(self.folder / "log", "ab")  # noqa: SIM115 - inherited by the processes
         command = [sys.executable, "-m", "willowhook.cli", "director", "--config", str(path)]
         self._processes.append(subprocess.Popen(command, stderr=log, stdout=subprocess.DEVNULL))
         lock = Path(terms.files.folder) / "lock"
@@ -133,15 +138,15 @@
             while not lock.exists():
                 await trio.sleep(0.05)
         place = DirectorPlace(terms.name, terms.files.folder, terms.zone)
-        first = [
+        endpoints = [
             (host.id, "127.0.0.1", self.hosts.ports[host.id], terms.zone) for host in self.plan.hosts.values()
         ]
-        orders = ProxyOrders(
-            [ProxyPlan("proxy-0", terms.zone, 1.0, self.port)], [place], first[:1], list(terms.routes),
+        settings = ProxyOrders(
+            [ProxyPlan("proxy-0", terms.zone, 1.0, self.port)], [place], endpoints[:1], list(terms.routes),
             str(self.folder / "proxy.notes"), 1, 1, terms.fleet.pick, 0, 2.0, 0.25, 0.25, 2.0, 0.2, 200.0,
         )  # fmt: skip
         path = self.folder / "proxy.json"
-        path.write_bytes(msgspec.json.encode(orders))
+        path.write_bytes(msgspec.json.encode(settings))
         command = [sys.executable, "-m", "willowhook.trial.standin_proxy", f"@{path}"]
         proxy = subprocess.Popen(command, stderr=log, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
         self._processes.append(proxy)
@@ -149,77 +154,92 @@
         await trio.to_thread.run_sync(proxy.stdout.readline)
         log.close()
 
-    # Calls.
+    # Requests.
 
-    async def _call(self, path: str) -> tuple[int, str]:
-        """Status and the host that answered."""
-        self._count += 1
-        head = [(b"x-attempt", b"c%d" % self._count), (b"x-call", b"c%d" % self._count)]
+    async def _request(self, path: str) -> tuple[int, str]:
+        """Sends a request; returns the status and the endpoint that answered."""
+        self._request_count += 1
+        headers = [(b"x-attempt", b"c%d" % self._request_count), (b"x-call", b"c%d" % self._request_count)]
         try:
-            caller = await open_connection("127.0.0.1", self.port, 1.0)
-            reply = await caller.request(b"GET", path.encode(), head)
-            await caller.close()
+            connection = await open_connection("127.0.0.1", self.port, 1.0)
+            reply = await connection.request(b"GET", path.encode(), headers)
+            await connection.close()
         except ConnectionLostError:
             return 0, ""
         return reply.status, reply.body.decode("latin-1")
 
-    async def _stretch(self, name: str, path: str, count: int) -> Counter[str]:
-        met, answers = Counter[str](), Counter[int]()
+    async def _measure(self, name: str, path: str, count: int) -> Counter[str]:
+        counts, answers = Counter[str](), Counter[int]()
         for _ in range(count):
-            status, host = await self._call(path)
+            status, endpoint = await self._request(path)
             answers[status] += 1
             if status == 200:
-                met[host] += 1
-        self.seen.hosts[name], self.seen.answers[name] = met, answers
-        return met
+                counts[endpoint] += 1
+        self.observations.hosts[name], self.observations.answers[name] = counts, answers
+        return counts
 
-    async def _until(
-        self, name: str, path: str, what: Callable[[str], bool], patience: float, calls: int = 20
+    async def _wait_for_endpoint(
+        self, name: str, path: str, is_expected: Callable[[str], bool], timeout_s: float, requests: int = 20
     ) -> None:
-        """So many calls on end that all meet such a host."""
-        began, row = trio.current_time(), 0
-        while row < calls:
-            status, host = await self._call(path)
-            row = row + 1 if status == 200 and what(host) else 0
+        """Waits until this many consecutive requests all reach an endpoint that fulfills the condition."""
+        started_at, consecutive = trio.current_time(), 0
+        while consecutive < requests:
+            status, endpoint = await self._request(path)
+            consecutive = consecutive + 1 if status == 200 and is_expected(endpoint) else 0
             await trio.sleep(0.005)
-            if trio.current_time() - began > patience:
-                self.seen.faults.append(f"{name}: not within {patience:g} s; last {status} {host}")
+            if trio.current_time() - started_at > timeout_s:
+                self.observations.failures.append(
+                    f"{name}: not within {timeout_s:g} s; last {status} {endpoint}"
+                )
                 return
-        self.seen.waits[name] = trio.current_time() - began
-
-    # The day.
-
-    async def _play(self) -> None:
-        seen = self.seen
-        await self._until("tables of the import", "/x", lambda host: host in TASKS, 10)
-        met = await self._stretch("in calm", "/x", 400)
-        seen.want(not met[BACKUP], f"a backup serves beside primaries: {dict(met)}")
-        seen.want(1.5 < met[TASKS[0]] / max(met[TASKS[1]], 1) < 6, f"3 to 1 became {dict(met)}")
-        met = await self._stretch("by the expression", "/a.json", 100)
-        seen.want(set(met) == set(SAVES), f"the expression's calls meet {dict(met)}")
-        status, _ = await self._call("/closed")
-        seen.want(status == 410, f"a closed path answers {status}")
+        self.observations.waits[name] = trio.current_time() - started_at
+
+    # Scenario.
+
+    async def _run_scenario(self) -> None:
+        observations = self.observations
+        await self._wait_for_endpoint("tables of the import", "/x", lambda endpoint: endpoint in TASKS, 10)
+        counts = await self._measure("in calm", "/x", 400)
+        observations.expect(
+            not counts[BACKUP], f"a backup serves although primaries are available: {dict(counts)}"
+        )
+        observations.expect(
+            1.5 < counts[TASKS[0]] / max(counts[TASKS[1]], 1) < 6,
+            f"weights 3 to 1 resulted in {dict(counts)}",
+        )
+        counts = await self._measure("by the expression", "/a.json", 100)
+        observations.expect(
+            set(counts) == set(SAVES), f"requests of the expression's location reach {dict(counts)}"
+        )
+        status, _ = await self._request("/closed")
+        observations.expect(status == 410, f"a closed path answers {status}")
         for name in TASKS:
             self._drain(name, True)
-        await self._until("the backup, after both primaries drain", "/x", lambda host: host == BACKUP, 6)
-        await self._stretch("while they drain", "/x", 50)
+        await self._wait_for_endpoint(
+            "the backup, after both primaries drain", "/x", lambda endpoint: endpoint == BACKUP, 6
+        )
+        await self._measure("while they drain", "/x", 50)
         self._drain(TASKS[0], False)
-        # until the backup is held again, three calls of four meet the primary: twenty on end may be chance
-        await self._until("a primary alone again", "/x", lambda host: host == TASKS[0], 14, calls=60)
-        await self._stretch("one primary is back", "/x", 50)
+        # Until the backup is out again, three of four requests reach the primary: twenty in a row may be
+        # chance.
+        await self._wait_for_endpoint(
+            "a primary alone again", "/x", lambda endpoint: endpoint == TASKS[0], 14, requests=60
+        )
+        await self._measure("one primary is back", "/x", 50)
         self.hosts.stop(TASKS[0])
-        await self._until(
-            "the backup, after the primary died unlisted", "/x", lambda host: host == BACKUP, 14
+        await self._wait_for_endpoint(
+            "the backup, after the primary died unlisted", "/x", lambda endpoint: endpoint == BACKUP, 14
         )
-        await self._stretch("while it is dead", "/x", 50)
+        await self._measure("while it is dead", "/x", 50)
 
-    def _drain(self, name: str, on: bool) -> None:
+    def _drain(self, name: str, is_draining: bool) -> None:
         check = {"CheckID": f"_service_maintenance:{name}", "Status": "critical"}
-        entry: dict[str, Any] = {**self.roster.entries[name], "Checks": [check] if on else []}
+        entry: dict[str, Any] = {**self.roster.entries[name], "Checks": [check] if is_draining else []}
         self.roster._set(name, entry)
 
 
 def run_imported_scenario(folder: Path) -> Observations:
-    seen = Observations()
-    trio.run(DirectorDay(folder, seen).run)
-    return seen
+    """Runs the scenario in this folder and returns what was observed."""
+    observations = Observations()
+    trio.run(ImportedScenario(folder, observations).run)
+    return observations
--- a/willowhook/trial/nginx_same.py
+++ b/willowhook/trial/nginx_same.py
@@ -1,8 +1,9 @@
-"""The original blocks and the imported tables serve the same stand-in hosts, over real loopback sockets.
+"""Compares the original nginx blocks with the imported tables, over loopback sockets.
 
-For each sample a stand-in of blocks and a reader of the imported tables stand side by side before the same
-hosts.  Both get the same calls: shares by host, paths as hosts see them, answers without a host, what happens
-when primaries die, and how often a call of a mutating path has its effect.  Caps on calls are not part of it.
+For each sample a stand-in that interprets the blocks and one that interprets the imported tables serve the
+same requests from the same stand-in endpoints.  Compared are the shares by endpoint, the paths that endpoints
+see, answers without an endpoint, the behaviour when primaries die, and how often a request of a mutating path
+takes effect.  Connection limits are not compared.
 """
 
 from __future__ import annotations
@@ -30,20 +31,21 @@
 from .standin_blocks import BlocksProxy
 from .standin_proxy import hash_key, ring_pick
 
-STRIKES, EJECTED_S = 2, 2.0
-MOST_URIS = 10
+EJECTION_ERRORS, EJECTION_S = 2, 2.0
+MAX_URIS = 10
 
 
-class Hosts:
-    """Stand-in hosts of one process, by the address that the configuration gives them."""
+class StandInEndpoints:
+    """Stand-in endpoints of one process, by the address that the configuration gives them."""
 
     def __init__(self, nursery: trio.Nursery, reservations: PortReservations) -> None:
         self._nursery = nursery
         self._reservations = reservations
         self.ports: dict[str, int] = {}
-        self.how: dict[str, str] = {}  # good, cut (after its effect), failing (500 after its effect)
+        # good, cut (closes after the effect) or failing (500 after the effect)
+        self.behaviour: dict[str, str] = {}
         self._scopes: dict[str, trio.CancelScope] = {}
-        self.met: list[tuple[str, str, str]] = []  # call, host, path
+        self.received: list[tuple[str, str, str]] = []  # request, endpoint, path
         self._idle: dict[str, list[ClientConnection]] = {}
 
     async def start(self, name: str) -> None:
@@ -55,7 +57,7 @@
                 serve = partial(serve_connection, answer=partial(self._answer, name))
                 await trio.serve_listeners(serve, listeners)
 
-        self.how[name] = "good"
+        self.behaviour[name] = "good"
         if name not in self.ports:
             self.ports[name] = self._reservations.reserve()
         await self._nursery.start(run)
@@ -64,108 +66,120 @@
         self._scopes[name].cancel()
         self._idle.pop(name, None)
 
-    async def _answer(self, name: str, call: Call) -> Reply | None:
-        self.met.append((call.headers.get(b"x-call", b"").decode(), name, call.target.decode("latin-1")))
-        if self.how[name] == "cut":
+    async def _answer(self, name: str, request: Call) -> Reply | None:
+        self.received.append(
+            (request.headers.get(b"x-call", b"").decode(), name, request.target.decode("latin-1"))
+        )
+        if self.behaviour[name] == "cut":
             return None
-        return Reply(500 if self.how[name] == "failing" else 200, [], name.encode())
+        return Reply(500 if self.behaviour[name] == "failing" else 200, [], name.encode())
 
-    async def ask(self, name: str, call: Call, target: bytes) -> Reply:
-        """One try; raises Broken."""
+    async def attempt(self, name: str, request: Call, target: bytes) -> Reply:
+        """Sends one attempt; raises ConnectionLostError."""
         if name not in self.ports:
-            raise ConnectionLostError(f"{name}: no such host", False)
+            raise ConnectionLostError(f"{name}: no such endpoint", False)
         idle = self._idle.setdefault(name, [])
-        caller: ClientConnection | None = None
-        while idle and caller is None:
-            caller = idle.pop()
-            if not caller.usable or not caller.is_open():
-                await caller.close()
-                caller = None
-        if caller is None:
-            caller = await open_connection("127.0.0.1", self.ports[name], 1.0)
-        reply = await caller.request(call.method, target, [(b"x-call", call.headers[b"x-call"])], call.body)
-        if caller.usable:
-            idle.append(caller)
+        connection: ClientConnection | None = None
+        while idle and connection is None:
+            connection = idle.pop()
+            if not connection.usable or not connection.is_open():
+                await connection.close()
+                connection = None
+        if connection is None:
+            connection = await open_connection("127.0.0.1", self.ports[name], 1.0)
+        reply = await connection.request(
+            request.method, target, [(b"x-call", request.headers[b"x-call"])], request.body
+        )
+        if connection.usable:
+            idle.append(connection)
         return reply
 
 
 class TablesProxy:
-    """Does what a group of files says, by the published meaning of its forms; `ask` makes one try."""
+    """Routes requests by a file group, as its published format defines; `attempt` sends one attempt."""
 
-    def __init__(self, files: dict[str, bytes], ask: Any, clock: Callable[[], float]) -> None:
-        self._ask, self._clock, self._chance = ask, clock, random.Random(8)
+    def __init__(self, files: dict[str, bytes], attempt: Any, clock: Callable[[], float]) -> None:
+        self._attempt, self._clock, self._random = attempt, clock, random.Random(8)
         self._tables = {row.cluster_name: row for row in tables.read_tables(files["eds.json"])[1]}
         self._clusters = {row.name: row for row in tables.read_clusters(files["cds.json"])[1]}
         self._routes = tables.read_routes(files["rds.json"])[1][0].virtual_hosts[0].routes
-        self._strikes: Counter[str] = Counter()
-        self._out_until: dict[str, float] = {}
-        self._open: Counter[str] = Counter()
-
-    async def answer(self, call: Call) -> Reply:
-        asked = call.target.decode("latin-1")
-        row = tables.first_match(self._routes, asked.partition("?")[0])
-        if row is None or row.direct_response is not None:
-            return Reply(row.direct_response.status if row and row.direct_response else 404)
-        tries = tables.tries_of(row.route.retry_policy)
-        again = 1 if tries == 1 else max(tries - 1, 0)
-        by = hash_key(tables.hash_by(row.route.hash_policy), call)
-        target = tables.upstream_path(row, asked).encode("latin-1")
-        tried: list[str] = []
+        self._consecutive_errors: Counter[str] = Counter()
+        self._ejected_until: dict[str, float] = {}
+        self._open_requests: Counter[str] = Counter()
+
+    async def answer(self, request: Call) -> Reply:
+        requested_target = request.target.decode("latin-1")
+        route = tables.first_match(self._routes, requested_target.partition("?")[0])
+        if route is None or route.direct_response is not None:
+            return Reply(route.direct_response.status if route and route.direct_response else 404)
+        retry_mode = tables.tries_of(route.route.retry_policy)
+        retries = 1 if retry_mode == 1 else max(retry_mode - 1, 0)
+        hash_value = hash_key(tables.hash_by(route.route.hash_policy), request)
+        target = tables.upstream_path(route, requested_target).encode("latin-1")
+        attempted: list[str] = []
         reply = Reply(503)
         while True:
-            host = self._pick(row, by, tried)
-            if host is None:
+            endpoint = self._pick(route, hash_value, attempted)
+            if endpoint is None:
                 return reply
-            tried.append(host)
-            self._open[host] += 1
+            attempted.append(endpoint)
+            self._open_requests[endpoint] += 1
             try:
-                reply = await self._ask(host, call, target)
-                proof, bad = False, reply.status >= 500
-            except ConnectionLostError as fault:
-                reply, proof, bad = Reply(503), not fault.sent, True
+                reply = await self._attempt(endpoint, request, target)
+                is_not_executed, has_failed = False, reply.status >= 500
+            except ConnectionLostError as error:
+                reply, is_not_executed, has_failed = Reply(503), not error.sent, True
             finally:
-                self._open[host] -= 1
-            self._strikes[host] = self._strikes[host] + 1 if bad else 0
-            if self._strikes[host] >= STRIKES:
-                self._out_until[host] = self._clock() + EJECTED_S
-            if not bad or len(tried) > again or (tries == 1 and not proof):
+                self._open_requests[endpoint] -= 1
+            self._consecutive_errors[endpoint] = self._consecutive_errors[endpoint] + 1 if has_failed else 0
+            if self._consecutive_errors[endpoint] >= EJECTION_ERRORS:
+                self._ejected_until[endpoint] = self._clock() + EJECTION_S
+            if not has_failed or len(attempted) > retries or (retry_mode == 1 and not is_not_executed):
                 return reply
 
-    def _pick(self, row: forms.Route, by: str, tried: list[str]) -> str | None:
-        cluster = self._clusters[row.route.cluster]
+    def _pick(self, route: forms.Route, hash_value: str, attempted: list[str]) -> str | None:
+        cluster = self._clusters[route.route.cluster]
         table = self._tables[cluster.eds_cluster_config.service_name]
         tiers = tables.priorities(table)
-        able = [line for line in tables.lines(table) if not line[5] and line[0] not in tried]
-        well = [line for line in able if self._out_until.get(line[0], 0.0) <= self._clock()] or able
-        if not well:
+        eligible = [entry for entry in tables.lines(table) if not entry[5] and entry[0] not in attempted]
+        healthy = [
+            entry for entry in eligible if self._ejected_until.get(entry[0], 0.0) <= self._clock()
+        ] or eligible
+        if not healthy:
             return None
-        first = min(tiers[line[0]] for line in well)
-        rows = [(line[0], line[4]) for line in well if tiers[line[0]] == first]
-        if cluster.lb_policy == "RING_HASH" and by:
-            return ring_pick(by, rows)
-        names, weights = [host for host, _ in rows], [weight for _, weight in rows]
+        lowest_tier = min(tiers[entry[0]] for entry in healthy)
+        weighted = [(entry[0], entry[4]) for entry in healthy if tiers[entry[0]] == lowest_tier]
+        if cluster.lb_policy == "RING_HASH" and hash_value:
+            return ring_pick(hash_value, weighted)
+        names, weights = [host for host, _ in weighted], [weight for _, weight in weighted]
         if cluster.lb_policy != "LEAST_REQUEST":
-            return self._chance.choices(names, weights)[0]
-        one, two = self._chance.choices(names, weights, k=2)
-        return one if self._open[one] <= self._open[two] else two
+            return self._random.choices(names, weights)[0]
+        first_choice, second_choice = self._random.choices(names, weights, k=2)
+        return (
+            first_choice
+            if self._open_requests[first_choice] <= self._open_requests[second_choice]
+            else second_choice
+        )
 
 
 @dataclass(slots=True)
-class Met:
-    """What calls of one path came to at one of the two."""
+class ObservedRequests:
+    """How one of the two sides handled the requests of one path."""
 
-    hosts: Counter[str] = field(default_factory=Counter)
+    endpoints: Counter[str] = field(default_factory=Counter)
     paths: Counter[str] = field(default_factory=Counter)
     answers: Counter[int] = field(default_factory=Counter)
 
 
 @dataclass(slots=True)
 class Comparison:
+    """Counts of compared samples, and the differences found."""
+
     samples: int = 0
     paths: int = 0
     calls: int = 0
     differences: list[str] = field(default_factory=list)
-    primary_outages: int = 0  # times that all primaries of a route died
+    primary_outages: int = 0  # times that all primaries of a group were stopped
     repeats: dict[str, int] = field(default_factory=lambda: {"blocks": 0, "tables": 0})
     mutating_calls: int = 0
 
@@ -185,187 +199,198 @@
 
     def lines(self) -> list[str]:
         return [
-            f"{self.samples} samples, {self.paths} paths, {self.calls} calls each way:"
+            f"{self.samples} samples, {self.paths} paths, {self.calls} requests each way:"
             f" {len(self.differences)} differ",
-            f"{self.primary_outages} times all primaries died: backups, or nobody, at both alike",
-            f"{self.mutating_calls} mutating calls at failing hosts; had their effect twice:"
+            f"{self.primary_outages} times all primaries died: at both sides "
+            f"backups or no endpoint must serve",
+            f"{self.mutating_calls} mutating requests at failing endpoints; took effect twice:"
             f" {self.repeats['blocks']} by the blocks, {self.repeats['tables']} by the tables",
             *self.differences,
         ]
 
 
-class Bench:
-    """One sample before its hosts."""
+class SampleBench:
+    """Both stand-ins of one sample, in front of the same endpoints."""
 
-    def __init__(self, sample: Sample, plan: Plan, files: dict[str, bytes], hosts: Hosts) -> None:
+    def __init__(self, sample: Sample, plan: Plan, files: dict[str, bytes], hosts: StandInEndpoints) -> None:
         self.sample, self.plan, self.hosts = sample, plan, hosts
         assert plan.site is not None
-        rows = parse(sample.text, sample.place)
-        # the same site in a tree of its own, found by its place
+        directives = parse(sample.text, sample.place)
+        # the same server block in a separate syntax tree, found by its place
         site = next(
-            each for top in rows for each in top.walk()
-            if each.name == "server" and each.place == plan.site.block.place
+            directive for top_level in directives for directive in top_level.walk()
+            if directive.name == "server" and directive.place == plan.site.block.place
         )  # fmt: skip
-        self.ways: dict[str, Callable[[Call], Awaitable[Reply]]] = {
-            "blocks": BlocksProxy(rows, site, hosts.ask, self.clock).answer,
-            "tables": TablesProxy(files, hosts.ask, self.clock).answer,
+        self.answer_by_way: dict[str, Callable[[Call], Awaitable[Reply]]] = {
+            "blocks": BlocksProxy(directives, site, hosts.attempt, self.clock).answer,
+            "tables": TablesProxy(files, hosts.attempt, self.clock).answer,
         }
-        self.ahead = 0.0  # of the clock, so that hosts that failed are tried again
+        self.clock_offset_s = 0.0  # moves the clock forward, so that ejected endpoints are readmitted
         self.ports: dict[str, int] = {}
         self._count = 0
 
     def clock(self) -> float:
-        return trio.current_time() + self.ahead
+        return trio.current_time() + self.clock_offset_s
 
     async def open(self, nursery: trio.Nursery) -> None:
-        for name, answer in self.ways.items():
+        for name, answer in self.answer_by_way.items():
             listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
             self.ports[name] = listeners[0].socket.getsockname()[1]
             nursery.start_soon(trio.serve_listeners, partial(serve_connection, answer=answer), listeners)
 
-    async def calls(self, way: str, path: str, count: int, method: bytes = b"GET") -> Met:
-        made = Met()
-        self.hosts.met.clear()
-        first = self._count
-
-        async def some(part: range) -> None:
-            caller = await open_connection("127.0.0.1", self.ports[way], 2.0)
-            for k in part:
-                head = [(b"x-call", str(k).encode()), (b"x-user", str(k).encode()),
-                        (b"x-student", str(k).encode()), (b"x-source", f"10.{k % 251}.{k // 251}.1".encode()),
-                        (b"cookie", f"session=s{k}; c={k}".encode())]  # fmt: skip
-                target = f"{path}?q={k}&school={k}".encode("latin-1")
-                reply = await caller.request(method, target, head, b"")
-                made.answers[reply.status] += 1
-                if not caller.usable:
-                    await caller.close()
-                    caller = await open_connection("127.0.0.1", self.ports[way], 2.0)
-            await caller.close()
+    async def calls(self, way: str, path: str, count: int, method: bytes = b"GET") -> ObservedRequests:
+        observed = ObservedRequests()
+        self.hosts.received.clear()
+        first_number = self._count
+
+        async def send_part(part: range) -> None:
+            connection = await open_connection("127.0.0.1", self.ports[way], 2.0)
+            for number in part:
+                headers = [(b"x-call", str(number).encode()), (b"x-user", str(number).encode()),
+                        (b"x-student", str(number).encode()),
+                        (b"x-source", f"10.{number % 251}.{number // 251}.1".encode()),
+                        (b"cookie", f"session=s{number}; c={number}".encode())]  # fmt: skip
+                target = f"{path}?q={number}&school={number}".encode("latin-1")
+                reply = await connection.request(method, target, headers, b"")
+                observed.answers[reply.status] += 1
+                if not connection.usable:
+                    await connection.close()
+                    connection = await open_connection("127.0.0.1", self.ports[way], 2.0)
+            await connection.close()
 
         self._count += count
         async with trio.open_nursery() as nursery:
-            for k in range(4):
-                nursery.start_soon(some, range(first + k, first + count, 4))
-        for _, host, seen in self.hosts.met:
-            made.hosts[host] += 1
-            made.paths[seen.partition("?")[0]] += 1
-        return made
+            for part_index in range(4):
+                nursery.start_soon(send_part, range(first_number + part_index, first_number + count, 4))
+        for _, host, upstream_path in self.hosts.received:
+            observed.endpoints[host] += 1
+            observed.paths[upstream_path.partition("?")[0]] += 1
+        return observed
 
 
 def share_difference(one: Counter[str], other: Counter[str]) -> str:
-    """How two shares differ beyond what chance does in one of ten thousand comparisons; else empty."""
-    a, b = sum(one.values()), sum(other.values())
-    if not a or not b:
-        return "" if a == b else f"{a} and {b} calls reached hosts"
+    """Describes a difference larger than chance causes in one of ten thousand comparisons, else empty."""
+    one_total, other_total = sum(one.values()), sum(other.values())
+    if not one_total or not other_total:
+        return "" if one_total == other_total else f"{one_total} and {other_total} calls reached hosts"
     for host in sorted({*one, *other}):
-        p, q = one[host] / a, other[host] / b
-        mean = (one[host] + other[host]) / (a + b)
-        if abs(p - q) > 3.9 * math.sqrt(mean * (1 - mean) * (1 / a + 1 / b)) + 0.02:
-            return f"{host} {p:.0%} and {q:.0%}"
+        one_share, other_share = one[host] / one_total, other[host] / other_total
+        mean = (one[host] + other[host]) / (one_total + other_total)
+        if (
+            abs(one_share - other_share)
+            > 3.9 * math.sqrt(mean * (1 - mean) * (1 / one_total + 1 / other_total)) + 0.02
+        ):
+            return f"{host} {one_share:.0%} and {other_share:.0%}"
     return ""
 
 
-async def compare_sample(sample: Sample, count: int, found: Comparison) -> None:
-    """Raises what broke a stand-in."""
-    rows = parse(sample.text, sample.place)
-    told, plan = verdicts(rows, sample.asked)
+async def compare_sample(sample: Sample, count: int, comparison: Comparison) -> None:
+    """Compares both sides for one sample; raises the exception of a failed stand-in."""
+    directives = parse(sample.text, sample.place)
+    directive_verdicts, plan = verdicts(directives, sample.asked)
     if not plan.routes or plan.site is None or plan.setup.faults:
-        return  # nothing to serve, or what the program of the blocks would not start with
+        return  # nothing to serve, or nginx would not start with it
     files = table_files(plan, terms_of(plan, 8, "run/x", "http://127.0.0.1:1"))
-    refused = {str(row.place) for row in told if row.what == REFUSED}
-    found.samples += 1
+    refused = {str(verdict.place) for verdict in directive_verdicts if verdict.what == REFUSED}
+    comparison.samples += 1
     with PortReservations() as reservations, trio.CancelScope() as scope:
         async with trio.open_nursery() as nursery:
-            hosts = Hosts(nursery, reservations)
+            hosts = StandInEndpoints(nursery, reservations)
             for name in plan.hosts:
                 await hosts.start(name)
-            bench = Bench(sample, plan, files, hosts)
+            bench = SampleBench(sample, plan, files, hosts)
             await bench.open(nursery)
             paths = _paths(plan, sample.asked, refused)
             for path in paths:
-                await _compare(bench, path, count, found, sample)
-            await _deaths(bench, paths, found, sample)
-            await _mutating(bench, found, sample)
+                await _compare(bench, path, count, comparison, sample)
+            await _compare_outages(bench, paths, comparison, sample)
+            await _compare_mutating_requests(bench, comparison, sample)
             scope.cancel()
 
 
 def _paths(plan: Plan, asked: Asked, refused: set[str]) -> list[str]:
-    """Some paths of each route; none whose location was refused, which is said to be served otherwise."""
-    site, by, rows = plan.site, Counter[int](), list[str]()
+    """Samples paths of each location, without refused locations: those are reported as served differently."""
+    site, count_by_place, candidates = plan.site, Counter[int](), list[str]()
     assert site is not None
     for uri in uris(site, asked.declared()):
         place = site.place(uri)
-        if place is None or by[id(place)] >= 3 or not uri.isascii() or "%" in uri or "#" in uri:
+        if place is None or count_by_place[id(place)] >= 3 or not uri.isascii() or "%" in uri or "#" in uri:
             continue
-        marks = {str(each.place) for each in place.location.directive.walk()}
-        if marks & refused or any(str(each.place) in refused for each in site.block.args):
+        places = {str(directive.place) for directive in place.location.directive.walk()}
+        if places & refused or any(str(directive.place) in refused for directive in site.block.args):
             continue
-        by[id(place)] += 1
-        rows.append(uri)
-    return random.Random(3).sample(rows, min(len(rows), MOST_URIS))
-
-
-async def _compare(bench: Bench, path: str, count: int, found: Comparison, sample: Sample) -> None:
-    a = await bench.calls("blocks", path, count)
-    b = await bench.calls("tables", path, count)
-    found.paths += 1
-    found.calls += count
-    why = share_difference(a.hosts, b.hosts)
-    if not why and set(a.paths) != set(b.paths):
-        why = f"hosts are asked for {sorted(a.paths)} and {sorted(b.paths)}"
-    if not why and a.hosts and set(a.answers) != set(b.answers):
-        why = f"answers {dict(a.answers)} and {dict(b.answers)}"
-    if not why and not a.hosts and not _alike(a.answers, b.answers):
-        why = f"answers {dict(a.answers)} and {dict(b.answers)}"
-    if why:
-        found.differences.append(f"{sample.place} {sample.name}: {path}: {why}")
-
-
-def _alike(a: Counter[int], b: Counter[int]) -> bool:
-    """Where no host is met: the same status, or both an error (moved elsewhere is a closed path here)."""
-    return set(a) == set(b) or (min(a) >= 300 and min(b) >= 400)
-
-
-async def _deaths(bench: Bench, paths: list[str], found: Comparison, sample: Sample) -> None:
-    """All primaries of a group die: the backups serve, or nobody does, at both."""
+        count_by_place[id(place)] += 1
+        candidates.append(uri)
+    return random.Random(3).sample(candidates, min(len(candidates), MAX_URIS))
+
+
+async def _compare(bench: SampleBench, path: str, count: int, comparison: Comparison, sample: Sample) -> None:
+    by_blocks = await bench.calls("blocks", path, count)
+    by_tables = await bench.calls("tables", path, count)
+    comparison.paths += 1
+    comparison.calls += count
+    difference = share_difference(by_blocks.endpoints, by_tables.endpoints)
+    if not difference and set(by_blocks.paths) != set(by_tables.paths):
+        difference = f"endpoints are asked for {sorted(by_blocks.paths)} and {sorted(by_tables.paths)}"
+    if not difference and by_blocks.endpoints and set(by_blocks.answers) != set(by_tables.answers):
+        difference = f"answers {dict(by_blocks.answers)} and {dict(by_tables.answers)}"
+    if (
+        not difference
+        and not by_blocks.endpoints
+        and not _equivalent_answers(by_blocks.answers, by_tables.answers)
+    ):
+        difference = f"answers {dict(by_blocks.answers)} and {dict(by_tables.answers)}"
+    if difference:
+        comparison.differences.append(f"{sample.place} {sample.name}: {path}: {difference}")
+
+
+def _equivalent_answers(by_blocks: Counter[int], by_tables: Counter[int]) -> bool:
+    """Without an endpoint: the same statuses, or both errors (a redirect is a closed path in the tables)."""
+    return set(by_blocks) == set(by_tables) or (min(by_blocks) >= 300 and min(by_tables) >= 400)
+
+
+async def _compare_outages(
+    bench: SampleBench, paths: list[str], comparison: Comparison, sample: Sample
+) -> None:
+    """Stops all primaries of each group: at both sides the backups serve, or no endpoint does."""
     plan, hosts = bench.plan, bench.hosts
     for group in plan.groups.values():
-        names = [name for name, each in plan.groups.items() if each is group]
+        names = [name for name, other in plan.groups.items() if other is group]
         upstream = plan.setup.upstreams.get(names[0])
-        said = (
+        server_verdicts = (
             [plan.notes.get(id(server.directive), ("", ""))[0] for server in upstream.servers]
             if upstream
             else []
         )
-        if LEFT in said:
-            continue  # said to be served otherwise
-        first = [name for name, _, tier, draining in group.rows if tier == 0 and not draining]
-        later = [name for name, _, tier, draining in group.rows if tier and not draining]
-        path = next((p for p in paths if _serves(plan, p, group.name)), None)
-        if path is None or not first:
+        if LEFT in server_verdicts:
+            continue  # reported as served differently
+        primaries = [name for name, _, tier, draining in group.rows if tier == 0 and not draining]
+        backups = [name for name, _, tier, draining in group.rows if tier and not draining]
+        path = next((candidate for candidate in paths if _serves(plan, candidate, group.name)), None)
+        if path is None or not primaries:
             continue
-        for name in first:
+        for name in primaries:
             hosts.stop(name)
         await trio.sleep(0.01)
-        met: dict[str, Met] = {}
+        observed_by_way: dict[str, ObservedRequests] = {}
         for way in ("blocks", "tables"):
-            await bench.calls(way, path, 8)  # until it is noticed
-            met[way] = await bench.calls(way, path, 60)
-        found.primary_outages += 1
-        for way, seen in met.items():
-            if set(seen.hosts) - set(later):
-                found.differences.append(
-                    f"{sample.place} {sample.name}: {path}: {way} meets {dict(seen.hosts)}"
+            await bench.calls(way, path, 8)  # until the outage is detected
+            observed_by_way[way] = await bench.calls(way, path, 60)
+        comparison.primary_outages += 1
+        for way, observed in observed_by_way.items():
+            if set(observed.endpoints) - set(backups):
+                comparison.differences.append(
+                    f"{sample.place} {sample.name}: {path}: {way} reaches {dict(observed.endpoints)}"
                 )
-            if later and seen.answers[200] < 57:
-                found.differences.append(
-                    f"{sample.place} {sample.name}: {path}: {way}, by backups: {dict(seen.answers)}"
+            if backups and observed.answers[200] < 57:
+                comparison.differences.append(
+                    f"{sample.place} {sample.name}: {path}: {way}, by backups: {dict(observed.answers)}"
                 )
-            if not later and seen.answers[200]:
-                found.differences.append(
-                    f"{sample.place} {sample.name}: {path}: {way} answers without a host"
+            if not backups and observed.answers[200]:
+                comparison.differences.append(
+                    f"{sample.place} {sample.name}: {path}: {way} answers without an endpoint"
                 )
-        for name in first:
+        for name in primaries:
             await hosts.start(name)
     await trio.sleep(0)
 
@@ -379,42 +404,44 @@
     return target.parts[0][0] == group
 
 
-async def _mutating(bench: Bench, found: Comparison, sample: Sample) -> None:
-    """Every host has the effect and then fails, one way or the other: nobody may have it twice."""
+async def _compare_mutating_requests(bench: SampleBench, comparison: Comparison, sample: Sample) -> None:
+    """Every endpoint executes the request and then fails: no request may take effect twice."""
     for path in sample.asked.mutating:
-        for how in ("cut", "failing"):
-            for name in bench.hosts.how:
-                bench.hosts.how[name] = how
+        for behaviour in ("cut", "failing"):
+            for name in bench.hosts.behaviour:
+                bench.hosts.behaviour[name] = behaviour
             for way in ("blocks", "tables"):
                 for _ in range(20):
-                    bench.ahead += 11
+                    bench.clock_offset_s += 11
                     await bench.calls(way, path + "/1", 1, b"POST")
-                    by = Counter(call for call, _, _ in bench.hosts.met)
-                    found.repeats[way] += sum(times > 1 for times in by.values())
-            found.mutating_calls += 20
-        for name in bench.hosts.how:
-            bench.hosts.how[name] = "good"
+                    effects_by_request = Counter(request for request, _, _ in bench.hosts.received)
+                    comparison.repeats[way] += sum(times > 1 for times in effects_by_request.values())
+            comparison.mutating_calls += 20
+        for name in bench.hosts.behaviour:
+            bench.hosts.behaviour[name] = "good"
 
 
-def _alone(sample: Sample, count: int) -> Comparison:
-    found = Comparison()
-    trio.run(compare_sample, sample, count, found)
-    return found
+def _compare_in_process(sample: Sample, count: int) -> Comparison:
+    comparison = Comparison()
+    trio.run(compare_sample, sample, count, comparison)
+    return comparison
 
 
 def compare_samples(
     count: int, say: Callable[[str], None] = lambda text: None, only: int = 0, at_once: int = 1
 ) -> Comparison:
-    """`count` calls a path each way; `only`: of so many samples, evenly chosen; 0: all."""
-    found, rows = Comparison(), load_samples()
+    """Compares `count` requests per path and side; `only` limits the number of samples, 0 takes all."""
+    comparison, chosen = Comparison(), load_samples()
     if only:
-        rows = rows[:: max(1, len(rows) // only)][:only]
+        chosen = chosen[:: max(1, len(chosen) // only)][:only]
     with ProcessPoolExecutor(at_once) as pool:
-        each = (
-            pool.map(_alone, rows, [count] * len(rows)) if at_once > 1 else (_alone(r, count) for r in rows)
+        results = (
+            pool.map(_compare_in_process, chosen, [count] * len(chosen))
+            if at_once > 1
+            else (_compare_in_process(sample, count) for sample in chosen)
         )
-        for part in each:
-            found.add(part)
-            for line in part.differences:
+        for sample_comparison in results:
+            comparison.add(sample_comparison)
+            for line in sample_comparison.differences:
                 say(line)
-    return found
+    return comparison
--- a/willowhook/trial/swaps.py
+++ b/willowhook/trial/swaps.py
@@ -1,7 +1,9 @@
-"""Thousands of swaps under load: does a reader ever see a mix, a call find no host, and what does it cost.
+"""Swaps thousands of file groups under load, and checks that no reader sees files of two groups.
 
-The whole path of a director runs, with a decider in the module's place that orders without rest.  In moment k
-every weight says k, and every fifth every level too, so files of two moments, or half a file, show.
+It also counts requests that found no endpoint, and measures the cost of a swap.  A complete controller runs,
+with a decider that sends commands without pause.  Each round of commands is a generation: every weight
+encodes the generation's number, and in every fifth generation the admission limits encode it too.  So a mix
+of two generations, or a partial file, is detected.
 """
 
 from __future__ import annotations
@@ -41,47 +43,48 @@
 from .notes import read_notes
 from .stage import Stage
 
-EVERY = 40  # tenths of a millisecond between moments
-NAMES = {True: "one file", False: "a group"}
-STEPS, GROUP = 1000, 5  # weights and levels say the moment, modulo this; levels change every fifth time
+EVALUATION_INTERVAL_TICKS = 40  # 4 ms between generations
+SWAP_KIND_NAMES = {True: "one file", False: "a group"}  # by whether a single file changed
+# Weights encode the generation modulo the first number; admission limits change every fifth generation.
+GENERATION_MODULUS, GENERATIONS_PER_ADMISSION_CHANGE = 1000, 5
 
 
 class ChurnDecider:
-    """In the module's place: binds who joins, and changes everything whenever the channel is empty."""
+    """A decider that binds each proxy that joins, and changes all weights whenever the channel is empty."""
 
     def __init__(
         self,
-        idle: Callable[[], bool],
+        is_idle: Callable[[], bool],
         runtime: ControllerRuntime,
         settings: DeploymentSettings,
         seed: int,
         now: int,
     ) -> None:
-        self.idle, self.runtime, self.settings = idle, runtime, settings
+        self.idle, self.runtime, self.settings = is_idle, runtime, settings
         self.routes = range(len(settings.routes))
         self.endpoints: list[str] = []
-        self.known: dict[str, None] = {}
+        self.known_endpoints: dict[str, None] = {}
         self.joined_proxies: list[int] = []
-        self.moment, self.mark = 0, 0
+        self.generation, self.sync_marker = 0, 0
         runtime.watch_endpoints()
-        runtime.schedule_evaluation(EVERY)
+        runtime.schedule_evaluation(EVALUATION_INTERVAL_TICKS)
 
     def queue_estimate(self) -> float:
-        """Nothing is estimated: the comparison with the true queue is not of interest here."""
+        """Returns no estimate: these runs don't compare it with the real queue."""
         return 0.0
 
     def learnt_capacities(self) -> dict[str, float]:
-        """No capacities are learnt."""
+        """Returns none: this decider learns no capacities."""
         return {}
 
     def handle(self, now: int, event: Event) -> None:
         match event:
             case EndpointListReceived():
-                ready = [row for row in event.entries if row.state is EndpointState.IN_SERVICE]
-                self.endpoints = [row.name for row in ready]
+                in_service = [row for row in event.entries if row.state is EndpointState.IN_SERVICE]
+                self.endpoints = [row.name for row in in_service]
                 self.send_commands()
             case EndpointListLost():
-                # it is asked for again only when ordered: one question may be lost at a start
+                # the list is requested again only on command, and one request may be lost at a start
                 self.runtime.watch_endpoints()
             case ProxyJoined():
                 self.joined_proxies.append(event.proxy)
@@ -92,106 +95,129 @@
                 self.evaluate(now)
 
     def send_commands(self) -> None:
-        """All lines and levels of this moment."""
-        self.moment += 1
-        says = self.moment % STEPS + GROUP
-        for name in dict.fromkeys([*self.known, *self.endpoints]):
-            self.runtime.set_weight(0, name, says / 100 if name in self.endpoints else 0.0)
-        self.known = dict.fromkeys(self.endpoints)
-        if self.moment % GROUP == 0 or self.moment == 1:  # a moment of two files; the others are of one
+        """Sends all weights of the next generation, and its admission limits if they change."""
+        self.generation += 1
+        encoded = self.generation % GENERATION_MODULUS + GENERATIONS_PER_ADMISSION_CHANGE
+        for name in dict.fromkeys([*self.known_endpoints, *self.endpoints]):
+            self.runtime.set_weight(0, name, encoded / 100 if name in self.endpoints else 0.0)
+        self.known_endpoints = dict.fromkeys(self.endpoints)
+        # These generations change two files, all others one.
+        if self.generation % GENERATIONS_PER_ADMISSION_CHANGE == 0 or self.generation == 1:
             for route in self.routes:
                 self.runtime.set_admission(
-                    0, route, AdmissionLimit(RetryMode.IF_NOT_EXECUTED, 20.0 + says // GROUP)
+                    0,
+                    route,
+                    AdmissionLimit(
+                        RetryMode.IF_NOT_EXECUTED, 20.0 + encoded // GENERATIONS_PER_ADMISSION_CHANGE
+                    ),
                 )
 
     def evaluate(self, now: int) -> None:
         if self.endpoints and self.idle():
             self.send_commands()
-        self.runtime.schedule_evaluation(EVERY)
+        self.runtime.schedule_evaluation(EVALUATION_INTERVAL_TICKS)
 
     def flush(self, now: int) -> None:
-        self.mark = (self.mark + 1) % 65536
-        self.runtime.send_sync_marker(self.mark)
+        self.sync_marker = (self.sync_marker + 1) % 65536
+        self.runtime.send_sync_marker(self.sync_marker)
 
 
-class TimedShelf(FileGroupWriter):
-    """Also times each swap, and now and then a bare write, fsync and rename of the same bytes beside it."""
+class TimedFileGroupWriter(FileGroupWriter):
+    """Times each swap, and after every fifth one a plain write and rename of the same bytes.
 
-    took: dict[bool, list[float]] = {}  # noqa: RUF012 - of all shelves, by whether one file changed
-    bare: list[float] = []  # noqa: RUF012
-    plain: list[float] = []  # noqa: RUF012
+    The plain write is timed with and without fsync.  The durations are those of all writers.
+    """
+
+    swap_durations: dict[bool, list[float]] = {}  # noqa: RUF012 - by whether a single file changed
+    synced_write_durations: list[float] = []  # noqa: RUF012
+    unsynced_write_durations: list[float] = []  # noqa: RUF012
 
     def put(self, files: Any) -> bool:
-        one = bool(self.files) and sum(self.files.get(name) != data for name, data in files.items()) == 1
-        began = time.perf_counter()
-        done = super().put(files)
-        times = self.took.setdefault(one, [])
-        times.append(time.perf_counter() - began)
-        if len(times) % 5 == 0 and "eds.json" in files:
-            place = self.folder.rpartition("/")[0].rpartition("/")[0]
-            for sync, times in ((True, self.bare), (False, self.plain)):
-                began = time.perf_counter()
-                temp = f"{place}/.new-bare"
-                fd = os.open(temp, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o644)
+        is_single_file = (
+            bool(self.files) and sum(self.files.get(name) != data for name, data in files.items()) == 1
+        )
+        started_at = time.perf_counter()
+        is_written = super().put(files)
+        durations = self.swap_durations.setdefault(is_single_file, [])
+        durations.append(time.perf_counter() - started_at)
+        if len(durations) % 5 == 0 and "eds.json" in files:
+            parent = self.folder.rpartition("/")[0].rpartition("/")[0]
+            for sync, durations in (
+                (True, self.synced_write_durations),
+                (False, self.unsynced_write_durations),
+            ):
+                started_at = time.perf_counter()
+                temporary_path = f"{parent}/.new-bare"
+                fd = os.open(temporary_path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o644)
                 os.write(fd, files["eds.json"])
                 if sync:
                     os.fsync(fd)
                 os.close(fd)
-                os.rename(temp, f"{place}/bare")
-                times.append(time.perf_counter() - began)
-        return done
+                os.rename(temporary_path, f"{parent}/bare")
+                durations.append(time.perf_counter() - started_at)
+        return is_written
 
 
 @dataclass
 class SwapReport:
+    """Counts, inconsistent reads and durations of one run."""
+
     swaps: int
     seconds: float
     reads: int
     torn: list[str]
-    calls: int
-    without_host: int
+    requests: int
+    requests_without_endpoint: int
     refused: int
-    to_applied_ms: tuple[float, float]  # median and 99th of a hundred
-    cost: dict[bool, tuple[int, float, float]]  # of one file, of a group: how many, ms, ratio to a bare swap
+    command_to_applied_ms: tuple[float, float]  # median and 99th percentile
+    # by whether a single file changed: count, median ms, ratio to a plain write and rename
+    cost_by_kind: dict[bool, tuple[int, float, float]]
 
     def lines(self) -> list[str]:
         return [
             f"{self.swaps} swaps in {self.seconds:.1f} s",
-            f"{self.reads} reads by others, {len(self.torn)} torn; {self.refused} groups refused by proxies",
-            f"{self.calls} calls meanwhile, {self.without_host} without a host",
-            f"order to applied: median {self.to_applied_ms[0]:.1f} ms, p99 {self.to_applied_ms[1]:.1f} ms",
+            f"{self.reads} concurrent reads, {len(self.torn)} inconsistent; "
+            f"{self.refused} groups refused by proxies",
+            f"{self.requests} requests, {self.requests_without_endpoint} without an endpoint",
+            f"command to applied: median {self.command_to_applied_ms[0]:.1f} ms, "
+            f"p99 {self.command_to_applied_ms[1]:.1f} ms",
             *[
-                f"{NAMES[one]}: {n} swaps, median {ms:.3f} ms, {ratio:.2f} of a bare one"
-                for one, (n, ms, ratio) in sorted(self.cost.items(), reverse=True)
+                f"{SWAP_KIND_NAMES[one]}: {n} swaps, median {ms:.3f} ms, "
+                f"{ratio:.2f} of a plain write and rename"
+                for one, (n, ms, ratio) in sorted(self.cost_by_kind.items(), reverse=True)
             ],
             *self.torn[:5],
         ]
 
     @property
     def passed(self) -> bool:
-        return not self.torn and not self.without_host and not self.refused and self.reads > 0
+        return not self.torn and not self.requests_without_endpoint and not self.refused and self.reads > 0
 
 
-READER = """
+READER_PROGRAM = """
 import sys, time
-from willowhook.trial.swaps import read_on
-read_on(sys.argv[1], sys.argv[2])
+from willowhook.trial.swaps import run_reader
+run_reader(sys.argv[1], sys.argv[2])
 """
 
 
-def says(files: dict[str, bytes]) -> set[int]:
-    """The moments that a group of files speaks of: one, or it is a mix."""
-    found = set[int]()
+def generations_in(files: dict[str, bytes]) -> set[int]:
+    """The generations that a file group encodes: one, or the group is a mix."""
+    generations = set[int]()
     for table in tables.read_tables(files["eds.json"])[1]:
-        moments = {round(line[4] * 100) for line in tables.lines(table)}
-        found |= {moment // GROUP for moment in moments} if len(moments) == 1 else moments | {-1}
+        in_table = {round(line[4] * 100) for line in tables.lines(table)}
+        generations |= (
+            {generation // GENERATIONS_PER_ADMISSION_CHANGE for generation in in_table}
+            if len(in_table) == 1
+            else in_table | {-1}
+        )
     for route in tables.read_routes(files["rds.json"])[1][0].virtual_hosts[0].routes:
-        found.add(round(tables.level_of(route.typed_per_filter_config)[1]) - 20)
-    return found
+        generations.add(round(tables.level_of(route.typed_per_filter_config)[1]) - 20)
+    return generations
 
 
-def read_on(folder: str, out: str) -> None:
-    """Reads a proxy's group over and over, until its `out` has a neighbour named stop."""
+def run_reader(folder: str, out: str) -> None:
+    """Reads a proxy's file group repeatedly, until a file named `stop` exists beside `out`."""
     reads, torn = 0, list[str]()
     stop = Path(out).parent / "stop"
     while not stop.exists():
@@ -203,16 +229,16 @@
         if set(files) == {"cds.json", "eds.json", "rds.json"}:
             reads += 1
             try:
-                if len(moments := says(files)) != 1:
-                    torn.append(f"{place} speaks of moments {sorted(moments)}")
-            except Exception as fault:  # whatever cannot be read is what this is looking for
-                torn.append(f"{place}: {fault}")
+                if len(generations := generations_in(files)) != 1:
+                    torn.append(f"{place} holds generations {sorted(generations)}")
+            except Exception as error:  # any failure to read a group counts as an inconsistent read
+                torn.append(f"{place}: {error}")
         time.sleep(0.002)
     Path(out).write_bytes(msgspec.json.encode([reads, torn]))
 
 
 class SwapStage(Stage):
-    """A day without a director of its own: one runs in this process."""
+    """A fleet without a controller process: the controller runs in this process."""
 
     def __init__(self, folder: Path, proxies: int, durability: str) -> None:
         day = draw(7, 600.0, hosts=6, proxies=proxies, directors=1, calls_per_s=60.0, troubles=[], spare=0)
@@ -221,24 +247,24 @@
         )
         day.channel = channel
         super().__init__(day, folder, durability=durability)
-        self.swapped = 0
+        self.swap_count = 0
 
     def start_director(self, rank: int) -> None:
-        """It is in this process."""
+        """Starts nothing: the controller runs in this process."""
 
 
-def quiet_service(terms: Terms) -> Service:
-    """A director whose decider orders again as soon as the channel is empty."""
-    held: list[Service] = []
+def service_with_churn(terms: Terms) -> Service:
+    """A controller whose decider sends commands again as soon as the channel is empty."""
+    services: list[Service] = []
 
-    def idle() -> bool:
-        return not len(held[0].channel)
+    def is_idle() -> bool:
+        return not len(services[0].channel)
 
-    held.append(Service(terms, decider=partial(ChurnDecider, idle), file_writer=TimedShelf))
-    return held[0]
+    services.append(Service(terms, decider=partial(ChurnDecider, is_idle), file_writer=TimedFileGroupWriter))
+    return services[0]
 
 
-def swaps_of(service: Service) -> int:
+def count_swaps(service: Service) -> int:
     sinks = [session.sink for session in service.publisher.sessions.values()]
     return sum(sink.file_writer.swap_count for sink in sinks if isinstance(sink, FileUpdateSink))
 
@@ -247,7 +273,11 @@
     folder: Path, count: int, readers: int, durability: str, say: Callable[[str], None]
 ) -> SwapReport:
     stage = SwapStage(folder, readers, durability)
-    TimedShelf.took, TimedShelf.bare, TimedShelf.plain = {}, [], []
+    (
+        TimedFileGroupWriter.swap_durations,
+        TimedFileGroupWriter.synced_write_durations,
+        TimedFileGroupWriter.unsynced_write_durations,
+    ) = {}, [], []
 
     async def run() -> float:
         async with trio.open_nursery() as nursery:
@@ -261,54 +291,62 @@
             terms = msgspec.structs.replace(
                 terms, records=msgspec.structs.replace(terms.records, most_waiting=1_000_000)
             )
-            service = quiet_service(terms)
+            service = service_with_churn(terms)
             with trio.CancelScope() as playing:
                 nursery.start_soon(stage.play, nursery)
                 while not stage.crews:
                     await trio.sleep(0.05)
                     if stage.open_hosts() and not hasattr(service, "controller"):
                         await nursery.start(service.run)
-                began = time.perf_counter()
-                others = [
+                started_at = time.perf_counter()
+                reader_processes = [
                     subprocess.Popen(
                         [
                             sys.executable,
                             "-c",
-                            READER,
+                            READER_PROGRAM,
                             f"{service.folder.outbound_path}/{plan.id}",
-                            str(folder / f"reader-{k}.json"),
+                            str(folder / f"reader-{index}.json"),
                         ]
                     )  # fmt: skip
-                    for k, plan in enumerate(stage.day.proxies)
+                    for index, plan in enumerate(stage.day.proxies)
                 ]
-                while swaps_of(service) < count:
+                while count_swaps(service) < count:
                     await trio.sleep(0.05)
-                took = time.perf_counter() - began
-                stage.swapped = swaps_of(service)
+                duration_s = time.perf_counter() - started_at
+                stage.swap_count = count_swaps(service)
                 (folder / "stop").write_bytes(b"")
-                for other in others:
-                    await trio.to_thread.run_sync(other.wait)
+                for reader_process in reader_processes:
+                    await trio.to_thread.run_sync(reader_process.wait)
                 stage.end()
                 playing.cancel()
             nursery.cancel_scope.cancel()
-        return took
+        return duration_s
 
-    took = trio.run(run)
-    got = [msgspec.json.decode(path.read_bytes()) for path in sorted(folder.glob("reader-*.json"))]
-    notes = [row for path in folder.glob("proxies*.notes") for row in read_notes(str(path))]
-    ends = [
+    duration_s = trio.run(run)
+    reader_results = [msgspec.json.decode(path.read_bytes()) for path in sorted(folder.glob("reader-*.json"))]
+    events = [row for path in folder.glob("proxies*.notes") for row in read_notes(str(path))]
+    command_to_applied_ms = [
         row["after"] / 10
         for row in read_records(str(folder / "director-0.records"))
         if row["kind"] == "applied"
     ]
-    ranked = sorted(ends) or [0.0]
-    bare = TimedShelf.plain if durability == "none" else TimedShelf.bare
-    bare_s = statistics.median(bare)
-    swap_s = {one: statistics.median(times) for one, times in TimedShelf.took.items()}
+    ranked = sorted(command_to_applied_ms) or [0.0]
+    plain_writes = (
+        TimedFileGroupWriter.unsynced_write_durations
+        if durability == "none"
+        else TimedFileGroupWriter.synced_write_durations
+    )
+    plain_write_s = statistics.median(plain_writes)
+    swap_s = {one: statistics.median(times) for one, times in TimedFileGroupWriter.swap_durations.items()}
     return SwapReport(
-        stage.swapped, took, sum(row[0] for row in got), [text for row in got for text in row[1]],
-        sum(row["kind"] == "sent" for row in notes), sum(row["kind"] == "no_host" for row in notes),
-        sum(row["kind"] == "refused" for row in notes),
+        stage.swap_count, duration_s, sum(row[0] for row in reader_results),
+        [text for row in reader_results for text in row[1]],
+        sum(row["kind"] == "sent" for row in events), sum(row["kind"] == "no_host" for row in events),
+        sum(row["kind"] == "refused" for row in events),
         (statistics.median(ranked), ranked[int(len(ranked) * 0.99)]),
-        {one: (len(TimedShelf.took[one]), s * 1000, s / bare_s) for one, s in swap_s.items()},
+        {
+            one: (len(TimedFileGroupWriter.swap_durations[one]), s * 1000, s / plain_write_s)
+            for one, s in swap_s.items()
+        },
     )  # fmt: skip
