--- a/willowhook/trial/__init__.py
+++ b/willowhook/trial/__init__.py
@@ -1,1 +1,1 @@
-"""Trials on loopback: stand-ins for hosts, proxies, clients, the roster; troubles; a judge of the rules."""
+"""Fault-injection runs of test fleets on loopback: stand-in processes, faults and an invariant checker."""
--- a/willowhook/trial/badday.py
+++ b/willowhook/trial/badday.py
@@ -29,21 +29,21 @@
 
 
 def run_with_baselines(
-    day: Day, folder: Path, baselines: Sequence[str], say: Callable[[str], None], **options: Any
+    scenario: Day, folder: Path, baselines: Sequence[str], say: Callable[[str], None], **options: Any
 ) -> SeedResult:
     """Runs the scenario with controllers, then the same arrivals and faults with each baseline."""
-    controlled = play(day, folder / "director", say=say, **options)
+    controlled = play(scenario, folder / "director", say=say, **options)
     baseline_outcomes = {
-        baseline: play(copy_without_ports(day), folder / baseline, baseline) for baseline in baselines
+        baseline: play(copy_without_ports(scenario), folder / baseline, baseline) for baseline in baselines
     }
-    return SeedResult(day.seed, controlled, baseline_outcomes, folder)
+    return SeedResult(scenario.seed, controlled, baseline_outcomes, folder)
 
 
-def copy_without_ports(day: Day) -> Day:
+def copy_without_ports(original: Day) -> Day:
     """Copies the scenario without the ports that an earlier run assigned."""
-    scenario = msgspec.json.decode(msgspec.json.encode(day), type=Day)
-    for host in scenario.hosts:
-        host.port = 0
+    scenario = msgspec.json.decode(msgspec.json.encode(original), type=Day)
+    for endpoint in scenario.hosts:
+        endpoint.port = 0
     for proxy in scenario.proxies:
         proxy.port = 0
     return scenario
@@ -108,18 +108,18 @@
     return None
 
 
-def summary_lines(rounds: Sequence[SeedResult]) -> list[str]:
+def summary_lines(results: Sequence[SeedResult]) -> list[str]:
     """Summarizes all seeds: rules kept, and service compared with the baselines."""
-    kept = sum(result.controlled.kept for result in rounds)
-    lines = [f"rules kept in {kept} of {len(rounds)} scenarios"]
+    kept = sum(result.controlled.kept for result in results)
+    lines = [f"rules kept in {kept} of {len(results)} scenarios"]
     lines.append(
-        f"service with controllers: {format_spread([result.controlled.service for result in rounds])}"
+        f"service with controllers: {format_spread([result.controlled.service for result in results])}"
     )
-    for baseline in rounds[0].baselines if rounds else ():
-        values = [result.baselines[baseline].service for result in rounds]
-        ahead = [result.controlled.service - result.baselines[baseline].service for result in rounds]
+    for baseline in results[0].baselines if results else ():
+        values = [result.baselines[baseline].service for result in results]
+        advantages = [result.controlled.service - result.baselines[baseline].service for result in results]
         lines.append(
-            f"service, {baseline}: {format_spread(values)}; controllers ahead by {format_spread(ahead)}"
+            f"service, {baseline}: {format_spread(values)}; controllers ahead by {format_spread(advantages)}"
         )
     return lines
 
--- a/willowhook/trial/corpus.py
+++ b/willowhook/trial/corpus.py
@@ -39,7 +39,7 @@
         values_by_option.setdefault(option.removeprefix("--"), []).append(value)
     keyed = tuple(
         (path, int(window))
-        for path, _, window in (value.partition("=") for value in values_by_option.get("keyed", ()))
+        for path, _, window in (item.partition("=") for item in values_by_option.get("keyed", ()))
     )
     return Asked(
         host="".join(values_by_option.get("host", ())), mutating=tuple(values_by_option.get("mutating", ())),
--- a/willowhook/trial/cuts.py
+++ b/willowhook/trial/cuts.py
@@ -41,6 +41,7 @@
 
 
 def plain_state(state: dict[str, dict[str, object]]) -> PlainState:
+    """The state as a plain dict, without the space that the store keeps for itself."""
     return {
         (space, key): bytes(entry.value)  # type: ignore[attr-defined]
         for space, rows in state.items()
@@ -124,6 +125,7 @@
     wrong: list[str] = field(default_factory=list)
 
     def lines(self) -> list[str]:
+        """Describes the result for a reader."""
         return [
             f"{self.bytes} bytes: {self.cuts} truncations, {self.flips} flips, "
             f"{self.failures} states after a power "
@@ -134,6 +136,7 @@
 
     @property
     def passed(self) -> bool:
+        """Whether the run found no violation."""
         return not self.wrong and self.cuts > 0
 
 
@@ -202,6 +205,7 @@
 
 
 def run_cuts(seed: int, steps: int, power_steps: int, say: Callable[[str], None]) -> CutReport:
+    """Runs truncations, bit flips and power failures on histories of these lengths."""
     report, started_at = CutReport(), time.perf_counter()
     disk = PowerDisk()
     history = write_history(disk, seed, steps)
--- a/willowhook/trial/flood.py
+++ b/willowhook/trial/flood.py
@@ -90,6 +90,7 @@
         self.versions: dict[str, bytes] = {}
 
     def node(self, **fields: Any) -> forms.Node:
+        """The node of a request, with these additional metadata fields."""
         metadata = {"term": 1, "director": "director-0", "usual_calls_per_s": 5.0, **fields}
         return forms.Node(self.name, "calls", forms.Locality(zone="norte"), metadata)
 
@@ -111,6 +112,7 @@
         return clusters
 
     def report(self) -> bytes:
+        """The next report, malformed if this reporter sends malformed ones."""
         now = time.time()
         if self.malformed_kind == "cut":
             return self.complete_report(now)[:-40]
@@ -128,6 +130,7 @@
         return self.complete_report(now)
 
     def complete_report(self, now: float) -> bytes:
+        """A well-formed report for the time since the last one."""
         since, self.last_report = min(self.last_report, now - 0.001), now
         for cluster in self.statistics:
             cluster.load_report_interval = f"{max(now - since, 0.001):.4f}s"
@@ -137,6 +140,7 @@
     # Reporting by files.
 
     def join(self) -> None:
+        """Creates the inbound folder of this proxy."""
         inbound = f"{self.settings.folder}/{INBOUND_FOLDER}"
         temporary = f"{inbound}/.{self.name}"
         shutil.rmtree(temporary, ignore_errors=True)
@@ -166,6 +170,7 @@
                 return
 
     def read_report_interval(self) -> None:
+        """Reads the report interval that the controller asks for."""
         try:
             with open(f"{self.settings.folder}/{REPORT_INTERVAL_FILE}", "rb") as file:
                 interval = decode(file.read(), forms.LoadStatsResponse).load_reporting_interval
@@ -176,6 +181,7 @@
     # Reporting by files or by HTTP.
 
     async def run(self) -> None:
+        """Joins and sends reports in the rhythm of the current phase."""
         connection: ClientConnection | None = None
         if not self.over_http:
             await trio.sleep(self.start_delay_s)
@@ -209,6 +215,7 @@
                 await trio.sleep(self.interval_s * (0.9 + 0.2 * self.random.random()))
 
     def phase(self) -> int:
+        """The index of the current phase."""
         return min(
             max(0, int((monotonic_ticks() - self.settings.start) / TICKS_PER_SECOND / self.settings.phase_s)),
             len(PHASES) - 1,
@@ -301,6 +308,7 @@
     rss_mb: float = 0.0
 
     def line(self, name: str, length_s: float) -> str:
+        """Describes the phase in one line."""
         ranked_ms = sorted(self.delays_ms) or [0.0]
         p99 = ranked_ms[min(len(ranked_ms) - 1, int(len(ranked_ms) * 0.99))]
         us_per_report = self.spent_us / max(self.looked_at, 1)
@@ -328,9 +336,11 @@
 
     @property
     def passed(self) -> bool:
+        """Whether the run found no violation."""
         return not self.failures
 
     def lines(self) -> list[str]:
+        """Describes the result for a reader."""
         phases = [phase.line(name, self.phase_s) for name, phase in self.phases.items()]
         summary = (
             f"{self.hostile} hostile, {self.quarantined} quarantined; controller {self.cpu_s:.1f} s of CPU"
@@ -339,30 +349,31 @@
 
 
 def run_flood(
-    folder: Path, proxies: int, hosts: int, phase_s: float, per_s: float, say: Callable[[str], None],
+    folder: Path, proxies: int, endpoints: int, phase_s: float, per_s: float, say: Callable[[str], None],
     parts: int = 4, seed: int = 1,
 ) -> FloodReport:  # fmt: skip
+    """Runs the load test in this folder, which is cleared first."""
     shutil.rmtree(folder, ignore_errors=True)
     folder.mkdir(parents=True)
     with PortReservations() as reservations:
         port = reservations.reserve()
-        return trio.run(_run_flood, folder, proxies, hosts, phase_s, per_s, say, parts, seed, port)
+        return trio.run(_run_flood, folder, proxies, endpoints, phase_s, per_s, say, parts, seed, port)
 
 
 async def _run_flood(
-    folder: Path, proxies: int, hosts: int, phase_s: float, per_s: float, say: Callable[[str], None],
+    folder: Path, proxies: int, endpoints: int, phase_s: float, per_s: float, say: Callable[[str], None],
     parts: int, seed: int, port: int,
 ) -> FloodReport:  # fmt: skip
     replace = msgspec.structs.replace
-    day = draw(seed, hosts=1, proxies=proxies, directors=1, troubles=[], spare=0)
+    scenario = draw(seed, hosts=1, proxies=proxies, directors=1, troubles=[], spare=0)
     generator = random.Random(seed)
     plans = [
         HostPlan(f"host-{index}", "norte", "usual", 4, 1.0, 80, 400, 8.0, 30_000 + index)
-        for index in range(hosts)
+        for index in range(endpoints)
     ]
-    roster = StandInRoster(Notes(str(folder / "roster.notes")), 0.0)
+    discovery = StandInRoster(Notes(str(folder / "roster.notes")), 0.0)
     for plan in plans:
-        roster.show(plan)
+        discovery.show(plan)
     controller_folder = folder / "director-0"
     credentials = folder / "credentials.json"
     names = [f"proxy-{index}" for index in range(proxies)]
@@ -370,16 +381,16 @@
     credentials.write_bytes(msgspec.json.encode({"proxies": token_hashes}))
     report = FloodReport(proxies, {name: PhaseResult() for name in PHASES}, phase_s)
     async with trio.open_nursery() as nursery:
-        await nursery.start(roster.run)
-        url, records = f"http://127.0.0.1:{roster.port}", str(folder / "director-0.records")
-        day.fleet = replace(
-            day.fleet, proxies=proxies + 50, report_every_ms=PERIOD_S * 1000, reports_per_s=per_s
+        await nursery.start(discovery.run)
+        url, records = f"http://127.0.0.1:{discovery.port}", str(folder / "director-0.records")
+        scenario.fleet = replace(
+            scenario.fleet, proxies=proxies + 50, report_every_ms=PERIOD_S * 1000, reports_per_s=per_s
         )
         entries_per_s = max(4000.0, 20.0 * proxies)
-        day.channel = replace(
-            day.channel, lines_per_s=entries_per_s, most_waiting_lines=4 * entries_per_s, messages_most=0
+        scenario.channel = replace(
+            scenario.channel, lines_per_s=entries_per_s, most_waiting_lines=4 * entries_per_s, messages_most=0
         )
-        terms = terms_of(day, 0, str(controller_folder), url, records)
+        terms = terms_of(scenario, 0, str(controller_folder), url, records)
         front = FrontTerms(
             listen=f"127.0.0.1:{port}", credentials=str(credentials), wait_ms=10_000,
             connections_most=max(4000, 4 * proxies + 400),
@@ -403,7 +414,7 @@
             for part in range(parts):
                 settings = ReporterSettings(
                     names[part::parts], hostile, str(controller_folder), port,
-                    [("127.0.0.1", plan.port) for plan in plans], [r.name for r in day.routes], PERIOD_S,
+                    [("127.0.0.1", plan.port) for plan in plans], [r.name for r in scenario.routes], PERIOD_S,
                     start, phase_s, seed, str(folder / f"sent-{part}.json"),
                 )  # fmt: skip
                 settings_path = folder / f"reporters-{part}.json"
@@ -419,7 +430,7 @@
             for index, name in enumerate(PHASES):
                 end = start + round((index + 1) * phase_s * TICKS_PER_SECOND)
                 await _change_endpoint_list(
-                    roster, plans, controller_folder, file_reporters, end, index, changes, report
+                    discovery, plans, controller_folder, file_reporters, end, index, changes, report
                 )
                 usages.append(_usage(controller.pid))
                 report.phases[name].rss_mb = usages[-1][1]
@@ -432,7 +443,7 @@
             for process in [*reporters, controller]:
                 process.wait()
             nursery.cancel_scope.cancel()
-    roster.notes.flush()
+    discovery.notes.flush()
     _read_results(report, records, start, phase_s, changes, str(folder / "roster.notes"))
     return report
 
@@ -445,21 +456,21 @@
 
 
 async def _change_endpoint_list(
-    roster: StandInRoster, plans: list[HostPlan], controller_folder: Path, names: list[str], end: int,
+    discovery: StandInRoster, plans: list[HostPlan], controller_folder: Path, names: list[str], end: int,
     phase: int, changes: dict[int, int], report: FloodReport,
 ) -> None:  # fmt: skip
     """Changes the endpoint list ten times a second, and checks that one endpoint is drained in time."""
     drained = plans[phase + 1]
     halfway, drained_at = (monotonic_ticks() + end) // 2, 0
     while monotonic_ticks() < end:
-        entry = roster.entries[plans[0].id]
+        entry = discovery.entries[plans[0].id]
         # ignored by all readers; it makes the entry differ
         entry["Service"]["Meta"]["mark"] = str(len(changes))
-        roster._set(plans[0].id, entry)
-        changes[roster.index] = monotonic_ticks()
+        discovery._set(plans[0].id, entry)
+        changes[discovery.index] = monotonic_ticks()
         if monotonic_ticks() > halfway and not drained_at:
             drained_at = monotonic_ticks()
-            roster._set(drained.id, roster.entry(drained, True, 0.0))
+            discovery._set(drained.id, discovery.entry(drained, True, 0.0))
         await trio.sleep(0.1)
     await trio.sleep(max(0.0, (drained_at - monotonic_ticks()) / TICKS_PER_SECOND + 2.5))
     late = [name for name in names if _sends_to(controller_folder, name, drained.id)]
@@ -469,14 +480,16 @@
         )
 
 
-def _sends_to(controller_folder: Path, name: str, host: str) -> bool:
+def _sends_to(controller_folder: Path, name: str, endpoint: str) -> bool:
     try:
         assignments = tables.read_tables(
             read_group(str(controller_folder / OUTBOUND_FOLDER / name))[1]["eds.json"]
         )[1]
     except (OSError, MessageFormatError, KeyError):
         return False
-    return any(line[0] == host and not line[5] for table in assignments for line in tables.lines(table))
+    return any(
+        entry[0] == endpoint and not entry[5] for table in assignments for entry in tables.lines(table)
+    )
 
 
 def _check_outbound_folders(controller_folder: Path, names: list[str], hostile: list[str]) -> list[str]:
--- a/willowhook/trial/fuzz.py
+++ b/willowhook/trial/fuzz.py
@@ -48,6 +48,7 @@
     checks: int = 0  # times that the well-behaved proxy was served
 
     def lines(self) -> list[str]:
+        """Describes the result for a reader."""
         rows = ", ".join(f"{name} {count}" for name, count in sorted(self.by_status.items()))
         return [
             f"{self.inputs} inputs in {self.seconds:.0f} s: {rows}",
@@ -57,6 +58,7 @@
 
     @property
     def passed(self) -> bool:
+        """Whether the run found no violation."""
         return not self.hung and self.checks > 0 and self.rss_mb[1] < self.rss_mb[0] * 1.3 + 10
 
 
@@ -116,11 +118,12 @@
 
 
 def run_fuzz(folder: Path, inputs: int, seed: int, say: Callable[[str], None]) -> FuzzReport:
+    """Sends this many malformed inputs to a controller that runs in this process."""
     folder.mkdir(parents=True, exist_ok=True)
     report = FuzzReport(inputs)
-    day = draw(3, 60.0, hosts=6, proxies=1, directors=1, calls_per_s=1.0, troubles=[], spare=0)
-    day.channel = msgspec.structs.replace(
-        day.channel, lines_per_s=1e6, most_waiting_lines=1e6, messages_most=0
+    scenario = draw(3, 60.0, hosts=6, proxies=1, directors=1, calls_per_s=1.0, troubles=[], spare=0)
+    scenario.channel = msgspec.structs.replace(
+        scenario.channel, lines_per_s=1e6, most_waiting_lines=1e6, messages_most=0
     )
 
     async def send_input(port: int, data: bytes, send_eof: bool) -> None:
@@ -161,15 +164,15 @@
         report.checks += 1
 
     async def run() -> None:
-        roster = StandInRoster(Notes(str(folder / "roster.notes")), 0.0)
-        for index, plan in enumerate(day.hosts):
+        discovery = StandInRoster(Notes(str(folder / "roster.notes")), 0.0)
+        for index, plan in enumerate(scenario.hosts):
             plan.port = 20_000 + index
-            roster.show(plan)
+            discovery.show(plan)
         async with trio.open_nursery() as nursery:
-            await nursery.start(roster.run)
+            await nursery.start(discovery.run)
             token_hashes = {name: hashlib.sha256(token(name)).hexdigest() for name in ("p1", "p2", "sound")}
             (folder / "credentials.json").write_bytes(msgspec.json.encode({"proxies": token_hashes}))
-            terms = terms_of(day, 0, str(folder / "d"), f"http://127.0.0.1:{roster.port}", "")
+            terms = terms_of(scenario, 0, str(folder / "d"), f"http://127.0.0.1:{discovery.port}", "")
             front = FrontTerms(
                 listen="127.0.0.1:0", credentials=str(folder / "credentials.json"), wait_ms=100,
                 header_ms=300, idle_ms=500, asks_per_s=10_000, asks_burst=10_000, proxy_connections_most=100,
--- a/willowhook/trial/guard_cases.py
+++ b/willowhook/trial/guard_cases.py
@@ -33,23 +33,25 @@
     """Draws a healthy fleet and a candidate that changes little."""
     zones, classes = ("norte", "sur"), ("wide", "usual")
     count = generator.randint(8, 24)
-    hosts = {
+    endpoints = {
         f"h{index}": PlayedHost(
             size=generator.uniform(0.8, 1.25), kind=classes[index % 2], zone=zones[(index // 2) % 2]
         )
         for index in range(count)
     }
-    places: list[tuple[bool, tuple[str, ...]]] = [(False, ()), (False, ()), (False, ("wide",))]
+    constraints: list[tuple[bool, tuple[str, ...]]] = [(False, ()), (False, ()), (False, ("wide",))]
     if generator.random() < 0.3:
-        places[1] = (True, ())
+        constraints[1] = (True, ())
     proxies = []
     for _ in range(generator.randint(3, 12)):
         zone = generator.choice(zones)
         proxies.append(
-            PlayedProxy([generator.uniform(1, 20) for _ in SEMANTICS], zone, table(hosts, places, zone))
+            PlayedProxy(
+                [generator.uniform(1, 20) for _ in SEMANTICS], zone, table(endpoints, constraints, zone)
+            )
         )
     situation = Situation(
-        hosts, proxies, list(SEMANTICS), places, grace=2.5, cold_s=generator.uniform(8, 20),
+        endpoints, proxies, list(SEMANTICS), constraints, grace=2.5, cold_s=generator.uniform(8, 20),
         start=generator.uniform(0.2, 0.4), multiple=generator.uniform(2.5, 4.0), fall_s=2.0,
         fleet=len(proxies) * generator.choice((1, 1, 2)), lines=[], out=set(),
         tries=[generator.choice((0, 1, 2, 3)), generator.choice((0, 1)), generator.choice((0, 1))],
@@ -57,224 +59,253 @@
         version=(2, 1, 8), newest=(2, 1, 7), cost=generator.uniform(10, 60),
         waiting=generator.uniform(0, 500), most_waiting=3200, rate=1600,
     )  # fmt: skip
-    base_table = table(hosts, places, proxies[0].zone)
+    base_table = table(endpoints, constraints, proxies[0].zone)
     situation.lines = [
-        {host: weight * generator.uniform(0.7, 1.4) for host, weight in entries.items()}
+        {endpoint: weight * generator.uniform(0.7, 1.4) for endpoint, weight in entries.items()}
         for entries in base_table
     ]
     return situation
 
 
 def table(
-    hosts: dict[str, PlayedHost], places: list[tuple[bool, tuple[str, ...]]], zone: str
+    endpoints: dict[str, PlayedHost], constraints: list[tuple[bool, tuple[str, ...]]], zone: str
 ) -> list[dict[str, float]]:
     """Per route, an entry for every open endpoint that may serve it, without cold ones."""
     return [
         {
-            name: host.size
-            for name, host in hosts.items()
-            if host.mode == "open" and host.age > 1e6 and (not own or host.zone == zone)
-            and (not kinds or host.kind in kinds)
+            name: endpoint.size
+            for name, endpoint in endpoints.items()
+            if endpoint.mode == "open" and endpoint.age > 1e6 and (not own_zone_only or endpoint.zone == zone)
+            and (not classes or endpoint.kind in classes)
         }
-        for own, kinds in places
+        for own_zone_only, classes in constraints
     ]  # fmt: skip
 
 
 def sample_endpoints(situation: Situation, generator: random.Random, count: int, route: int = 0) -> list[str]:
+    """Draws endpoints that have an entry in the candidate."""
     return generator.sample(sorted(situation.lines[route]), min(count, len(situation.lines[route])))
 
 
 def make_cold(situation: Situation, generator: random.Random, name: str) -> PlayedHost:
     """Makes an endpoint a recently started one, without entries outside the candidate."""
-    host = situation.hosts[name]
-    host.age = generator.uniform(0, situation.cold_s * 0.2)
+    endpoint = situation.hosts[name]
+    endpoint.age = generator.uniform(0, situation.cold_s * 0.2)
     for proxy in situation.proxies:
-        for row in proxy.lines:
-            row.pop(name, None)
-    return host
+        for entries in proxy.lines:
+            entries.pop(name, None)
+    return endpoint
 
 
 # Bad cases: each takes a healthy situation and makes the candidate invalid.
 
 
 def no_entries(situation: Situation, generator: random.Random) -> None:
+    """One route has no entries."""
     situation.lines[generator.randrange(3)] = {}
 
 
 def all_excluded(situation: Situation, generator: random.Random) -> None:
+    """All endpoints of a route are excluded."""
     situation.out = set(situation.lines[generator.randrange(3)])
 
 
 def all_draining(situation: Situation, generator: random.Random) -> None:
     """Valid by itself, but all its endpoints are draining and will be removed."""
-    keep = sample_endpoints(situation, generator, 2)
-    for name in keep:
+    names = sample_endpoints(situation, generator, 2)
+    for name in names:
         situation.hosts[name].mode, situation.hosts[name].since = "draining", generator.uniform(0, 2)
-    situation.lines[0] = {name: 1.0 for name in keep}
+    situation.lines[0] = {name: 1.0 for name in names}
 
 
 def all_removed(situation: Situation, generator: random.Random) -> None:
-    keep = sample_endpoints(situation, generator, 3)
-    for name in keep:
+    """All endpoints of a route were just removed."""
+    names = sample_endpoints(situation, generator, 3)
+    for name in names:
         situation.hosts[name].mode, situation.hosts[name].since = "gone", generator.uniform(0, 2)
-    situation.lines[0] = {name: 1.0 for name in keep}
+    situation.lines[0] = {name: 1.0 for name in names}
 
 
 def only_cold_left(situation: Situation, generator: random.Random) -> None:
     """Valid by itself, but after the drain only a cold endpoint is left, while warm ones are listed."""
-    one, two = sample_endpoints(situation, generator, 2)
-    make_cold(situation, generator, one)
-    situation.hosts[two].mode, situation.hosts[two].since = "draining", generator.uniform(0, 2)
-    situation.lines[0] = {one: 0.01, two: 1.0}
+    cold, draining = sample_endpoints(situation, generator, 2)
+    make_cold(situation, generator, cold)
+    situation.hosts[draining].mode, situation.hosts[draining].since = "draining", generator.uniform(0, 2)
+    situation.lines[0] = {cold: 0.01, draining: 1.0}
 
 
 def cold_gets_all(situation: Situation, generator: random.Random) -> None:
-    one = sample_endpoints(situation, generator, 1)[0]
-    make_cold(situation, generator, one)
+    """A cold endpoint has three times the weight of all others together."""
+    cold = sample_endpoints(situation, generator, 1)[0]
+    make_cold(situation, generator, cold)
     for proxy in situation.proxies[1:]:  # the other proxies have it too
-        for row in proxy.lines:
-            if row:
-                row[one] = 3 * sum(row.values())
-    for row in situation.lines:
-        if one in row:
-            row[one] = 3 * sum(row.values())
+        for entries in proxy.lines:
+            if entries:
+                entries[cold] = 3 * sum(entries.values())
+    for entries in situation.lines:
+        if cold in entries:
+            entries[cold] = 3 * sum(entries.values())
 
 
 def cold_by_total_weight(situation: Situation, generator: random.Random) -> None:
     """Each proxy's share is small, but the sum is too much, and this candidate exceeds the limit."""
-    one = sample_endpoints(situation, generator, 1)[0]
-    host = make_cold(situation, generator, one)
+    cold = sample_endpoints(situation, generator, 1)[0]
+    cold_endpoint = make_cold(situation, generator, cold)
     total = sum(sum(p.rates) for p in situation.proxies)
-    open_size = sum(h.size for h in situation.hosts.values())
+    open_size = sum(endpoint.size for endpoint in situation.hosts.values())
     share = min(
         1.35
         * situation.multiple
-        * (situation.start + (1 - situation.start) * host.age / situation.cold_s)
-        * host.size
+        * (situation.start + (1 - situation.start) * cold_endpoint.age / situation.cold_s)
+        * cold_endpoint.size
         / open_size,
         0.6,
     )
-    for k, proxy in enumerate(situation.proxies):
-        for row in situation.lines if k == 0 else proxy.lines:
-            rest = sum(weight for name, weight in row.items() if name != one)
-            if rest:
-                row[one] = share * rest / (1 - share)
+    for index, proxy in enumerate(situation.proxies):
+        for entries in situation.lines if index == 0 else proxy.lines:
+            other_weight = sum(weight for name, weight in entries.items() if name != cold)
+            if other_weight:
+                entries[cold] = share * other_weight / (1 - share)
     assert total > 0
 
 
 def drained_endpoint(situation: Situation, generator: random.Random) -> None:
-    host = situation.hosts[sample_endpoints(situation, generator, 1)[0]]
-    host.mode, host.since = "draining", situation.grace + generator.uniform(0, 30)
+    """An endpoint has an entry although its drain grace is over."""
+    endpoint = situation.hosts[sample_endpoints(situation, generator, 1)[0]]
+    endpoint.mode, endpoint.since = "draining", situation.grace + generator.uniform(0, 30)
 
 
 def removed_endpoint(situation: Situation, generator: random.Random) -> None:
-    host = situation.hosts[sample_endpoints(situation, generator, 1)[0]]
-    host.mode, host.since = "gone", situation.grace + generator.uniform(0, 30)
+    """An endpoint has an entry although it was removed longer than the drain grace ago."""
+    endpoint = situation.hosts[sample_endpoints(situation, generator, 1)[0]]
+    endpoint.mode, endpoint.since = "gone", situation.grace + generator.uniform(0, 30)
 
 
 def unknown_endpoint(situation: Situation, generator: random.Random) -> None:
+    """An entry names an endpoint that no list contains."""
     situation.lines[generator.randrange(2)][f"x{generator.randrange(99)}"] = generator.uniform(0.01, 2)
 
 
 def no_address(situation: Situation, generator: random.Random) -> None:
+    """An endpoint has no address."""
     situation.hosts[sample_endpoints(situation, generator, 1)[0]].reachable = False
 
 
 def wrong_endpoint_class(situation: Situation, generator: random.Random) -> None:
-    situation.lines[2][generator.choice([n for n, h in situation.hosts.items() if h.kind != "wide"])] = (
-        generator.uniform(0.1, 1)
-    )
+    """An endpoint serves a route that its class may not serve."""
+    situation.lines[2][
+        generator.choice([name for name, endpoint in situation.hosts.items() if endpoint.kind != "wide"])
+    ] = generator.uniform(0.1, 1)
 
 
 def wrong_zone(situation: Situation, generator: random.Random) -> None:
+    """A route that must stay in its zone has an endpoint of the other zone."""
     situation.places[1] = (True, ())
-    far = [n for n, h in situation.hosts.items() if h.zone != situation.proxies[0].zone]
+    in_other_zone = [
+        name for name, endpoint in situation.hosts.items() if endpoint.zone != situation.proxies[0].zone
+    ]
     situation.lines[1] = {
-        n: 1.0 for n, h in situation.hosts.items() if h.zone == situation.proxies[0].zone
-    } | {generator.choice(far): 1.0}
+        name: 1.0 for name, endpoint in situation.hosts.items() if endpoint.zone == situation.proxies[0].zone
+    } | {generator.choice(in_other_zone): 1.0}
 
 
 def attempts_mutating(situation: Situation, generator: random.Random) -> None:
+    """An at-most-once route retries after any failure."""
     situation.tries[2] = generator.choice((2, 3))
 
 
 def attempts_keyed(situation: Situation, generator: random.Random) -> None:
+    """A deduplicated route retries after any failure."""
     situation.tries[1] = generator.choice((2, 3))
 
 
 def attempts_out_of_range(situation: Situation, generator: random.Random) -> None:
+    """The retry mode is not a valid one."""
     situation.tries[generator.randrange(3)] = generator.choice((-1, 4, 7, 99))
 
 
 def weight_not_finite(situation: Situation, generator: random.Random) -> None:
+    """A weight is not a finite positive number."""
     situation.lines[0][sample_endpoints(situation, generator, 1)[0]] = generator.choice(
         (math.nan, math.inf, -1.0, -math.inf, 0.0)
     )
 
 
 def weights_round_to_zero(situation: Situation, generator: random.Random) -> None:
+    """All weights are so small that they are rounded to zero."""
     names = sorted(situation.lines[0])
-    situation.lines[0] = {name: 1e-5 * (1 + 20 * (k % 2)) for k, name in enumerate(names)}
+    situation.lines[0] = {name: 1e-5 * (1 + 20 * (index % 2)) for index, name in enumerate(names)}
 
 
 def weight_too_large(situation: Situation, generator: random.Random) -> None:
+    """A weight exceeds the maximum."""
     situation.lines[0][sample_endpoints(situation, generator, 1)[0]] = generator.uniform(200, 1e9)
 
 
 def version_regresses(situation: Situation, generator: random.Random) -> None:
+    """The version is not newer than the newest one of the proxy."""
     situation.version = generator.choice(((2, 1, 7), (2, 1, 3), (1, 9, 99), (2, 0, 50)))
 
 
 def queue_full(situation: Situation, generator: random.Random) -> None:
+    """The update does not fit into the queue."""
     situation.waiting, situation.cost = 3200 - generator.uniform(0, 30), generator.uniform(40, 400)
 
 
 def too_many_messages(situation: Situation, generator: random.Random) -> None:
+    """The message cap of the proxy is reached."""
     situation.messages_most = generator.randint(5, 30)
     situation.messages = situation.messages_most + generator.randint(0, 3)
 
 
-def concentrate_on(one: str, row: dict[str, float]) -> dict[str, float]:
-    return {one: 50.0, **{host: 0.1 for host in row if host != one}} if one in row else row
+def concentrate_on(name: str, entries: dict[str, float]) -> dict[str, float]:
+    """Gives one endpoint nearly all of the weight."""
+    return {name: 50.0, **{other: 0.1 for other in entries if other != name}} if name in entries else entries
 
 
 def scale_by_class(
-    situation: Situation, row: dict[str, float], wide: float, usual: float
+    situation: Situation, entries: dict[str, float], wide: float, usual: float
 ) -> dict[str, float]:
+    """Scales the weights by endpoint class."""
     return {
-        host: weight * (wide if situation.hosts[host].kind == "wide" else usual)
-        for host, weight in row.items()
+        name: weight * (wide if situation.hosts[name].kind == "wide" else usual)
+        for name, weight in entries.items()
     }
 
 
 def all_on_one(situation: Situation, generator: random.Random) -> None:
-    one = sample_endpoints(situation, generator, 1)[0]
+    """All proxies send nearly everything to one endpoint."""
+    name = sample_endpoints(situation, generator, 1)[0]
     for proxy in situation.proxies[1:]:
         proxy.lines = [
-            {one: 50.0, **{h: 0.1 for h in row if h != one}} if one in row else row for row in proxy.lines
+            {name: 50.0, **{other: 0.1 for other in entries if other != name}} if name in entries else entries
+            for entries in proxy.lines
         ]
     situation.proxies[0].rates = [sum(sum(p.rates) for p in situation.proxies) for _ in SEMANTICS]
-    situation.lines = [concentrate_on(one, row) for row in situation.lines]
-    for extra in range(12):  # a large fleet, so that the fair share of one endpoint is small
-        situation.hosts[f"e{extra}"] = PlayedHost(kind="wide", zone="norte")
+    situation.lines = [concentrate_on(name, entries) for entries in situation.lines]
+    for index in range(12):  # a large fleet, so that the fair share of one endpoint is small
+        situation.hosts[f"e{index}"] = PlayedHost(kind="wide", zone="norte")
 
 
 def over_capacity(situation: Situation, generator: random.Random) -> None:
+    """The endpoints of one class get more requests than their capacity."""
     total = sum(sum(p.rates) for p in situation.proxies) * max(1.0, situation.fleet / len(situation.proxies))
-    usual = total / sum(h.size for h in situation.hosts.values())
+    usual = total / sum(endpoint.size for endpoint in situation.hosts.values())
     situation.able = {"wide": usual * 0.5, "usual": 1e9}
     for proxy in situation.proxies:
-        proxy.lines = [scale_by_class(situation, row, 0.05, 1.0) for row in proxy.lines]
-    situation.lines = [scale_by_class(situation, row, 9.0, 0.2) for row in situation.lines]
+        proxy.lines = [scale_by_class(situation, entries, 0.05, 1.0) for entries in proxy.lines]
+    situation.lines = [scale_by_class(situation, entries, 9.0, 0.2) for entries in situation.lines]
     situation.proxies[0].rates = [rate * 30 for rate in situation.proxies[0].rates]
 
 
 def route_missing(situation: Situation, generator: random.Random) -> None:
+    """The last route is missing."""
     situation.lines = situation.lines[:2]
     situation.tries, situation.levels = situation.tries[:2], situation.levels[:2]
 
 
 def admission_limit_invalid(situation: Situation, generator: random.Random) -> None:
+    """An admission limit is negative or not a number."""
     situation.levels[generator.randrange(3)] = generator.choice((-1.0, math.nan, -0.001))
 
 
@@ -296,18 +327,19 @@
 
 def cold_within_slow_start(situation: Situation, generator: random.Random) -> None:
     """A cold endpoint gets the weight of its slow start."""
-    one = sample_endpoints(situation, generator, 1)[0]
-    host = make_cold(situation, generator, one)
-    for row in situation.lines:
-        if one in row:
-            row[one] = (
-                host.size
-                * (situation.start + (1 - situation.start) * host.age / situation.cold_s)
+    name = sample_endpoints(situation, generator, 1)[0]
+    endpoint = make_cold(situation, generator, name)
+    for entries in situation.lines:
+        if name in entries:
+            entries[name] = (
+                endpoint.size
+                * (situation.start + (1 - situation.start) * endpoint.age / situation.cold_s)
                 * generator.uniform(0.5, 1.0)
             )
 
 
 def drain_excluded(situation: Situation, generator: random.Random) -> None:
+    """Draining or removed endpoints are excluded."""
     for name in sample_endpoints(situation, generator, 2):
         situation.hosts[name].mode, situation.hosts[name].since = (
             generator.choice(("draining", "gone")),
@@ -326,7 +358,8 @@
 
 
 def only_exclusions(situation: Situation, generator: random.Random) -> None:
-    situation.lines = [dict(row) for row in situation.proxies[0].lines]
+    """The update only excludes endpoints that were just removed."""
+    situation.lines = [dict(entries) for entries in situation.proxies[0].lines]
     for name in sample_endpoints(situation, generator, 3):
         situation.hosts[name].mode, situation.hosts[name].since = "gone", generator.uniform(0, 1)
         situation.out.add(name)
@@ -334,26 +367,28 @@
 
 def all_are_cold(situation: Situation, generator: random.Random) -> None:
     """No endpoint is warm: the cold ones share the load evenly."""
-    for host in situation.hosts.values():
-        host.age = generator.uniform(0.3, 0.9) * situation.cold_s
+    for endpoint in situation.hosts.values():
+        endpoint.age = generator.uniform(0.3, 0.9) * situation.cold_s
 
 
 def endpoint_left_out(situation: Situation, generator: random.Random) -> None:
     """An endpoint that drops requests is left out although it is listed."""
     name = sample_endpoints(situation, generator, 1)[0]
-    for row in situation.lines:
-        if len(row) > 2:
-            row.pop(name, None)
+    for entries in situation.lines:
+        if len(entries) > 2:
+            entries.pop(name, None)
 
 
 def latency_weights(situation: Situation, generator: random.Random) -> None:
+    """The weights change by a factor of up to two."""
     situation.lines = [
-        {name: weight * generator.uniform(0.5, 2.0) for name, weight in row.items()}
-        for row in situation.lines
+        {name: weight * generator.uniform(0.5, 2.0) for name, weight in entries.items()}
+        for entries in situation.lines
     ]
 
 
 def another_epoch(situation: Situation, generator: random.Random) -> None:
+    """The version has another term or epoch, or skips numbers."""
     situation.version = generator.choice(((2, 2, 1), (3, 1, 1), (2, 1, 1000)))
 
 
@@ -366,8 +401,8 @@
 def candidate_of(situation: Situation) -> tuple[int, Validator, Candidate]:
     """Converts the situation into the validator's view: the time, the validator and the candidate."""
     routes = tuple(
-        RouteConstraints(f"r{index}", RequestSemantics(SEMANTICS[index]), own, (), kinds)
-        for index, (own, kinds) in enumerate(situation.places)
+        RouteConstraints(f"r{index}", RequestSemantics(SEMANTICS[index]), own_zone_only, (), classes)
+        for index, (own_zone_only, classes) in enumerate(situation.places)
     )
     settings = ValidationSettings(
         routes,
@@ -383,17 +418,17 @@
         capacity_per_second=situation.able,
     )
     world = World(settings)
-    endpoints = []
-    for name, host in situation.hosts.items():
-        if host.known:
-            started = 0 if host.age > 1e6 else NOW - ticks_from_seconds(host.age)
-            mode = EndpointMode(host.mode)
+    validated = []
+    for name, played in situation.hosts.items():
+        if played.known:
+            started = 0 if played.age > 1e6 else NOW - ticks_from_seconds(played.age)
+            mode = EndpointMode(played.mode)
             endpoint = ValidatedEndpoint(
-                name, mode, 0, started, host.size, host.kind, host.zone, host.reachable
+                name, mode, 0, started, played.size, played.kind, played.zone, played.reachable
             )
             world.endpoints.by_name[name] = endpoint
-            endpoint.since = NOW - ticks_from_seconds(host.since)
-            endpoints.append(endpoint)
+            endpoint.since = NOW - ticks_from_seconds(played.since)
+            validated.append(endpoint)
     world.endpoints.refresh()
     for index, proxy in enumerate(situation.proxies):
         held = ProxyTables(tuple(proxy.lines), frozenset(proxy.out), (1, 1, 1), (math.inf,) * 3)
@@ -426,6 +461,7 @@
     durations_us: list[float] = field(default_factory=list)
 
     def lines(self) -> list[str]:
+        """Describes the result for a reader."""
         lines = []
         for name, counts in self.kinds.items():
             verdicts = ", ".join(f"{count} {verdict}" for verdict, count in sorted(counts.items()))
@@ -447,6 +483,7 @@
 
     @property
     def passed(self) -> bool:
+        """Whether the run found no violation."""
         return not self.false_passes and not self.false_findings
 
 
--- a/willowhook/trial/herd.py
+++ b/willowhook/trial/herd.py
@@ -46,6 +46,7 @@
     requested_change = 0
 
     def evaluate(self, now: int) -> None:
+        """Sends the requested change once."""
         if OnDemandDecider.requested_change > self.generation and self.endpoints:
             self.generation = OnDemandDecider.requested_change
             for name in self.endpoints:
@@ -53,6 +54,7 @@
         self.runtime.schedule_evaluation(20)
 
     def send_commands(self) -> None:
+        """Gives all endpoints the same weight."""
         for name in self.endpoints:
             self.runtime.set_weight(0, name, 1.0)
 
@@ -162,6 +164,8 @@
     closed_readers: int = 0  # slow readers whose connection the controller closed
 
     def lines(self) -> list[str]:
+        """Describes the result for a reader."""
+
         def format_spread(values_ms: list[float]) -> str:
             return (
                 f"{statistics.median(values_ms):.0f} ms ({min(values_ms):.0f} to {max(values_ms):.0f})"
@@ -182,37 +186,39 @@
 
     @property
     def passed(self) -> bool:
+        """Whether the run found no violation."""
         return not self.missed and bool(self.max_ms)
 
 
 def run_herd(
-    folder: Path, callers: int, slow_share: float, hosts: int, encoding: str, say: Callable[[str], None]
+    folder: Path, callers: int, slow_share: float, endpoints: int, encoding: str, say: Callable[[str], None]
 ) -> HerdReport:
+    """Runs the controller in this process and the callers in others, and publishes the updates."""
     folder.mkdir(parents=True, exist_ok=True)
     names = [f"p{index}" for index in range(callers)]
     slow = names[:: round(1 / slow_share)] if slow_share else []
-    day = draw(3, 60.0, hosts=hosts, proxies=1, directors=1, calls_per_s=1.0, troubles=[], spare=0)
-    day.channel = msgspec.structs.replace(
-        day.channel, lines_per_s=1e8, most_waiting_lines=1e8, messages_most=0
+    scenario = draw(3, 60.0, hosts=endpoints, proxies=1, directors=1, calls_per_s=1.0, troubles=[], spare=0)
+    scenario.channel = msgspec.structs.replace(
+        scenario.channel, lines_per_s=1e8, most_waiting_lines=1e8, messages_most=0
     )
-    day.fleet = msgspec.structs.replace(day.fleet, proxies=callers)
-    report = HerdReport(callers, len(slow), hosts, 0, 0.0)
+    scenario.fleet = msgspec.structs.replace(scenario.fleet, proxies=callers)
+    report = HerdReport(callers, len(slow), endpoints, 0, 0.0)
 
     async def run() -> None:
-        roster = StandInRoster(Notes(str(folder / "roster.notes")), 0.0)
-        for index, plan in enumerate(day.hosts):
+        discovery = StandInRoster(Notes(str(folder / "roster.notes")), 0.0)
+        for index, plan in enumerate(scenario.hosts):
             plan.port = 20_000 + index
-            roster.show(plan)
+            discovery.show(plan)
         async with trio.open_nursery() as nursery:
-            await nursery.start(roster.run)
-            await run_with_controller(nursery, roster)
+            await nursery.start(discovery.run)
+            await run_with_controller(nursery, discovery)
             nursery.cancel_scope.cancel()
 
-    async def run_with_controller(nursery: trio.Nursery, roster: StandInRoster) -> None:
+    async def run_with_controller(nursery: trio.Nursery, discovery: StandInRoster) -> None:
         token_hashes = {name: hashlib.sha256(token(name)).hexdigest() for name in names}
         (folder / "credentials.json").write_bytes(msgspec.json.encode({"proxies": token_hashes}))
-        url = f"http://127.0.0.1:{roster.port}"
-        terms = terms_of(day, 0, str(folder / "d"), url, "")
+        url = f"http://127.0.0.1:{discovery.port}"
+        terms = terms_of(scenario, 0, str(folder / "d"), url, "")
         front = FrontTerms(
             listen="127.0.0.1:0", credentials=str(folder / "credentials.json"), wait_ms=30_000,
             idle_ms=60_000, write_ms=4000,
@@ -261,7 +267,7 @@
         for change in range(1, CHANGES + 1):
             OnDemandDecider.requested_change = change
             sent_at.append(monotonic_ticks())
-            await trio.sleep(3.0 if hosts <= 200 else 8.0)
+            await trio.sleep(3.0 if endpoints <= 200 else 8.0)
         report.cpu_ms = (time.process_time() - cpu_before) / CHANGES * 1000
         report.encoded, report.compressed = (
             discovery_front.response_cache.encoded - encoded_before,
@@ -292,6 +298,7 @@
     """A log that discards everything: a thousand lines about joins are of no use here."""
 
     def bind(self, **_: Any) -> SilentLog:
+        """Returns this log."""
         return self
 
     def info(self, text: str, /, **parts: Any) -> None:
--- a/willowhook/trial/kills.py
+++ b/willowhook/trial/kills.py
@@ -69,6 +69,7 @@
     wrong: list[str] = field(default_factory=list)
 
     def lines(self) -> list[str]:
+        """Describes the result for a reader."""
         ranked = sorted(self.recover_ms) or [0.0]
         return [
             f"{self.kills} kills, {self.acknowledged} acknowledged records, in {self.seconds:.0f} s; "
@@ -79,10 +80,12 @@
 
     @property
     def passed(self) -> bool:
+        """Whether the run found no violation."""
         return not self.wrong and self.acknowledged > self.kills
 
 
 def run_kills(folder: Path, count: int, seed: int, say: Callable[[str], None]) -> KillReport:
+    """Kills the program `count` times and checks the store after each kill."""
     report, generator, started_at = KillReport(), random.Random(seed), time.perf_counter()
     acknowledged: dict[tuple[str, str], int] = {}
     attempted: dict[tuple[str, str], int] = {}
--- a/willowhook/trial/nginx_director.py
+++ b/willowhook/trial/nginx_director.py
@@ -57,14 +57,17 @@
 
     @property
     def passed(self) -> bool:
+        """Whether the run found no violation."""
         return not self.failures
 
     def lines(self) -> list[str]:
+        """Describes the result for a reader."""
         lines = [f"{name}: {dict(counts.most_common())}" for name, counts in self.hosts.items()]
         lines += [f"{name}: after {wait:.2f} s" for name, wait in self.waits.items()]
         return [*lines, f"update validation: {self.guard_verdicts}", *self.failures]
 
     def expect(self, holds: bool, failure: str) -> None:
+        """Records the failure if the condition does not hold."""
         if not holds:
             self.failures.append(failure)
 
@@ -83,6 +86,7 @@
         self._processes: list[subprocess.Popen[bytes]] = []
 
     async def run(self) -> None:
+        """Starts all parts, runs the scenario and stops them."""
         with PortReservations() as reservations, trio.CancelScope() as scope:
             async with trio.open_nursery() as nursery:
                 self.hosts = StandInEndpoints(nursery, reservations)
--- a/willowhook/trial/nginx_same.py
+++ b/willowhook/trial/nginx_same.py
@@ -49,6 +49,8 @@
         self._idle: dict[str, list[ClientConnection]] = {}
 
     async def start(self, name: str) -> None:
+        """Starts an endpoint, on the port it had before if it was stopped."""
+
         async def run(task_status: trio.TaskStatus[None]) -> None:
             with trio.CancelScope() as scope:
                 self._scopes[name] = scope
@@ -63,6 +65,7 @@
         await self._nursery.start(run)
 
     def stop(self, name: str) -> None:
+        """Stops an endpoint."""
         self._scopes[name].cancel()
         self._idle.pop(name, None)
 
@@ -108,6 +111,7 @@
         self._open_requests: Counter[str] = Counter()
 
     async def answer(self, request: Call) -> Reply:
+        """Answers a request, with retries as the route allows."""
         requested_target = request.target.decode("latin-1")
         route = tables.first_match(self._routes, requested_target.partition("?")[0])
         if route is None or route.direct_response is not None:
@@ -151,7 +155,7 @@
         weighted = [(entry[0], entry[4]) for entry in healthy if tiers[entry[0]] == lowest_tier]
         if cluster.lb_policy == "RING_HASH" and hash_value:
             return ring_pick(hash_value, weighted)
-        names, weights = [host for host, _ in weighted], [weight for _, weight in weighted]
+        names, weights = [endpoint for endpoint, _ in weighted], [weight for _, weight in weighted]
         if cluster.lb_policy != "LEAST_REQUEST":
             return self._random.choices(names, weights)[0]
         first_choice, second_choice = self._random.choices(names, weights, k=2)
@@ -185,9 +189,11 @@
 
     @property
     def passed(self) -> bool:
+        """Whether the run found no violation."""
         return not self.differences and not self.repeats["tables"]
 
     def add(self, other: Comparison) -> None:
+        """Adds the counts of another comparison."""
         self.samples += other.samples
         self.paths += other.paths
         self.calls += other.calls
@@ -198,6 +204,7 @@
             self.repeats[way] += times
 
     def lines(self) -> list[str]:
+        """Describes the result for a reader."""
         return [
             f"{self.samples} samples, {self.paths} paths, {self.calls} requests each way:"
             f" {len(self.differences)} differ",
@@ -230,15 +237,18 @@
         self._count = 0
 
     def clock(self) -> float:
+        """The time of the stand-ins, in seconds."""
         return trio.current_time() + self.clock_offset_s
 
     async def open(self, nursery: trio.Nursery) -> None:
+        """Starts to listen for both stand-ins."""
         for name, answer in self.answer_by_way.items():
             listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
             self.ports[name] = listeners[0].socket.getsockname()[1]
             nursery.start_soon(trio.serve_listeners, partial(serve_connection, answer=answer), listeners)
 
     async def calls(self, way: str, path: str, count: int, method: bytes = b"GET") -> ObservedRequests:
+        """Sends `count` requests of this path to one of the two stand-ins."""
         observed = ObservedRequests()
         self.hosts.received.clear()
         first_number = self._count
@@ -262,8 +272,8 @@
         async with trio.open_nursery() as nursery:
             for part_index in range(4):
                 nursery.start_soon(send_part, range(first_number + part_index, first_number + count, 4))
-        for _, host, upstream_path in self.hosts.received:
-            observed.endpoints[host] += 1
+        for _, endpoint, upstream_path in self.hosts.received:
+            observed.endpoints[endpoint] += 1
             observed.paths[upstream_path.partition("?")[0]] += 1
         return observed
 
@@ -273,14 +283,14 @@
     one_total, other_total = sum(one.values()), sum(other.values())
     if not one_total or not other_total:
         return "" if one_total == other_total else f"{one_total} and {other_total} calls reached hosts"
-    for host in sorted({*one, *other}):
-        one_share, other_share = one[host] / one_total, other[host] / other_total
-        mean = (one[host] + other[host]) / (one_total + other_total)
+    for endpoint in sorted({*one, *other}):
+        one_share, other_share = one[endpoint] / one_total, other[endpoint] / other_total
+        mean = (one[endpoint] + other[endpoint]) / (one_total + other_total)
         if (
             abs(one_share - other_share)
             > 3.9 * math.sqrt(mean * (1 - mean) * (1 / one_total + 1 / other_total)) + 0.02
         ):
-            return f"{host} {one_share:.0%} and {other_share:.0%}"
+            return f"{endpoint} {one_share:.0%} and {other_share:.0%}"
     return ""
 
 
--- a/willowhook/trial/restart.py
+++ b/willowhook/trial/restart.py
@@ -36,15 +36,19 @@
 
 
 def restart_scenario(seed: int, restarts: int) -> Day:
+    """A scenario with failing endpoints and this many restarts of the only controller."""
     length = 14.0 + 6.0 * restarts
     troubles = [Trouble("fast_errors", 4.0, length - 6.0, 0.34, 0.9)]
     troubles += [Trouble("director_killed", 10.0 + 6.0 * index, 0.7) for index in range(restarts)]
-    day = draw(seed, length, hosts=12, proxies=8, directors=1, calls_per_s=110.0, troubles=troubles, spare=0)
-    day.channel = msgspec.structs.replace(day.channel, messages_most=0)
-    return day
+    scenario = draw(
+        seed, length, hosts=12, proxies=8, directors=1, calls_per_s=110.0, troubles=troubles, spare=0
+    )
+    scenario.channel = msgspec.structs.replace(scenario.channel, messages_most=0)
+    return scenario
 
 
 def run_restart(seed: int, restart_count: int, store_mode: str, folder: Path) -> RestartResult:
+    """Runs the scenario with one store mode and evaluates the time after each restart."""
     outcome = play(restart_scenario(seed, restart_count), folder, store=store_mode)
     proxies = [row for path in folder.glob("proxies*.notes") for row in read_notes(str(path))]
     records = Judge.lines(folder / "director-0.records")
@@ -80,6 +84,7 @@
 
 
 def run_restarts(folder: Path, seeds: range, count: int, say: Callable[[str], None]) -> list[RestartResult]:
+    """Runs all store modes for all seeds, and prints a summary of each mode."""
     with concurrent.futures.ProcessPoolExecutor(3) as pool:
         jobs = [
             pool.submit(run_restart, s, count, store_mode, folder / f"{s}-{store_mode}")
--- a/willowhook/trial/submits.py
+++ b/willowhook/trial/submits.py
@@ -87,6 +87,7 @@
     wrong: list[str] = field(default_factory=list)
 
     def lines(self) -> list[str]:
+        """Describes the result for a reader."""
         rows = ", ".join(f"{what} {count}" for what, count in sorted(self.reported_outcomes.items()))
         return [
             f"{self.kills} kills, {self.calls} requests, {self.effects} effects; reported: {rows}",
@@ -96,10 +97,12 @@
 
     @property
     def passed(self) -> bool:
+        """Whether the run found no violation."""
         return not self.wrong and self.effects > self.kills
 
 
 def run_submits(folder: Path, kills: int, seed: int, say: Callable[[str], None]) -> SubmitReport:
+    """Kills the program repeatedly and compares its reports with the effects on the server."""
     report, generator = SubmitReport(), random.Random(seed)
     effects: Counter[str] = Counter()
     reported: dict[str, str] = {}
--- a/willowhook/trial/swaps.py
+++ b/willowhook/trial/swaps.py
@@ -78,6 +78,7 @@
         return {}
 
     def handle(self, now: int, event: Event) -> None:
+        """Handles one event of the controller."""
         match event:
             case EndpointListReceived():
                 in_service = [row for row in event.entries if row.state is EndpointState.IN_SERVICE]
@@ -113,11 +114,13 @@
                 )
 
     def evaluate(self, now: int) -> None:
+        """Sends the next generation if the channel is empty."""
         if self.endpoints and self.idle():
             self.send_commands()
         self.runtime.schedule_evaluation(EVALUATION_INTERVAL_TICKS)
 
     def flush(self, now: int) -> None:
+        """Sends a sync marker."""
         self.sync_marker = (self.sync_marker + 1) % 65536
         self.runtime.send_sync_marker(self.sync_marker)
 
@@ -133,6 +136,7 @@
     unsynced_write_durations: list[float] = []  # noqa: RUF012
 
     def put(self, files: Any) -> bool:
+        """Writes the file group and stores the duration."""
         is_single_file = (
             bool(self.files) and sum(self.files.get(name) != data for name, data in files.items()) == 1
         )
@@ -174,6 +178,7 @@
     cost_by_kind: dict[bool, tuple[int, float, float]]
 
     def lines(self) -> list[str]:
+        """Describes the result for a reader."""
         return [
             f"{self.swaps} swaps in {self.seconds:.1f} s",
             f"{self.reads} concurrent reads, {len(self.torn)} inconsistent; "
@@ -191,6 +196,7 @@
 
     @property
     def passed(self) -> bool:
+        """Whether the run found no violation."""
         return not self.torn and not self.requests_without_endpoint and not self.refused and self.reads > 0
 
 
@@ -205,7 +211,7 @@
     """The generations that a file group encodes: one, or the group is a mix."""
     generations = set[int]()
     for table in tables.read_tables(files["eds.json"])[1]:
-        in_table = {round(line[4] * 100) for line in tables.lines(table)}
+        in_table = {round(entry[4] * 100) for entry in tables.lines(table)}
         generations |= (
             {generation // GENERATIONS_PER_ADMISSION_CHANGE for generation in in_table}
             if len(in_table) == 1
@@ -241,12 +247,14 @@
     """A fleet without a controller process: the controller runs in this process."""
 
     def __init__(self, folder: Path, proxies: int, durability: str) -> None:
-        day = draw(7, 600.0, hosts=6, proxies=proxies, directors=1, calls_per_s=60.0, troubles=[], spare=0)
+        scenario = draw(
+            7, 600.0, hosts=6, proxies=proxies, directors=1, calls_per_s=60.0, troubles=[], spare=0
+        )
         channel = msgspec.structs.replace(
-            day.channel, lines_per_s=1e7, most_waiting_lines=1e7, messages_most=0
+            scenario.channel, lines_per_s=1e7, most_waiting_lines=1e7, messages_most=0
         )
-        day.channel = channel
-        super().__init__(day, folder, durability=durability)
+        scenario.channel = channel
+        super().__init__(scenario, folder, durability=durability)
         self.swap_count = 0
 
     def start_director(self, rank: int) -> None:
@@ -265,6 +273,7 @@
 
 
 def count_swaps(service: Service) -> int:
+    """The number of swaps of all sessions that use files."""
     sinks = [session.sink for session in service.publisher.sessions.values()]
     return sum(sink.file_writer.swap_count for sink in sinks if isinstance(sink, FileUpdateSink))
 
@@ -272,6 +281,7 @@
 def run_swaps(
     folder: Path, count: int, readers: int, durability: str, say: Callable[[str], None]
 ) -> SwapReport:
+    """Runs a controller in this process until `count` swaps are done, and evaluates the logs."""
     stage = SwapStage(folder, readers, durability)
     (
         TimedFileGroupWriter.swap_durations,
--- a/willowhook/trial/takeover.py
+++ b/willowhook/trial/takeover.py
@@ -45,17 +45,19 @@
         troubles.append(Trouble(kinds[index % len(kinds)], at, 3.0, 0.15, 0.8))
         at, index = at + 5.0, index + 1
     size = {"hosts": 10, "proxies": 8, "directors": 2, "calls_per_s": 80.0, "spare": 0, **size}
-    day = draw(seed, length, troubles=troubles, **size)
+    scenario = draw(seed, length, troubles=troubles, **size)
     # The message cap is off: a controller that restarts repeatedly sends more messages.
-    day.channel = msgspec.structs.replace(day.channel, messages_most=0)
-    return day
+    scenario.channel = msgspec.structs.replace(scenario.channel, messages_most=0)
+    return scenario
 
 
 class TakeoverStage(Stage):
     """Disrupts controllers `kills` times, on average every `every_s` seconds."""
 
-    def __init__(self, day: Day, folder: Path, disruption_count: int, every_s: float, **more: Any) -> None:
-        super().__init__(day, folder, **more)
+    def __init__(
+        self, scenario: Day, folder: Path, disruption_count: int, every_s: float, **options: Any
+    ) -> None:
+        super().__init__(scenario, folder, **options)
         self.disruption_count, self.interval_s = disruption_count, every_s
         # by controller and proxy: an earlier file group
         self.earlier_groups: dict[str, dict[str, dict[str, bytes]]] = defaultdict(dict)
@@ -63,6 +65,7 @@
         self.disruption_counts: dict[str, int] = defaultdict(int)
 
     async def disrupt_controllers(self) -> None:
+        """Starts the disruptions at random intervals."""
         await trio.sleep(max((self.zero - monotonic_ticks()) / TICKS_PER_SECOND + 4.0, 0))
         for _ in range(self.disruption_count):
             disruption = self.chance.choice(DISRUPTIONS)
@@ -70,6 +73,7 @@
             await trio.sleep(self.interval_s * self.chance.uniform(0.6, 1.4))
 
     async def disrupt(self, disruption: str, away_s: float) -> None:
+        """Applies one disruption, and ends it after `away_s`."""
         candidates = [
             rank
             for rank in range(self.day.directors)
@@ -144,6 +148,8 @@
             return  # the folder was just removed, and with it the earlier writer
 
     async def play(self, nursery: trio.Nursery) -> None:
+        """Runs the scenario and the disruptions."""
+
         async def disrupt_when_started() -> None:
             while not hasattr(self, "zero"):
                 await trio.sleep(0.05)
@@ -153,6 +159,7 @@
         await super().play(nursery)
 
     def all_alive(self) -> None:
+        """Checks the stand-ins; a controller that is paused or dead is no failure here."""
         for rank in list(self.disrupted_ranks):
             if rank in self.directors:
                 self.directors[rank].send_signal(signal.SIGCONT)
@@ -177,9 +184,11 @@
 
     @property
     def passed(self) -> bool:
+        """Whether the run found no violation."""
         return self.outcome.kept and not self.shared_terms
 
     def lines(self) -> list[str]:
+        """Describes the result for a reader."""
         ranked = sorted(self.recovery_s) or [0.0]
         counts = ", ".join(f"{count} {way}" for way, count in sorted(self.disruptions.items()))
         p99 = ranked[int(len(ranked) * 0.99)]
@@ -226,8 +235,8 @@
     for row in events:
         if row["kind"] != "director_died":
             continue
-        for proxy, rows in joins_by_proxy.items():
-            controllers = [who for t, who in rows if t <= row["t"]]
+        for proxy, joins in joins_by_proxy.items():
+            controllers = [controller for t, controller in joins if t <= row["t"]]
             if controllers and controllers[-1] == row["d"]:
                 next_applied = next((t for t in applied_by_proxy[proxy] if t > row["t"]), None)
                 if next_applied is not None:
@@ -241,26 +250,35 @@
 
 def run_takeover(
     seed: int, kills: int, every_s: float, folder: Path, say: Callable[[str], None], fenced: bool = True,
-    strikes: bool = True, front: str = "files", store: str = "none", **size: Any,
+    disrupted: bool = True, front: str = "files", store: str = "none", **size: Any,
 ) -> TakeoverReport:  # fmt: skip
-    """Runs the scenario; with `strikes` False it runs undisturbed, as a reference for the service level."""
-    day = takeover_scenario(seed, kills, every_s, **size)
+    """Runs the scenario; with `disrupted` False it runs undisturbed, as a reference for the service level."""
+    scenario = takeover_scenario(seed, kills, every_s, **size)
     shutil.rmtree(folder, ignore_errors=True)
-    stage = TakeoverStage(day, folder, kills if strikes else 0, every_s, front=front, store=store)
+    stage = TakeoverStage(scenario, folder, kills if disrupted else 0, every_s, front=front, store=store)
     stage.fenced = fenced
     outcome = trio.run(stage.run)
     return evaluate_run(stage, outcome)
 
 
-def run_orphans(folder: Path, proxies: int, hosts: int, calls_per_s: float, seed: int = 1) -> TakeoverReport:
+def run_orphans(
+    folder: Path, proxies: int, endpoints: int, calls_per_s: float, seed: int = 1
+) -> TakeoverReport:
     """All proxies permanently lose their controller at the same moment and join the other one."""
-    day = draw(
-        seed, 26.0, hosts=hosts, proxies=proxies, directors=2, calls_per_s=calls_per_s, troubles=[], spare=0
+    scenario = draw(
+        seed,
+        26.0,
+        hosts=endpoints,
+        proxies=proxies,
+        directors=2,
+        calls_per_s=calls_per_s,
+        troubles=[],
+        spare=0,
     )
-    for plan in day.proxies:
+    for plan in scenario.proxies:
         plan.zone = ZONES[0]  # the zone of the first controller
     shutil.rmtree(folder, ignore_errors=True)
-    stage = OrphanStage(day, folder, 0, 1.0)
+    stage = OrphanStage(scenario, folder, 0, 1.0)
     outcome = trio.run(stage.run)
     return evaluate_run(stage, outcome)
 
@@ -269,6 +287,7 @@
     """Kills the first controller once, and never restarts it."""
 
     async def disrupt_controllers(self) -> None:
+        """Kills the first controller after ten seconds."""
         await trio.sleep(max((self.zero - monotonic_ticks()) / TICKS_PER_SECOND + 10.0, 0))
         self.kill_director(0)
         self.disruption_counts["kill"] += 1
--- a/willowhook/trial/versions.py
+++ b/willowhook/trial/versions.py
@@ -28,6 +28,7 @@
 
 
 def versions_scenario(seed: int, proxies: int, length: float) -> Day:
+    """A scenario in which proxies, controllers and endpoints fail in turn."""
     troubles = []
     at, index = 4.0, 0
     kinds = ("proxy_killed", "director_killed", "proxy_killed", "deploy", "streams_lost", "host_crash")
@@ -35,11 +36,11 @@
         kind = kinds[index % len(kinds)]
         troubles.append(Trouble(kind, at, 1.5 if kind == "director_killed" else 1.0, 0.15))
         at, index = at + 2.5, index + 1
-    day = draw(
+    scenario = draw(
         seed, length, troubles=troubles, hosts=16, proxies=proxies, directors=2, calls_per_s=120.0, spare=0
     )
-    day.channel = msgspec.structs.replace(day.channel, messages_most=0)
-    return day
+    scenario.channel = msgspec.structs.replace(scenario.channel, messages_most=0)
+    return scenario
 
 
 @dataclass
@@ -50,6 +51,7 @@
     outcome: Outcome
 
     def lines(self) -> list[str]:
+        """Describes the result for a reader."""
         outcome = self.outcome
         lines = [verdict.line() for verdict in outcome.verdicts]
         lines.append(
@@ -59,12 +61,14 @@
 
     @property
     def passed(self) -> bool:
+        """Whether the run found no violation."""
         return self.outcome.kept and not self.beliefs.wrong and self.beliefs.applied > 0
 
 
 def run_versions(
     folder: Path, seed: int, proxies: int, length: float, refuse: float, say: Callable[[str], None]
 ) -> VersionsReport:
+    """Runs the scenario, and checks what the controllers believe about their proxies."""
     if folder.exists():
         shutil.rmtree(folder)
     stage = Stage(versions_scenario(seed, proxies, length), folder, say=say, front="mixed")
@@ -83,6 +87,7 @@
     odd_generation = 6
 
     def evaluate(self, now: int) -> None:
+        """Publishes the next generation if the controller is idle."""
         if self.endpoints and self.idle():
             self.generation += 1
             for name in self.endpoints:
@@ -94,6 +99,7 @@
         self.runtime.schedule_evaluation(GENERATION_INTERVAL_TICKS)
 
     def send_commands(self) -> None:
+        """Gives all endpoints the same weight."""
         for name in self.endpoints:
             self.runtime.set_weight(0, name, 1.0)
 
@@ -114,6 +120,7 @@
     on_newest: int = 0  # proxies that hold the newest version at the end
 
     def lines(self) -> list[str]:
+        """Describes the result for a reader."""
         rollback_ms = self.rollback_ms or [0.0]
         return [
             f"{self.refusers} of {self.proxies} proxies refuse it; {self.halts} halts, the first "
@@ -127,6 +134,7 @@
 
     @property
     def passed(self) -> bool:
+        """Whether the run found no violation."""
         return (
             self.halts > 0
             and not self.still_affected
@@ -143,9 +151,10 @@
 
 
 def run_bad_version(folder: Path, proxies: int, share: float, front: str) -> BadVersionReport:
-    day = draw(7, 600.0, hosts=8, proxies=proxies, directors=1, calls_per_s=5.0, troubles=[], spare=0)
-    day.channel = msgspec.structs.replace(day.channel, messages_most=0)
-    stage = BadVersionStage(day, folder, front=front)
+    """Publishes a version that a share of the proxies refuses."""
+    scenario = draw(7, 600.0, hosts=8, proxies=proxies, directors=1, calls_per_s=5.0, troubles=[], spare=0)
+    scenario.channel = msgspec.structs.replace(scenario.channel, messages_most=0)
+    stage = BadVersionStage(scenario, folder, front=front)
     stage.odd_weight, stage.odd_share = round(ODD_WEIGHT * 10_000), share
 
     async def run() -> None:
@@ -159,14 +168,14 @@
             await nursery.start(stage.roster.run)
             stage.nursery = nursery
             url = f"http://127.0.0.1:{stage.roster.port}"
-            terms = terms_of(day, 0, stage.director_folder(0), url, str(folder / "director-0.records"))
+            terms = terms_of(scenario, 0, stage.director_folder(0), url, str(folder / "director-0.records"))
             terms = stage.with_front(terms, 0)
             services.append(Service(terms, decider=partial(SteppingDecider, is_idle)))
             with trio.CancelScope() as playing:
                 nursery.start_soon(stage.play, nursery)
                 while not hasattr(services[0], "controller"):
                     await trio.sleep(0.05)
-                    if len(stage.open_hosts()) == len(day.hosts):
+                    if len(stage.open_hosts()) == len(scenario.hosts):
                         await nursery.start(services[0].run)
                 decider: Any = services[0].controller
                 with trio.move_on_after(60):
