--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -20,7 +20,7 @@
     Quarantine,
 )
 from willowhook.reports.queue import ReportQueue
-from willowhook.reports.read import MAX_ROWS, Report, read
+from willowhook.reports.read import MAX_ROWS, Report, read_report
 from willowhook.reports.sample import sum_sample
 from willowhook.reports.sums import ReportCells, ReportedAttempts, ReportSums, combine_reports
 from willowhook.reports.windows import CLOCK_RESET_TICKS, RETENTION_TICKS, ReportWindows
@@ -350,8 +350,8 @@
     zone = forms.UpstreamLocalityStats(upstream_endpoint_stats=rows)
     made = forms.LoadStatsRequest(cluster_stats=[forms.ClusterStats("r@t", "", [zone], 0, [], "1s")])
     with pytest.raises(MessageFormatError, match="more than 5000 endpoints"):
-        read(made, frozenset("r"))
+        read_report(made, frozenset("r"))
     for times, cause in (((5, 4), "load_from is 5"), (("x", 4), "no numbers"), ((0, 1e13), "load_until 1e")):
         node = forms.Node(metadata={"load_from": times[0], "load_until": times[1]})
         with pytest.raises(MessageFormatError, match=cause):
-            read(forms.LoadStatsRequest(node), frozenset())
+            read_report(forms.LoadStatsRequest(node), frozenset())
--- a/willowhook/controlplane/intake.py
+++ b/willowhook/controlplane/intake.py
@@ -14,7 +14,7 @@
 from ..files.layout import LOAD_FILE, STATUS_FILE
 from ..membership.ownership import OwnershipClaim, check_claim
 from ..membership.timing_wheel import TimingWheel
-from ..reports.read import Report, read
+from ..reports.read import Report, read_report
 from ..reports.sample import sum_sample
 from ..reports.windows import ReportWindows
 from ..ticks import TICKS_PER_SECOND
@@ -297,7 +297,7 @@
                     if name not in self.sessions:  # the report has closed the session
                         return malformed
                     continue
-                accepted.append((arrived_at, xxhash.xxh64_intdigest(data), read(report, self._routes)))
+                accepted.append((arrived_at, xxhash.xxh64_intdigest(data), read_report(report, self._routes)))
             except MessageFormatError as error:
                 malformed.append((str(error), data))
                 self._malformed.reject(name, LOAD_FILE, str(error))
--- a/willowhook/reports/read.py
+++ b/willowhook/reports/read.py
@@ -58,7 +58,7 @@
     count: float = 0.0
 
 
-def read(report: forms.LoadStatsRequest, routes: frozenset[str]) -> Report:
+def read_report(report: forms.LoadStatsRequest, routes: frozenset[str]) -> Report:
     """Reads a report about these routes; attempts for other routes count for no route. Raises FormError."""
     return _ReportReader(routes).read(report)
 
