--- a/benchmarks/nginx.py
+++ b/benchmarks/nginx.py
@@ -13,9 +13,9 @@
 import time
 from collections.abc import Callable
 
-from willowhook.nginx.plan import Asked
+from willowhook.nginx.plan import ImportOptions
 from willowhook.nginx.syntax import WORD, parse
-from willowhook.nginx.verdicts import verdicts
+from willowhook.nginx.verdicts import diagnose
 
 
 def text(size: int) -> str:
@@ -59,7 +59,7 @@
         count = sum(1 for top in rows for _ in top.walk())
         read = median(lambda source=source: parse(source), times)  # type: ignore[misc]
         plain = median(lambda source=source: word.findall(source), times)  # type: ignore[misc]
-        done = median(lambda rows=rows: verdicts(rows, Asked(mutating=("/unit-7",))), times)  # type: ignore[misc]
+        done = median(lambda rows=rows: diagnose(rows, ImportOptions(mutating=("/unit-7",))), times)  # type: ignore[misc]
         peak = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1000
         each = (read + done) / count * 1e6
         print(f"{len(source):<11} {count:<12} {read:<8.4f} {done:<10.4f} {each:<16.1f} "
--- a/tests/test_export.py
+++ b/tests/test_export.py
@@ -18,9 +18,9 @@
 from willowhook.files.swap import FileGroupWriter, read_group
 from willowhook.nginx.export import LOCATIONS, UPSTREAMS, anchored, export
 from willowhook.nginx.follow import Follower
-from willowhook.nginx.plan import Asked, Plan
-from willowhook.nginx.result import table_files, terms_of
-from willowhook.nginx.setup import Setup
+from willowhook.nginx.plan import ImportOptions, ImportPlan
+from willowhook.nginx.result import controller_config, table_files
+from willowhook.nginx.setup import NginxConfig
 from willowhook.nginx.syntax import parse
 from willowhook.xds import forms, tables
 from willowhook.xds.codec import MessageFormatError, encode, encode_response
@@ -59,10 +59,10 @@
     """Exported, and imported from the blocks; nothing where no route is left."""
     made = export(files)
     text = made.files[UPSTREAMS].decode() + "server {" + made.files[LOCATIONS].decode() + "}"
-    plan = Plan(Setup(parse(text)), Asked())
+    plan = ImportPlan(NginxConfig(parse(text)), ImportOptions())
     if not plan.routes:
         return {}
-    return table_files(plan, terms_of(plan, 8, "run/d", "http://127.0.0.1:1"))
+    return table_files(plan, controller_config(plan, 8, "run/d", "http://127.0.0.1:1"))
 
 
 def says(files: dict[str, bytes], path: str) -> Any:
--- a/tests/test_nginx.py
+++ b/tests/test_nginx.py
@@ -16,10 +16,10 @@
 from willowhook.config.check import parse_config
 from willowhook.files.swap import read_group
 from willowhook.nginx.after import left_after
-from willowhook.nginx.locations import Location, Matcher, read_all
-from willowhook.nginx.syntax import Directive, Loader, SyntaxFault, parse, text_of
+from willowhook.nginx.locations import Location, LocationMatcher, read_locations
+from willowhook.nginx.syntax import ConfigSyntaxError, Directive, Loader, parse, text_of
 from willowhook.nginx.upstreams import Retry, Upstream, passed_to, retry_of, upstream_of
-from willowhook.nginx.verdicts import CARRIED, DIFFERS, LEFT, REFUSED
+from willowhook.nginx.verdicts import CARRIED, DIFFERS, NOT_CARRIED, REFUSED
 from willowhook.roster.forms import parse_endpoints
 from willowhook.trial import nginx_check
 from willowhook.trial.corpus import Sample, load_samples, verdict_errors
@@ -50,7 +50,7 @@
         ["server", [["location", "~*", "\\.(gif|jpg)$", [["proxy_pass", "http://tasks"]]],
                     ["set", "$x", "${y};{a}"], ["log_format", "main", '$host "$request" it\'s']]],
     ]  # fmt: skip
-    place = rows[0].block[1].args[0].place  # type: ignore[index]
+    place = rows[0].block[1].args[0].position  # type: ignore[index]
     assert str(place) == "a.conf:3:55" and rows[0].block[1].args[0].quoted  # type: ignore[index]
     assert shown(parse("a b#c ${d}e \\;f;")) == [["a", "b#c", "${d}e", "\\;f"]]
 
@@ -64,7 +64,7 @@
      ("a {" * 200 + "}" * 200, "x:1:1", "blocks 200 deep, 100 are read")],
 )  # fmt: skip
 def test_errors_name_place_and_cause(text: str, place: str, cause: str) -> None:
-    with pytest.raises(SyntaxFault) as caught:
+    with pytest.raises(ConfigSyntaxError) as caught:
         parse(text, "x")
     assert str(caught.value).startswith(f"{place}: ") and cause in str(caught.value)
 
@@ -77,14 +77,14 @@
     (tmp_path / "tail").write_text("tail;")
     rows = Loader().load(str(tmp_path / "main"))
     assert [row.name for row in rows[1].block or []] == ["include", "one", "include", "tail", "two"]
-    assert (rows[1].block or [])[3].place.file.endswith("tail")
+    assert (rows[1].block or [])[3].position.file.endswith("tail")
     (tmp_path / "tail").write_text("include main;")
-    with pytest.raises(SyntaxFault, match="it includes itself: .*main -> .*1.conf -> .*tail -> .*main"):
+    with pytest.raises(ConfigSyntaxError, match="it includes itself: .*main -> .*1.conf -> .*tail -> .*main"):
         Loader().load(str(tmp_path / "main"))
     (tmp_path / "tail").unlink()
-    with pytest.raises(SyntaxFault, match=r"1.conf:2:1: .*tail: No such file"):
+    with pytest.raises(ConfigSyntaxError, match=r"1.conf:2:1: .*tail: No such file"):
         Loader().load(str(tmp_path / "main"))
-    with pytest.raises(SyntaxFault, match="x:2:3: no UTF-8: byte 0xff"):
+    with pytest.raises(ConfigSyntaxError, match="x:2:3: no UTF-8: byte 0xff"):
         text_of(b"a;\nb \xff;", "x")
 
 
@@ -98,8 +98,8 @@
 def test_no_text_breaks_the_reader(parts: list[str]) -> None:
     try:
         rows = parse("".join(parts))
-    except SyntaxFault as fault:
-        assert fault.place.line >= 1 and fault.place.column >= 1
+    except ConfigSyntaxError as fault:
+        assert fault.position.line >= 1 and fault.position.column >= 1
     else:
         assert all(row.name for top in rows for row in top.walk())
 
@@ -107,9 +107,9 @@
 # Locations.
 
 
-def matcher(text: str) -> tuple[Matcher, list[Location]]:
-    rows = read_all(parse(text))
-    return Matcher(rows), rows
+def matcher(text: str) -> tuple[LocationMatcher, list[Location]]:
+    rows = read_locations(parse(text))
+    return LocationMatcher(rows), rows
 
 
 def test_the_published_example() -> None:
@@ -142,7 +142,7 @@
      ("location /a { location @b {} }", "in the server alone"), ("location a b c {}", "here are 3 words")],
 )  # fmt: skip
 def test_locations_that_cannot_be_are_told(text: str, cause: str) -> None:
-    with pytest.raises(SyntaxFault, match=re.escape(cause)):
+    with pytest.raises(ConfigSyntaxError, match=re.escape(cause)):
         matcher(text)
 
 
@@ -178,7 +178,7 @@
      ("ip_hash; server a; server b backup;", "a backup server goes with no ip_hash")],
 )  # fmt: skip
 def test_upstreams_that_cannot_be_are_told(text: str, cause: str) -> None:
-    with pytest.raises(SyntaxFault, match=cause):
+    with pytest.raises(ConfigSyntaxError, match=cause):
         upstream(text)
 
 
@@ -190,11 +190,11 @@
     off = retry_of(parse("proxy_next_upstream off;"), outer)
     assert off.off and off.may_run_twice() == ()
     assert retry_of(parse("proxy_next_upstream error non_idempotent;"), outer).non_idempotent
-    with pytest.raises(SyntaxFault, match="'http_999' is no condition"):
+    with pytest.raises(ConfigSyntaxError, match="'http_999' is no condition"):
         retry_of(parse("proxy_next_upstream http_999;"), outer)
     assert passed_to(parse("proxy_pass http://tasks/new/;")[0]) == ("tasks", "/new/")
     assert passed_to(parse("proxy_pass https://tasks;")[0]) == ("tasks", "")
-    with pytest.raises(SyntaxFault, match="neither http"):
+    with pytest.raises(ConfigSyntaxError, match="neither http"):
         passed_to(parse("proxy_pass tasks;")[0])
 
 
@@ -241,7 +241,7 @@
 def test_the_corpus_is_whole_and_a_wrong_mark_is_seen() -> None:
     rows = load_samples()
     assert len(rows) >= 120 and len({row.name for row in rows}) == len(rows)
-    assert {mark for row in rows for mark in row.wanted} == {CARRIED, DIFFERS, LEFT, REFUSED}
+    assert {mark for row in rows for mark in row.wanted} == {CARRIED, DIFFERS, NOT_CARRIED, REFUSED}
     one = rows[0]
     assert verdict_errors(replace(one, wanted=(REFUSED, *one.wanted[1:]))) and verdict_errors(
         replace(one, wanted=one.wanted[1:])
--- a/tests/test_nginx_served.py
+++ b/tests/test_nginx_served.py
@@ -8,7 +8,7 @@
 import pytest
 import trio
 
-from willowhook.nginx.plan import Asked
+from willowhook.nginx.plan import ImportOptions
 from willowhook.trial import nginx_same
 from willowhook.trial.corpus import Sample
 from willowhook.trial.nginx_director import run_imported_scenario
@@ -22,7 +22,7 @@
 
 
 def played(
-    text: str, asked: Asked, monkeypatch: pytest.MonkeyPatch, change: tuple[bytes, bytes]
+    text: str, asked: ImportOptions, monkeypatch: pytest.MonkeyPatch, change: tuple[bytes, bytes]
 ) -> Comparison:
     """A sample whose imported tables are falsified on their way to the proxy."""
     real = nginx_same.table_files
@@ -51,13 +51,13 @@
 def test_tables_that_serve_otherwise_are_seen(
     change: tuple[bytes, bytes], told: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    found = played(CONF, Asked(), monkeypatch, change)
+    found = played(CONF, ImportOptions(), monkeypatch, change)
     assert not found.passed and any(told in line for line in found.differences), found.lines()
 
 
 def test_a_retry_that_repeats_an_effect_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
     change = (b'"connect-failure,refused-stream,retriable-headers"', b'"5xx,reset,connect-failure"')
-    found = played(CONF, Asked(mutating=("/submit-task",)), monkeypatch, change)
+    found = played(CONF, ImportOptions(mutating=("/submit-task",)), monkeypatch, change)
     assert found.repeats["tables"] > 0 and not found.passed
 
 
--- a/willowhook/cli/imports.py
+++ b/willowhook/cli/imports.py
@@ -13,8 +13,8 @@
 from .commands import main
 
 if TYPE_CHECKING:
-    from ..nginx.plan import Plan
-    from ..nginx.verdicts import Verdict
+    from ..nginx.plan import ImportPlan
+    from ..nginx.verdicts import Diagnostic
 
 
 @main.group("import")
@@ -61,40 +61,40 @@
     from ..config.check import ConfigError
     from ..nginx.diff import diff
     from ..nginx.explain import explain
-    from ..nginx.plan import REFUSED, Asked, PlanFault
-    from ..nginx.setup import Setup
-    from ..nginx.syntax import Directive, Loader, SyntaxFault
-    from ..nginx.verdicts import verdicts
+    from ..nginx.plan import REFUSED, ImportOptions, ImportPlanError
+    from ..nginx.setup import NginxConfig
+    from ..nginx.syntax import ConfigSyntaxError, Directive, Loader
+    from ..nginx.verdicts import diagnose
 
     for each in (*mutating, *repeatable):
         if not each.startswith("/"):
             raise click.BadParameter(f"{each!r} is no path: it begins with /")
     gc.disable()  # millions of small parts, all of them needed to the end of a short run
-    asked = Asked(host, mutating, repeatable, _keyed(keyed), slo_ms, zone)
+    asked = ImportOptions(host, mutating, repeatable, _keyed(keyed), slo_ms, zone)
     try:
         loader, rows = Loader(), list[Directive]()
         for path in paths:
             rows += loader.load(path)
         if uri:
-            for line in explain(Setup(rows), uri, host, method).lines():
+            for line in explain(NginxConfig(rows), uri, host, method).lines():
                 click.echo(line)
             return
         if older:
-            changes = diff(Setup(Loader().load(older)), Setup(rows), asked)
+            changes = diff(NginxConfig(Loader().load(older)), NginxConfig(rows), asked)
             for line in changes:
                 click.echo(line)
             click.echo(f"{len(changes)} changes for calls")
             sys.exit(1 if changes else 0)
-        found, plan = verdicts(rows, asked)
+        found, plan = diagnose(rows, asked)
         if out:
-            if plan.ambiguous():
-                raise PlanFault(plan.ambiguous())
+            if plan.server_ambiguity():
+                raise ImportPlanError(plan.server_ambiguity())
             if not plan.routes:
-                causes = [row.line() for row in found if row.what == REFUSED]
+                causes = [row.report_line() for row in found if row.outcome == REFUSED]
                 text = "no route is left: nothing here passes calls to hosts in a way that can be carried"
-                raise PlanFault("\n".join([*causes, text]))
+                raise ImportPlanError("\n".join([*causes, text]))
             _write(Path(out), plan, found, proxies, roster)
-    except (SyntaxFault, PlanFault) as fault:
+    except (ConfigSyntaxError, ImportPlanError) as fault:
         click.echo(str(fault), err=True)
         sys.exit(2)
     except ConfigError as fault:
@@ -105,28 +105,30 @@
         click.echo(f"{fault.filename}: {fault.strerror}", err=True)
         sys.exit(2)
     for row in found:
-        click.echo(json.dumps(row.told()) if as_json else row.line())
+        click.echo(json.dumps(row.as_dict()) if as_json else row.report_line())
     if not as_json:
         for line in plan.remarks:
             click.echo(f"note: {line}")
-    sys.exit(1 if any(row.what == REFUSED for row in found) else 0)
+    sys.exit(1 if any(row.outcome == REFUSED for row in found) else 0)
 
 
-def _write(out: Path, plan: Plan, found: list[Verdict], proxies: int, roster: str) -> None:
+def _write(out: Path, plan: ImportPlan, found: list[Diagnostic], proxies: int, roster: str) -> None:
     """All of it, or nothing: it is made before the first file is written."""
     import msgspec
 
     from ..files.ops import DiskOps
     from ..files.swap import FileGroupWriter, swap_file
-    from ..nginx.result import host_list, table_files, terms_of
+    from ..nginx.result import controller_config, endpoint_list, table_files
 
-    terms = terms_of(plan, proxies, str((out / "director").absolute()), roster)
-    report = "".join(f"{row.line()}\n" for row in found) + "".join(f"note: {row}\n" for row in plan.remarks)
+    terms = controller_config(plan, proxies, str((out / "director").absolute()), roster)
+    report = "".join(f"{row.report_line()}\n" for row in found) + "".join(
+        f"note: {row}\n" for row in plan.remarks
+    )
     files = {
         "director.json": msgspec.json.format(msgspec.json.encode(terms), indent=1),
-        "hosts.json": host_list(plan),
+        "hosts.json": endpoint_list(plan),
         "report.txt": report.encode(),
-        "report.json": msgspec.json.format(msgspec.json.encode([row.told() for row in found]), indent=1),
+        "report.json": msgspec.json.format(msgspec.json.encode([row.as_dict() for row in found]), indent=1),
     }
     group = table_files(plan, terms)
     out.mkdir(parents=True, exist_ok=True)
--- a/willowhook/nginx/diff.py
+++ b/willowhook/nginx/diff.py
@@ -9,9 +9,9 @@
 import re
 
 from .explain import Answer, explain
-from .flat import uris
-from .plan import Asked
-from .setup import Setup
+from .flat import probe_uris
+from .plan import ImportOptions
+from .setup import NginxConfig
 
 TRIES = re.compile(r", (one try|\d+ tries)")
 
@@ -27,10 +27,10 @@
     return f"{hosts}{spare}, as {answer.uri}, {answer.pick}, {again}, {answer.limit_ms} ms"
 
 
-def diff(old: Setup, new: Setup, asked: Asked) -> list[str]:
+def diff(old: NginxConfig, new: NginxConfig, asked: ImportOptions) -> list[str]:
     """A line a change: which calls, what they met, what they will meet; calls that change alike share one."""
-    names = dict.fromkeys([asked.host] if asked.host else [
-        name for setup in (old, new) for site in setup.sites for name in site.names or [""]
+    names = dict.fromkeys([asked.server_name] if asked.server_name else [
+        name for setup in (old, new) for site in setup.server_blocks for name in site.names or [""]
         if not name.startswith("~")
     ])  # fmt: skip
     found: list[str] = []
@@ -38,9 +38,9 @@
         host = name.replace("*", "any").lstrip(".")
         asks: dict[str, None] = {}
         for setup in (old, new):
-            site = setup.site(host)
+            site = setup.find_server_block(host)
             if site is not None:
-                asks.update(dict.fromkeys(uris(site, asked.declared())))
+                asks.update(dict.fromkeys(probe_uris(site, asked.declared_paths())))
         alike: dict[tuple[str, str, str], list[str]] = {}
         for uri in asks:
             by_get = None
--- a/willowhook/nginx/explain.py
+++ b/willowhook/nginx/explain.py
@@ -6,14 +6,14 @@
 from dataclasses import dataclass, field
 
 from .locations import Location
-from .setup import Place, Setup, Site, Target
+from .setup import LocationConfig, NginxConfig, ServerBlock, Target
 
 MUTATING = ("POST", "LOCK", "PATCH")  # methods that are only tried again with `non_idempotent`
 
 
 @dataclass(slots=True)
 class Answer:
-    site: Site | None = None
+    site: ServerBlock | None = None
     location: Location | None = None
     upstream: str = ""  # several: with their shares
     uri: str = ""  # as it is passed on
@@ -30,7 +30,7 @@
         if self.why:
             return [self.why]
         assert self.location is not None
-        place = self.location.directive.place
+        place = self.location.directive.position
         if self.status:
             return [f"{self.location} ({place}) answers {self.status}"]
         found = [f"{self.location} ({place}) -> upstream {self.upstream}, as {self.uri}"]
@@ -56,12 +56,12 @@
         )
 
 
-def explain(setup: Setup, uri: str, host: str = "", method: str = "GET") -> Answer:
-    site = setup.site(host)
+def explain(setup: NginxConfig, uri: str, host: str = "", method: str = "GET") -> Answer:
+    site = setup.find_server_block(host)
     if site is None:
         return Answer(why="there is no server")
     path = uri.partition("?")[0]
-    place = site.place(path)
+    place = site.find_location(path)
     if place is None:
         return Answer(site, why=f"no location fits {uri}")
     found = Answer(site, place.location, status=place.status)
@@ -69,10 +69,10 @@
     if place.status:
         return found
     if target is None:
-        found.why = f"{place.location} ({place.location.directive.place}) passes nothing on"
+        found.why = f"{place.location} ({place.location.directive.position}) passes nothing on"
         return found
-    if target.why:
-        found.why = f"{place.location} ({place.location.directive.place}): {target.why}"
+    if target.unknown_reason:
+        found.why = f"{place.location} ({place.location.directive.position}): {target.unknown_reason}"
         return found
     parts = chosen(target, path)
     found.upstream = ", ".join(name if share == 1 else f"{name} {share:.1%}" for name, share in parts)
@@ -96,7 +96,7 @@
 
 def chosen(target: Target, path: str) -> list[tuple[str, float]]:
     """Upstreams with their shares of the calls of one path."""
-    choice = target.choice
+    choice = target.mapping
     if choice is None or choice.kind == "split" or len(choice.values()) == 1:
         return target.parts
     for pattern, value, _ in choice.rows:  # a text goes before expressions
@@ -110,9 +110,9 @@
     return target.parts
 
 
-def _tries(found: Answer, place: Place, method: str, count: int) -> None:
-    retry = place.manner.retry
+def _tries(found: Answer, place: LocationConfig, method: str, count: int) -> None:
+    retry = place.proxy_settings.retry
     allowed = not retry.off and (method not in MUTATING or retry.non_idempotent)
     found.again_after = retry.may_run_twice() if allowed else ()
     found.tries = max(1, min(retry.tries or count, count)) if found.again_after else 1
-    found.limit_ms = min(place.manner.read_ms, retry.timeout_ms or place.manner.read_ms)
+    found.limit_ms = min(place.proxy_settings.read_ms, retry.timeout_ms or place.proxy_settings.read_ms)
--- a/willowhook/nginx/flat.py
+++ b/willowhook/nginx/flat.py
@@ -16,7 +16,7 @@
 
 from .after import left_after
 from .locations import EXACT, NAMED, PRIORITY, REGEX_NOCASE, Location
-from .setup import Place, Site
+from .setup import LocationConfig, ServerBlock
 
 BELOW, WHOLE, PREFIX, REGEX = "below", "exact", "prefix", "regex"
 MOST_REPEATS = 1000  # of the published expressions
@@ -36,7 +36,7 @@
 
     match: str
     path: str
-    place: Place
+    location_config: LocationConfig
     declared: str = ""  # a path that the operator named
     value: str = ""  # by a map: the upstream that this path selects
 
@@ -45,7 +45,7 @@
     """An expression that matches all of a path in which this one is found, of those that begin with `within`;
     empty if it is found in all of these.
     """
-    nocase = location.kind == REGEX_NOCASE
+    nocase = location.modifier == REGEX_NOCASE
     text = re.sub(r"\(\?<(?=[A-Za-z_])", "(?P<", location.pattern)
     flags = "(?si)" if nocase else "(?s)"
     if not within:
@@ -71,7 +71,7 @@
     return f"{found[1]}{found[2]}"
 
 
-def _expression(place: Place, within: str = "") -> Entry:
+def _expression(place: LocationConfig, within: str = "") -> Entry:
     text = whole(place.location, within)
     return Entry(REGEX, text, place) if text else Entry(PREFIX, within, place)
 
@@ -100,24 +100,26 @@
 class Flattener:
     """`declared`: paths about which the operator said something."""
 
-    site: Site
+    site: ServerBlock
     declared: tuple[str, ...] = ()
-    left: list[tuple[Place, str]] = field(default_factory=list)  # expressions that cannot be said, and why
+    inexpressible: list[tuple[LocationConfig, str]] = field(
+        default_factory=list
+    )  # expressions that cannot be said, and why
 
     def __post_init__(self) -> None:
-        self._extra: dict[int, list[Place]] = {}  # by location: its inner ones and declared paths
+        self._extra: dict[int, list[LocationConfig]] = {}  # by location: its inner ones and declared paths
         self._names: dict[int, str] = {}
         for path in self.declared:
-            at = self.site.place(path) or self.site.place(path + "/")
-            if at is None or at.location.regex is not None or at.location.kind == EXACT:
+            at = self.site.find_location(path) or self.site.find_location(path + "/")
+            if at is None or at.location.regex is not None or at.location.modifier == EXACT:
                 continue
             own = Location("", path, at.location.directive)
-            made = Place(own, at.manner, at.target, at.passes, at.status, at.unsafe)
+            made = LocationConfig(own, at.proxy_settings, at.target, at.passes, at.status, at.unsafe)
             self._names[id(made)] = path
             self._extra.setdefault(id(at), []).append(made)
 
     def entries(self) -> list[Entry]:
-        top = [place for place in self.site.places if place.location.kind != NAMED]
+        top = [place for place in self.site.locations if place.location.modifier != NAMED]
         regexes = [place for place in top if place.location.regex is not None and self._can(place)]
         found = [*self._exacts(top)]
         prefixes = self._sorted(place for place in top if _is_prefix(place))
@@ -143,34 +145,34 @@
                 rows.setdefault((row.match, row.path), row)  # what stands twice is reached once
         return list(rows.values())
 
-    def _inner(self, place: Place) -> list[Place]:
-        return [*place.inner, *self._extra.get(id(place), ())]
+    def _inner(self, place: LocationConfig) -> list[LocationConfig]:
+        return [*place.nested, *self._extra.get(id(place), ())]
 
     @staticmethod
-    def _sorted(places: Iterable[Place]) -> list[Place]:
+    def _sorted(places: Iterable[LocationConfig]) -> list[LocationConfig]:
         return sorted(places, key=lambda place: -len(place.location.pattern))
 
-    def _exacts(self, places: list[Place]) -> Iterator[Entry]:
+    def _exacts(self, places: list[LocationConfig]) -> Iterator[Entry]:
         for place in places:
-            if place.location.kind == EXACT:
+            if place.location.modifier == EXACT:
                 yield Entry(WHOLE, place.location.pattern, place)
-            yield from self._exacts(place.inner)
+            yield from self._exacts(place.nested)
 
-    def _alone(self, place: Place) -> bool:
+    def _alone(self, place: LocationConfig) -> bool:
         """Whether its search ends otherwise than that of the locations beside it."""
-        if place.location.kind == PRIORITY:
+        if place.location.modifier == PRIORITY:
             return True
-        return any(each.location.regex is not None or self._alone(each) for each in place.inner)
+        return any(each.location.regex is not None or self._alone(each) for each in place.nested)
 
-    def _can(self, place: Place) -> bool:
+    def _can(self, place: LocationConfig) -> bool:
         why = beyond(place.location)
-        if why and all(place is not each for each, _ in self.left):
-            self.left.append((place, why))
+        if why and all(place is not each for each, _ in self.inexpressible):
+            self.inexpressible.append((place, why))
         return not why
 
-    def _block(self, place: Place, after: list[Place]) -> Iterator[Entry]:
+    def _block(self, place: LocationConfig, after: list[LocationConfig]) -> Iterator[Entry]:
         """All that falls to a prefix: what lies within it, the expressions that go before it, itself."""
-        after = [] if place.location.kind == PRIORITY else after
+        after = [] if place.location.modifier == PRIORITY else after
         inner = self._inner(place)
         mine = [each for each in inner if each.location.regex is not None and self._can(each)] + after
         for each in self._sorted(each for each in inner if _is_prefix(each)):
@@ -181,13 +183,13 @@
         yield Entry(BELOW if name else PREFIX, place.location.pattern, place, name)
 
 
-def _is_prefix(place: Place) -> bool:
-    return place.location.regex is None and place.location.kind not in (EXACT, NAMED)
+def _is_prefix(place: LocationConfig) -> bool:
+    return place.location.regex is None and place.location.modifier not in (EXACT, NAMED)
 
 
 def _by_map(entry: Entry) -> Iterator[Entry]:
     """What a map by the path selects within a location goes before the rest of it."""
-    choice = entry.place.target.choice if entry.place.target is not None else None
+    choice = entry.location_config.target.mapping if entry.location_config.target is not None else None
     if choice is not None and choice.kind == "map" and len(choice.values()) > 1:
         for pattern, value, _ in choice.rows:
             if pattern.startswith("~"):
@@ -196,9 +198,9 @@
                 within = entry.path if entry.match in (PREFIX, BELOW) else ""
                 text = whole(made, within)
                 match, path = (REGEX, text) if text else (PREFIX, within)
-                yield Entry(match, path, entry.place, entry.declared, value)
+                yield Entry(match, path, entry.location_config, entry.declared, value)
             elif entry.match != WHOLE and pattern.startswith("/"):
-                yield Entry(WHOLE, pattern, entry.place, entry.declared, value)
+                yield Entry(WHOLE, pattern, entry.location_config, entry.declared, value)
     yield entry
 
 
@@ -260,24 +262,24 @@
     return found
 
 
-def uris(site: Site, declared: Iterable[str], seed: int = 1) -> list[str]:
+def probe_uris(site: ServerBlock, declared: Iterable[str], seed: int = 1) -> list[str]:
     """Paths that tell locations apart, made from their patterns."""
     chance = random.Random(seed)
     found: dict[str, None] = {}
     prefixes: list[str] = []
     drawn: list[str] = []
 
-    def walk(places: list[Place]) -> None:
+    def walk(places: list[LocationConfig]) -> None:
         for place in places:
             text = place.location.pattern
             if place.location.regex is not None:
                 drawn.extend(samples(text, chance))
-            elif place.location.kind != NAMED:
+            elif place.location.modifier != NAMED:
                 prefixes.append(text)
                 found.update(dict.fromkeys((text, text + "x", text + "/x", text.rstrip("/") or "/")))
-            walk(place.inner)
+            walk(place.nested)
 
-    walk(site.places)
+    walk(site.locations)
     for path in declared:
         found.update(dict.fromkeys((path, path + "/", path + "/x", path + "x")))
     whole_prefixes = prefixes if len(prefixes) <= MOST_PAIRED else chance.sample(prefixes, MOST_PAIRED)
@@ -294,12 +296,14 @@
     return rows if len(rows) <= MOST_ASKED else chance.sample(rows, MOST_ASKED)
 
 
-def differences(site: Site, entries: list[Entry], declared: Iterable[str]) -> list[tuple[str, Place, Entry]]:
+def differences(
+    site: ServerBlock, entries: list[Entry], declared: Iterable[str]
+) -> list[tuple[str, LocationConfig, Entry]]:
     """URIs that the list sends elsewhere than the search does: the URI, its location, what the list says."""
     flat, found = FirstMatch(entries), []
-    for uri in uris(site, declared):
-        place, entry = site.place(uri), flat.find(uri)
-        here = entry.place.location.directive if entry is not None else None
+    for uri in probe_uris(site, declared):
+        place, entry = site.find_location(uri), flat.find(uri)
+        here = entry.location_config.location.directive if entry is not None else None
         if place is not None and entry is not None and place.location.directive is not here:
             found.append((uri, place, entry))
     return found
--- a/willowhook/nginx/locations.py
+++ b/willowhook/nginx/locations.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from .syntax import Directive, Place, SyntaxFault
+from .syntax import ConfigSyntaxError, Directive, SourcePosition
 
 EXACT, PRIORITY, PREFIX, REGEX, REGEX_NOCASE, NAMED = "=", "^~", "", "~", "~*", "@"
 KINDS = (EXACT, PRIORITY, REGEX, REGEX_NOCASE)
@@ -20,30 +20,30 @@
 
 @dataclass(slots=True)
 class Location:
-    kind: str
+    modifier: str
     pattern: str
     directive: Directive
-    inner: list[Location] = field(default_factory=list)
+    nested: list[Location] = field(default_factory=list)
     regex: re.Pattern[str] | None = None
 
-    def fits(self, uri: str) -> bool:
+    def matches(self, uri: str) -> bool:
         if self.regex is not None:
             return self.regex.search(uri) is not None
-        return uri == self.pattern if self.kind == EXACT else uri.startswith(self.pattern)
+        return uri == self.pattern if self.modifier == EXACT else uri.startswith(self.pattern)
 
     def __str__(self) -> str:
-        return f"location {self.kind} {self.pattern}".replace("  ", " ")
+        return f"location {self.modifier} {self.pattern}".replace("  ", " ")
 
 
-def compiled(pattern: str, nocase: bool, place: Place) -> re.Pattern[str]:
+def compiled(pattern: str, nocase: bool, place: SourcePosition) -> re.Pattern[str]:
     """An expression of the language; groups may be named its way.  Raises SyntaxFault."""
     try:
         return re.compile(re.sub(r"\(\?<(?=[A-Za-z_])", "(?P<", pattern), re.IGNORECASE if nocase else 0)
     except (re.error, RecursionError, OverflowError) as fault:
-        raise SyntaxFault(place, f"no regular expression: {fault}") from fault
+        raise ConfigSyntaxError(place, f"no regular expression: {fault}") from fault
 
 
-Kept = Callable[[Directive, SyntaxFault], None]
+Kept = Callable[[Directive, ConfigSyntaxError], None]
 
 
 def read(directive: Directive, kept: Kept | None = None) -> Location:
@@ -60,35 +60,35 @@
         if pattern.startswith("@"):
             kind = NAMED
     else:
-        raise SyntaxFault(
-            directive.place, f"location has a modifier and a pattern, here are {len(words)} words"
+        raise ConfigSyntaxError(
+            directive.position, f"location has a modifier and a pattern, here are {len(words)} words"
         )
     made = Location(kind, pattern, directive)
     if kind in (REGEX, REGEX_NOCASE):
-        made.regex = compiled(pattern, kind == REGEX_NOCASE, directive.args[-1].place)
-    made.inner = read_all(directive.block or [], kept)
-    for each in list(made.inner):
+        made.regex = compiled(pattern, kind == REGEX_NOCASE, directive.args[-1].position)
+    made.nested = read_locations(directive.block or [], kept)
+    for each in list(made.nested):
         try:
             _within(made, each)
-        except SyntaxFault as fault:
+        except ConfigSyntaxError as fault:
             if kept is None:
                 raise
             kept(each.directive, fault)
-            made.inner.remove(each)
+            made.nested.remove(each)
     return made
 
 
 def _within(made: Location, each: Location) -> None:
     """Raises SyntaxFault where `each` cannot stand in `made`."""
-    if made.kind == EXACT:
-        raise SyntaxFault(each.directive.place, f"a location within {made}, which is exact")
-    if NAMED in (made.kind, each.kind):
-        raise SyntaxFault(each.directive.place, "named locations stand in the server alone")
+    if made.modifier == EXACT:
+        raise ConfigSyntaxError(each.directive.position, f"a location within {made}, which is exact")
+    if NAMED in (made.modifier, each.modifier):
+        raise ConfigSyntaxError(each.directive.position, "named locations stand in the server alone")
     if each.regex is None and made.regex is None and not each.pattern.startswith(made.pattern):
-        raise SyntaxFault(each.directive.place, f"{each} is outside {made}")
+        raise ConfigSyntaxError(each.directive.position, f"{each} is outside {made}")
 
 
-def read_all(rows: list[Directive], kept: Kept | None = None) -> list[Location]:
+def read_locations(rows: list[Directive], kept: Kept | None = None) -> list[Location]:
     """The locations of one block, in order; raises SyntaxFault, or hands it to `kept` and goes on."""
     found: list[Location] = []
     seen: dict[tuple[str, str], Location] = {}
@@ -98,10 +98,12 @@
         try:
             made = read(row, kept)
             # a prefix with and without `^~` is the same location
-            key = ("prefix" if made.kind in (PREFIX, PRIORITY) else made.kind, made.pattern)
+            key = ("prefix" if made.modifier in (PREFIX, PRIORITY) else made.modifier, made.pattern)
             if made.regex is None and key in seen:
-                raise SyntaxFault(row.place, f"{made} stands twice, first at {seen[key].directive.place}")
-        except SyntaxFault as fault:
+                raise ConfigSyntaxError(
+                    row.position, f"{made} stands twice, first at {seen[key].directive.position}"
+                )
+        except ConfigSyntaxError as fault:
             if kept is None:
                 raise
             kept(row, fault)
@@ -111,16 +113,16 @@
     return found
 
 
-class Matcher:
+class LocationMatcher:
     """The locations of one block; prefixes by length, so that the longest is found without trying all."""
 
     def __init__(self, rows: list[Location]) -> None:
-        self._exact = {row.pattern: row for row in rows if row.kind == EXACT}
-        self._prefixes = {row.pattern: row for row in rows if row.kind in (PREFIX, PRIORITY)}
+        self._exact = {row.pattern: row for row in rows if row.modifier == EXACT}
+        self._prefixes = {row.pattern: row for row in rows if row.modifier in (PREFIX, PRIORITY)}
         self._lengths = sorted({len(pattern) for pattern in self._prefixes}, reverse=True)
         self._regexes = [row for row in rows if row.regex is not None]
-        self._named = {row.pattern: row for row in rows if row.kind == NAMED}
-        self._inner = {id(row): Matcher(row.inner) for row in rows if row.inner}
+        self._named = {row.pattern: row for row in rows if row.modifier == NAMED}
+        self._inner = {id(row): LocationMatcher(row.nested) for row in rows if row.nested}
 
     def named(self, name: str) -> Location | None:
         return self._named.get(name)
@@ -145,10 +147,10 @@
                 best = inner
                 if ends:
                     return inner, True
-        if longest is not None and longest.kind == PRIORITY:
+        if longest is not None and longest.modifier == PRIORITY:
             return best, False
         for row in self._regexes:
-            if row.fits(uri):
+            if row.matches(uri):
                 if id(row) in self._inner:
                     inner, _ = self._inner[id(row)]._find(uri)
                     if inner is not None:
--- a/willowhook/nginx/result.py
+++ b/willowhook/nginx/result.py
@@ -18,7 +18,7 @@
 from ..ticks import ticks_from_milliseconds
 from ..xds import forms, tables
 from ..xds.codec import encode, encode_response
-from .plan import Plan
+from .plan import ImportPlan
 
 SERVICE = "tasks"
 VERSION = "0.0.1"  # of tables that no director sent
@@ -26,7 +26,7 @@
 MAINTENANCE = "_service_maintenance:"
 
 
-def terms_of(plan: Plan, proxies: int, folder: str, roster: str) -> Terms:
+def controller_config(plan: ImportPlan, proxies: int, folder: str, discovery_url: str) -> Terms:
     """A configuration of one director that passes the check; raises TermsError."""
     replace = msgspec.structs.replace
     fleet = replace(
@@ -37,28 +37,28 @@
     lines = max(EXAMPLE.channel.lines_per_s, 40.0 * proxies)
     channel = replace(EXAMPLE.channel, lines_per_s=lines, most_waiting_lines=2 * lines)
     rules = replace(EXAMPLE.rules, cold_ms=float(plan.cold_ms or EXAMPLE.rules.cold_ms))
-    kinds, of = plan.kinds(), {host.id: host.groups for host in plan.hosts.values()}
+    kinds, of = plan.kinds(), {host.id: host.groups for host in plan.endpoints.values()}
     routes = tuple(
         replace(route, kinds=tuple(dict.fromkeys(
             kinds[host] for host in kinds if plan.group_of[route.name] in of[host]
         )))
         for route in plan.routes
     )  # fmt: skip
-    zone = plan.asked.zone
+    zone = plan.options.zone
     made = Terms(
         name="director", zone=zone, zones=(zone,), files=FileTerms(folder=folder),
-        roster=replace(EXAMPLE.roster, url=roster, service=SERVICE), routes=routes,
+        roster=replace(EXAMPLE.roster, url=discovery_url, service=SERVICE), routes=routes,
         closed=tuple(plan.closed), channel=channel, rules=rules, fleet=fleet,
         records=RecordTerms(file=f"{folder}.records"),
     )  # fmt: skip
     return parse_config(msgspec.json.encode(made))
 
 
-def host_list(plan: Plan) -> bytes:
+def endpoint_list(plan: ImportPlan) -> bytes:
     """The catalogue's answer for all hosts."""
-    kinds, zone = plan.kinds(), plan.asked.zone
+    kinds, zone = plan.kinds(), plan.options.zone
     rows: list[dict[str, Any]] = []
-    for host in plan.hosts.values():
+    for host in plan.endpoints.values():
         meta = {"kind": kinds[host.id], "tier": str(host.tier)}
         check = {"CheckID": f"{MAINTENANCE}{host.id}", "Status": "critical"}
         rows.append({
@@ -70,9 +70,9 @@
     return msgspec.json.format(msgspec.json.encode(rows), indent=1)
 
 
-def table_files(plan: Plan, terms: Terms) -> dict[str, bytes]:
+def table_files(plan: ImportPlan, terms: Terms) -> dict[str, bytes]:
     """The group of files of a proxy that follows no director: the tables as they were."""
-    zone, ticks = plan.asked.zone, ticks_from_milliseconds(terms.fleet.dial_ms)
+    zone, ticks = plan.options.zone, ticks_from_milliseconds(terms.fleet.dial_ms)
     assignments, clusters, rows = dict[str, bytes](), dict[str, bytes](), list[bytes]()
     by_name = {group.name: group for group in plan.groups.values()}
     for name, group in by_name.items():
@@ -81,7 +81,7 @@
         top = max((row[1] for row in group.rows), default=1.0)
         factor = min(MOST // 4096 // math.ceil(top), tables.SCALE) or MOST / 4096 / top
         for host, weight, _, draining in group.rows:
-            at = plan.hosts[host]
+            at = plan.endpoints[host]
             lines.append(
                 (host, at.address.strip("[]"), at.port, zone, weight * factor / tables.SCALE, draining)
             )
--- a/willowhook/nginx/setup.py
+++ b/willowhook/nginx/setup.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from .locations import REGEX, REGEX_NOCASE, Location, Matcher, compiled, read_all
-from .syntax import Directive, SyntaxFault, Word
-from .syntax import Place as At
+from .locations import REGEX, REGEX_NOCASE, Location, LocationMatcher, compiled, read_locations
+from .syntax import ConfigSyntaxError, Directive, Word
+from .syntax import SourcePosition as At
 from .upstreams import Retry, Upstream, milliseconds, passed_to, retry_of, upstream_of
 
 USUAL_MS = 60_000  # of proxy_read_timeout and proxy_connect_timeout
@@ -46,7 +46,7 @@
 
 
 @dataclass(slots=True)
-class Choice:
+class VariableMapping:
     """`split_clients` or `map`: a variable's value by another's.  Rows: pattern or share, value."""
 
     kind: str  # split or map
@@ -73,36 +73,36 @@
 
     parts: list[tuple[str, float]] = field(default_factory=list)
     uri: str = ""  # in the place of the location's prefix
-    choice: Choice | None = None  # by which the parts are chosen, call by call
-    why: str = ""
+    mapping: VariableMapping | None = None  # by which the parts are chosen, call by call
+    unknown_reason: str = ""
 
 
 @dataclass(slots=True)
-class Place:
+class LocationConfig:
     """One location with all that holds there."""
 
     location: Location
-    manner: Manner
+    proxy_settings: Manner
     target: Target | None = None  # None: it passes nothing on
     passes: Directive | None = None
     status: int = 0  # it answers by itself
     unsafe: str = ""  # calls could go elsewhere than this says
-    inner: list[Place] = field(default_factory=list)
+    nested: list[LocationConfig] = field(default_factory=list)
 
 
 @dataclass(slots=True)
-class Site:
+class ServerBlock:
     names: list[str]
     listens: list[str]
-    matcher: Matcher
+    matcher: LocationMatcher
     block: Directive
     manner: Manner
-    places: list[Place]
+    locations: list[LocationConfig]
     usual: bool = False  # where no name fits
-    by_location: dict[int, Place] = field(default_factory=dict)
+    by_location: dict[int, LocationConfig] = field(default_factory=dict)
     whole: str = ""  # why none of its locations is ever reached
 
-    def place(self, uri: str) -> Place | None:
+    def find_location(self, uri: str) -> LocationConfig | None:
         found = self.matcher.find(uri)
         return self.by_location[id(found)] if found is not None else None
 
@@ -110,17 +110,17 @@
         return self.names[0] if self.names else ""
 
 
-class Setup:
+class NginxConfig:
     """Of one configuration's top directives."""
 
     def __init__(self, rows: list[Directive], strict: bool = True) -> None:
         self._strict = strict
-        self.faults: dict[int, SyntaxFault] = {}  # by directive
+        self.errors: dict[int, ConfigSyntaxError] = {}  # by directive
         self.upstreams: dict[str, Upstream] = {}
         self.broken: set[str] = set()  # upstreams that cannot be read
-        self.choices: dict[str, Choice] = {}
+        self.choices: dict[str, VariableMapping] = {}
         self.zones: dict[str, tuple[str, float]] = {}  # of limit_req: key, calls a second
-        self.sites: list[Site] = []
+        self.server_blocks: list[ServerBlock] = []
         top = [inner for row in rows for inner in (row.block or [] if row.name == "http" else [row])]
         for row in top:
             if row.name == "upstream":
@@ -137,52 +137,54 @@
     def _try(self, row: Directive, what: Callable[[Directive], None]) -> None:
         try:
             what(row)
-        except SyntaxFault as fault:
+        except ConfigSyntaxError as fault:
             if self._strict:
                 raise
-            self.faults.setdefault(id(row), fault)
+            self.errors.setdefault(id(row), fault)
 
     # What stands beside servers.
 
     def _upstream(self, row: Directive) -> None:
         try:
             made = upstream_of(row)
-        except SyntaxFault:
+        except ConfigSyntaxError:
             self.broken.add(row.arg(0))
             raise
         if made.name in self.upstreams:
-            first = self.upstreams[made.name].directive.place
-            raise SyntaxFault(row.place, f"upstream {made.name!r} stands twice, first at {first}")
+            first = self.upstreams[made.name].directive.position
+            raise ConfigSyntaxError(row.position, f"upstream {made.name!r} stands twice, first at {first}")
         self.upstreams[made.name] = made
 
     def _choice(self, row: Directive) -> None:
         if len(row.args) != 2 or row.block is None or not VARIABLE.match(row.arg(1)):
-            raise SyntaxFault(row.place, f"{row.name} has a source, a variable and a block")
+            raise ConfigSyntaxError(row.position, f"{row.name} has a source, a variable and a block")
         kind = "split" if row.name == "split_clients" else "map"
-        made = Choice(kind, row.arg(0), row)
+        made = VariableMapping(kind, row.arg(0), row)
         total = 0.0
         for each in row.block:
             if kind == "map" and each.name in ("hostnames", "volatile", "include") and not each.args:
                 continue
             if len(each.args) != 1:
-                raise SyntaxFault(each.place, f"a row of {row.name} has two words")
+                raise ConfigSyntaxError(each.position, f"a row of {row.name} has two words")
             if (kind == "split" and each.name == "*") or (kind == "map" and each.name == "default"):
                 made.usual = each.arg(0)
                 continue
             if kind == "split":
                 if not re.fullmatch(r"\d+(\.\d{1,2})?%", each.name):
-                    raise SyntaxFault(each.place, f"{each.name!r} is no share")
+                    raise ConfigSyntaxError(each.position, f"{each.name!r} is no share")
                 total += float(each.name[:-1])
             made.rows.append((each.name, each.arg(0), each))
         if total > 100:
-            raise SyntaxFault(row.place, f"shares of {total:g}% in all")
+            raise ConfigSyntaxError(row.position, f"shares of {total:g}% in all")
         self.choices[VARIABLE.sub(r"\1", row.arg(1))] = made
 
     def _zone(self, row: Directive) -> None:
         told = {word.text.partition("=")[0]: word for word in row.args[1:]}
         rate = RATE.match(told["rate"].text) if "rate" in told else None
         if "zone" not in told or rate is None or not int(rate[1]):
-            raise SyntaxFault(row.place, "limit_req_zone has a key, zone=NAME:SIZE and rate=Nr/s or Nr/m")
+            raise ConfigSyntaxError(
+                row.position, "limit_req_zone has a key, zone=NAME:SIZE and rate=Nr/s or Nr/m"
+            )
         name = told["zone"].text.partition("=")[2].partition(":")[0]
         self.zones[name] = (row.arg(0), int(rate[1]) / (60 if rate[2] == "m" else 1))
 
@@ -200,11 +202,11 @@
                         made["retry_from"] = row
                 elif row.name in ("proxy_connect_timeout", "proxy_read_timeout"):
                     name = "connect_ms" if "connect" in row.name else "read_ms"
-                    made[name] = milliseconds(row.args[0] if row.args else Word("", row.place))
+                    made[name] = milliseconds(row.args[0] if row.args else Word("", row.position))
                 elif row.name == "limit_req":
                     told = dict(word.text.partition("=")[::2] for word in row.args)
                     if told.get("zone", "") not in self.zones:
-                        raise SyntaxFault(row.place, f"no limit_req_zone {told.get('zone', '')!r}")
+                        raise ConfigSyntaxError(row.position, f"no limit_req_zone {told.get('zone', '')!r}")
                     limits.append(Limit(*self.zones[told["zone"]], row))
 
             self._try(row, lambda row, take=take: take())  # type: ignore[misc]
@@ -218,43 +220,45 @@
         listens = [each.arg(0) for each in inner if each.name == "listen"]
         usual = any("default_server" in [w.text for w in each.args] for each in inner)
         locations: list[Location] = []
-        faults: list[tuple[Directive, SyntaxFault]] = []
-        locations = read_all(inner, None if self._strict else lambda at, fault: faults.append((at, fault)))
-        self.faults.update((id(at), fault) for at, fault in faults)
+        faults: list[tuple[Directive, ConfigSyntaxError]] = []
+        locations = read_locations(
+            inner, None if self._strict else lambda at, fault: faults.append((at, fault))
+        )
+        self.errors.update((id(at), fault) for at, fault in faults)
         manner = self._manner(inner, outer)
-        made = Site(names, listens, Matcher(locations), row, manner, [], usual)
-        made.places = [self._place(each, manner, made) for each in locations]
+        made = ServerBlock(names, listens, LocationMatcher(locations), row, manner, [], usual)
+        made.locations = [self._place(each, manner, made) for each in locations]
         stops = [each for each in inner if each.name == "return"]
         if stops:
-            made.whole = f"{stops[0].place.line}: the server answers every call itself"
-        self.sites.append(made)
+            made.whole = f"{stops[0].position.line}: the server answers every call itself"
+        self.server_blocks.append(made)
 
-    def _place(self, location: Location, outer: Manner, site: Site) -> Place:
+    def _place(self, location: Location, outer: Manner, site: ServerBlock) -> LocationConfig:
         rows = location.directive.block or []
-        made = Place(location, self._manner(rows, outer))
+        made = LocationConfig(location, self._manner(rows, outer))
         site.by_location[id(location)] = made
         for row in rows:
             if row.name == "proxy_pass":
                 made.passes = row
                 self._try(row, lambda row: setattr(made, "target", self._target(row, location)))
-                if id(row) in self.faults:
+                if id(row) in self.errors:
                     made.unsafe = "where it passes calls to cannot be read"
             elif row.name == "return":
                 code = int(row.arg(0)) if row.arg(0).isdigit() and len(row.arg(0)) == 3 else 404
                 made.status = code if 200 <= code < 600 and code not in MOVED else 404
             elif row.name == "if" and _leads(row):
-                made.unsafe = f"the condition in line {row.place.line} sends some of its calls elsewhere"
+                made.unsafe = f"the condition in line {row.position.line} sends some of its calls elsewhere"
             elif row.name == "rewrite" and row.arg(2) != "break":
-                made.unsafe = f"the rewrite in line {row.place.line} sends calls to other locations"
+                made.unsafe = f"the rewrite in line {row.position.line} sends calls to other locations"
         if made.status:  # `return` acts before anything is passed on
             made.target = None
-        made.inner = [self._place(each, made.manner, site) for each in location.inner]
+        made.nested = [self._place(each, made.proxy_settings, site) for each in location.nested]
         return made
 
     def _target(self, row: Directive, location: Location) -> Target:
         name, uri = passed_to(row)
-        if uri and location.kind in (REGEX, REGEX_NOCASE, "@") and "$" not in uri:
-            raise SyntaxFault(row.place, f"proxy_pass has a URI, which {location} cannot take")
+        if uri and location.modifier in (REGEX, REGEX_NOCASE, "@") and "$" not in uri:
+            raise ConfigSyntaxError(row.position, f"proxy_pass has a URI, which {location} cannot take")
         whole, rest = name + uri, ""
         for tail in AS_IT_CAME:
             if whole.endswith(tail) and whole != tail:
@@ -263,41 +267,41 @@
         name, slash, uri = whole.partition("/")
         uri = slash + uri
         if rest and uri not in ("", "/"):
-            return Target(why="a URI made of variables")
+            return Target(unknown_reason="a URI made of variables")
         if rest:
             uri = ""
         variable = VARIABLE.match(name)
         if variable is None:
             if "$" in whole:
-                return Target(why="where it goes is only known at each call")
+                return Target(unknown_reason="where it goes is only known at each call")
             return Target([(name, 1.0)], uri)
         choice = self.choices.get(variable[1])
         if choice is None:
-            return Target(why=f"{name} is set by nothing that is read here")
+            return Target(unknown_reason=f"{name} is set by nothing that is read here")
         if any("$" in value for value in choice.values()):
-            return Target(why=f"{name} has values that are variables themselves")
+            return Target(unknown_reason=f"{name} has values that are variables themselves")
         if any(not value for value in choice.values()):
-            return Target(why=f"{name} has no value for some calls")
+            return Target(unknown_reason=f"{name} has no value for some calls")
         if choice.kind == "split":
             return Target(choice.shares(), uri, choice)
         values = choice.values()
         if len(values) == 1:
             return Target([(values[0], 1.0)], uri, choice)
         if choice.source not in URI_VARIABLES:
-            return Target(why=f"{name} goes by {choice.source}, and routes go by path alone")
+            return Target(unknown_reason=f"{name} goes by {choice.source}, and routes go by path alone")
         for pattern, _, each in choice.rows:
             if pattern.startswith("~"):
-                compiled(pattern.lstrip("~*"), pattern.startswith("~*"), each.place)
+                compiled(pattern.lstrip("~*"), pattern.startswith("~*"), each.position)
         return Target([(choice.usual, 1.0)], uri, choice)
 
     # Questions.
 
-    def site(self, name: str) -> Site | None:
+    def find_server_block(self, name: str) -> ServerBlock | None:
         """By `server_name`: the exact one, the longest `*.x`, the longest `x.*`, the first expression; else
         the usual one, or the first.
         """
         fits: list[tuple[int, int, int]] = []
-        for at, site in enumerate(self.sites):
+        for at, site in enumerate(self.server_blocks):
             for each in site.names:
                 if each == name or (each.startswith(".") and name == each[1:]):
                     fits.append((4, len(each), -at))
@@ -310,9 +314,9 @@
                 elif each.startswith("~") and name and _name_fits(each[1:], name):
                     fits.append((1, 0, -at))
         if fits:
-            return self.sites[-max(fits)[2]]
-        usual = [site for site in self.sites if site.usual]
-        return usual[0] if usual else self.sites[0] if self.sites else None
+            return self.server_blocks[-max(fits)[2]]
+        usual = [site for site in self.server_blocks if site.usual]
+        return usual[0] if usual else self.server_blocks[0] if self.server_blocks else None
 
     def upstream(self, name: str) -> Upstream | None:
         """A named one, or the address that `proxy_pass` gives itself."""
@@ -323,7 +327,7 @@
                 found = upstream_of(Directive("upstream", [Word(name, place)], place, [
                     Directive("server", [Word(name, place)], place)
                 ]))  # fmt: skip
-            except SyntaxFault:
+            except ConfigSyntaxError:
                 return None
         return found
 
@@ -335,5 +339,5 @@
 def _name_fits(pattern: str, name: str) -> bool:
     try:
         return compiled(pattern, False, NOWHERE).search(name) is not None
-    except SyntaxFault:
+    except ConfigSyntaxError:
         return False
--- a/willowhook/nginx/syntax.py
+++ b/willowhook/nginx/syntax.py
@@ -42,7 +42,7 @@
 _word = re.compile(f"({WORD})(?:{GAP})?", re.DOTALL)
 
 
-class Place(NamedTuple):
+class SourcePosition(NamedTuple):
     file: str
     line: int
     column: int
@@ -53,7 +53,7 @@
 
 class Word(NamedTuple):
     text: str  # without quotes, escapes taken
-    place: Place
+    position: SourcePosition
     quoted: bool = False
 
 
@@ -61,11 +61,11 @@
 class Directive:
     name: str
     args: list[Word]
-    place: Place
+    position: SourcePosition
     block: list[Directive] | None = None
 
-    def arg(self, k: int, usual: str = "") -> str:
-        return self.args[k].text if k < len(self.args) else usual
+    def arg(self, k: int, default: str = "") -> str:
+        return self.args[k].text if k < len(self.args) else default
 
     def walk(self) -> Iterator[Directive]:
         yield self
@@ -73,14 +73,14 @@
             yield from each.walk()
 
 
-class SyntaxFault(Exception):
+class ConfigSyntaxError(Exception):
     """What is wrong, where, and the line with a caret under the place."""
 
-    def __init__(self, place: Place, cause: str, line: str = "") -> None:
+    def __init__(self, position: SourcePosition, cause: str, line: str = "") -> None:
         text = line[:200].replace("\t", " ")
-        shown = f"\n  {text}\n  {' ' * (min(place.column, 200) - 1)}^" if line else ""
-        super().__init__(f"{place}: {cause}{shown}")
-        self.place, self.cause = place, cause
+        shown = f"\n  {text}\n  {' ' * (min(position.column, 200) - 1)}^" if line else ""
+        super().__init__(f"{position}: {cause}{shown}")
+        self.position, self.cause = position, cause
 
 
 def unquoted(raw: str) -> tuple[str, bool]:
@@ -116,7 +116,7 @@
 
     def item(self, token: Token, block: list[Directive] | None = None) -> Directive:
         words = self._words(token)
-        return Directive(words[0].text, words[1:], words[0].place, block)
+        return Directive(words[0].text, words[1:], words[0].position, block)
 
     def _words(self, token: Token) -> list[Word]:
         text, line, column = str(token), token.line or 0, token.column or 0
@@ -129,7 +129,7 @@
             seen = at
             raw = each.group(1)
             meant, quoted = unquoted(raw) if raw[0] in "\"'" or "\\" in raw else (raw, False)
-            found.append(Word(meant, Place(self.file, line, at - start + 1), quoted))
+            found.append(Word(meant, SourcePosition(self.file, line, at - start + 1), quoted))
         return found
 
 
@@ -148,7 +148,9 @@
         before = data[: fault.start]
         line = before.count(b"\n") + 1
         column = fault.start - (before.rfind(b"\n") + 1) + 1
-        raise SyntaxFault(Place(file, line, column), f"no UTF-8: byte 0x{data[fault.start]:02x}") from fault
+        raise ConfigSyntaxError(
+            SourcePosition(file, line, column), f"no UTF-8: byte 0x{data[fault.start]:02x}"
+        ) from fault
 
 
 def parse(text: str, file: str = "-") -> list[Directive]:
@@ -159,7 +161,7 @@
             depth += 1 if mark[0] == "{" else -1
             most = max(most, depth)
         if most > MOST_DEPTH:
-            raise SyntaxFault(Place(file, 1, 1), f"blocks {most} deep, {MOST_DEPTH} are read")
+            raise ConfigSyntaxError(SourcePosition(file, 1, 1), f"blocks {most} deep, {MOST_DEPTH} are read")
     _tree.file = file
     try:
         found: Any = _parser.parse(text)
@@ -167,20 +169,20 @@
         return rows
     except UnexpectedInput as fault:
         lines = text.split("\n")
-        at = Place(file, max(fault.line, 1), max(fault.column, 1))
+        at = SourcePosition(file, max(fault.line, 1), max(fault.column, 1))
         line = lines[at.line - 1] if at.line <= len(lines) else ""
         token = getattr(fault, "token", None)
         if token is not None and token.type == "$END":
-            at = Place(file, len(lines), len(lines[-1]) + 1)
+            at = SourcePosition(file, len(lines), len(lines[-1]) + 1)
             open_blocks = _open(text)
             cause = f"the file ends within a block that begins in line {open_blocks}" if open_blocks else \
                 "the file ends within a directive: ';' is missing"  # fmt: skip
-            raise SyntaxFault(at, cause, lines[-1]) from fault
+            raise ConfigSyntaxError(at, cause, lines[-1]) from fault
         shown = str(token) if token is not None else line[at.column - 1 : at.column]
         causes = {"}": "'}' without a directive or block before it ends: is ';' missing?",
                   "{": "'{' without a directive's name", ";": "';' without a directive"}  # fmt: skip
         cause = causes.get(shown, "a quote that does not end, or no space after one that does")
-        raise SyntaxFault(at, cause, line) from fault
+        raise ConfigSyntaxError(at, cause, line) from fault
 
 
 def _open(text: str) -> int:
@@ -202,23 +204,25 @@
     files: list[str] = field(default_factory=list)
     size: int = 0
 
-    def load(self, path: str, within: tuple[str, ...] = (), at: Place | None = None) -> list[Directive]:
+    def load(
+        self, path: str, within: tuple[str, ...] = (), at: SourcePosition | None = None
+    ) -> list[Directive]:
         """All directives of a file, those of included files in the place of `include`; raises SyntaxFault."""
-        here = at or Place(path, 1, 1)
+        here = at or SourcePosition(path, 1, 1)
         full = os.path.realpath(path)
         if full in within:
             chain = " -> ".join([*within[within.index(full) :], full])
-            raise SyntaxFault(here, f"it includes itself: {chain}")
+            raise ConfigSyntaxError(here, f"it includes itself: {chain}")
         if len(self.files) >= MOST_FILES:
-            raise SyntaxFault(here, f"more than {MOST_FILES} files")
+            raise ConfigSyntaxError(here, f"more than {MOST_FILES} files")
         try:
             data = self.read(path)
         except OSError as fault:
             cause = fault.strerror or str(fault)
-            raise SyntaxFault(here, cause if at is None else f"{path}: {cause}") from fault
+            raise ConfigSyntaxError(here, cause if at is None else f"{path}: {cause}") from fault
         self.size += len(data)
         if self.size > MOST_BYTES:
-            raise SyntaxFault(here, f"more than {MOST_BYTES} bytes in all")
+            raise ConfigSyntaxError(here, f"more than {MOST_BYTES} bytes in all")
         self.files.append(path)
         return self._included(parse(text_of(data, path), path), path, (*within, full))
 
@@ -231,11 +235,11 @@
             if row.name != "include" or row.block is not None:
                 continue
             if len(row.args) != 1:
-                raise SyntaxFault(row.place, f"include has one argument, here are {len(row.args)}")
+                raise ConfigSyntaxError(row.position, f"include has one argument, here are {len(row.args)}")
             wanted = os.path.join(os.path.dirname(path), row.arg(0))
             names = sorted(glob.glob(wanted)) if glob.has_magic(wanted) else [wanted]
             for name in names:
-                found += self.load(name, within, row.place)
+                found += self.load(name, within, row.position)
         return found
 
 
--- a/willowhook/nginx/upstreams.py
+++ b/willowhook/nginx/upstreams.py
@@ -5,7 +5,7 @@
 import re
 from dataclasses import dataclass, field
 
-from .syntax import Directive, SyntaxFault, Word
+from .syntax import ConfigSyntaxError, Directive, Word
 
 TIME = re.compile(r"(?:(\d+)(ms|s|m|h|d|w|M|y)?)")
 UNITS = {"ms": 1, "s": 1000, "m": 60_000, "h": 3_600_000, "d": 86_400_000, "w": 604_800_000,
@@ -21,17 +21,17 @@
     while at < len(text):
         got = TIME.match(text, at)
         if got is None or got.end() == at:
-            raise SyntaxFault(word.place, f"{text!r} is no time")
+            raise ConfigSyntaxError(word.position, f"{text!r} is no time")
         total += int(got.group(1)) * UNITS[got.group(2) or "s"]
         at = got.end()
     if not text:
-        raise SyntaxFault(word.place, "an empty time")
+        raise ConfigSyntaxError(word.position, "an empty time")
     return total
 
 
 def whole(word: Word, text: str, least: int = 0) -> int:
     if not text.isascii() or not text.isdigit() or int(text) < least:
-        raise SyntaxFault(word.place, f"{text!r} is no whole number of {least} or more")
+        raise ConfigSyntaxError(word.position, f"{text!r} is no whole number of {least} or more")
     return int(text)
 
 
@@ -74,19 +74,19 @@
 def address_of(word: Word, text: str, usual: int = 80) -> tuple[str, int]:
     """Host and port; raises SyntaxFault."""
     if text.startswith("unix:"):
-        raise SyntaxFault(word.place, f"{text!r}: a socket of this machine is no host of a fleet")
+        raise ConfigSyntaxError(word.position, f"{text!r}: a socket of this machine is no host of a fleet")
     host, colon, port = text.rpartition(":") if not text.endswith("]") else (text, "", "")
     if not colon:
         host, port = text, str(usual)
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise SyntaxFault(word.place, f"{text!r} is no address")
+        raise ConfigSyntaxError(word.position, f"{text!r} is no address")
     return host, int(port)
 
 
 def server_of(row: Directive) -> Server:
     """One `server` of an upstream; raises SyntaxFault."""
     if not row.args:
-        raise SyntaxFault(row.place, "server without an address")
+        raise ConfigSyntaxError(row.position, "server without an address")
     made = Server(*address_of(row.args[0], row.arg(0)), row)
     for word in row.args[1:]:
         name, equals, value = word.text.partition("=")
@@ -97,7 +97,7 @@
         elif word.text in ("resolve", "drain"):
             made.down = made.down or word.text == "drain"
         elif not equals:
-            raise SyntaxFault(word.place, f"{word.text!r} is no parameter of server")
+            raise ConfigSyntaxError(word.position, f"{word.text!r} is no parameter of server")
         elif name == "weight":
             made.weight = whole(word, value, 1)
         elif name == "max_conns":
@@ -105,20 +105,20 @@
         elif name == "max_fails":
             made.max_fails = whole(word, value)
         elif name in ("fail_timeout", "slow_start"):
-            time = milliseconds(Word(value, word.place))
+            time = milliseconds(Word(value, word.position))
             if name == "fail_timeout":
                 made.fail_timeout_ms = time
             else:
                 made.slow_start_ms = time
         elif name not in ("route", "service"):
-            raise SyntaxFault(word.place, f"{name!r} is no parameter of server")
+            raise ConfigSyntaxError(word.position, f"{name!r} is no parameter of server")
     return made
 
 
 def upstream_of(block: Directive) -> Upstream:
     """Raises SyntaxFault."""
     if len(block.args) != 1 or block.block is None:
-        raise SyntaxFault(block.place, "upstream has one name and a block")
+        raise ConfigSyntaxError(block.position, "upstream has one name and a block")
     made = Upstream(block.arg(0), block)
     for row in block.block:
         if row.name == "server":
@@ -131,13 +131,13 @@
             made.pick, made.key = "ip_hash", "$remote_addr"
         elif row.name == "hash":
             if not row.args:
-                raise SyntaxFault(row.place, "hash without a key")
+                raise ConfigSyntaxError(row.position, "hash without a key")
             made.pick, made.key, made.ring = "hash", row.arg(0), row.arg(1) == "consistent"
     if not made.servers:
-        raise SyntaxFault(block.place, f"upstream {made.name!r} has no server")
+        raise ConfigSyntaxError(block.position, f"upstream {made.name!r} has no server")
     if made.pick in ("hash", "ip_hash", "lottery") and any(server.backup for server in made.servers):
         bad = next(server for server in made.servers if server.backup)
-        raise SyntaxFault(bad.directive.place, f"a backup server goes with no {made.pick}")
+        raise ConfigSyntaxError(bad.directive.position, f"a backup server goes with no {made.pick}")
     return made
 
 
@@ -166,7 +166,9 @@
         if row.name == "proxy_next_upstream":
             for word in row.args:
                 if word.text not in (*CONDITIONS, "off", "non_idempotent"):
-                    raise SyntaxFault(word.place, f"{word.text!r} is no condition of proxy_next_upstream")
+                    raise ConfigSyntaxError(
+                        word.position, f"{word.text!r} is no condition of proxy_next_upstream"
+                    )
             made.conditions = tuple(w.text for w in row.args if w.text != "non_idempotent")
             made.non_idempotent = any(w.text == "non_idempotent" for w in row.args)
         elif row.name == "proxy_next_upstream_tries" and row.args:
@@ -181,9 +183,11 @@
     SyntaxFault.
     """
     if len(row.args) != 1:
-        raise SyntaxFault(row.place, f"proxy_pass has one argument, here are {len(row.args)}")
+        raise ConfigSyntaxError(row.position, f"proxy_pass has one argument, here are {len(row.args)}")
     scheme, mark, rest = row.arg(0).partition("://")
     if not mark or scheme not in ("http", "https"):
-        raise SyntaxFault(row.args[0].place, f"{row.arg(0)!r} begins with neither http:// nor https://")
+        raise ConfigSyntaxError(
+            row.args[0].position, f"{row.arg(0)!r} begins with neither http:// nor https://"
+        )
     name, slash, uri = rest.partition("/")
     return name, slash + uri
--- a/willowhook/trial/corpus.py
+++ b/willowhook/trial/corpus.py
@@ -12,12 +12,12 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from ..nginx.plan import Asked
+from ..nginx.plan import ImportOptions
 from ..nginx.syntax import parse
-from ..nginx.verdicts import CARRIED, DIFFERS, LEFT, REFUSED, verdicts
+from ..nginx.verdicts import CARRIED, DIFFERS, NOT_CARRIED, REFUSED, diagnose
 
 CORPUS_FOLDER = Path(__file__).parent / "corpus"
-VERDICT_BY_MARK = {"=": CARRIED, "~": DIFFERS, "-": LEFT, "!": REFUSED}
+VERDICT_BY_MARK = {"=": CARRIED, "~": DIFFERS, "-": NOT_CARRIED, "!": REFUSED}
 SAMPLE_HEADER = re.compile(r"^### (?P<name>.*?)(?:: (?P<options>--.*))?$")
 
 
@@ -27,12 +27,12 @@
 
     name: str
     place: str  # file and line
-    asked: Asked
+    asked: ImportOptions
     text: str
     wanted: tuple[str, ...]  # expected verdicts, in order
 
 
-def _parse_options(options: str) -> Asked:
+def _parse_options(options: str) -> ImportOptions:
     values_by_option: dict[str, list[str]] = {}
     words = shlex.split(options)
     for option, value in zip(words[::2], words[1::2], strict=True):
@@ -41,8 +41,8 @@
         (path, int(window))
         for path, _, window in (item.partition("=") for item in values_by_option.get("keyed", ()))
     )
-    return Asked(
-        host="".join(values_by_option.get("host", ())), mutating=tuple(values_by_option.get("mutating", ())),
+    return ImportOptions(
+        server_name="".join(values_by_option.get("host", ())), mutating=tuple(values_by_option.get("mutating", ())),
         repeatable=tuple(values_by_option.get("repeatable", ())), keyed=keyed,
     )  # fmt: skip
 
@@ -69,11 +69,11 @@
 def verdict_errors(sample: Sample) -> list[str]:
     """Lists unexpected verdicts, and verdicts other than `carried` that lack a reason."""
     directives = parse(sample.text, sample.place)
-    found_verdicts, _ = verdicts(directives, sample.asked)
+    found_verdicts, _ = diagnose(directives, sample.asked)
     errors = [
-        f"{sample.place} {sample.name}: {verdict.line()}; expected {expected}"
+        f"{sample.place} {sample.name}: {verdict.report_line()}; expected {expected}"
         for verdict, expected in zip(found_verdicts, sample.wanted, strict=False)
-        if verdict.what != expected or (verdict.what != CARRIED and not verdict.why)
+        if verdict.outcome != expected or (verdict.outcome != CARRIED and not verdict.reason)
     ]  # fmt: skip
     if len(found_verdicts) != len(sample.wanted):
         errors.append(
--- a/willowhook/trial/nginx_check.py
+++ b/willowhook/trial/nginx_check.py
@@ -12,11 +12,11 @@
 from dataclasses import dataclass, field
 
 from ..nginx.flat import FirstMatch, Flattener
-from ..nginx.locations import Location, Matcher, read_all
-from ..nginx.plan import CARRIED, Asked, Plan
-from ..nginx.setup import Setup
-from ..nginx.syntax import SyntaxFault, parse
-from ..nginx.verdicts import verdicts
+from ..nginx.locations import Location, LocationMatcher, read_locations
+from ..nginx.plan import CARRIED, ImportOptions, ImportPlan
+from ..nginx.setup import NginxConfig
+from ..nginx.syntax import ConfigSyntaxError, parse
+from ..nginx.verdicts import diagnose
 from .corpus import load_samples
 
 PIECES = ["/", "a", "b", "ab", "/a", "/ab/", ".x", ".X", "1"]
@@ -28,25 +28,25 @@
 def brute(locations: list[Location], uri: str) -> tuple[Location | None, bool]:
     """Applies the published rules one by one to all locations; also returns whether the search is over."""
     for location in locations:
-        if location.kind == "=" and location.pattern == uri:
+        if location.modifier == "=" and location.pattern == uri:
             return location, True
     chosen: Location | None = None
     for location in locations:
         longer = chosen is None or len(location.pattern) > len(chosen.pattern)
-        if location.kind in ("", "^~") and uri.startswith(location.pattern) and longer:
+        if location.modifier in ("", "^~") and uri.startswith(location.pattern) and longer:
             chosen = location
     remembered = chosen
     if chosen is not None:
-        deeper, over = brute(chosen.inner, uri)
+        deeper, over = brute(chosen.nested, uri)
         if over:
             return deeper, True
         remembered = deeper or chosen
-    if chosen is None or chosen.kind != "^~":
+    if chosen is None or chosen.modifier != "^~":
         for location in locations:
-            if location.kind in ("~", "~*"):
-                flags = re.IGNORECASE if location.kind == "~*" else 0
+            if location.modifier in ("~", "~*"):
+                flags = re.IGNORECASE if location.modifier == "~*" else 0
                 if re.search(location.pattern.replace("(?<", "(?P<"), uri, flags):
-                    return brute(location.inner, uri)[0] or location, True
+                    return brute(location.nested, uri)[0] or location, True
     return remembered, False
 
 
@@ -80,8 +80,8 @@
     generator, count, differences = random.Random(seed), 0, list[str]()
     while count < uris:
         text = random_locations(generator, "/", 2)
-        locations = read_all(parse(text))
-        matcher = Matcher(locations)
+        locations = read_locations(parse(text))
+        matcher = LocationMatcher(locations)
         for _ in range(min(50, uris - count)):
             uri = random_uri(generator)
             count += 1
@@ -106,21 +106,21 @@
     generator, check = random.Random(seed), ListCheck()
     while check.uris < uris:
         directives = parse(f"server {{ {random_locations(generator, '/', 2, 'return 204;')} }}")
-        setup = Setup(directives)
-        plan = Plan(setup, Asked())
-        site = setup.sites[0]
+        setup = NginxConfig(directives)
+        plan = ImportPlan(setup, ImportOptions())
+        site = setup.server_blocks[0]
         first_match = FirstMatch(Flattener(site).entries())
         check.configs += 1
-        check.configs_with_notes += any(what != CARRIED for what, _ in plan.notes.values())
+        check.configs_with_notes += any(what != CARRIED for what, _ in plan.outcomes.values())
         for _ in range(min(50, uris - check.uris)):
             uri = random_uri(generator)
             check.uris += 1
-            place, entry = site.place(uri), first_match.find(uri)
-            listed_directive = entry.place.location.directive if entry is not None else None
+            place, entry = site.find_location(uri), first_match.find(uri)
+            listed_directive = entry.location_config.location.directive if entry is not None else None
             if place is None or place.location.directive is listed_directive:
                 continue
             check.differ += 1
-            if plan.notes.get(id(place.location.directive), (CARRIED, ""))[0] == CARRIED:
+            if plan.outcomes.get(id(place.location.directive), (CARRIED, ""))[0] == CARRIED:
                 check.unreported.append(f"{uri}: {place.location}")
     return check
 
@@ -155,9 +155,9 @@
         started_at = time.perf_counter()
         try:
             directives = parse(text)
-            found_verdicts, _ = verdicts(directives, sample.asked)
-        except SyntaxFault as error:
-            if error.place.line < 1 or error.place.column < 1 or not error.cause:
+            found_verdicts, _ = diagnose(directives, sample.asked)
+        except ConfigSyntaxError as error:
+            if error.position.line < 1 or error.position.column < 1 or not error.cause:
                 check.crashes.append(f"no place or cause: {text!r}")
             continue
         except Exception as error:  # any other exception is a defect
--- a/willowhook/trial/nginx_director.py
+++ b/willowhook/trial/nginx_director.py
@@ -19,10 +19,10 @@
 import trio
 
 from ..config.terms import RosterTerms, Terms
-from ..nginx.plan import Asked
-from ..nginx.result import host_list, terms_of
+from ..nginx.plan import ImportOptions
+from ..nginx.result import controller_config, endpoint_list
 from ..nginx.syntax import parse
-from ..nginx.verdicts import verdicts
+from ..nginx.verdicts import diagnose
 from ..web.wire import ConnectionLostError, open_connection
 from .day import ProxyPlan
 from .nginx_same import StandInEndpoints
@@ -80,9 +80,9 @@
         self.folder, self.observations = folder, observations
         self._request_count = 0
         directives = parse(CONF, "day")
-        _, plan = verdicts(directives, Asked(mutating=("/submit-task",)))
+        _, plan = diagnose(directives, ImportOptions(mutating=("/submit-task",)))
         self.plan = plan
-        self.terms: Terms = terms_of(plan, 4, str(folder / "director"), "http://127.0.0.1:1")
+        self.terms: Terms = controller_config(plan, 4, str(folder / "director"), "http://127.0.0.1:1")
         self._processes: list[subprocess.Popen[bytes]] = []
 
     async def run(self) -> None:
@@ -91,10 +91,10 @@
             async with trio.open_nursery() as nursery:
                 self.hosts = StandInEndpoints(nursery, reservations)
                 self.port = reservations.reserve()
-                for name in self.plan.hosts:
+                for name in self.plan.endpoints:
                     await self.hosts.start(name)
                 self.roster = StandInRoster(Notes(str(self.folder / "roster.notes")), 0.0)
-                for entry in json.loads(host_list(self.plan)):
+                for entry in json.loads(endpoint_list(self.plan)):
                     name = entry["Service"]["ID"]
                     entry["Service"] |= {"Address": "127.0.0.1", "Port": self.hosts.ports[name]}
                     entry["Service"]["Meta"]["started"] = "0"
@@ -143,7 +143,8 @@
                 await trio.sleep(0.05)
         place = DirectorPlace(terms.name, terms.files.folder, terms.zone)
         endpoints = [
-            (host.id, "127.0.0.1", self.hosts.ports[host.id], terms.zone) for host in self.plan.hosts.values()
+            (host.id, "127.0.0.1", self.hosts.ports[host.id], terms.zone)
+            for host in self.plan.endpoints.values()
         ]
         settings = ProxyOrders(
             [ProxyPlan("proxy-0", terms.zone, 1.0, self.port)], [place], endpoints[:1], list(terms.routes),
--- a/willowhook/trial/nginx_same.py
+++ b/willowhook/trial/nginx_same.py
@@ -19,11 +19,11 @@
 
 import trio
 
-from ..nginx.flat import uris
-from ..nginx.plan import LEFT, REFUSED, Asked, Plan
-from ..nginx.result import table_files, terms_of
+from ..nginx.flat import probe_uris
+from ..nginx.plan import NOT_CARRIED, REFUSED, ImportOptions, ImportPlan
+from ..nginx.result import controller_config, table_files
 from ..nginx.syntax import parse
-from ..nginx.verdicts import verdicts
+from ..nginx.verdicts import diagnose
 from ..web.wire import Call, ClientConnection, ConnectionLostError, Reply, open_connection, serve_connection
 from ..xds import forms, tables
 from .corpus import Sample, load_samples
@@ -219,14 +219,16 @@
 class SampleBench:
     """Both stand-ins of one sample, in front of the same endpoints."""
 
-    def __init__(self, sample: Sample, plan: Plan, files: dict[str, bytes], hosts: StandInEndpoints) -> None:
+    def __init__(
+        self, sample: Sample, plan: ImportPlan, files: dict[str, bytes], hosts: StandInEndpoints
+    ) -> None:
         self.sample, self.plan, self.hosts = sample, plan, hosts
-        assert plan.site is not None
+        assert plan.server_block is not None
         directives = parse(sample.text, sample.place)
         # the same server block in a separate syntax tree, found by its place
         site = next(
             directive for top_level in directives for directive in top_level.walk()
-            if directive.name == "server" and directive.place == plan.site.block.place
+            if directive.name == "server" and directive.position == plan.server_block.block.position
         )  # fmt: skip
         self.answer_by_way: dict[str, Callable[[Call], Awaitable[Reply]]] = {
             "blocks": BlocksProxy(directives, site, hosts.attempt, self.clock).answer,
@@ -297,16 +299,16 @@
 async def compare_sample(sample: Sample, count: int, comparison: Comparison) -> None:
     """Compares both sides for one sample; raises the exception of a failed stand-in."""
     directives = parse(sample.text, sample.place)
-    directive_verdicts, plan = verdicts(directives, sample.asked)
-    if not plan.routes or plan.site is None or plan.setup.faults:
+    directive_verdicts, plan = diagnose(directives, sample.asked)
+    if not plan.routes or plan.server_block is None or plan.config.errors:
         return  # nothing to serve, or nginx would not start with it
-    files = table_files(plan, terms_of(plan, 8, "run/x", "http://127.0.0.1:1"))
-    refused = {str(verdict.place) for verdict in directive_verdicts if verdict.what == REFUSED}
+    files = table_files(plan, controller_config(plan, 8, "run/x", "http://127.0.0.1:1"))
+    refused = {str(verdict.position) for verdict in directive_verdicts if verdict.outcome == REFUSED}
     comparison.samples += 1
     with PortReservations() as reservations, trio.CancelScope() as scope:
         async with trio.open_nursery() as nursery:
             hosts = StandInEndpoints(nursery, reservations)
-            for name in plan.hosts:
+            for name in plan.endpoints:
                 await hosts.start(name)
             bench = SampleBench(sample, plan, files, hosts)
             await bench.open(nursery)
@@ -318,16 +320,16 @@
             scope.cancel()
 
 
-def _paths(plan: Plan, asked: Asked, refused: set[str]) -> list[str]:
+def _paths(plan: ImportPlan, asked: ImportOptions, refused: set[str]) -> list[str]:
     """Samples paths of each location, without refused locations: those are reported as served differently."""
-    site, count_by_place, candidates = plan.site, Counter[int](), list[str]()
+    site, count_by_place, candidates = plan.server_block, Counter[int](), list[str]()
     assert site is not None
-    for uri in uris(site, asked.declared()):
-        place = site.place(uri)
+    for uri in probe_uris(site, asked.declared_paths()):
+        place = site.find_location(uri)
         if place is None or count_by_place[id(place)] >= 3 or not uri.isascii() or "%" in uri or "#" in uri:
             continue
-        places = {str(directive.place) for directive in place.location.directive.walk()}
-        if places & refused or any(str(directive.place) in refused for directive in site.block.args):
+        places = {str(directive.position) for directive in place.location.directive.walk()}
+        if places & refused or any(str(directive.position) in refused for directive in site.block.args):
             continue
         count_by_place[id(place)] += 1
         candidates.append(uri)
@@ -366,13 +368,13 @@
     plan, hosts = bench.plan, bench.hosts
     for group in plan.groups.values():
         names = [name for name, other in plan.groups.items() if other is group]
-        upstream = plan.setup.upstreams.get(names[0])
+        upstream = plan.config.upstreams.get(names[0])
         server_verdicts = (
-            [plan.notes.get(id(server.directive), ("", ""))[0] for server in upstream.servers]
+            [plan.outcomes.get(id(server.directive), ("", ""))[0] for server in upstream.servers]
             if upstream
             else []
         )
-        if LEFT in server_verdicts:
+        if NOT_CARRIED in server_verdicts:
             continue  # reported as served differently
         primaries = [name for name, _, tier, draining in group.rows if tier == 0 and not draining]
         backups = [name for name, _, tier, draining in group.rows if tier and not draining]
@@ -405,11 +407,11 @@
     await trio.sleep(0)
 
 
-def _serves(plan: Plan, path: str, group: str) -> bool:
-    site = plan.site
-    place = site.place(path) if site is not None else None
+def _serves(plan: ImportPlan, path: str, group: str) -> bool:
+    site = plan.server_block
+    place = site.find_location(path) if site is not None else None
     target = place.target if place is not None else None
-    if target is None or target.why or len(target.parts) != 1 or target.choice is not None:
+    if target is None or target.unknown_reason or len(target.parts) != 1 or target.mapping is not None:
         return False
     return target.parts[0][0] == group
 
--- a/willowhook/trial/standin_blocks.py
+++ b/willowhook/trial/standin_blocks.py
@@ -13,7 +13,7 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
 
-from ..nginx.locations import Location, read_all
+from ..nginx.locations import Location, read_locations
 from ..nginx.syntax import Directive
 from ..web.wire import Call, ConnectionLostError, Reply
 from .nginx_check import brute
@@ -71,7 +71,7 @@
         self._chance = random.Random(4)
         self._top = [inner for row in rows for inner in (row.block or [] if row.name == "http" else [row])]
         self._site = site.block or []
-        self._locations = read_all(self._site, lambda at, fault: None)
+        self._locations = read_locations(self._site, lambda at, fault: None)
         self._around: dict[int, list[list[Directive]]] = {}
         self._nest(self._locations, [self._top, self._site])
         self._pools = {row.arg(0): self._pool(row) for row in self._top if row.name == "upstream"}
@@ -80,7 +80,7 @@
         for each in locations:
             blocks = [*around, each.directive.block or []]
             self._around[id(each)] = blocks
-            self._nest(each.inner, blocks)
+            self._nest(each.nested, blocks)
 
     @staticmethod
     def _pool(row: Directive) -> Pool:
