--- a/willowhook/cli/trial.py
+++ b/willowhook/cli/trial.py
@@ -92,12 +92,12 @@
     import tempfile
 
     from ..trial import badday as days
-    from ..trial.stage import TROUBLES
+    from ..trial.stage import FAULT_KINDS
 
     kinds = tuple(days.BENCHMARK_FAULT_NAMES.get(kind, kind) for kind in kinds)
-    unknown = [kind for kind in kinds if kind not in TROUBLES and kind != "none"]
+    unknown = [kind for kind in kinds if kind not in FAULT_KINDS and kind != "none"]
     if unknown:
-        known = ", ".join(["none", *TROUBLES, *days.BENCHMARK_FAULT_NAMES])
+        known = ", ".join(["none", *FAULT_KINDS, *days.BENCHMARK_FAULT_NAMES])
         raise click.BadParameter(f"{', '.join(unknown)}: known are {known}")
     names = [kind for kind in kinds if kind != "none"]
     size = {"hosts": hosts, "proxies": proxies, "directors": directors, "calls_per_s": calls}
--- a/willowhook/trial/badday.py
+++ b/willowhook/trial/badday.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
-from .day import Day, Trouble, draw
-from .stage import Outcome, play
+from .day import Fault, Scenario, draw_scenario
+from .stage import RunResult, run_fleet
 
 BASELINES = ("standing", "static")
 
@@ -23,25 +23,26 @@
     """Outcomes of one seed: the run with controllers and the runs of the baselines."""
 
     seed: int
-    controlled: Outcome
-    baselines: dict[str, Outcome]
+    controlled: RunResult
+    baselines: dict[str, RunResult]
     folder: Path
 
 
 def run_with_baselines(
-    scenario: Day, folder: Path, baselines: Sequence[str], say: Callable[[str], None], **options: Any
+    scenario: Scenario, folder: Path, baselines: Sequence[str], say: Callable[[str], None], **options: Any
 ) -> SeedResult:
     """Runs the scenario with controllers, then the same arrivals and faults with each baseline."""
-    controlled = play(scenario, folder / "director", say=say, **options)
+    controlled = run_fleet(scenario, folder / "director", say=say, **options)
     baseline_outcomes = {
-        baseline: play(copy_without_ports(scenario), folder / baseline, baseline) for baseline in baselines
+        baseline: run_fleet(copy_without_ports(scenario), folder / baseline, baseline)
+        for baseline in baselines
     }
     return SeedResult(scenario.seed, controlled, baseline_outcomes, folder)
 
 
-def copy_without_ports(original: Day) -> Day:
+def copy_without_ports(original: Scenario) -> Scenario:
     """Copies the scenario without the ports that an earlier run assigned."""
-    scenario = msgspec.json.decode(msgspec.json.encode(original), type=Day)
+    scenario = msgspec.json.decode(msgspec.json.encode(original), type=Scenario)
     for endpoint in scenario.hosts:
         endpoint.port = 0
     for proxy in scenario.proxies:
@@ -52,19 +53,21 @@
 def report_lines(result: SeedResult) -> list[str]:
     """Describes the result of one seed for a reader."""
     outcome = result.controlled
-    lines = [verdict.line() for verdict in outcome.verdicts]
+    lines = [verdict.summary() for verdict in outcome.verdicts]
     service_by_route = ", ".join(f"{name} {value:.3f}" for name, value in outcome.by_route.items())
-    lines.append(f"service {outcome.service:.3f} ({service_by_route}; worst ten seconds {outcome.worst:.3f})")
+    lines.append(
+        f"service {outcome.service_level:.3f} ({service_by_route}; worst ten seconds {outcome.worst_interval:.3f})"
+    )
     lines.append(
         f"{outcome.calls} requests: {outcome.answered} answered, "
         f"{outcome.throttled} throttled, {outcome.dropped} dropped"
     )
     for name, baseline_outcome in result.baselines.items():
         lines.append(
-            f"baseline {name}: {baseline_outcome.service:.3f} "
-            f"(worst ten seconds {baseline_outcome.worst:.3f})"
+            f"baseline {name}: {baseline_outcome.service_level:.3f} "
+            f"(worst ten seconds {baseline_outcome.worst_interval:.3f})"
         )
-    for name, usage in sorted(outcome.directors.items()):
+    for name, usage in sorted(outcome.controllers.items()):
         lines.append(
             f"{name}: {usage['cpu_s']:.1f} s of CPU, {usage['rss_mb']:.0f} MB, "
             f"{usage['messages']:.0f} messages;"
@@ -83,7 +86,7 @@
 
 
 def run_seeds(
-    seeds: Sequence[int], make_scenario: Callable[[int], Day], folder: str,
+    seeds: Sequence[int], make_scenario: Callable[[int], Scenario], folder: str,
     baselines: Sequence[str], at_once: int, say: Callable[[str], None], **options: Any,
 ) -> list[SeedResult]:  # fmt: skip
     """Runs several seeds, up to `at_once` at a time, each in its own process."""
@@ -113,40 +116,42 @@
     kept = sum(result.controlled.kept for result in results)
     lines = [f"rules kept in {kept} of {len(results)} scenarios"]
     lines.append(
-        f"service with controllers: {format_spread([result.controlled.service for result in results])}"
+        f"service with controllers: {format_spread([result.controlled.service_level for result in results])}"
     )
     for baseline in results[0].baselines if results else ():
-        values = [result.baselines[baseline].service for result in results]
-        advantages = [result.controlled.service - result.baselines[baseline].service for result in results]
+        values = [result.baselines[baseline].service_level for result in results]
+        advantages = [
+            result.controlled.service_level - result.baselines[baseline].service_level for result in results
+        ]
         lines.append(
             f"service, {baseline}: {format_spread(values)}; controllers ahead by {format_spread(advantages)}"
         )
     return lines
 
 
-def default_scenario(seed: int, length_s: float = 40.0) -> Day:
+def default_scenario(seed: int, length_s: float = 40.0) -> Scenario:
     """Draws the default scenario with faults of at least eight kinds."""
-    return draw(seed, length_s)
+    return draw_scenario(seed, length_s)
 
 
-def short_scenario(seed: int) -> Day:
+def short_scenario(seed: int) -> Scenario:
     """A short scenario for CI: few endpoints, a quarter of the length, six faults."""
     troubles = [
-        Trouble("host_crash", 2.0, 4.0, 0.2),
-        Trouble("director_killed", 3.0, 1.5),
-        Trouble("streams_lost", 5.0, 0.3, 0.6),
-        Trouble("deploy", 5.5, 2.0, 0.2),
-        Trouble("disk_full", 7.0, 0.8),
-        Trouble("fast_errors", 7.5, 3.0, 0.2, 0.9),
+        Fault("host_crash", 2.0, 4.0, 0.2),
+        Fault("director_killed", 3.0, 1.5),
+        Fault("streams_lost", 5.0, 0.3, 0.6),
+        Fault("deploy", 5.5, 2.0, 0.2),
+        Fault("disk_full", 7.0, 0.8),
+        Fault("fast_errors", 7.5, 3.0, 0.2, 0.9),
     ]
-    return draw(seed, 12.0, hosts=6, proxies=4, calls_per_s=40.0, troubles=troubles, spare=0)
+    return draw_scenario(seed, 12.0, hosts=6, proxies=4, calls_per_s=40.0, troubles=troubles, spare=0)
 
 
-def replay_scenario(kinds: Sequence[str], seed: int, length_s: float, **size: Any) -> Day:
+def replay_scenario(kinds: Sequence[str], seed: int, length_s: float, **size: Any) -> Scenario:
     """Injects faults of these kinds one after the other, in the middle part of the scenario."""
     active_s = length_s - 12.0
     troubles = [
-        Trouble(
+        Fault(
             kind,
             round(4.0 + active_s * index / max(len(kinds), 1), 2),
             min(6.0, max(2.0, active_s / 3)),
@@ -155,7 +160,7 @@
         )  # fmt: skip
         for index, kind in enumerate(kinds)
     ]
-    return draw(seed, length_s, troubles=troubles, **size)
+    return draw_scenario(seed, length_s, troubles=troubles, **size)
 
 
 # The simulator's benchmark names of the fault kinds.
--- a/willowhook/trial/day.py
+++ b/willowhook/trial/day.py
@@ -24,7 +24,7 @@
 SHARES = {"load": 0.45, "save": 0.37, "submit": 0.18}
 
 
-class HostPlan(msgspec.Struct):
+class EndpointPlan(msgspec.Struct):
     id: str
     zone: str
     kind: str
@@ -44,7 +44,7 @@
     form: str = "files"  # by which its director speaks to it: files, whole, delta
 
 
-class Trouble(msgspec.Struct):
+class Fault(msgspec.Struct):
     """One trouble: `kind` strikes at `at_s` for `for_s`; `part` of those it may strike, `size` how hard."""
 
     kind: str
@@ -55,18 +55,18 @@
     route: str = ""
 
 
-class Day(msgspec.Struct):
+class Scenario(msgspec.Struct):
     seed: int
     length_s: float
     calls_per_s: float
-    hosts: list[HostPlan]
+    hosts: list[EndpointPlan]
     proxies: list[ProxyPlan]
     routes: list[RouteTerms]
     directors: int
     channel: ChannelTerms
     rules: RuleTerms
     fleet: FleetTerms
-    troubles: list[Trouble]
+    troubles: list[Fault]
     roster_late_s: float = 0.5
     redial_s: float = 0.3
     director_lost_after_s: float = 1.0
@@ -86,10 +86,10 @@
     ]  # fmt: skip
 
 
-def draw(
+def draw_scenario(
     seed: int, length_s: float = 40, hosts: int = 12, proxies: int = 8, directors: int = 2,
-    calls_per_s: float = 110.0, troubles: list[Trouble] | None = None, spare: int = 2,
-) -> Day:  # fmt: skip
+    calls_per_s: float = 110.0, troubles: list[Fault] | None = None, spare: int = 2,
+) -> Scenario:  # fmt: skip
     """A day of this size; `troubles` None draws a bad day of at least eight kinds."""
     chance = random.Random(seed)
     plans = []
@@ -99,7 +99,7 @@
         cores, speed = KINDS[kind]
         speed *= chance.uniform(0.9, 1.1)
         name, speed = f"host-{chance.randrange(1 << 24):06x}", round(speed, 3)
-        plans.append(HostPlan(name, ZONES[k % 2], kind, cores, speed, cores * 20, 400, 8.0))
+        plans.append(EndpointPlan(name, ZONES[k % 2], kind, cores, speed, cores * 20, 400, 8.0))
     weights = [chance.lognormvariate(0, 0.6) for _ in range(proxies)]
     fleet = [ProxyPlan(f"proxy-{k}", ZONES[k % 2], weights[k] / sum(weights)) for k in range(proxies)]
     lines = max(1600.0, 5.0 * proxies * 8)
@@ -113,36 +113,36 @@
     terms = FleetTerms(proxies=proxies, pick="pair", standing=5, admit="rps", report_every_ms=500,
                        reports_per_s=2000, cross_zone_price=0.04)  # fmt: skip
     if troubles is None:
-        troubles = bad_day(random.Random(seed + 1), length_s)
-    return Day(seed, length_s, calls_per_s, plans, fleet, routes(), directors, channel, rules, terms,
+        troubles = draw_faults(random.Random(seed + 1), length_s)
+    return Scenario(seed, length_s, calls_per_s, plans, fleet, routes(), directors, channel, rules, terms,
                sorted(troubles, key=lambda row: row.at_s), host_slots=spare)  # fmt: skip
 
 
-def bad_day(chance: random.Random, length_s: float) -> list[Trouble]:
+def draw_faults(chance: random.Random, length_s: float) -> list[Fault]:
     """At least eight kinds, some overlapping; a director killed and back is always among them."""
     always = [
-        Trouble("director_killed", 0, chance.uniform(2, 4)),
-        Trouble("host_crash", 0, chance.uniform(4, 8), 0.15),
-        Trouble("deploy", 0, chance.uniform(5, 8), chance.uniform(0.2, 0.35)),
-        Trouble("host_hang", 0, chance.uniform(4, 8), 0.1),
-        Trouble("fast_errors", 0, chance.uniform(4, 8), 0.15, chance.uniform(0.5, 1.0)),
-        Trouble("streams_lost", 0, 0.3, chance.uniform(0.3, 0.8)),
-        Trouble("roster_away", 0, chance.uniform(4, 8)),
-        Trouble("host_slow", 0, chance.uniform(5, 9), 0.15, chance.uniform(2, 5)),
+        Fault("director_killed", 0, chance.uniform(2, 4)),
+        Fault("host_crash", 0, chance.uniform(4, 8), 0.15),
+        Fault("deploy", 0, chance.uniform(5, 8), chance.uniform(0.2, 0.35)),
+        Fault("host_hang", 0, chance.uniform(4, 8), 0.1),
+        Fault("fast_errors", 0, chance.uniform(4, 8), 0.15, chance.uniform(0.5, 1.0)),
+        Fault("streams_lost", 0, 0.3, chance.uniform(0.3, 0.8)),
+        Fault("roster_away", 0, chance.uniform(4, 8)),
+        Fault("host_slow", 0, chance.uniform(5, 9), 0.15, chance.uniform(2, 5)),
     ]
     more = [
-        Trouble("burst", 0, chance.uniform(3, 5), 1, chance.uniform(1.3, 1.7)),
-        Trouble("disk_full", 0, chance.uniform(1.0, 1.8)),
-        Trouble("proxy_killed", 0, chance.uniform(1.5, 3), 0.3),
-        Trouble("zone_cut", 0, chance.uniform(4, 6)),
-        Trouble("route_unanswered", 0, chance.uniform(4, 8), 0.1, route="submit"),
-        Trouble("false_load", 0, chance.uniform(6, 9), 0.2, 0.05),
-        Trouble("one_sided", 0, chance.uniform(4, 7), 0.2, chance.uniform(0.3, 0.8)),
-        Trouble("roster_frozen", 0, chance.uniform(4, 7)),
-        Trouble("shrink", 0, chance.uniform(4, 6), 0.15),
-        Trouble("grow", 0, 1.0),
-        Trouble("conn_squeeze", 0, chance.uniform(4, 7), 0.3, 0.05),
-        Trouble("decline", 0, chance.uniform(6, 9), 0.1),
+        Fault("burst", 0, chance.uniform(3, 5), 1, chance.uniform(1.3, 1.7)),
+        Fault("disk_full", 0, chance.uniform(1.0, 1.8)),
+        Fault("proxy_killed", 0, chance.uniform(1.5, 3), 0.3),
+        Fault("zone_cut", 0, chance.uniform(4, 6)),
+        Fault("route_unanswered", 0, chance.uniform(4, 8), 0.1, route="submit"),
+        Fault("false_load", 0, chance.uniform(6, 9), 0.2, 0.05),
+        Fault("one_sided", 0, chance.uniform(4, 7), 0.2, chance.uniform(0.3, 0.8)),
+        Fault("roster_frozen", 0, chance.uniform(4, 7)),
+        Fault("shrink", 0, chance.uniform(4, 6), 0.15),
+        Fault("grow", 0, 1.0),
+        Fault("conn_squeeze", 0, chance.uniform(4, 7), 0.3, 0.05),
+        Fault("decline", 0, chance.uniform(6, 9), 0.1),
     ]
     picked = always + chance.sample(more, 3)
     chance.shuffle(picked)
@@ -152,7 +152,9 @@
     return picked
 
 
-def terms_of(day: Day, rank: int, folder: str, roster_url: str, records: str, **files: Any) -> Terms:
+def controller_config(
+    day: Scenario, rank: int, folder: str, roster_url: str, records: str, **files: Any
+) -> Terms:
     """What this director of the day is told."""
     lost = max(2000.0, 3 * day.fleet.report_every_ms)
     return Terms(
@@ -173,7 +175,7 @@
     key: str
 
 
-def arrivals(day: Day) -> list[Arrival]:
+def arrivals(day: Scenario) -> list[Arrival]:
     """All calls of the day, from its seed alone: the same whatever serves them."""
     chance = random.Random(day.seed * 7 + 3)
     found, at, k = list[Arrival](), 0.0, 0
--- a/willowhook/trial/flood.py
+++ b/willowhook/trial/flood.py
@@ -38,11 +38,11 @@
 from ..web.wire import ClientConnection, ConnectionLostError, open_connection
 from ..xds import forms, tables
 from ..xds.codec import MessageFormatError, decode, encode, parse_duration
-from .day import HostPlan, draw, terms_of
-from .notes import Notes, read_notes
+from .day import EndpointPlan, controller_config, draw_scenario
+from .notes import EventLog, read_events
 from .ports import PortReservations
-from .standin_link import LOADS, token
-from .standin_roster import StandInRoster
+from .standin_link import LOAD_REPORT_PATH, bearer_token
+from .standin_roster import StandInRegistry
 
 PHASES = ("steady", "at once", "ten times", "steady again")
 PERIOD_S = 2.0  # between two reports of a proxy
@@ -222,12 +222,12 @@
         )
 
     async def _post(self, connection: ClientConnection | None) -> ClientConnection | None:
-        headers = [(b"authorization", b"Bearer " + token(self.name))]
+        headers = [(b"authorization", b"Bearer " + bearer_token(self.name))]
         try:
             if connection is None or not connection.usable:
                 connection = await open_connection("127.0.0.1", self.settings.port, 5.0)
             with trio.fail_after(5.0):
-                reply = await connection.request(b"POST", LOADS, headers, self.report())
+                reply = await connection.request(b"POST", LOAD_REPORT_PATH, headers, self.report())
             self.sent += 1
             if reply.status == 200:
                 response = decode(reply.body, forms.LoadStatsResponse)
@@ -242,7 +242,7 @@
 
     async def follow_updates(self, type_url: str) -> None:
         """Follows the updates of one resource type by long polling, and acknowledges them."""
-        headers = [(b"authorization", b"Bearer " + token(self.name))]
+        headers = [(b"authorization", b"Bearer " + bearer_token(self.name))]
         connection: ClientConnection | None = None
         nonce = ""
         await trio.sleep(self.start_delay_s)
@@ -365,19 +365,19 @@
     parts: int, seed: int, port: int,
 ) -> FloodReport:  # fmt: skip
     replace = msgspec.structs.replace
-    scenario = draw(seed, hosts=1, proxies=proxies, directors=1, troubles=[], spare=0)
+    scenario = draw_scenario(seed, hosts=1, proxies=proxies, directors=1, troubles=[], spare=0)
     generator = random.Random(seed)
     plans = [
-        HostPlan(f"host-{index}", "norte", "usual", 4, 1.0, 80, 400, 8.0, 30_000 + index)
+        EndpointPlan(f"host-{index}", "norte", "usual", 4, 1.0, 80, 400, 8.0, 30_000 + index)
         for index in range(endpoints)
     ]
-    discovery = StandInRoster(Notes(str(folder / "roster.notes")), 0.0)
+    discovery = StandInRegistry(EventLog(str(folder / "roster.notes")), 0.0)
     for plan in plans:
-        discovery.show(plan)
+        discovery.register(plan)
     controller_folder = folder / "director-0"
     credentials = folder / "credentials.json"
     names = [f"proxy-{index}" for index in range(proxies)]
-    token_hashes = {name: hashlib.sha256(token(name)).hexdigest() for name in names}
+    token_hashes = {name: hashlib.sha256(bearer_token(name)).hexdigest() for name in names}
     credentials.write_bytes(msgspec.json.encode({"proxies": token_hashes}))
     report = FloodReport(proxies, {name: PhaseResult() for name in PHASES}, phase_s)
     async with trio.open_nursery() as nursery:
@@ -390,7 +390,7 @@
         scenario.channel = replace(
             scenario.channel, lines_per_s=entries_per_s, most_waiting_lines=4 * entries_per_s, messages_most=0
         )
-        terms = terms_of(scenario, 0, str(controller_folder), url, records)
+        terms = controller_config(scenario, 0, str(controller_folder), url, records)
         front = FrontTerms(
             listen=f"127.0.0.1:{port}", credentials=str(credentials), wait_ms=10_000,
             connections_most=max(4000, 4 * proxies + 400),
@@ -443,7 +443,7 @@
             for process in [*reporters, controller]:
                 process.wait()
             nursery.cancel_scope.cancel()
-    discovery.notes.flush()
+    discovery.event_log.flush()
     _read_results(report, records, start, phase_s, changes, str(folder / "roster.notes"))
     return report
 
@@ -456,7 +456,7 @@
 
 
 async def _change_endpoint_list(
-    discovery: StandInRoster, plans: list[HostPlan], controller_folder: Path, names: list[str], end: int,
+    discovery: StandInRegistry, plans: list[EndpointPlan], controller_folder: Path, names: list[str], end: int,
     phase: int, changes: dict[int, int], report: FloodReport,
 ) -> None:  # fmt: skip
     """Changes the endpoint list ten times a second, and checks that one endpoint is drained in time."""
@@ -466,11 +466,11 @@
         entry = discovery.entries[plans[0].id]
         # ignored by all readers; it makes the entry differ
         entry["Service"]["Meta"]["mark"] = str(len(changes))
-        discovery._set(plans[0].id, entry)
+        discovery.set_entry(plans[0].id, entry)
         changes[discovery.index] = monotonic_ticks()
         if monotonic_ticks() > halfway and not drained_at:
             drained_at = monotonic_ticks()
-            discovery._set(drained.id, discovery.entry(drained, True, 0.0))
+            discovery.set_entry(drained.id, discovery.make_entry(drained, True, 0.0))
         await trio.sleep(0.1)
     await trio.sleep(max(0.0, (drained_at - monotonic_ticks()) / TICKS_PER_SECOND + 2.5))
     late = [name for name in names if _sends_to(controller_folder, name, drained.id)]
@@ -517,7 +517,7 @@
     intake_records = [row for row in all_records if row["kind"] == "intake"]
     # The controller decides on the lists that service discovery served in their order; its first list is
     # not among them.
-    served_indexes = [row["index"] for row in read_notes(discovery_log) if row["kind"] == "listed"]
+    served_indexes = [row["index"] for row in read_events(discovery_log) if row["kind"] == "listed"]
     decided_at = [row["t"] - offset for row in all_records if row["kind"] == "list"][1:]
     for number, changed_at in changes.items():
         position = next(
--- a/willowhook/trial/fuzz.py
+++ b/willowhook/trial/fuzz.py
@@ -23,11 +23,11 @@
 from ..web.wire import open_connection
 from ..xds import forms
 from ..xds.codec import encode
-from .day import draw, terms_of
+from .day import controller_config, draw_scenario
 from .herd import TABLES_PATH, OnDemandDecider, SilentLog
-from .notes import Notes
-from .standin_link import token
-from .standin_roster import StandInRoster
+from .notes import EventLog
+from .standin_link import bearer_token
+from .standin_roster import StandInRegistry
 
 CONCURRENT_INPUTS = 24
 PATHS = (
@@ -74,7 +74,7 @@
     body = generator.choice(bodies)
     header_lines = [
         b"POST " + generator.choice(PATHS) + b" HTTP/1.1", b"host: a",
-        b"authorization: Bearer " + token(name),
+        b"authorization: Bearer " + bearer_token(name),
         b"accept-encoding: " + generator.choice([b"gzip", b"zstd;q=0.5, *", b"", b";;;", b"," * 200]),
         b"content-length: %d" % len(body),
     ]  # fmt: skip
@@ -121,7 +121,7 @@
     """Sends this many malformed inputs to a controller that runs in this process."""
     folder.mkdir(parents=True, exist_ok=True)
     report = FuzzReport(inputs)
-    scenario = draw(3, 60.0, hosts=6, proxies=1, directors=1, calls_per_s=1.0, troubles=[], spare=0)
+    scenario = draw_scenario(3, 60.0, hosts=6, proxies=1, directors=1, calls_per_s=1.0, troubles=[], spare=0)
     scenario.channel = msgspec.structs.replace(
         scenario.channel, lines_per_s=1e6, most_waiting_lines=1e6, messages_most=0
     )
@@ -155,7 +155,7 @@
             "sound", "calls", forms.Locality(zone="norte"), {"term": term, "director": "director-0"}
         )
         connection = await open_connection("127.0.0.1", service.discovery_port)
-        headers = [(b"authorization", b"Bearer " + token("sound"))]
+        headers = [(b"authorization", b"Bearer " + bearer_token("sound"))]
         request = encode(forms.DeltaDiscoveryRequest(node, forms.ASSIGNMENT))
         with trio.fail_after(10):
             while (await connection.request(b"POST", TABLES_PATH, headers, request)).status != 200:
@@ -164,15 +164,19 @@
         report.checks += 1
 
     async def run() -> None:
-        discovery = StandInRoster(Notes(str(folder / "roster.notes")), 0.0)
+        discovery = StandInRegistry(EventLog(str(folder / "roster.notes")), 0.0)
         for index, plan in enumerate(scenario.hosts):
             plan.port = 20_000 + index
-            discovery.show(plan)
+            discovery.register(plan)
         async with trio.open_nursery() as nursery:
             await nursery.start(discovery.run)
-            token_hashes = {name: hashlib.sha256(token(name)).hexdigest() for name in ("p1", "p2", "sound")}
+            token_hashes = {
+                name: hashlib.sha256(bearer_token(name)).hexdigest() for name in ("p1", "p2", "sound")
+            }
             (folder / "credentials.json").write_bytes(msgspec.json.encode({"proxies": token_hashes}))
-            terms = terms_of(scenario, 0, str(folder / "d"), f"http://127.0.0.1:{discovery.port}", "")
+            terms = controller_config(
+                scenario, 0, str(folder / "d"), f"http://127.0.0.1:{discovery.port}", ""
+            )
             front = FrontTerms(
                 listen="127.0.0.1:0", credentials=str(folder / "credentials.json"), wait_ms=100,
                 header_ms=300, idle_ms=500, asks_per_s=10_000, asks_burst=10_000, proxy_connections_most=100,
--- a/willowhook/trial/herd.py
+++ b/willowhook/trial/herd.py
@@ -29,10 +29,10 @@
 from ..web.wire import ClientConnection, ConnectionLostError, open_connection
 from ..xds import forms
 from ..xds.codec import decode, encode
-from .day import draw, terms_of
-from .notes import Notes
-from .standin_link import token
-from .standin_roster import StandInRoster
+from .day import controller_config, draw_scenario
+from .notes import EventLog
+from .standin_link import bearer_token
+from .standin_roster import StandInRegistry
 from .swaps import ChurnDecider
 
 TABLES_PATH = b"/envoy.service.endpoint.v3.EndpointDiscoveryService/DeltaEndpoints"
@@ -74,7 +74,10 @@
 ) -> None:
     """Runs one caller: sends requests, stores the time of each response, and acknowledges it."""
     node = forms.Node(name, "calls", forms.Locality(zone="norte"), {"term": 1, "director": "director-0"})
-    headers = [(b"authorization", b"Bearer " + token(name)), (b"accept-encoding", settings.encoding.encode())]
+    headers = [
+        (b"authorization", b"Bearer " + bearer_token(name)),
+        (b"accept-encoding", settings.encoding.encode()),
+    ]
     await trio.sleep(start_delay_s)
     connection: ClientConnection | None = None
     nonce = ""
@@ -197,7 +200,9 @@
     folder.mkdir(parents=True, exist_ok=True)
     names = [f"p{index}" for index in range(callers)]
     slow = names[:: round(1 / slow_share)] if slow_share else []
-    scenario = draw(3, 60.0, hosts=endpoints, proxies=1, directors=1, calls_per_s=1.0, troubles=[], spare=0)
+    scenario = draw_scenario(
+        3, 60.0, hosts=endpoints, proxies=1, directors=1, calls_per_s=1.0, troubles=[], spare=0
+    )
     scenario.channel = msgspec.structs.replace(
         scenario.channel, lines_per_s=1e8, most_waiting_lines=1e8, messages_most=0
     )
@@ -205,20 +210,20 @@
     report = HerdReport(callers, len(slow), endpoints, 0, 0.0)
 
     async def run() -> None:
-        discovery = StandInRoster(Notes(str(folder / "roster.notes")), 0.0)
+        discovery = StandInRegistry(EventLog(str(folder / "roster.notes")), 0.0)
         for index, plan in enumerate(scenario.hosts):
             plan.port = 20_000 + index
-            discovery.show(plan)
+            discovery.register(plan)
         async with trio.open_nursery() as nursery:
             await nursery.start(discovery.run)
             await run_with_controller(nursery, discovery)
             nursery.cancel_scope.cancel()
 
-    async def run_with_controller(nursery: trio.Nursery, discovery: StandInRoster) -> None:
-        token_hashes = {name: hashlib.sha256(token(name)).hexdigest() for name in names}
+    async def run_with_controller(nursery: trio.Nursery, discovery: StandInRegistry) -> None:
+        token_hashes = {name: hashlib.sha256(bearer_token(name)).hexdigest() for name in names}
         (folder / "credentials.json").write_bytes(msgspec.json.encode({"proxies": token_hashes}))
         url = f"http://127.0.0.1:{discovery.port}"
-        terms = terms_of(scenario, 0, str(folder / "d"), url, "")
+        terms = controller_config(scenario, 0, str(folder / "d"), url, "")
         front = FrontTerms(
             listen="127.0.0.1:0", credentials=str(folder / "credentials.json"), wait_ms=30_000,
             idle_ms=60_000, write_ms=4000,
--- a/willowhook/trial/judge.py
+++ b/willowhook/trial/judge.py
@@ -16,22 +16,24 @@
 
 from ..ticks import TICKS_PER_SECOND
 
-START = 100_000 * TICKS_PER_SECOND  # by how much a director's clock is ahead of the machine's
-Rows = list[dict[str, Any]]
+CONTROLLER_CLOCK_LEAD_TICKS = (
+    100_000 * TICKS_PER_SECOND
+)  # by how much a director's clock is ahead of the machine's
+Entries = list[dict[str, Any]]
 
 
 @dataclass
 class Verdict:
     rule: int
-    what: str
+    description: str
     kept: bool
     nearest: str  # the nearest approach to the limit
-    found: list[str] = field(default_factory=list)  # what broke it, with times and ids
+    violations: list[str] = field(default_factory=list)  # what broke it, with times and ids
 
-    def line(self) -> str:
+    def summary(self) -> str:
         word = "kept  " if self.kept else "BROKEN"
-        return f"rule {self.rule} {word} {self.what}: {self.nearest}" + "".join(
-            f"\n    {row}" for row in self.found
+        return f"rule {self.rule} {word} {self.description}: {self.nearest}" + "".join(
+            f"\n    {row}" for row in self.violations
         )
 
 
@@ -50,20 +52,22 @@
     windows: dict[str, int]
 
 
-class Judge:
+class InvariantChecker:
     def __init__(self, folder: Path, limits: Limits, zero: int) -> None:
         """`zero`: the day's beginning, for the times that are told."""
         self.limits, self.zero = limits, zero
         self.proxies = self.read(folder, "proxies*.notes")
         self.hosts = self.read(folder, "host-*.notes")
         self.roster = self.read(folder, "roster.notes")
-        self.records = {path.stem: self.lines(path) for path in sorted(folder.glob("director-*.records"))}
+        self.records = {
+            path.stem: self.read_entries(path) for path in sorted(folder.glob("director-*.records"))
+        }
         self.stage = self.read(folder, "stage.notes")
         self.sessions = self.joined_times()
         self.lists = self.lists_told()
 
     @staticmethod
-    def lines(path: Path) -> Rows:
+    def read_entries(path: Path) -> Entries:
         found = []
         for line in path.read_bytes().splitlines():
             try:
@@ -72,8 +76,8 @@
                 continue  # cut off by a kill
         return found
 
-    def read(self, folder: Path, pattern: str) -> Rows:
-        rows = [row for path in sorted(folder.glob(pattern)) for row in self.lines(path)]
+    def read(self, folder: Path, pattern: str) -> Entries:
+        rows = [row for path in sorted(folder.glob(pattern)) for row in self.read_entries(path)]
         return sorted(rows, key=lambda row: row["t"])
 
     def at(self, t: int) -> str:
@@ -106,7 +110,7 @@
                 if since < died < until:
                     found.append((since, died, who))
                     own = [row for row in self.records.get(who, []) if row["kind"] == "joined"]
-                    again = [row["t"] - START for row in own if row["proxy"] == proxy]
+                    again = [row["t"] - CONTROLLER_CLOCK_LEAD_TICKS for row in own if row["proxy"] == proxy]
                     since = min((t for t in again if t > died), default=until)
             if since < until:
                 found.append((since, until, who))
@@ -121,7 +125,7 @@
                 told[row["d"]].append((row["t"], hosts, row["wall"]))
         return told
 
-    def judge(self) -> list[Verdict]:
+    def check_all(self) -> list[Verdict]:
         return [self.bare(), self.twice(), self.drains(), self.cold(), self.queue()]
 
     # 1: no joined proxy without a line for a route, while an open warm host is listed.
@@ -180,7 +184,7 @@
     # 2: no effect twice by what proxies repeat.
 
     def twice(self) -> Verdict:
-        effects: dict[str, Rows] = defaultdict(list)
+        effects: dict[str, Entries] = defaultdict(list)
         for row in self.hosts:
             if row["kind"] == "effect":
                 effects[row["c"]].append(row)
@@ -190,7 +194,7 @@
             if len(rows) > 1 and semantics != "repeatable":  # a group drops repeats: each of these had effect
                 places = ", ".join(f"{row['host']} at {self.at(row['t'])}" for row in rows)
                 found.append(f"{attempt} ({rows[0]['r']}) had effect {len(rows)} times: {places}")
-        tries: dict[str, Rows] = defaultdict(list)
+        tries: dict[str, Entries] = defaultdict(list)
         for row in self.proxies:
             if row["kind"] == "try":
                 tries[row["c"]].append(row)
--- a/willowhook/trial/nginx_director.py
+++ b/willowhook/trial/nginx_director.py
@@ -26,10 +26,10 @@
 from ..web.wire import ConnectionLostError, open_connection
 from .day import ProxyPlan
 from .nginx_same import StandInEndpoints
-from .notes import Notes
+from .notes import EventLog
 from .ports import PortReservations
-from .standin_proxy import DirectorPlace, ProxyOrders
-from .standin_roster import StandInRoster
+from .standin_proxy import ControllerAddress, ProxyWorkerConfig
+from .standin_roster import StandInRegistry
 
 CONF = """
 upstream tasks {
@@ -93,7 +93,7 @@
                 self.port = reservations.reserve()
                 for name in self.plan.endpoints:
                     await self.hosts.start(name)
-                self.roster = StandInRoster(Notes(str(self.folder / "roster.notes")), 0.0)
+                self.roster = StandInRegistry(EventLog(str(self.folder / "roster.notes")), 0.0)
                 for entry in json.loads(endpoint_list(self.plan)):
                     name = entry["Service"]["ID"]
                     entry["Service"] |= {"Address": "127.0.0.1", "Port": self.hosts.ports[name]}
@@ -141,12 +141,12 @@
         with trio.fail_after(10):
             while not lock.exists():
                 await trio.sleep(0.05)
-        place = DirectorPlace(terms.name, terms.files.folder, terms.zone)
+        place = ControllerAddress(terms.name, terms.files.folder, terms.zone)
         endpoints = [
             (host.id, "127.0.0.1", self.hosts.ports[host.id], terms.zone)
             for host in self.plan.endpoints.values()
         ]
-        settings = ProxyOrders(
+        settings = ProxyWorkerConfig(
             [ProxyPlan("proxy-0", terms.zone, 1.0, self.port)], [place], endpoints[:1], list(terms.routes),
             str(self.folder / "proxy.notes"), 1, 1, terms.fleet.pick, 0, 2.0, 0.25, 0.25, 2.0, 0.2, 200.0,
         )  # fmt: skip
@@ -240,7 +240,7 @@
     def _drain(self, name: str, is_draining: bool) -> None:
         check = {"CheckID": f"_service_maintenance:{name}", "Status": "critical"}
         entry: dict[str, Any] = {**self.roster.entries[name], "Checks": [check] if is_draining else []}
-        self.roster._set(name, entry)
+        self.roster.set_entry(name, entry)
 
 
 def run_imported_scenario(folder: Path) -> Observations:
--- a/willowhook/trial/nginx_same.py
+++ b/willowhook/trial/nginx_same.py
@@ -28,7 +28,7 @@
 from ..xds import forms, tables
 from .corpus import Sample, load_samples
 from .ports import PortReservations
-from .standin_blocks import BlocksProxy
+from .standin_blocks import StandInNginxProxy
 from .standin_proxy import hash_key, ring_pick
 
 EJECTION_ERRORS, EJECTION_S = 2, 2.0
@@ -231,7 +231,7 @@
             if directive.name == "server" and directive.position == plan.server_block.block.position
         )  # fmt: skip
         self.answer_by_way: dict[str, Callable[[Call], Awaitable[Reply]]] = {
-            "blocks": BlocksProxy(directives, site, hosts.attempt, self.clock).answer,
+            "blocks": StandInNginxProxy(directives, site, hosts.attempt, self.clock).answer,
             "tables": TablesProxy(files, hosts.attempt, self.clock).answer,
         }
         self.clock_offset_s = 0.0  # moves the clock forward, so that ejected endpoints are readmitted
--- a/willowhook/trial/notes.py
+++ b/willowhook/trial/notes.py
@@ -15,12 +15,12 @@
 _encode = msgspec.json.Encoder().encode
 
 
-class Notes:
+class EventLog:
     def __init__(self, path: str) -> None:
         self._fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o644)
         self._rows: list[bytes] = []
 
-    def note(self, kind: str, **parts: Any) -> None:
+    def record(self, kind: str, **parts: Any) -> None:
         self._rows.append(_encode({"t": monotonic_ticks(), "kind": kind, **parts}))
         if len(self._rows) >= 200:
             self.flush()
@@ -39,12 +39,12 @@
             self.flush()
 
 
-def read_notes(path: str) -> list[dict[str, Any]]:
+def read_events(path: str) -> list[dict[str, Any]]:
     with open(path, "rb") as file:
         return [msgspec.json.decode(line) for line in file if line.endswith(b"}\n")]
 
 
-async def obey(orders: dict[str, Callable[..., Any]]) -> None:
+async def serve_commands(commands: dict[str, Callable[..., Any]]) -> None:
     """Takes `{"do": NAME, ...}` lines from standard input until it ends, and calls what they name."""
     stream = trio.lowlevel.FdStream(os.dup(sys.stdin.fileno()))
     rest = b""
@@ -53,6 +53,6 @@
         *lines, rest = rest.split(b"\n")
         for line in lines:
             parts = msgspec.json.decode(line)
-            result = orders[parts.pop("do")](**parts)
+            result = commands[parts.pop("do")](**parts)
             if isinstance(result, Awaitable):
                 await result
--- a/willowhook/trial/restart.py
+++ b/willowhook/trial/restart.py
@@ -11,10 +11,10 @@
 import msgspec
 
 from ..ticks import TICKS_PER_SECOND
-from .day import Day, Trouble, draw
-from .judge import START, Judge
-from .notes import read_notes
-from .stage import play
+from .day import Fault, Scenario, draw_scenario
+from .judge import CONTROLLER_CLOCK_LEAD_TICKS, InvariantChecker
+from .notes import read_events
+from .stage import run_fleet
 
 STORE_MODES = ("none", "kept", "aged")
 # After a restart, when recovered state makes a difference.
@@ -35,12 +35,12 @@
     join_to_command_ms: float  # median time from a restart's first join to the first command
 
 
-def restart_scenario(seed: int, restarts: int) -> Day:
+def restart_scenario(seed: int, restarts: int) -> Scenario:
     """A scenario with failing endpoints and this many restarts of the only controller."""
     length = 14.0 + 6.0 * restarts
-    troubles = [Trouble("fast_errors", 4.0, length - 6.0, 0.34, 0.9)]
-    troubles += [Trouble("director_killed", 10.0 + 6.0 * index, 0.7) for index in range(restarts)]
-    scenario = draw(
+    troubles = [Fault("fast_errors", 4.0, length - 6.0, 0.34, 0.9)]
+    troubles += [Fault("director_killed", 10.0 + 6.0 * index, 0.7) for index in range(restarts)]
+    scenario = draw_scenario(
         seed, length, hosts=12, proxies=8, directors=1, calls_per_s=110.0, troubles=troubles, spare=0
     )
     scenario.channel = msgspec.structs.replace(scenario.channel, messages_most=0)
@@ -49,11 +49,11 @@
 
 def run_restart(seed: int, restart_count: int, store_mode: str, folder: Path) -> RestartResult:
     """Runs the scenario with one store mode and evaluates the time after each restart."""
-    outcome = play(restart_scenario(seed, restart_count), folder, store=store_mode)
-    proxies = [row for path in folder.glob("proxies*.notes") for row in read_notes(str(path))]
-    records = Judge.lines(folder / "director-0.records")
-    starts = [row["t"] - START for row in records if row["kind"] == "started"][1:]
-    failing_endpoints = {row["host"] for path in folder.glob("host-*.notes") for row in read_notes(str(path))
+    outcome = run_fleet(restart_scenario(seed, restart_count), folder, store=store_mode)
+    proxies = [row for path in folder.glob("proxies*.notes") for row in read_events(str(path))]
+    records = InvariantChecker.read_entries(folder / "director-0.records")
+    starts = [row["t"] - CONTROLLER_CLOCK_LEAD_TICKS for row in records if row["kind"] == "started"][1:]
+    failing_endpoints = {row["host"] for path in folder.glob("host-*.notes") for row in read_events(str(path))
             if row["kind"] == "set"}  # fmt: skip
     attempts = failed = to_failing = 0
     join_to_command_ms = []
@@ -64,7 +64,9 @@
             continue
         first_join = min(join_times)
         command_times = [
-            row["t"] - START for row in records if row["kind"] == "order" and row["t"] - START >= first_join
+            row["t"] - CONTROLLER_CLOCK_LEAD_TICKS
+            for row in records
+            if row["kind"] == "order" and row["t"] - CONTROLLER_CLOCK_LEAD_TICKS >= first_join
         ]
         join_to_command_ms.append((min(command_times, default=first_join) - first_join) / 10)
         for row in proxies:
@@ -78,7 +80,7 @@
     detail = next((v.nearest for v in outcome.verdicts if v.rule == 1), "")
     longest_ms = float(detail.partition("line ")[2].partition(" s")[0] or 0) * 1000
     divisor = max(attempts, 1)
-    return RestartResult(store_mode, outcome.kept, outcome.service, failed / divisor, attempts,
+    return RestartResult(store_mode, outcome.kept, outcome.service_level, failed / divisor, attempts,
                    to_failing / divisor, longest_ms,
                    statistics.median(join_to_command_ms or [0.0]))  # fmt: skip
 
--- a/willowhook/trial/standin_blocks.py
+++ b/willowhook/trial/standin_blocks.py
@@ -63,7 +63,7 @@
         return best
 
 
-class BlocksProxy:
+class StandInNginxProxy:
     """`ask` makes one try; `clock` in seconds."""
 
     def __init__(self, rows: list[Directive], site: Directive, ask: Ask, clock: Callable[[], float]) -> None:
--- a/willowhook/trial/standin_client.py
+++ b/willowhook/trial/standin_client.py
@@ -17,11 +17,11 @@
 from ..ticks import TICKS_PER_SECOND
 from ..web.wire import ClientConnection, ConnectionLostError, open_connection
 from ..xds.tables import NOT_EXECUTED_HEADER
-from .day import Arrival, Day, arrivals
-from .notes import Notes
+from .day import Arrival, Scenario, arrivals
+from .notes import EventLog
 
 
-class ClientOrders(msgspec.Struct):
+class ClientWorkerConfig(msgspec.Struct):
     day: str  # file
     ports: list[int]
     notes: str
@@ -31,9 +31,9 @@
 
 
 class Clients:
-    def __init__(self, orders: ClientOrders, day: Day) -> None:
+    def __init__(self, orders: ClientWorkerConfig, day: Scenario) -> None:
         self.o, self.day = orders, day
-        self.notes = Notes(orders.notes)
+        self.notes = EventLog(orders.notes)
         self.routes = {route.name: route for route in day.routes}
         self.idle: dict[int, list[ClientConnection]] = {}
         self.chance = random.Random(day.seed + 11)
@@ -58,7 +58,7 @@
                 if attempts > self.day.client_retries or not may:
                     break
                 await trio.sleep(self.day.client_wait_ms / 1000 * (0.5 + self.chance.random()))
-        self.notes.note(
+        self.notes.record(
             "call",
             c=arrival.id,
             r=arrival.route,
@@ -108,9 +108,9 @@
 
 def main() -> None:
     signal.signal(signal.SIGINT, signal.SIG_IGN)
-    orders = msgspec.json.decode(sys.argv[1].encode(), type=ClientOrders)
+    orders = msgspec.json.decode(sys.argv[1].encode(), type=ClientWorkerConfig)
     with open(orders.day, "rb") as file:
-        day = msgspec.json.decode(file.read(), type=Day)
+        day = msgspec.json.decode(file.read(), type=Scenario)
     trio.run(Clients(orders, day).run)
 
 
--- a/willowhook/trial/standin_host.py
+++ b/willowhook/trial/standin_host.py
@@ -22,12 +22,12 @@
 from ..web.wire import Call, Reply, serve_connection
 from ..xds import orca
 from ..xds.tables import NOT_EXECUTED_HEADER
-from .day import HostPlan
-from .notes import Notes, obey
+from .day import EndpointPlan
+from .notes import EventLog, serve_commands
 
 
-class HostOrders(msgspec.Struct):
-    plan: HostPlan
+class EndpointProcessConfig(msgspec.Struct):
+    plan: EndpointPlan
     notes: str
     marks: str  # folder of marks against repeats, shared by the hosts of a zone
     seed: int
@@ -38,10 +38,10 @@
     fall_s: float
 
 
-class StandInHost:
-    def __init__(self, orders: HostOrders) -> None:
+class StandInEndpoint:
+    def __init__(self, orders: EndpointProcessConfig) -> None:
         self.o, self.plan = orders, orders.plan
-        self.notes = Notes(orders.notes)
+        self.notes = EventLog(orders.notes)
         self.chance = random.Random(orders.seed)
         self.born = monotonic_ticks()
         self.cores = trio.Semaphore(orders.plan.cores)
@@ -76,13 +76,13 @@
         budget = self.o.fall_multiple * self.o.fall_s * able
         if self.came / budget > self.nearest:
             self.nearest = self.came / budget
-            self.notes.note("cold_load", host=self.plan.id, share=round(self.nearest, 4))
+            self.notes.record("cold_load", host=self.plan.id, share=round(self.nearest, 4))
         if self.came > budget:
             by: dict[str, float] = {}
             for _, part, who in self.window:
                 by[who] = by.get(who, 0.0) + part
             since = self.window[0][0]
-            self.notes.note("fell", host=self.plan.id, born=self.born, since=since, work=self.came, by=by)
+            self.notes.record("fell", host=self.plan.id, born=self.born, since=since, work=self.came, by=by)
             self.notes.flush()
             os._exit(9)
 
@@ -111,7 +111,7 @@
         proxy = call.headers.get(b"x-proxy", b"").decode()
         work = float(call.headers.get(b"x-work-ms", b"1")) / 1000
         back = [*told, (NOT_EXECUTED_HEADER.encode(), b"1")]
-        self.notes.note("got", host=self.plan.id, c=attempt, r=route, p=proxy)
+        self.notes.record("got", host=self.plan.id, c=attempt, r=route, p=proxy)
         if self.draining:
             return Reply(503, back, b"draining", close=True)
         self.weigh(work, proxy)
@@ -131,7 +131,7 @@
             if self.repeated(route, key, attempt):
                 return Reply(200, told, b"done before")
             took = work / (self.plan.speed * self.warmth()) * self.slow
-            self.notes.note("effect", host=self.plan.id, c=attempt, r=route, key=key, zone=self.plan.zone)
+            self.notes.record("effect", host=self.plan.id, c=attempt, r=route, key=key, zone=self.plan.zone)
             self.notes.flush()  # the process may be killed at any time
             # once begun, it runs to its end, whoever still waits
             with trio.CancelScope(shield=True):
@@ -156,7 +156,7 @@
             with open(path, "rb") as file:
                 at = int(file.read() or b"0")
             if monotonic_ticks() - at <= window * TICKS_PER_SECOND:
-                self.notes.note("repeat_dropped", host=self.plan.id, c=attempt)
+                self.notes.record("repeat_dropped", host=self.plan.id, c=attempt)
                 return True
             with open(path, "w") as out:
                 out.write(str(monotonic_ticks()))
@@ -179,23 +179,23 @@
         if not hasattr(self, name):
             raise AttributeError(name)
         setattr(self, name, value)
-        self.notes.note("set", host=self.plan.id, name=name, value=value)
+        self.notes.record("set", host=self.plan.id, name=name, value=value)
 
     async def run(self) -> None:
-        self.notes.note("born", host=self.plan.id, cold=bool(self.o.cold_s))
+        self.notes.record("born", host=self.plan.id, cold=bool(self.o.cold_s))
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.notes.run)
             listen = partial(trio.serve_tcp, self.serve, 0, host="127.0.0.1")
             listeners: Any = await nursery.start(listen)
             port = listeners[0].socket.getsockname()[1]
             print(port, flush=True)
-            await obey({"set": self.set})  # until the one who started it is gone
+            await serve_commands({"set": self.set})  # until the one who started it is gone
             nursery.cancel_scope.cancel()
 
 
 def main() -> None:
     signal.signal(signal.SIGINT, signal.SIG_IGN)
-    trio.run(StandInHost(msgspec.json.decode(sys.argv[1].encode(), type=HostOrders)).run)
+    trio.run(StandInEndpoint(msgspec.json.decode(sys.argv[1].encode(), type=EndpointProcessConfig)).run)
 
 
 if __name__ == "__main__":
--- a/willowhook/trial/standin_link.py
+++ b/willowhook/trial/standin_link.py
@@ -24,10 +24,10 @@
 from ..xds.codec import MessageFormatError, decode, encode, parse_duration
 
 if TYPE_CHECKING:
-    from .standin_proxy import DirectorPlace, StandInProxy
+    from .standin_proxy import ControllerAddress, StandInProxy
 
 WORDS = {"cds": ("cluster", "Cluster"), "eds": ("endpoint", "Endpoint"), "rds": ("route", "Route")}
-LOADS = b"/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats"
+LOAD_REPORT_PATH = b"/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats"
 PATIENCE_S = 14.0  # of one wait: a director ends it sooner
 
 
@@ -47,7 +47,7 @@
         raise MessageFormatError(f"version {version[:40]!r}") from fault
 
 
-def token(name: str) -> bytes:
+def bearer_token(name: str) -> bytes:
     return f"token of {name}".encode()
 
 
@@ -89,7 +89,7 @@
             proxy.routes = decode(body, forms.RouteConfiguration).virtual_hosts[0].routes
         self.versions = dict(self.kept.versions)
         proxy.settle()
-        proxy.notes.note("took_up", p=proxy.plan.id, versions=self.versions)
+        proxy.notes.record("took_up", p=proxy.plan.id, versions=self.versions)
 
     def keep(self, kind: str) -> None:
         """The acknowledgement of this type is on its way."""
@@ -100,11 +100,11 @@
         self.kept.rows[kind] = {n: (v, msgspec.Raw(body)) for n, (v, body) in self.rows[kind].items()}
         folder, _, name = self.path.rpartition("/")
         swap_file(DiskOps(), folder, name, encode(self.kept))
-        self.proxy.notes.note("acked", p=self.proxy.plan.id, part=kind, version=self.versions[kind])
+        self.proxy.notes.record("acked", p=self.proxy.plan.id, part=kind, version=self.versions[kind])
 
     # Its director.
 
-    def begin(self, place: DirectorPlace) -> None:
+    def begin(self, place: ControllerAddress) -> None:
         if self.kept.director != place.name:  # versions of another director say nothing to this one
             self.versions = {}
             self.rows = {
@@ -118,7 +118,7 @@
         if self.scope is not None:
             self.scope.cancel()
 
-    async def run(self, place: DirectorPlace, scope: trio.CancelScope | None) -> None:
+    async def run(self, place: ControllerAddress, scope: trio.CancelScope | None) -> None:
         assert scope is not None
         with scope:
             async with trio.open_nursery() as nursery:
@@ -131,7 +131,7 @@
             self.proxy.avoided[self.proxy.director.name] = monotonic_ticks() + ticks_from_seconds(avoid_s)
         self.why_over = self.why_over or why
 
-    async def follow(self, place: DirectorPlace, kind: str, scope: trio.CancelScope) -> None:
+    async def follow(self, place: ControllerAddress, kind: str, scope: trio.CancelScope) -> None:
         """One type: ask, apply, acknowledge by asking again."""
         caller: ClientConnection | None = None
         nonce = fault = ""
@@ -171,7 +171,7 @@
 
     async def turned_away(self, reply: Reply) -> None:
         wait = float(reply.header(b"retry-after") or b"1")
-        self.proxy.notes.note(
+        self.proxy.notes.record(
             "turned_away", p=self.proxy.plan.id, status=reply.status, why=reply.body[:200].decode()
         )
         if reply.status == 503 and b"drains" in reply.body:
@@ -180,7 +180,7 @@
             self.over("its stay is over")
         await trio.sleep(wait)
 
-    async def dialled(self, old: ClientConnection | None, place: DirectorPlace) -> ClientConnection:
+    async def dialled(self, old: ClientConnection | None, place: ControllerAddress) -> ClientConnection:
         await self.closed(old)
         if self.proxy.crew.unreachable(self.proxy.plan.zone, place.zone):
             await trio.sleep(0.2)
@@ -200,7 +200,7 @@
 
     def headers(self) -> list[tuple[bytes, bytes]]:
         return [
-            (b"authorization", b"Bearer " + token(self.proxy.plan.id)),
+            (b"authorization", b"Bearer " + bearer_token(self.proxy.plan.id)),
             (b"accept-encoding", b"gzip"),
             (b"content-type", b"application/json"),
         ]
@@ -219,7 +219,7 @@
 
     # Answers.
 
-    def apply(self, place: DirectorPlace, kind: str, reply: Reply) -> tuple[str, str]:
+    def apply(self, place: ControllerAddress, kind: str, reply: Reply) -> tuple[str, str]:
         """The answer's nonce, and why it is refused, if it is."""
         body = reply.body
         if reply.header(b"content-encoding") == b"gzip":
@@ -251,7 +251,7 @@
         except MessageFormatError as fault:
             self.proxy.crew.refused += 1
             cause = str(fault) or "refused"
-            self.proxy.notes.note(
+            self.proxy.notes.record(
                 "refused", p=self.proxy.plan.id, d=place.name, part=kind, version=version, cause=cause
             )
             return nonce, cause
@@ -259,7 +259,7 @@
         proxy = self.proxy
         proxy.settle()
         proxy.crew.applied += 1
-        proxy.notes.note("applied", p=proxy.plan.id, d=place.name, part=kind, version=version,
+        proxy.notes.record("applied", p=proxy.plan.id, d=place.name, part=kind, version=version,
                          term=proxy.claim.term, **proxy.runs())  # fmt: skip
         return nonce, ""
 
@@ -316,7 +316,7 @@
     def report(self, data: bytes) -> None:
         self.loads = data
 
-    async def tell_loads(self, place: DirectorPlace) -> None:
+    async def tell_loads(self, place: ControllerAddress) -> None:
         caller: ClientConnection | None = None
         while True:
             data, self.loads = self.loads, None
@@ -327,7 +327,7 @@
                 if caller is None or not caller.usable:
                     caller = await self.dialled(caller, place)
                 with trio.fail_after(3.0):
-                    reply = await caller.request(b"POST", LOADS, self.headers(), data)
+                    reply = await caller.request(b"POST", LOAD_REPORT_PATH, self.headers(), data)
                 if reply.status == 200:
                     self.report_s = parse_duration(
                         decode(reply.body, forms.LoadStatsResponse).load_reporting_interval
--- a/willowhook/trial/standin_proxy.py
+++ b/willowhook/trial/standin_proxy.py
@@ -47,20 +47,20 @@
 from ..xds import forms, orca, tables
 from ..xds.codec import MessageFormatError, decode, encode, parse_duration, read_response
 from .day import ProxyPlan
-from .notes import Notes, obey
+from .notes import EventLog, serve_commands
 from .standin_link import WebLink
 
 
-class DirectorPlace(msgspec.Struct):
+class ControllerAddress(msgspec.Struct):
     name: str
     folder: str
     zone: str
     port: int = 0  # of its front, where there is one
 
 
-class ProxyOrders(msgspec.Struct):
+class ProxyWorkerConfig(msgspec.Struct):
     proxies: list[ProxyPlan]
-    directors: list[DirectorPlace]
+    directors: list[ControllerAddress]
     hosts: list[tuple[str, str, int, str]]  # open at the start: id, address, port, zone
     routes: list[RouteTerms]
     notes: str
@@ -129,17 +129,17 @@
     assignments: dict[str, forms.ClusterLoadAssignment]
     clusters: dict[str, forms.Cluster]
     routes: list[forms.Route]
-    o: ProxyOrders
+    o: ProxyWorkerConfig
     plan: ProxyPlan
     crew: Crew
-    notes: Notes
+    notes: EventLog
     claim: ProxyOwnership
     avoided: dict[str, int]
-    director: DirectorPlace | None
+    director: ControllerAddress | None
     lines: dict[str, list[tuple[str, float]]]
     chance: random.Random
 
-    def __init__(self, orders: ProxyOrders, plan: ProxyPlan, crew: Crew) -> None:
+    def __init__(self, orders: ProxyWorkerConfig, plan: ProxyPlan, crew: Crew) -> None:
         self.o, self.plan, self.crew, self.notes = orders, plan, crew, crew.notes
         self.chance = random.Random(f"{orders.seed} {plan.id}")
         self.sides: dict[str, HostSide] = {}
@@ -216,7 +216,7 @@
         except FileNotFoundError:
             return 0
 
-    def take(self, place: DirectorPlace, files: dict[str, bytes]) -> None:
+    def take(self, place: ControllerAddress, files: dict[str, bytes]) -> None:
         """A group of files: applied whole, or refused and what was held stays."""
         kinds: dict[str, tuple[str, str]] = {}
         try:
@@ -232,7 +232,7 @@
             if verdict is not UpdateVerdict.APPLY:
                 if verdict is not UpdateVerdict.OLD:
                     self.crew.void += 1
-                    self.notes.note("void", p=self.plan.id, d=place.name, v=str(newest), why=verdict.value)
+                    self.notes.record("void", p=self.plan.id, d=place.name, v=str(newest), why=verdict.value)
                 return
             if self.o.refuse and self.chance.random() < self.o.refuse:
                 raise MessageFormatError("refused by chance")
@@ -257,7 +257,7 @@
             self.look_odd(assignments.values())
         except (MessageFormatError, VersionError, IndexError) as fault:
             self.crew.refused += 1
-            self.notes.note("refused", p=self.plan.id, d=place.name, cause=str(fault))
+            self.notes.record("refused", p=self.plan.id, d=place.name, cause=str(fault))
             self.answer_config(kinds, str(fault) or "incomplete")
             return
         used = {
@@ -269,7 +269,7 @@
         self.settle()
         self.crew.applied += 1
         told = {"v": [newest.epoch, newest.number], "term": self.claim.term, **self.runs()}
-        self.notes.note("applied", p=self.plan.id, d=place.name, **told)
+        self.notes.record("applied", p=self.plan.id, d=place.name, **told)
         self.answer_config(kinds, "")
         if "directors" in assignments and self.director is not None:  # it drains
             self.avoided[self.director.name] = monotonic_ticks() + ticks_from_seconds(self.o.stay_s * 2)
@@ -379,12 +379,12 @@
 
     # Its director.
 
-    def reachable(self, place: DirectorPlace) -> bool:
+    def reachable(self, place: ControllerAddress) -> bool:
         if self.crew.unreachable(self.plan.zone, place.zone) or monotonic_ticks() < self.away_until:
             return False
         return self.crew.alive(place.name) and self.avoided.get(place.name, 0) <= monotonic_ticks()
 
-    def join(self, place: DirectorPlace) -> None:
+    def join(self, place: ControllerAddress) -> None:
         """The new term is on disk before anybody is told of it."""
         up = f"{place.folder}/{INBOUND_FOLDER}"
         temp, home = f"{up}/.{self.plan.id}", f"{up}/{self.plan.id}"
@@ -397,7 +397,7 @@
         if self.link is not None:
             self.director = place
             self.home.record_join(monotonic_ticks() / TICKS_PER_SECOND)
-            self.notes.note("joined", p=self.plan.id, d=place.name, term=term)
+            self.notes.record("joined", p=self.plan.id, d=place.name, term=term)
             self.link.begin(place)
             return
         shutil.rmtree(temp, ignore_errors=True)
@@ -413,7 +413,7 @@
         os.rename(temp, home)
         self.director = place
         self.home.record_join(monotonic_ticks() / TICKS_PER_SECOND)
-        self.notes.note("joined", p=self.plan.id, d=place.name, term=term)
+        self.notes.record("joined", p=self.plan.id, d=place.name, term=term)
         self.report()
         self.crew.follow(self.plan.id, place)
 
@@ -424,11 +424,11 @@
         self.claim.leave()
         if self.link is not None:
             self.link.end()
-            self.notes.note("left", p=self.plan.id, d=place.name, why=why)
+            self.notes.record("left", p=self.plan.id, d=place.name, why=why)
             return
         if self.o.fenced:
             self.crew.unfollow(self.plan.id, place)
-        self.notes.note("left", p=self.plan.id, d=place.name, why=why)
+        self.notes.record("left", p=self.plan.id, d=place.name, why=why)
         if not self.crew.unreachable(self.plan.zone, place.zone):  # else nothing of it gets there
             shutil.rmtree(f"{place.folder}/{INBOUND_FOLDER}/{self.plan.id}", ignore_errors=True)
 
@@ -513,7 +513,7 @@
         cluster = row.route.cluster
         if not self.admitted(row):
             self.dropped[cluster] = self.dropped.get(cluster, 0) + 1
-            self.notes.note("throttled", p=self.plan.id, c=attempt, r=row.name)
+            self.notes.record("throttled", p=self.plan.id, c=attempt, r=row.name)
             return Reply(429, [(b"retry-after", b"1")], b"throttled")
         # what a call is told at its start holds for all of its tries, but not the hosts it may go to
         policy, lb_policy = row.route.retry_policy, self.clusters[cluster].lb_policy
@@ -527,7 +527,7 @@
                 host = self.pick(row, lb_policy, tried, by)
                 if host is None:
                     if not tried:
-                        self.notes.note("no_host", p=self.plan.id, c=attempt, r=row.name)
+                        self.notes.record("no_host", p=self.plan.id, c=attempt, r=row.name)
                     return reply
                 # of the order at its start and that of now, the stricter_retries
                 tries = stricter_retries(tries, self.tries_now(row.name))
@@ -585,7 +585,7 @@
                 if caller is None:
                     caller = await open_connection(side.address, side.port, self.o.dial_s)
                 sent = monotonic_ticks()
-                self.notes.note(
+                self.notes.record(
                     "sent", p=self.plan.id, c=attempt, r=row.name, h=host, d=self.name_of_director()
                 )
                 reply = await caller.request(call.method, call.target, [*ours, *head], call.body)
@@ -622,7 +622,7 @@
                 pair[0] += value
                 pair[1] += 1
             parts = {"p": self.plan.id, "c": attempt, "r": row.name, "h": host, "term": self.claim.term}
-            self.notes.note("try", **parts, began=began, sent=sent, out=out, proof=proof)
+            self.notes.record("try", **parts, began=began, sent=sent, out=out, proof=proof)
         return reply, proof
 
 
@@ -655,8 +655,8 @@
 class Crew:
     """All proxies of one process, and the troubles they share."""
 
-    def __init__(self, orders: ProxyOrders) -> None:
-        self.o, self.notes = orders, Notes(orders.notes)
+    def __init__(self, orders: ProxyWorkerConfig) -> None:
+        self.o, self.notes = orders, EventLog(orders.notes)
         self.chance = random.Random(orders.seed)
         self.cut: list[str] = []
         self.lossy: dict[tuple[str, str], float] = {}  # proxy and host: share of tries that get nowhere
@@ -673,10 +673,10 @@
         proxy, _, director = key.partition("|")
         self.proxies[proxy].take(self.places[director], files)
 
-    def follow(self, proxy: str, place: DirectorPlace) -> None:
+    def follow(self, proxy: str, place: ControllerAddress) -> None:
         self.followers.follow(f"{proxy}|{place.name}", f"{place.folder}/{OUTBOUND_FOLDER}", proxy)
 
-    def unfollow(self, proxy: str, place: DirectorPlace) -> None:
+    def unfollow(self, proxy: str, place: ControllerAddress) -> None:
         self.followers.unfollow(f"{proxy}|{place.name}")
 
     def alive(self, director: str) -> bool:
@@ -726,7 +726,7 @@
             if name in self.proxies and name in self.scopes:
                 self.scopes.pop(name).cancel()
                 proxy = self.proxies[name]
-                self.notes.note("died", p=name)
+                self.notes.record("died", p=name)
                 for place in self.o.directors:
                     self.unfollow(name, place)
                 proxy.director = None  # its folder stays, as a process that dies leaves it
@@ -745,7 +745,7 @@
             self.scopes[proxy.plan.id] = scope
             usable = {route: len(rows) for route, rows in proxy.lines.items()}
             held = sorted({host for rows in proxy.lines.values() for host, _ in rows})
-            self.notes.note("up", p=proxy.plan.id, usable=usable, hosts=held)
+            self.notes.record("up", p=proxy.plan.id, usable=usable, hosts=held)
             async with trio.open_nursery() as nursery:
                 if not self.o.fixed:
                     nursery.start_soon(proxy.keep)
@@ -765,7 +765,7 @@
             print("ready", flush=True)
             orders: dict[str, Callable[..., Any]] = {"cut": self.set_cut, "lossy": self.set_lossy}
             orders |= {"drop_streams": self.drop_streams, "kill": self.kill, "start": self.start}
-            await obey(orders)
+            await serve_commands(orders)
             for proxy in self.proxies.values():
                 proxy.leave("the end")
             nursery.cancel_scope.cancel()
@@ -774,7 +774,7 @@
 def main() -> None:
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     with open(sys.argv[1].removeprefix("@"), "rb") as file:
-        trio.run(Crew(msgspec.json.decode(file.read(), type=ProxyOrders)).run)
+        trio.run(Crew(msgspec.json.decode(file.read(), type=ProxyWorkerConfig)).run)
 
 
 if __name__ == "__main__":
--- a/willowhook/trial/swaps.py
+++ b/willowhook/trial/swaps.py
@@ -39,9 +39,9 @@
 from ..files.swap import FileGroupWriter, read_group
 from ..records.writer import read_records
 from ..xds import tables
-from .day import draw, terms_of
-from .notes import read_notes
-from .stage import Stage
+from .day import controller_config, draw_scenario
+from .notes import read_events
+from .stage import FleetHarness
 
 EVALUATION_INTERVAL_TICKS = 40  # 4 ms between generations
 SWAP_KIND_NAMES = {True: "one file", False: "a group"}  # by whether a single file changed
@@ -243,11 +243,11 @@
     Path(out).write_bytes(msgspec.json.encode([reads, torn]))
 
 
-class SwapStage(Stage):
+class SwapStage(FleetHarness):
     """A fleet without a controller process: the controller runs in this process."""
 
     def __init__(self, folder: Path, proxies: int, durability: str) -> None:
-        scenario = draw(
+        scenario = draw_scenario(
             7, 600.0, hosts=6, proxies=proxies, directors=1, calls_per_s=60.0, troubles=[], spare=0
         )
         channel = msgspec.structs.replace(
@@ -257,7 +257,7 @@
         super().__init__(scenario, folder, durability=durability)
         self.swap_count = 0
 
-    def start_director(self, rank: int) -> None:
+    def start_controller(self, rank: int) -> None:
         """Starts nothing: the controller runs in this process."""
 
 
@@ -291,11 +291,11 @@
 
     async def run() -> float:
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(stage.roster.notes.run)
-            await nursery.start(stage.roster.run)
+            nursery.start_soon(stage.registry.event_log.run)
+            await nursery.start(stage.registry.run)
             stage.nursery = nursery
-            terms = terms_of(
-                stage.day, 0, stage.director_folder(0), f"http://127.0.0.1:{stage.roster.port}",
+            terms = controller_config(
+                stage.day, 0, stage.controller_folder(0), f"http://127.0.0.1:{stage.registry.port}",
                 str(folder / "director-0.records"), durability=durability,
             )  # fmt: skip
             terms = msgspec.structs.replace(
@@ -303,10 +303,10 @@
             )
             service = service_with_churn(terms)
             with trio.CancelScope() as playing:
-                nursery.start_soon(stage.play, nursery)
-                while not stage.crews:
+                nursery.start_soon(stage.run_scenario, nursery)
+                while not stage.proxy_workers:
                     await trio.sleep(0.05)
-                    if stage.open_hosts() and not hasattr(service, "controller"):
+                    if stage.open_endpoints() and not hasattr(service, "controller"):
                         await nursery.start(service.run)
                 started_at = time.perf_counter()
                 reader_processes = [
@@ -328,14 +328,14 @@
                 (folder / "stop").write_bytes(b"")
                 for reader_process in reader_processes:
                     await trio.to_thread.run_sync(reader_process.wait)
-                stage.end()
+                stage.stop()
                 playing.cancel()
             nursery.cancel_scope.cancel()
         return duration_s
 
     duration_s = trio.run(run)
     reader_results = [msgspec.json.decode(path.read_bytes()) for path in sorted(folder.glob("reader-*.json"))]
-    events = [row for path in folder.glob("proxies*.notes") for row in read_notes(str(path))]
+    events = [row for path in folder.glob("proxies*.notes") for row in read_events(str(path))]
     command_to_applied_ms = [
         row["after"] / 10
         for row in read_records(str(folder / "director-0.records"))
--- a/willowhook/trial/takeover.py
+++ b/willowhook/trial/takeover.py
@@ -28,34 +28,34 @@
 from ..ticks import TICKS_PER_SECOND
 from ..xds import forms, tables
 from ..xds.codec import encode, encode_response, read_response
-from .day import ZONES, Day, Trouble, draw
-from .notes import read_notes
-from .stage import Outcome, Stage
+from .day import ZONES, Fault, Scenario, draw_scenario
+from .notes import read_events
+from .stage import FleetHarness, RunResult
 
 DISRUPTIONS = ("kill", "kill", "stop", "both", "late")
 
 
-def takeover_scenario(seed: int, kills: int, every_s: float, **size: Any) -> Day:
+def takeover_scenario(seed: int, kills: int, every_s: float, **size: Any) -> Scenario:
     """A scenario long enough for all disruptions; endpoints fail and are replaced throughout."""
     length = 8.0 + kills * every_s + 6.0
     troubles = []
     at, index = 6.0, 0
     kinds = ("host_crash", "deploy", "host_hang", "fast_errors", "streams_lost")
     while at < length - 12:
-        troubles.append(Trouble(kinds[index % len(kinds)], at, 3.0, 0.15, 0.8))
+        troubles.append(Fault(kinds[index % len(kinds)], at, 3.0, 0.15, 0.8))
         at, index = at + 5.0, index + 1
     size = {"hosts": 10, "proxies": 8, "directors": 2, "calls_per_s": 80.0, "spare": 0, **size}
-    scenario = draw(seed, length, troubles=troubles, **size)
+    scenario = draw_scenario(seed, length, troubles=troubles, **size)
     # The message cap is off: a controller that restarts repeatedly sends more messages.
     scenario.channel = msgspec.structs.replace(scenario.channel, messages_most=0)
     return scenario
 
 
-class TakeoverStage(Stage):
+class TakeoverStage(FleetHarness):
     """Disrupts controllers `kills` times, on average every `every_s` seconds."""
 
     def __init__(
-        self, scenario: Day, folder: Path, disruption_count: int, every_s: float, **options: Any
+        self, scenario: Scenario, folder: Path, disruption_count: int, every_s: float, **options: Any
     ) -> None:
         super().__init__(scenario, folder, **options)
         self.disruption_count, self.interval_s = disruption_count, every_s
@@ -77,7 +77,7 @@
         candidates = [
             rank
             for rank in range(self.day.directors)
-            if rank not in self.disrupted_ranks and rank in self.directors
+            if rank not in self.disrupted_ranks and rank in self.controllers
         ]
         if disruption == "late":
             self.disruption_counts[disruption] += self.apply_late_renames()
@@ -91,25 +91,25 @@
         self.disrupted_ranks.update(dict.fromkeys(ranks))
         for rank in ranks:
             if disruption == "stop":
-                process = self.directors[rank]
+                process = self.controllers[rank]
                 process.send_signal(signal.SIGSTOP)
-                self.notes.note("director_stopped", d=f"director-{rank}")
+                self.event_log.record("director_stopped", d=f"director-{rank}")
             else:
-                self.kill_director(rank)
+                self.kill_controller(rank)
         await trio.sleep(away_s)
         for rank in ranks:
             if disruption == "stop":
-                self.directors[rank].send_signal(signal.SIGCONT)
-                self.notes.note("director_goes_on", d=f"director-{rank}")
+                self.controllers[rank].send_signal(signal.SIGCONT)
+                self.event_log.record("director_goes_on", d=f"director-{rank}")
             else:
-                self.start_director(rank)
+                self.start_controller(rank)
             del self.disrupted_ranks[rank]
 
     def apply_late_renames(self) -> int:
         """Renames earlier files into every proxy's folder, with more retries than any update had."""
         renamed = 0
         for rank in range(self.day.directors):
-            outbound = Path(self.director_folder(rank)) / OUTBOUND_FOLDER
+            outbound = Path(self.controller_folder(rank)) / OUTBOUND_FOLDER
             earlier_groups = self.earlier_groups[f"director-{rank}"]
             for proxy_folder in sorted(outbound.iterdir()) if outbound.is_dir() else ():
                 try:
@@ -143,11 +143,11 @@
             remove(ops, str(proxy_folder / ".late"))
             ops.symlink(name, str(proxy_folder / ".late"))
             ops.rename(str(proxy_folder / ".late"), str(proxy_folder / CURRENT))
-            self.notes.note("late", p=proxy_folder.name, v=version)
+            self.event_log.record("late", p=proxy_folder.name, v=version)
         except OSError:
             return  # the folder was just removed, and with it the earlier writer
 
-    async def play(self, nursery: trio.Nursery) -> None:
+    async def run_scenario(self, nursery: trio.Nursery) -> None:
         """Runs the scenario and the disruptions."""
 
         async def disrupt_when_started() -> None:
@@ -156,22 +156,22 @@
             await self.disrupt_controllers()
 
         nursery.start_soon(disrupt_when_started)
-        await super().play(nursery)
+        await super().run_scenario(nursery)
 
-    def all_alive(self) -> None:
+    def check_processes(self) -> None:
         """Checks the stand-ins; a controller that is paused or dead is no failure here."""
         for rank in list(self.disrupted_ranks):
-            if rank in self.directors:
-                self.directors[rank].send_signal(signal.SIGCONT)
-        self.directors = {rank: p for rank, p in self.directors.items() if p.poll() is None}
-        super().all_alive()
+            if rank in self.controllers:
+                self.controllers[rank].send_signal(signal.SIGCONT)
+        self.controllers = {rank: p for rank, p in self.controllers.items() if p.poll() is None}
+        super().check_processes()
 
 
 @dataclass
 class TakeoverReport:
     """Takeovers of one run: terms that two controllers shared, and recovery times of the proxies."""
 
-    outcome: Outcome
+    outcome: RunResult
     disruptions: dict[str, int]
     late_renames: int
     discarded_groups: int
@@ -193,7 +193,7 @@
         counts = ", ".join(f"{count} {way}" for way, count in sorted(self.disruptions.items()))
         p99 = ranked[int(len(ranked) * 0.99)]
         return [
-            *[verdict.line() for verdict in self.outcome.verdicts],
+            *[verdict.summary() for verdict in self.outcome.verdicts],
             f"disruptions: {counts}; {self.late_renames} late renames applied, "
             f"{self.discarded_groups} discarded by proxies",
             f"terms with updates of two controllers: {len(self.shared_terms)}",
@@ -202,15 +202,15 @@
             f"p99 {p99:.2f} s"
             f" over {len(ranked)}; a death is detected within {self.detection_s:.2f} s",
             f"{self.joins} joins, at most {self.peak_joins} in one second",
-            f"service {self.outcome.service:.3f}; "
+            f"service {self.outcome.service_level:.3f}; "
             f"{self.outcome.answered} requests answered of {self.outcome.calls}",
         ]
 
 
-def evaluate_run(stage: TakeoverStage, outcome: Outcome) -> TakeoverReport:
+def evaluate_run(stage: TakeoverStage, outcome: RunResult) -> TakeoverReport:
     """Derives from the event logs which controller updated which proxy, and the recovery times."""
     folder = stage.folder
-    notes = [row for path in sorted(folder.glob("proxies*.notes")) for row in read_notes(str(path))]
+    notes = [row for path in sorted(folder.glob("proxies*.notes")) for row in read_events(str(path))]
     notes.sort(key=lambda row: row["t"])
     controllers_by_term: dict[tuple[str, int], dict[str, int]] = defaultdict(dict)
     applied_by_proxy: dict[str, list[int]] = defaultdict(list)
@@ -230,7 +230,7 @@
                 f"{name} at {(t - stage.zero) / TICKS_PER_SECOND:.2f} s" for name, t in first_applied.items()
             )
             shared_terms.append(f"{proxy} in term {term}: {times}")
-    events = read_notes(str(folder / "stage.notes"))
+    events = read_events(str(folder / "stage.notes"))
     recovery_s = []
     for row in events:
         if row["kind"] != "director_died":
@@ -265,7 +265,7 @@
     folder: Path, proxies: int, endpoints: int, calls_per_s: float, seed: int = 1
 ) -> TakeoverReport:
     """All proxies permanently lose their controller at the same moment and join the other one."""
-    scenario = draw(
+    scenario = draw_scenario(
         seed,
         26.0,
         hosts=endpoints,
@@ -289,5 +289,5 @@
     async def disrupt_controllers(self) -> None:
         """Kills the first controller after ten seconds."""
         await trio.sleep(max((self.zero - monotonic_ticks()) / TICKS_PER_SECOND + 10.0, 0))
-        self.kill_director(0)
+        self.kill_controller(0)
         self.disruption_counts["kill"] += 1
--- a/willowhook/trial/versions.py
+++ b/willowhook/trial/versions.py
@@ -20,23 +20,23 @@
 from ..controlplane.service import Service
 from ..records.writer import read_records
 from ..ticks import TICKS_PER_SECOND
-from .beliefs import Beliefs, check
-from .day import Day, Trouble, draw, terms_of
-from .notes import read_notes
-from .stage import Outcome, Stage
+from .beliefs import BeliefReport, check_beliefs
+from .day import Fault, Scenario, controller_config, draw_scenario
+from .notes import read_events
+from .stage import FleetHarness, RunResult
 from .swaps import ChurnDecider
 
 
-def versions_scenario(seed: int, proxies: int, length: float) -> Day:
+def versions_scenario(seed: int, proxies: int, length: float) -> Scenario:
     """A scenario in which proxies, controllers and endpoints fail in turn."""
     troubles = []
     at, index = 4.0, 0
     kinds = ("proxy_killed", "director_killed", "proxy_killed", "deploy", "streams_lost", "host_crash")
     while at < length - 8:
         kind = kinds[index % len(kinds)]
-        troubles.append(Trouble(kind, at, 1.5 if kind == "director_killed" else 1.0, 0.15))
+        troubles.append(Fault(kind, at, 1.5 if kind == "director_killed" else 1.0, 0.15))
         at, index = at + 2.5, index + 1
-    scenario = draw(
+    scenario = draw_scenario(
         seed, length, troubles=troubles, hosts=16, proxies=proxies, directors=2, calls_per_s=120.0, spare=0
     )
     scenario.channel = msgspec.structs.replace(scenario.channel, messages_most=0)
@@ -47,22 +47,22 @@
 class VersionsReport:
     """Outcome of the scenario, and whether the controllers knew what their proxies run."""
 
-    beliefs: Beliefs
-    outcome: Outcome
+    beliefs: BeliefReport
+    outcome: RunResult
 
     def lines(self) -> list[str]:
         """Describes the result for a reader."""
         outcome = self.outcome
-        lines = [verdict.line() for verdict in outcome.verdicts]
+        lines = [verdict.summary() for verdict in outcome.verdicts]
         lines.append(
-            f"service {outcome.service:.3f}; {outcome.answered} of {outcome.calls} requests answered"
+            f"service {outcome.service_level:.3f}; {outcome.answered} of {outcome.calls} requests answered"
         )
-        return [*lines, *self.beliefs.lines()]
+        return [*lines, *self.beliefs.summary_lines()]
 
     @property
     def passed(self) -> bool:
         """Whether the run found no violation."""
-        return self.outcome.kept and not self.beliefs.wrong and self.beliefs.applied > 0
+        return self.outcome.kept and not self.beliefs.violations and self.beliefs.applied > 0
 
 
 def run_versions(
@@ -71,10 +71,10 @@
     """Runs the scenario, and checks what the controllers believe about their proxies."""
     if folder.exists():
         shutil.rmtree(folder)
-    stage = Stage(versions_scenario(seed, proxies, length), folder, say=say, front="mixed")
+    stage = FleetHarness(versions_scenario(seed, proxies, length), folder, say=say, front="mixed")
     stage.refuse = refuse
     outcome = trio.run(stage.run)
-    return VersionsReport(check(folder), outcome)
+    return VersionsReport(check_beliefs(folder), outcome)
 
 
 ODD_WEIGHT = 7.777  # the weight that some proxies refuse
@@ -143,7 +143,7 @@
         )
 
 
-class BadVersionStage(Stage):
+class BadVersionStage(FleetHarness):
     """A fleet with little load; its only controller runs in this process."""
 
     def start_director(self, rank: int) -> None:
@@ -152,7 +152,9 @@
 
 def run_bad_version(folder: Path, proxies: int, share: float, front: str) -> BadVersionReport:
     """Publishes a version that a share of the proxies refuses."""
-    scenario = draw(7, 600.0, hosts=8, proxies=proxies, directors=1, calls_per_s=5.0, troubles=[], spare=0)
+    scenario = draw_scenario(
+        7, 600.0, hosts=8, proxies=proxies, directors=1, calls_per_s=5.0, troubles=[], spare=0
+    )
     scenario.channel = msgspec.structs.replace(scenario.channel, messages_most=0)
     stage = BadVersionStage(scenario, folder, front=front)
     stage.odd_weight, stage.odd_share = round(ODD_WEIGHT * 10_000), share
@@ -164,25 +166,27 @@
             return not len(services[0].channel) and len(services[0].publisher.sessions) == proxies
 
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(stage.roster.notes.run)
-            await nursery.start(stage.roster.run)
+            nursery.start_soon(stage.registry.event_log.run)
+            await nursery.start(stage.registry.run)
             stage.nursery = nursery
-            url = f"http://127.0.0.1:{stage.roster.port}"
-            terms = terms_of(scenario, 0, stage.director_folder(0), url, str(folder / "director-0.records"))
-            terms = stage.with_front(terms, 0)
+            url = f"http://127.0.0.1:{stage.registry.port}"
+            terms = controller_config(
+                scenario, 0, stage.controller_folder(0), url, str(folder / "director-0.records")
+            )
+            terms = stage.with_discovery_server(terms, 0)
             services.append(Service(terms, decider=partial(SteppingDecider, is_idle)))
             with trio.CancelScope() as playing:
-                nursery.start_soon(stage.play, nursery)
+                nursery.start_soon(stage.run_scenario, nursery)
                 while not hasattr(services[0], "controller"):
                     await trio.sleep(0.05)
-                    if len(stage.open_hosts()) == len(scenario.hosts):
+                    if len(stage.open_endpoints()) == len(scenario.hosts):
                         await nursery.start(services[0].run)
                 decider: Any = services[0].controller
                 with trio.move_on_after(60):
                     while decider.generation < SteppingDecider.odd_generation + 6:
                         await trio.sleep(0.1)
                 await trio.sleep(1.0)
-                stage.end()
+                stage.stop()
                 playing.cancel()
             nursery.cancel_scope.cancel()
 
@@ -193,7 +197,7 @@
 def _bad_version_report(folder: Path, proxies: int) -> BadVersionReport:
     records = read_records(str(folder / "director-0.records"))
     start = 100_000 * TICKS_PER_SECOND
-    events = [row for path in folder.glob("proxies*.notes") for row in read_notes(str(path))]
+    events = [row for path in folder.glob("proxies*.notes") for row in read_events(str(path))]
     refusals: dict[str, int] = {}
     for row in events:
         if row["kind"] == "refused" and "odd weight" in row["cause"]:
