--- a/tests/controlplane_fixtures.py
+++ b/tests/controlplane_fixtures.py
@@ -71,7 +71,7 @@
         super().__init__("", 0)
         self.entries: list[dict[str, Any]] = []
 
-    def note(self, now: int, kind: str, **fields: Any) -> None:
+    def append(self, now: int, kind: str, **fields: Any) -> None:
         self.entries.append({"kind": kind, **fields})
 
 
--- a/willowhook/cli/trial.py
+++ b/willowhook/cli/trial.py
@@ -425,7 +425,8 @@
     click.echo(f"{uri_count} URIs, matcher compared with the rules: {len(mismatches)} differ")
     lists = checks.check_lists(uris, seed)
     summary = (
-        f"{lists.differ} differ, {len(lists.unreported)} of them unreported, in {lists.configs} configurations"
+        f"{lists.differ} differ, {len(lists.unreported)} of them unreported, "
+        f"in {lists.configs} configurations"
     )
     click.echo(f"{lists.uris} URIs, lists compared with the search: {summary}")
     fuzz = checks.check_mutated_samples(inputs, seed)
