--- a/benchmarks/estimates.py
+++ b/benchmarks/estimates.py
@@ -1,7 +1,8 @@
-"""Sampled sums beside the truth and their own bars, over sampling rates: `python -m benchmarks.estimates`.
+"""Accuracy of sums estimated from sampled reports, by sampling rate: `python -m benchmarks.estimates`.
 
-In memory: proxies whose reports of three routes are overdispersed counts, some hosts busier than others.
-Per cell of host and route: the estimate of a stretch, its error, and whether the bar of 95 of 100 holds it.
+Runs in memory. Proxies report overdispersed counts for three routes, and some endpoints are busier than
+others. For each cell (an endpoint and a route) the estimate is compared with the true sum, and with its own
+95 % confidence interval.
 """
 
 from __future__ import annotations
@@ -14,75 +15,93 @@
 from willowhook.reports.queue import ReportQueue
 from willowhook.reports.read import Report
 from willowhook.reports.sample import sum_sample
-from willowhook.reports.sums import AttemptSums, ReportCells
+from willowhook.reports.sums import ReportCells, ReportedAttempts
 from willowhook.reports.windows import ReportWindows
 
 ROUTES = {"load": 1.0, "save": 0.8, "submit": 0.3}
-PERIOD = 5000
+REPORT_PERIOD_TICKS = 5000
 
 
-def count(chance: random.Random, mean: float) -> float:
-    """A count about twice as spread as chance alone makes it."""
-    return float(max(0, round(chance.gauss(mean, math.sqrt(2 * mean)))))
+def draw_count(generator: random.Random, mean: float) -> float:
+    """Draws a count with about twice the variance of a Poisson distribution."""
+    return float(max(0, round(generator.gauss(mean, math.sqrt(2 * mean)))))
 
 
-def play(chance: random.Random, proxies: int, hosts: int, k: int) -> tuple[dict[str, list[float]], int, int]:
-    """Relative errors by route over hosts, and of how many cells the bar held."""
+def simulate(
+    generator: random.Random, proxies: int, endpoints: int, report_count: int
+) -> tuple[dict[str, list[float]], int, int]:
+    """Returns relative errors by route, the cells whose interval holds the truth, and all cells."""
     truth: dict[tuple[str, str], float] = {}
-    made: dict[tuple[str, str], list[float]] = {}
+    estimates: dict[tuple[str, str], list[float]] = {}
     for _ in range(proxies):
-        queue, windows = ReportQueue(chance.randrange), ReportWindows()
-        first = Report(ReportCells(), {}, PERIOD, "a", 10**6 - PERIOD, 10**6)
+        queue, windows = ReportQueue(generator.randrange), ReportWindows()
+        first = Report(ReportCells(), {}, REPORT_PERIOD_TICKS, "a", 10**6 - REPORT_PERIOD_TICKS, 10**6)
         sum_sample(0, "p", windows, [(0, 0, first)], 1, True)
-        size, rows = chance.lognormvariate(0, 0.6), list[Report]()
-        for j in range(k + 1):  # the last by itself: it tells of what came behind the newest of the sample
+        load_factor, reports = generator.lognormvariate(0, 0.6), list[Report]()
+        for index in range(report_count + 1):  # taken alone, the last covers what follows the sample
             cells = {
-                (f"h{h}", route): AttemptSums(count(chance, 6 * size * share * (1 + h % 3)), 0.0, 0.0)
-                for h in range(hosts)
+                (f"h{h}", route): ReportedAttempts(
+                    draw_count(generator, 6 * load_factor * share * (1 + h % 3)), 0.0, 0.0
+                )
+                for h in range(endpoints)
                 for route, share in ROUTES.items()
             }
-            for key, row in cells.items():
-                truth[key] = truth.get(key, 0.0) + row[0]
-            rows.append(
-                Report(ReportCells(cells), {}, PERIOD, "a", 10**6 + j * PERIOD, 10**6 + (j + 1) * PERIOD)
+            for key, attempts in cells.items():
+                truth[key] = truth.get(key, 0.0) + attempts[0]
+            reports.append(
+                Report(
+                    ReportCells(cells),
+                    {},
+                    REPORT_PERIOD_TICKS,
+                    "a",
+                    10**6 + index * REPORT_PERIOD_TICKS,
+                    10**6 + (index + 1) * REPORT_PERIOD_TICKS,
+                )
             )
-            queue.offer((j + 1) * PERIOD + chance.randrange(400), "p", b"%d" % j)
-            if j < k - 1:
+            queue.offer((index + 1) * REPORT_PERIOD_TICKS + generator.randrange(400), "p", b"%d" % index)
+            if index < report_count - 1:
                 continue
-            taken = queue.take((j + 2) * PERIOD)
+            taken = queue.take((index + 2) * REPORT_PERIOD_TICKS)
             assert taken is not None
-            sample = [(at, int(data), rows[int(data)]) for at, data in taken.reports]
-            got = sum_sample((j + 2) * PERIOD, "p", windows, sample, taken.arrived, True)
-            for key, row in got.cells.items() if got is not None else ():
-                pair = made.setdefault(key, [0.0, 0.0])
-                pair[0] += row[0]
-                pair[1] += row[3]
+            sample = [(at, int(data), reports[int(data)]) for at, data in taken.reports]
+            sampled = sum_sample((index + 2) * REPORT_PERIOD_TICKS, "p", windows, sample, taken.arrived, True)
+            for key, attempts in sampled.cells.items() if sampled is not None else ():
+                sum_and_variance = estimates.setdefault(key, [0.0, 0.0])
+                sum_and_variance[0] += attempts[0]
+                sum_and_variance[1] += attempts[3]
     errors: dict[str, list[float]] = {route: [] for route in ROUTES}
-    held = 0
-    for key, value in truth.items():
-        estimate, variance = made.get(key, [0.0, 0.0])
-        errors[key[1]].append((estimate - value) / value)
-        held += abs(estimate - value) <= 1.96 * math.sqrt(variance) + 1e-9
-    return errors, held, len(truth)
+    covered = 0
+    for key, true_sum in truth.items():
+        estimate, variance = estimates.get(key, [0.0, 0.0])
+        errors[key[1]].append((estimate - true_sum) / true_sum)
+        covered += abs(estimate - true_sum) <= 1.96 * math.sqrt(variance) + 1e-9
+    return errors, covered, len(truth)
 
 
 def main() -> None:
     parser = argparse.ArgumentParser()
     parser.add_argument("--rounds", type=int, default=20)
     parser.add_argument("--proxies", type=int, default=100)
-    given = parser.parse_args()
-    print("looked at   bias       error of load, save, submit (rms)   bar held")
-    for k in (1, 2, 4, 10, 20, 50, 200):
-        chance, held, cells = random.Random(k), 0, 0
+    arguments = parser.parse_args()
+    print("sampled     bias       error of load, save, submit (rms)   interval holds the truth")
+    for report_count in (1, 2, 4, 10, 20, 50, 200):
+        generator, covered, cells = random.Random(report_count), 0, 0
         errors: dict[str, list[float]] = {route: [] for route in ROUTES}
-        for _ in range(max(2, given.rounds * 10 // max(k, 10))):
-            one, ok, of = play(chance, given.proxies, 10, k)
-            held, cells = held + ok, cells + of
-            for route, rows in one.items():
-                errors[route] += rows
-        rms = ", ".join(f"{math.sqrt(statistics.mean(e * e for e in rows)):.2%}" for rows in errors.values())
-        bias = statistics.mean(e for rows in errors.values() for e in rows)
-        print(f"{min(1, 3 / (k + 1)):<11.0%} {bias:<+10.2%} {rms:<35} {held / cells:.1%} of {cells}")
+        for _ in range(max(2, arguments.rounds * 10 // max(report_count, 10))):
+            round_errors, round_covered, round_cells = simulate(
+                generator, arguments.proxies, 10, report_count
+            )
+            covered, cells = covered + round_covered, cells + round_cells
+            for route, route_errors in round_errors.items():
+                errors[route] += route_errors
+        rms = ", ".join(
+            f"{math.sqrt(statistics.mean(e * e for e in values)):.2%}" for values in errors.values()
+        )
+        bias = statistics.mean(e for values in errors.values() for e in values)
+        print(
+            f"{min(1, 3 / (report_count + 1)):<11.0%} {bias:<+10.2%} {rms:<35} "
+            f"{covered / cells:.1%} of {cells}"
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/guard.py
+++ b/benchmarks/guard.py
@@ -1,4 +1,4 @@
-"""What update validation costs: `python -m benchmarks.guard`. Running sums against a recheck in full."""
+"""Cost of update validation, with running sums and with a full recheck: `python -m benchmarks.guard`."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from willowhook.ticks import TICKS_PER_SECOND
 from willowhook.validation.model import (
     Candidate,
-    Endpoint,
     EndpointMode,
     ProxyTables,
     RouteConstraints,
     UpdateVersion,
+    ValidatedEndpoint,
     ValidationSettings,
 )
 from willowhook.validation.validator import Validator
@@ -30,68 +30,86 @@
 
 
 def median_us(work: Callable[[], object], times: int) -> tuple[float, float]:
-    took = []
+    durations_us = []
     for _ in range(times):
         began = time.perf_counter()
         work()
-        took.append((time.perf_counter() - began) * 1e6)
-    ranked = sorted(took)
-    return statistics.median(ranked), ranked[int(len(ranked) * 0.99)]
+        durations_us.append((time.perf_counter() - began) * 1e6)
+    sorted_durations = sorted(durations_us)
+    return statistics.median(sorted_durations), sorted_durations[int(len(sorted_durations) * 0.99)]
 
 
-def fleet(hosts: int, proxies: int, contents: int = 12, cold: int = 3) -> tuple[World, list[ProxyTables]]:
-    """Proxies spread over so many contents of tables, each with all hosts; some hosts are cold."""
-    chance = random.Random(1)
-    terms = ValidationSettings(ROUTES, 25_000, 100_000, 0.3, 4.0, 0.2, 1e9, 0, 100_000, proxies)
-    world = World(terms)
+def make_fleet(
+    endpoints: int, proxies: int, table_sets: int = 12, cold_endpoints: int = 3
+) -> tuple[World, list[ProxyTables]]:
+    """Spreads proxies over several sets of tables with all endpoints, of which some are warming up."""
+    generator = random.Random(1)
+    settings = ValidationSettings(ROUTES, 25_000, 100_000, 0.3, 4.0, 0.2, 1e9, 0, 100_000, proxies)
+    world = World(settings)
     now = 1000 * TICKS_PER_SECOND
-    rows = [
-        Endpoint(f"h{k}", EndpointMode.IN_SERVICE, 0, now - TICKS_PER_SECOND if k < cold else 0)
-        for k in range(hosts)
+    listed_endpoints = [
+        ValidatedEndpoint(
+            f"h{k}", EndpointMode.IN_SERVICE, 0, now - TICKS_PER_SECOND if k < cold_endpoints else 0
+        )
+        for k in range(endpoints)
     ]
-    world.endpoints.update_list(0, rows)
-    made = []
-    for at in range(contents):
-        lines = {f"h{k}": 0.2 if k < cold else chance.uniform(0.8, 1.25) for k in range(hosts)}
-        made.append(ProxyTables((lines,) * 3, frozenset(), (1, 1, 1), (math.inf,) * 3, at))
+    world.endpoints.update_list(0, listed_endpoints)
+    tables = []
+    for key in range(table_sets):
+        weights = {
+            f"h{k}": 0.2 if k < cold_endpoints else generator.uniform(0.8, 1.25) for k in range(endpoints)
+        }
+        tables.append(ProxyTables((weights,) * 3, frozenset(), (1, 1, 1), (math.inf,) * 3, key))
     for proxy in range(proxies):
-        world.add_proxy(proxy, "", (chance.uniform(1, 5),) * 3, made[proxy % contents])
-    return world, made
+        world.add_proxy(proxy, "", (generator.uniform(1, 5),) * 3, tables[proxy % table_sets])
+    return world, tables
 
 
 def main() -> None:
     now = 1000 * TICKS_PER_SECOND
-    for hosts, proxies in ((86, 245), (1000, 20_000)):
-        world, made = fleet(hosts, proxies)
+    for endpoints, proxies in ((86, 245), (1000, 20_000)):
+        world, tables = make_fleet(endpoints, proxies)
         validator = Validator(world)
-        number = [1]
+        sequence = [1]
 
-        def step(world: World = world, made: list[ProxyTables] = made, number: list[int] = number) -> None:
-            """A message on its way to one proxy, and its answer."""
-            number[0] += 1
-            proxy = number[0] % len(world.proxies)
-            world.record_sent(now, proxy, made[number[0] * 7 % len(made) - 1], UpdateVersion(1, 1, number[0]))
+        def record_next(
+            world: World = world, tables: list[ProxyTables] = tables, sequence: list[int] = sequence
+        ) -> None:
+            """Records a message to one proxy and the acknowledgement of it."""
+            sequence[0] += 1
+            proxy = sequence[0] % len(world.proxies)
+            world.record_sent(
+                now, proxy, tables[sequence[0] * 7 % len(tables) - 1], UpdateVersion(1, 1, sequence[0])
+            )
             world.record_applied(proxy)
 
-        def judge_next(
-            validator: Validator = validator, made: list[ProxyTables] = made, number: list[int] = number
+        def validate_next(
+            validator: Validator = validator,
+            tables: list[ProxyTables] = tables,
+            sequence: list[int] = sequence,
         ) -> None:
-            number[0] += 1
-            proxy = number[0] % len(validator.world.proxies)
+            sequence[0] += 1
+            proxy = sequence[0] % len(validator.world.proxies)
             validator.validate(
-                now, Candidate(proxy, made[number[0] % len(made)], UpdateVersion(9, 1, number[0]))
+                now, Candidate(proxy, tables[sequence[0] % len(tables)], UpdateVersion(9, 1, sequence[0]))
             )
 
-        moved = median_us(step, 2000)
-        index = median_us(lambda world=world: [world.exposure(f"h{k}") for k in range(3)], 300)  # type: ignore[misc]
+        record_time = median_us(record_next, 2000)
+        indexed = median_us(lambda world=world: [world.exposure(f"h{k}") for k in range(3)], 300)  # type: ignore[misc]
         times = 20 if proxies < 1000 else 3
         full = median_us(lambda world=world: [world.exposure_in_full(f"h{k}") for k in range(3)], times)  # type: ignore[misc]
-        check = median_us(judge_next, 200)
-        ratio = full[0] / index[0]
-        print(f"{hosts} hosts, {proxies} proxies: a change of one proxy {moved[0]:.1f} us;", end=" ")
-        print(f"three cold hosts by the index {index[0]:.0f} us, in full {full[0]:.0f} us,", end=" ")
+        check = median_us(validate_next, 200)
+        ratio = full[0] / indexed[0]
+        print(
+            f"{endpoints} endpoints, {proxies} proxies: a change of one proxy {record_time[0]:.1f} us;",
+            end=" ",
+        )
+        print(
+            f"three warming endpoints by the index {indexed[0]:.0f} us, in full {full[0]:.0f} us,",
+            end=" ",
+        )
         print(f"{ratio:.0f} times as long;", end=" ")
-        print(f"a whole check median {check[0]:.0f} us, p99 {check[1]:.0f} us")
+        print(f"a complete validation median {check[0]:.0f} us, p99 {check[1]:.0f} us")
 
 
 if __name__ == "__main__":
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -1,4 +1,4 @@
-"""What membership costs: `python -m benchmarks.membership`.  Ratios to a plain way in the same run."""
+"""Cost of membership, as ratios to simple alternatives in the same run: `python -m benchmarks.membership`."""
 
 from __future__ import annotations
 
@@ -15,66 +15,72 @@
 
 
 def timed(work: Callable[[], object], runs: int = 5) -> float:
-    took = []
+    durations = []
     for _ in range(runs):
         began = time.perf_counter()
         work()
-        took.append(time.perf_counter() - began)
-    return statistics.median(took)
+        durations.append(time.perf_counter() - began)
+    return statistics.median(durations)
 
 
-def assignment(directors: int, proxies: int) -> None:
-    names, fleet = [f"director-{k}" for k in range(directors)], [f"proxy-{k}" for k in range(proxies)]
+def measure_assignment(controllers: int, proxies: int) -> None:
+    names, proxy_names = (
+        [f"director-{k}" for k in range(controllers)],
+        [f"proxy-{k}" for k in range(proxies)],
+    )
 
     def ring(names: Sequence[str]) -> dict[str, str]:
-        made = HashRing(names)
-        return {proxy: made.owner(proxy) for proxy in fleet}
+        hash_ring = HashRing(names)
+        return {proxy: hash_ring.owner(proxy) for proxy in proxy_names}
 
-    ways: dict[str, Callable[[Sequence[str]], dict[str, str]]] = {
-        "rendezvous": lambda names: assign_by_rendezvous(fleet, names),
+    methods: dict[str, Callable[[Sequence[str]], dict[str, str]]] = {
+        "rendezvous": lambda names: assign_by_rendezvous(proxy_names, names),
         "ring of 100 points": ring,
-        "ring, loads bounded to 1.1": lambda names: HashRing(names).assign_with_bounded_load(fleet, 0.1),
-        "modulo (plain)": lambda names: {p: names[k % len(names)] for k, p in enumerate(fleet)},
+        "ring, loads bounded to 1.1": lambda names: HashRing(names).assign_with_bounded_load(
+            proxy_names, 0.1
+        ),
+        "modulo (plain)": lambda names: {p: names[k % len(names)] for k, p in enumerate(proxy_names)},
     }
-    for way, make in ways.items():
-        before, after = make(names), make(names[:-1])
-        owed = sum(who == names[-1] for who in before.values())
-        moved = sum(before[proxy] != after[proxy] for proxy in fleet)
+    for method, assign in methods.items():
+        before, after = assign(names), assign(names[:-1])
+        unavoidable = sum(owner == names[-1] for owner in before.values())
+        moved = sum(before[proxy] != after[proxy] for proxy in proxy_names)
         loads = [list(after.values()).count(name) for name in names[:-1]]
-        took = timed(lambda make=make: make(names), 3)  # type: ignore[misc]
-        fullest = max(loads) / (proxies / (directors - 1))
+        duration = timed(lambda assign=assign: assign(names), 3)  # type: ignore[misc]
+        highest_load = max(loads) / (proxies / (controllers - 1))
         print(
-            f"{directors} directors, {proxies} proxies, {way}: {moved} move when one goes ({owed} had to),",
+            f"{controllers} controllers, {proxies} proxies, {method}: "
+            f"{moved} move when one leaves ({unavoidable} have to),",
             end=" ",
         )
-        print(f"fullest {fullest:.2f} of its part, {took * 1e6 / proxies:.2f} us a proxy")
+        print(f"highest load {highest_load:.2f} of the mean, {duration * 1e6 / proxies:.2f} us per proxy")
 
 
-def silence(peers: int, beats: int = 20) -> None:
-    """All beat once a second; looked at ten times a second.  CPU for each simulated second."""
+def measure_overdue(peers: int, seconds: int = 20) -> None:
+    """All peers send a heartbeat each second; ten checks a second. Prints the CPU of a simulated second."""
     names = [f"p{k}" for k in range(peers)]
-    chance = random.Random(3)
-    when = [chance.randrange(10) for _ in names]
+    generator = random.Random(3)
+    offsets = [generator.randrange(10) for _ in names]
 
-    looks: list[float] = []
+    check_durations: list[float] = []
 
     class Heap:
         def __init__(self) -> None:
-            self.rows: list[tuple[int, str]] = []
+            self.entries: list[tuple[int, str]] = []
             self.due: dict[str, int] = {}
 
         def set(self, name: str, due: int) -> None:
             self.due[name] = due
-            heapq.heappush(self.rows, (due, name))
+            heapq.heappush(self.entries, (due, name))
 
         def overdue(self, now: int) -> list[str]:
-            found = []
-            while self.rows and self.rows[0][0] <= now:
-                at, name = heapq.heappop(self.rows)
+            overdue_names = []
+            while self.entries and self.entries[0][0] <= now:
+                at, name = heapq.heappop(self.entries)
                 if self.due.get(name) == at:
                     del self.due[name]
-                    found.append(name)
-            return found
+                    overdue_names.append(name)
+            return overdue_names
 
     class Scan:
         def __init__(self) -> None:
@@ -86,67 +92,73 @@
         def overdue(self, now: int) -> list[str]:
             return [name for name, at in self.due.items() if at <= now]
 
-    def run(made: TimingWheel | Heap | Scan) -> None:
-        looks.clear()
-        for tick in range(beats * 10):
+    def run(deadlines: TimingWheel | Heap | Scan) -> None:
+        check_durations.clear()
+        for tick in range(seconds * 10):
             for k in groups[tick % 10]:
-                made.set(names[k], tick + 20)
+                deadlines.set(names[k], tick + 20)
             began = time.perf_counter()
-            made.overdue(tick)
-            looks.append(time.perf_counter() - began)
+            deadlines.overdue(tick)
+            check_durations.append(time.perf_counter() - began)
 
     groups: list[list[int]] = [[] for _ in range(10)]
-    for k, at in enumerate(when):
-        groups[at].append(k)
-    makes: dict[str, Callable[[], TimingWheel | Heap | Scan]] = {
+    for k, offset in enumerate(offsets):
+        groups[offset].append(k)
+    factories: dict[str, Callable[[], TimingWheel | Heap | Scan]] = {
         "scan (plain)": Scan, "heap": Heap, "wheel": lambda: TimingWheel(1, 64, 0)
     }  # fmt: skip
-    plain = 0.0
-    for name, make in makes.items():
-        took = timed(lambda make=make: run(make()), 3)  # type: ignore[misc]
-        plain = plain or took
-        worst = max(looks) * 1000
+    scan_duration = 0.0
+    for name, create in factories.items():
+        duration = timed(lambda create=create: run(create()), 3)  # type: ignore[misc]
+        scan_duration = scan_duration or duration
+        longest_ms = max(check_durations) * 1000
         print(
-            f"{peers} peers, {name}: {took / beats * 1000:.2f} ms a second, {took / plain:.2f} of a scan,",
+            f"{peers} peers, {name}: {duration / seconds * 1000:.2f} ms a second, "
+            f"{duration / scan_duration:.2f} of a scan,",
             end=" ",
         )
-        print(f"longest look {worst:.2f} ms")
+        print(f"longest check {longest_ms:.2f} ms")
 
 
-def late_files(jitter: str) -> None:
-    """Signs of life each 0.2 s, late by chance; false alarms in an hour and time to see a death."""
-    chance = random.Random(4)
+def measure_failure_detection(jitter: str) -> None:
+    """Counts false alarms in an hour of randomly delayed heartbeats, and times the detection of a failure."""
+    generator = random.Random(4)
     delay = {
-        "steady": lambda: chance.uniform(0, 0.02),
-        "rough": lambda: chance.expovariate(1 / 0.08),
-        "stalls": lambda: chance.uniform(0, 0.02) if chance.random() < 0.995 else chance.uniform(0.4, 0.9),
+        "steady": lambda: generator.uniform(0, 0.02),
+        "rough": lambda: generator.expovariate(1 / 0.08),
+        "stalls": lambda: generator.uniform(0, 0.02)
+        if generator.random() < 0.995
+        else generator.uniform(0.4, 0.9),
     }[jitter]
-    heard, at = [0.0], 0.0
-    while at < 3600:
-        at += 0.2
-        heard.append(max(heard[-1] + 0.001, at + delay()))
-    for name, make in (
+    arrivals, sent_at = [0.0], 0.0
+    while sent_at < 3600:
+        sent_at += 0.2
+        arrivals.append(max(arrivals[-1] + 0.001, sent_at + delay()))
+    for name, create in (
         ("suspicion", lambda: FailureDetector(0.2, 0.4, 1.5)),
         ("0.5 s fixed", lambda: FailureDetector(0.2, 0.5, 0.5)),
         ("1.0 s fixed", lambda: FailureDetector(0.2, 1.0, 1.0)),
     ):
-        peer, false = make(), 0
-        for one, two in pairwise(heard):
-            peer.record_heartbeat(one)
-            false += peer.is_suspected(two - 0.0005)
-        last, silent = heard[-2], 0.0
-        while not peer.is_suspected(last + silent):
-            silent += 0.005
-        print(f"{jitter}, {name}: {false} false alarms in an hour, a death seen after {silent:.2f} s")
+        detector, false_alarms = create(), 0
+        for arrival, next_arrival in pairwise(arrivals):
+            detector.record_heartbeat(arrival)
+            false_alarms += detector.is_suspected(next_arrival - 0.0005)
+        last, silence_s = arrivals[-2], 0.0
+        while not detector.is_suspected(last + silence_s):
+            silence_s += 0.005
+        print(
+            f"{jitter}, {name}: {false_alarms} false alarms in an hour, "
+            f"a failure detected after {silence_s:.2f} s"
+        )
 
 
 def main() -> None:
-    for directors, proxies in ((3, 245), (50, 100_000)):
-        assignment(directors, proxies)
+    for controllers, proxies in ((3, 245), (50, 100_000)):
+        measure_assignment(controllers, proxies)
     for peers in (245, 10_000, 100_000):
-        silence(peers)
+        measure_overdue(peers)
     for jitter in ("steady", "rough", "stalls"):
-        late_files(jitter)
+        measure_failure_detection(jitter)
 
 
 if __name__ == "__main__":
--- a/benchmarks/nginx.py
+++ b/benchmarks/nginx.py
@@ -1,7 +1,7 @@
-"""Reading and importing a configuration against its size: `python -m benchmarks.nginx [--most BYTES]`.
+"""Time to parse and import an nginx configuration, by its size: `python -m benchmarks.nginx [--most BYTES]`.
 
-Generated files: twenty upstreams of eight hosts, then locations.  Plain rival: splitting the same text into
-words by one expression, which builds no tree and finds no fault.  Times are medians.
+The files are generated: twenty upstreams of eight servers, then locations. For comparison, one regular
+expression splits the same text into words, without a syntax tree and without errors. Times are medians.
 """
 
 from __future__ import annotations
@@ -18,52 +18,52 @@
 from willowhook.nginx.verdicts import diagnose
 
 
-def text(size: int) -> str:
-    rows = ["events { worker_connections 1024; }\nhttp {\n"]
+def generate_configuration(size: int) -> str:
+    blocks = ["events { worker_connections 1024; }\nhttp {\n"]
     for k in range(20):
-        hosts = "".join(f"    server 10.0.{k}.{h}:8080 weight={h + 1} max_fails=3;\n" for h in range(8))
-        rows.append(f"  upstream tasks{k} {{\n{hosts}    keepalive 32;\n  }}\n")
-    rows.append("  server {\n    listen 8080;\n    server_name tasks.example;\n")
-    made, k = sum(map(len, rows)), 0
-    while made < size:
-        rows.append(
-            f"    location /unit-{k}/ {{\n      proxy_pass http://tasks{k % 20};\n"
+        servers = "".join(f"    server 10.0.{k}.{h}:8080 weight={h + 1} max_fails=3;\n" for h in range(8))
+        blocks.append(f"  upstream tasks{k} {{\n{servers}    keepalive 32;\n  }}\n")
+    blocks.append("  server {\n    listen 8080;\n    server_name tasks.example;\n")
+    length, index = sum(map(len, blocks)), 0
+    while length < size:
+        blocks.append(
+            f"    location /unit-{index}/ {{\n      proxy_pass http://tasks{index % 20};\n"
             "      proxy_set_header Host $host; # kept\n"
             '      proxy_set_header X-Forwarded-For "$proxy_add_x_forwarded_for";\n'
             "      proxy_next_upstream error timeout;\n      proxy_read_timeout 5s;\n    }\n"
         )
-        made, k = made + len(rows[-1]), k + 1
-    return "".join([*rows, "  }\n}\n"])
+        length, index = length + len(blocks[-1]), index + 1
+    return "".join([*blocks, "  }\n}\n"])
 
 
-def median(what: Callable[[], object], times: int) -> float:
-    found = []
+def median_s(work: Callable[[], object], times: int) -> float:
+    durations = []
     for _ in range(times):
         began = time.perf_counter()
-        what()
-        found.append(time.perf_counter() - began)
-    return statistics.median(found)
+        work()
+        durations.append(time.perf_counter() - began)
+    return statistics.median(durations)
 
 
 def main() -> None:
     parser = argparse.ArgumentParser()
     parser.add_argument("--most", type=int, default=10_000_000)
-    most = parser.parse_args().most
+    largest_size = parser.parse_args().most
     word = re.compile(f"{WORD}|[{{}};]", re.DOTALL)
-    print("bytes       directives   read s   import s   us a directive   read / splitting   peak MB")
+    print("bytes       directives   parse s  import s   us a directive   parse / split      peak MB")
     for size in (1_000, 10_000, 100_000, 1_000_000, 10_000_000):
-        if size > most:
+        if size > largest_size:
             break
-        source, times = text(size), 5 if size < 1_000_000 else 3 if size < 5_000_000 else 1
-        rows = parse(source)
-        count = sum(1 for top in rows for _ in top.walk())
-        read = median(lambda source=source: parse(source), times)  # type: ignore[misc]
-        plain = median(lambda source=source: word.findall(source), times)  # type: ignore[misc]
-        done = median(lambda rows=rows: diagnose(rows, ImportOptions(mutating=("/unit-7",))), times)  # type: ignore[misc]
-        peak = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1000
-        each = (read + done) / count * 1e6
-        print(f"{len(source):<11} {count:<12} {read:<8.4f} {done:<10.4f} {each:<16.1f} "
-              f"{read / plain:<18.1f} {peak:.0f}")  # fmt: skip
+        source, times = generate_configuration(size), 5 if size < 1_000_000 else 3 if size < 5_000_000 else 1
+        tree = parse(source)
+        count = sum(1 for top in tree for _ in top.walk())
+        parse_s = median_s(lambda source=source: parse(source), times)  # type: ignore[misc]
+        split_s = median_s(lambda source=source: word.findall(source), times)  # type: ignore[misc]
+        import_s = median_s(lambda tree=tree: diagnose(tree, ImportOptions(mutating=("/unit-7",))), times)  # type: ignore[misc]
+        peak_mb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1000
+        us_per_directive = (parse_s + import_s) / count * 1e6
+        print(f"{len(source):<11} {count:<12} {parse_s:<8.4f} {import_s:<10.4f} {us_per_directive:<16.1f} "
+              f"{parse_s / split_s:<18.1f} {peak_mb:.0f}")  # fmt: skip
 
 
 if __name__ == "__main__":
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -1,8 +1,8 @@
-"""Bytes and CPU of a change: whole, by difference, and compressed; `python -m benchmarks.versions`.
+"""Bytes and CPU of an xDS change, complete, as a delta and compressed: `python -m benchmarks.versions`.
 
-One table of many changes one weight, all its weights, or all tables change.  Each body is made once for
-all proxies, as in service; what a proxy is sent is its bytes.  Medians of several runs, beside a plain
-rival: every proxy's answer encoded anew.
+One weight of one table changes, or all weights of all tables. A response body is encoded once for all
+proxies, as the controller does, and each proxy is sent the same bytes. CPU times are medians of several
+runs. For comparison, the response is encoded again for each proxy.
 """
 
 from __future__ import annotations
@@ -21,32 +21,41 @@
 from willowhook.xds.codec import encode, encode_response
 
 RUNS = 7
-SIZES = ((86, 245, 4), (1000, 1000, 8))  # hosts, proxies, tables
+SIZES = ((86, 245, 4), (1000, 1000, 8))  # endpoints, proxies, tables
 
 
-def table(name: str, weights: dict[str, float]) -> bytes:
-    rows = [(h, "10.0.0.1", 8000 + k, "norte", w, False) for k, (h, w) in enumerate(weights.items())]
-    return encode(tables.assignment(name, rows))
+def encode_table(name: str, weights: dict[str, float]) -> bytes:
+    entries = [
+        (endpoint, "10.0.0.1", 8000 + k, "norte", weight, False)
+        for k, (endpoint, weight) in enumerate(weights.items())
+    ]
+    return encode(tables.assignment(name, entries))
 
 
-def timed(what: Callable[[], object]) -> float:
-    times = []
+def cpu_ms(work: Callable[[], object]) -> float:
+    durations = []
     for _ in range(RUNS):
         began = time.process_time()
-        what()
-        times.append(time.process_time() - began)
-    return statistics.median(times) * 1000
+        work()
+        durations.append(time.process_time() - began)
+    return statistics.median(durations) * 1000
 
 
-def whole(part: ResourceSet) -> bytes:
+def encode_complete(resources: ResourceSet) -> bytes:
     return encode_response(
-        part.version, forms.ASSIGNMENT, part.version, [row.body for row in part.resources.values()]
+        resources.version,
+        forms.ASSIGNMENT,
+        resources.version,
+        [resource.body for resource in resources.resources.values()],
     )
 
 
-def difference(core: ResourceStore, old: ResourceSet, new: ResourceSet) -> bytes:
-    delta = core.delta(old, new)
-    changed = [forms.Resource(row.name, row.version, msgspec.Raw(row.body)) for row in delta.changed]
+def encode_delta(store: ResourceStore, old: ResourceSet, new: ResourceSet) -> bytes:
+    delta = store.delta(old, new)
+    changed = [
+        forms.Resource(resource.name, resource.version, msgspec.Raw(resource.body))
+        for resource in delta.changed
+    ]
     return encode(
         forms.DeltaDiscoveryResponse(
             new.version, changed, forms.ASSIGNMENT, list(delta.removed), f"{old.version}-{new.version}"
@@ -54,39 +63,45 @@
     )
 
 
-def told(what: str, core: ResourceStore, old: ResourceSet, new: ResourceSet, proxies: int) -> None:
-    makes: dict[str, Callable[[], bytes]] = {
-        "whole": lambda: whole(new),
-        "difference": lambda: difference(core, old, new),
+def print_costs(title: str, store: ResourceStore, old: ResourceSet, new: ResourceSet, proxies: int) -> None:
+    encoders: dict[str, Callable[[], bytes]] = {
+        "complete": lambda: encode_complete(new),
+        "delta": lambda: encode_delta(store, old, new),
     }
-    size = len(makes["whole"]())
-    for form, make in makes.items():
-        body = make()
-        packed = zstandard.ZstdCompressor(level=3).compress(body)
-        zipped = gzip.compress(body, 6, mtime=0)
-        print(f"  {what}, {form}: {len(body)} bytes ({len(body) / size:.3f} of whole), zstd {len(packed)}, "
-              f"gzip {len(zipped)}")  # fmt: skip
-        once, each = timed(make), timed(lambda make=make: [make() for _ in range(proxies)])  # type: ignore[misc]
-        pack = timed(lambda body=body: zstandard.ZstdCompressor(level=3).compress(body))  # type: ignore[misc]
-        zip_ = timed(lambda body=body: gzip.compress(body, 6, mtime=0))  # type: ignore[misc]
-        print(f"  {what}, {form}: CPU {once:.2f} ms once for all, {each:.1f} ms anew for each proxy, "
-              f"zstd {pack:.2f} ms, gzip {zip_:.2f} ms")  # fmt: skip
+    size = len(encoders["complete"]())
+    for form, build in encoders.items():
+        body = build()
+        zstd_body = zstandard.ZstdCompressor(level=3).compress(body)
+        gzip_body = gzip.compress(body, 6, mtime=0)
+        print(f"  {title}, {form}: {len(body)} bytes ({len(body) / size:.3f} of complete),"
+              f" zstd {len(zstd_body)}, gzip {len(gzip_body)}")  # fmt: skip
+        once_ms, each_ms = cpu_ms(build), cpu_ms(lambda build=build: [build() for _ in range(proxies)])  # type: ignore[misc]
+        zstd_ms = cpu_ms(lambda body=body: zstandard.ZstdCompressor(level=3).compress(body))  # type: ignore[misc]
+        gzip_ms = cpu_ms(lambda body=body: gzip.compress(body, 6, mtime=0))  # type: ignore[misc]
+        print(f"  {title}, {form}: CPU {once_ms:.2f} ms once for all, {each_ms:.1f} ms again for each proxy,"
+              f" zstd {zstd_ms:.2f} ms, gzip {gzip_ms:.2f} ms")  # fmt: skip
 
 
 def main() -> None:
-    for hosts, proxies, count in SIZES:
-        chance = random.Random(1)
-        names = [f"host-{chance.getrandbits(24):06x}" for _ in range(hosts)]
-        weights = [{name: round(chance.uniform(0.2, 3.0), 4) for name in names} for _ in range(count)]
-        core = ResourceStore(first_era(1, 1))
-        now = [(f"d.1.t{k}", table(f"d.1.t{k}", row)) for k, row in enumerate(weights)]
-        old = core.make_set("eds", now)
-        one = [("d.1.t0", table("d.1.t0", {**weights[0], names[0]: 0.7})), *now[1:]]
-        scaled = [{name: w * 1.01 for name, w in row.items()} for row in weights]
-        everything = [(n, table(n, scaled[k])) for k, (n, _) in enumerate(now)]
-        print(f"{hosts} hosts, {proxies} proxies, {count} tables")
-        told("one weight of one table", core, old, core.make_set("eds", one, old), proxies)
-        told("all weights of all tables", core, old, core.make_set("eds", everything, old), proxies)
+    for endpoints, proxies, table_count in SIZES:
+        generator = random.Random(1)
+        names = [f"host-{generator.getrandbits(24):06x}" for _ in range(endpoints)]
+        weights = [
+            {name: round(generator.uniform(0.2, 3.0), 4) for name in names} for _ in range(table_count)
+        ]
+        store = ResourceStore(first_era(1, 1))
+        resources = [
+            (f"d.1.t{k}", encode_table(f"d.1.t{k}", table_weights)) for k, table_weights in enumerate(weights)
+        ]
+        old = store.make_set("eds", resources)
+        one_changed = [("d.1.t0", encode_table("d.1.t0", {**weights[0], names[0]: 0.7})), *resources[1:]]
+        scaled = [
+            {name: weight * 1.01 for name, weight in table_weights.items()} for table_weights in weights
+        ]
+        all_changed = [(name, encode_table(name, scaled[k])) for k, (name, _) in enumerate(resources)]
+        print(f"{endpoints} endpoints, {proxies} proxies, {table_count} tables")
+        print_costs("one weight of one table", store, old, store.make_set("eds", one_changed, old), proxies)
+        print_costs("all weights of all tables", store, old, store.make_set("eds", all_changed, old), proxies)
 
 
 if __name__ == "__main__":
