--- a/tests/broken_controller.py
+++ b/tests/broken_controller.py
@@ -1,4 +1,4 @@
-"""A controller with one rule broken on purpose; call: `broken_controller.py RULE controller --config ...`."""
+"""Runs a controller that breaks one rule on purpose: `broken_controller.py RULE controller --config ...`."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 def rule_1() -> None:
-    """No line is ever written: proxies are bound to empty tables."""
+    """Sets no weights: proxies are bound to empty tables."""
     proxy_state.ProxyStateBook.set_weight = lambda self, table, endpoint, weight: None  # type: ignore[method-assign]
 
 
 def rule_2() -> None:
-    """Everything is tried again after any failure."""
+    """Permits retries after any failure on all routes."""
     resource_renderer.publishable_retries = lambda semantics, retries: retries
     set_admission = proxy_state.ProxyStateBook.set_admission
 
@@ -33,20 +33,20 @@
 
 
 def rule_3() -> None:
-    """Nothing is withdrawn, and no line taken out."""
-    line = proxy_state.ProxyStateBook.set_weight
+    """Excludes no endpoint, and removes no entry from a table."""
+    set_weight = proxy_state.ProxyStateBook.set_weight
 
-    def kept(self: Any, table: int, endpoint: str, weight: float) -> None:
+    def set_positive_weight(self: Any, table: int, endpoint: str, weight: float) -> None:
         if weight > 0:
-            line(self, table, endpoint, weight)
+            set_weight(self, table, endpoint, weight)
 
-    proxy_state.ProxyStateBook.set_weight = kept  # type: ignore[method-assign]
+    proxy_state.ProxyStateBook.set_weight = set_positive_weight  # type: ignore[method-assign]
     proxy_state.ProxyStateBook.exclude_endpoint = lambda self, endpoint: None  # type: ignore[method-assign]
     proxy_state.ProxyStateBook.readmit_endpoint = lambda self, endpoint: None  # type: ignore[method-assign]
     handle = Controller.handle
 
-    def again(self: Any, now: int, event: Event) -> None:
-        """What it had sent goes out again at each beat: the guard can only judge what goes out."""
+    def handle_and_send_again(self: Any, now: int, event: Event) -> None:
+        """Sends all weights again at each evaluation: update validation checks only what is sent."""
         handle(self, now, event)
         if not isinstance(event, EvaluationDue):
             return
@@ -54,25 +54,25 @@
             for name, weight in list(table.entries.items()):
                 self._runtime.set_weight(table.number, name, weight)
 
-    Controller.handle = again  # type: ignore[method-assign]
+    Controller.handle = handle_and_send_again  # type: ignore[method-assign]
 
 
 def rule_4() -> None:
-    """A cold host gets nearly everything."""
+    """Sends nearly all requests to endpoints that are warming up."""
     weight = EndpointWeights.weight
 
-    def all_of_it(self: Any, now: int, table: Any, endpoint: Any) -> float:
-        is_cold = self._slow_start.weight_fraction(now, endpoint) not in (0.0, 1.0)
-        return weight(self, now, table, endpoint) * (1000.0 if is_cold else 1.0)
+    def raised_weight(self: Any, now: int, table: Any, endpoint: Any) -> float:
+        is_warming_up = self._slow_start.weight_fraction(now, endpoint) not in (0.0, 1.0)
+        return weight(self, now, table, endpoint) * (1000.0 if is_warming_up else 1.0)
 
-    EndpointWeights.weight = all_of_it  # type: ignore[method-assign]
+    EndpointWeights.weight = raised_weight  # type: ignore[method-assign]
 
 
 def rule_5() -> None:
-    """Every line is sent again and again."""
+    """Sends every table entry 150 times at each evaluation."""
     handle = Controller.handle
 
-    def flood(self: Any, now: int, event: Event) -> None:
+    def handle_and_flood(self: Any, now: int, event: Event) -> None:
         handle(self, now, event)
         if not isinstance(event, EvaluationDue):
             return
@@ -81,7 +81,7 @@
                 for name, weight in list(table.entries.items()):
                     self._runtime.set_weight(table.number, name, weight)
 
-    Controller.handle = flood  # type: ignore[method-assign]
+    Controller.handle = handle_and_flood  # type: ignore[method-assign]
 
 
 if __name__ == "__main__":
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,4 +1,4 @@
-"""Builders that several test modules share: settings, a recording runtime and a controller to drive."""
+"""Builders shared by several test modules: settings, a recording runtime and a controller harness."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def settings_with(**changes: object) -> DeploymentSettings:
-    """The example's settings, with some changed: `channel__message_cap=6` reaches into a part of them."""
+    """Returns the example settings with changes; `channel__message_cap=6` changes a nested field."""
     settings = SETTINGS
     for key, value in changes.items():
         outer, _, inner = key.partition("__")
@@ -52,9 +52,9 @@
     """A sync marker on its way to a proxy.
 
     Attributes:
-        proxy: that its message goes to.
-        marker: as the controller numbered it.
-        total_entries: put into the channel up to and with its message.
+        proxy: the proxy that receives the message.
+        marker: the number of the marker.
+        total_entries: the entries put into the channel up to and including the message.
     """
 
     proxy: int
@@ -67,28 +67,28 @@
     """A `ControllerRuntime` that records the commands and models the update channel.
 
     Attributes:
-        settings: of the deployment.
-        now: in ticks.
-        log_lines: that were written.
-        watch_count: calls of `watch_endpoints`.
-        fetch_count: calls of `fetch_endpoint_list`.
-        exclusion_count: calls of `exclude_endpoint`.
-        tables: weights by table and endpoint.
-        excluded: by endpoint: whether it is excluded at present.
-        bindings: the table by proxy and route.
-        max_retries: by route: the most that were ever set.
-        admission_limits: by table and route.
+        settings: the settings of the deployment.
+        now: the present time in ticks.
+        log_lines: the lines logged.
+        watch_count: the number of calls of `watch_endpoints`.
+        fetch_count: the number of calls of `fetch_endpoint_list`.
+        exclusion_count: the number of calls of `exclude_endpoint`.
+        tables: the weights by table and endpoint.
+        excluded: whether each endpoint is excluded at present.
+        bindings: the bound table by proxy and route.
+        max_retries: the highest retry mode ever set, by route.
+        admission_limits: the admission limits by table and route.
         timers: when evaluations are due, in ticks.
-        joined_proxies: in the order of joining.
-        queued_entries: that wait in the channel.
-        message_times: by proxy: when its messages were sent, in ticks.
-        pending_entries: by proxy: of the message that the next flush sends.
-        unacknowledged: markers of messages that wait in the channel.
-        total_entries: ever put into the channel.
-        health_checks: endpoints to be checked.
-        excluded_for_proxy: by proxy: what was excluded there alone.
-        sync_marker: of the next messages; -1: none yet.
-        ended_sessions: proxies whose session was ended, in order.
+        joined_proxies: the proxies in the order of joining, as a dict to keep the order.
+        queued_entries: the entries that wait in the channel.
+        message_times: when messages were sent to each proxy, in ticks.
+        pending_entries: the entries of the message that the next flush sends, by proxy.
+        unacknowledged: the markers of messages that wait in the channel, in the order of sending.
+        total_entries: the entries ever put into the channel.
+        health_checks: the endpoints for which a health check was requested.
+        excluded_for_proxy: the endpoints excluded for one proxy only, by proxy.
+        sync_marker: the marker of the next messages; -1: none yet.
+        ended_sessions: the proxies whose session was ended, in order.
     """
 
     settings: DeploymentSettings
@@ -184,7 +184,7 @@
         self.sync_marker = marker
 
     def send_messages(self) -> None:
-        """Puts the message of each proxy that the flush concerns into the channel."""
+        """Puts the message of each proxy with pending entries into the channel."""
         for proxy, entries in self.pending_entries.items():
             cost = entries + self.settings.channel.message_overhead_entries + 1
             self.queued_entries += cost
@@ -194,12 +194,12 @@
         self.pending_entries.clear()
 
     def drain_channel(self, until: int, speed: float) -> list[MessageAcknowledged]:
-        """Runs the channel until a time, at a share of its rate; what has been acknowledged then."""
+        """Runs the channel until a time, at a share of its rate; returns the acknowledgements due by then."""
         rate = self.settings.channel.entries_per_second * speed
         drained = rate * (until - self.now) / TICKS_PER_SECOND
         self.queued_entries = max(0.0, self.queued_entries - drained)
         self.now = until
-        sent = self.total_entries - self.queued_entries + 1e-6  # for rounding
+        sent = self.total_entries - self.queued_entries + 1e-6  # tolerance for rounding errors
         acknowledged = []
         while self.unacknowledged and self.unacknowledged[0].total_entries <= sent:
             first = self.unacknowledged.pop(0)
@@ -207,13 +207,13 @@
         return acknowledged
 
     def take_due_timers(self) -> int:
-        """How many timers are due; they are done with."""
+        """Removes the timers that are due and returns their number."""
         due = sum(timer <= self.now for timer in self.timers)
         self.timers = [timer for timer in self.timers if timer > self.now]
         return due
 
     def remove_proxy(self, proxy: int) -> None:
-        """Ends a proxy's session: what waits for it in the channel is never acknowledged."""
+        """Ends a proxy's session; its messages that wait in the channel are never acknowledged."""
         self.joined_proxies.pop(proxy)
         self.bindings.pop(proxy, None)
         self.message_times.pop(proxy, None)
@@ -227,7 +227,7 @@
             self.pending_entries[proxy] = self.pending_entries.get(proxy, 0) + entries
 
     def _set_excluded(self, endpoint: str, is_excluded: bool) -> None:
-        """Costs an entry at each proxy that may hold one for the endpoint, as on the simulator's wire."""
+        """Charges an entry to each proxy that may hold the endpoint, as the simulated protocol does."""
         self.excluded[endpoint] = is_excluded
         holding = [table for table, weights in self.tables.items() if endpoint in weights]
         users = {proxy for table in holding for proxy in self._proxies_bound_to(table)}
@@ -236,7 +236,7 @@
 
 
 class ControllerHarness:
-    """A controller with a `RecordingRuntime`, driven by events and by the passing of time."""
+    """A controller with a `RecordingRuntime`, driven by events and simulated time."""
 
     def __init__(self, settings: DeploymentSettings = SETTINGS, seed: int = 1) -> None:
         self.runtime = RecordingRuntime(settings)
@@ -248,12 +248,12 @@
         return self.runtime.now
 
     def flush(self) -> None:
-        """Ends an event batch and sends the messages that it made."""
+        """Ends an event batch and sends its messages."""
         self.controller.flush(self.now)
         self.runtime.send_messages()
 
     def advance(self, ticks: int, channel_speed: float = 1.0) -> None:
-        """Runs the timers that fall due, and the channel at this share of its stated rate."""
+        """Advances the time; runs due timers, and the channel at this share of its configured rate."""
         end = self.now + ticks
         while True:
             due = min(self.runtime.timers, default=end + 1)
@@ -269,7 +269,7 @@
     def receive_endpoint_list(
         self, listed: dict[str, tuple[EndpointState, int]], is_complete: bool = True
     ) -> None:
-        """Hands over a list of state and start by endpoint; zones and classes follow from its number."""
+        """Delivers a list of (state, start) by endpoint; the number in its name gives its zone and class."""
         zones = self.runtime.settings.zones
         entries: list[EndpointEntry] = []
         for name, (state, started_at) in listed.items():
@@ -280,7 +280,7 @@
         self.controller.handle(self.now, EndpointListReceived(is_complete, tuple(entries)))
 
     def join_proxy(self, proxy: int, rate_per_second: float = 10.0, is_fresh: bool = True) -> None:
-        """Opens a proxy's session; its zone follows from its number."""
+        """Opens a proxy's session; its number determines its zone."""
         self.runtime.joined_proxies[proxy] = None
         zones = self.runtime.settings.zones
         joined = ProxyJoined(proxy, zones[proxy % len(zones)], rate_per_second, is_fresh)
@@ -294,18 +294,18 @@
     def report_endpoint(
         self, name: str, attempts: int, failures: int, latency_ms: float, cpu_utilization: float = 0.5
     ) -> None:
-        """Hands over what proxies met at an endpoint."""
+        """Delivers a report of the attempts that proxies made at an endpoint."""
         latency_ticks = int(latency_ms * TICKS_PER_MILLISECOND)
         report = EndpointReport(name, attempts, failures, latency_ticks, cpu_utilization)
         self.controller.handle(self.now, report)
 
     def report_requests(self, proxy: int, route: str, requests: int) -> None:
-        """Hands over how many requests of a route reached a proxy since its last report."""
+        """Delivers the number of requests of a route that reached a proxy since its last report."""
         window = self.runtime.settings.fleet.report_interval_ticks
         self.controller.handle(self.now, RequestReport(proxy, route, requests, window))
 
     def usable_weights(self, table: int = 0) -> dict[str, float]:
-        """The weights of a table without the endpoints that are excluded."""
+        """Returns the weights of a table, without excluded endpoints."""
         weights = self.runtime.tables.get(table, {})
         return {name: weight for name, weight in weights.items() if not self.runtime.excluded.get(name)}
 
@@ -313,7 +313,7 @@
 def start_fleet(
     settings: DeploymentSettings = SETTINGS, endpoints: int = 8, proxies: int = 4
 ) -> ControllerHarness:
-    """A controller with so many warm endpoints, and proxies that are bound to their tables."""
+    """Returns a controller with this many warm endpoints and bound proxies."""
     harness = ControllerHarness(settings)
     harness.receive_endpoint_list({f"h{k}": WARM for k in range(endpoints)})
     for proxy in range(proxies):
@@ -323,7 +323,7 @@
 
 
 def make_context(settings: DeploymentSettings = SETTINGS) -> ControllerContext:
-    """What the components of a controller share, for a test of one of them; it has just started."""
+    """Returns the context of a controller that has just started, to test a single component."""
     fleet = FleetState(settings)
     channel = ChannelEstimate(settings.channel, 0)
     return ControllerContext(
@@ -340,7 +340,7 @@
 
 
 def add_endpoint(context: ControllerContext, name: str, zone: str = "north", started_at: int = 0) -> Endpoint:
-    """Lists an endpoint as in service."""
+    """Adds an endpoint that is in service to the fleet and returns it."""
     endpoint = Endpoint(name, context.bucket_ticks)
     endpoint.set_state(IN_SERVICE)
     endpoint.zone = zone
