--- a/tests/soak.py
+++ b/tests/soak.py
@@ -1,7 +1,7 @@
-"""Seeded runs of small life cycles: two controller processes, their proxies, discovery, and their troubles.
+"""Seeded soak runs of two controller processes, their proxies and service discovery under disturbances.
 
-What a run does is drawn from its seed. What it checks is read off the sockets and the processes, by the
-settings and the limits of the protocol's page; nothing of the decisions is used.
+The seed determines what a run does. The checks observe only sockets and processes, and compare them with the
+settings and with the limits of the protocol. They use no code of `willowhook.decisions`.
 """
 
 from __future__ import annotations
@@ -25,15 +25,15 @@
 
 from willowhook.platform.fields import Fields
 
-# Limits of the page and of the settings.
-SLACK_S = 0.3  # on sockets, time limits are this much longer
-FIRST_ANSWER_GRACE_S = 1.0  # time limits begin no sooner after a controller's first answer
-KILL_AFTER_TERM_S = 0.7  # the earliest SIGKILL after SIGTERM
+# Limits given by the protocol and by the settings.
+SLACK_S = 0.3  # tolerance added to time limits that are checked over sockets
+FIRST_ANSWER_GRACE_S = 1.0  # time limits start no earlier than this after a controller's first answer
+KILL_AFTER_TERM_S = 0.7  # the protocol allows SIGKILL from then on
 READY_WITHIN_S = 10.0
-READY_SHARE = 0.9
-LIST_TAKEN_WITHIN_S = 6.0  # of a list that discovery is able to give
+READY_FRACTION = 0.9  # of all starts, at least this many are ready in time
+LIST_FETCH_TIMEOUT_S = 6.0  # applies while service discovery is able to answer
 MAX_RESIDENT_MB = 64
-SPARE_DESCRIPTORS = 24  # besides connections
+SPARE_DESCRIPTORS = 24  # allowed in addition to connections
 
 DRAIN_GRACE_S = SETTINGS["contract"]["drain-grace"]
 EMPTY_TABLE_GRACE_S = SETTINGS["extra"]["empty-for"]
@@ -43,15 +43,15 @@
 ROUTES = [route["name"] for route in SETTINGS["request-classes"]]
 FAST_ONLY = {route["name"] for route in SETTINGS["request-classes"] if "only-kinds" in route}
 
-MAX_FINDINGS_OF_A_KIND = 3
+MAX_FINDINGS_PER_KIND = 3
 CHECK_INTERVAL_S = 0.1
-STEPS = 9
-SETTLING_S = DRAIN_GRACE_S + LIST_TAKEN_WITHIN_S / 2
+DISTURBANCES_PER_RUN = 9
+SETTLING_S = DRAIN_GRACE_S + LIST_FETCH_TIMEOUT_S / 2
 LOG_LINE = re.compile(r"\d+\.\d{3} \S")
 
 
 class Disturbance(Enum):
-    """A step of a run."""
+    """A kind of disturbance; a run is a sequence of them."""
 
     TERMINATE = auto()
     KILL = auto()
@@ -60,29 +60,30 @@
     RELOAD_AND_TERMINATE = auto()
     CHANGE_MODE = auto()
     RECONNECT = auto()
-    CROWD = auto()
+    BAD_CLIENTS = auto()
 
 
-OFTEN = (Disturbance.TERMINATE, Disturbance.CHANGE_MODE)  # drawn twice as often as the others
+FREQUENT_DISTURBANCES = (Disturbance.TERMINATE, Disturbance.CHANGE_MODE)  # drawn twice as often as others
 
 
 @dataclass(frozen=True)
 class SoakPlan:
-    """What a seed stands for.
+    """The parameters of a run, drawn from its seed.
 
     Attributes:
-        seed: of all that is drawn in the run.
-        proxies, endpoints, crowd: their numbers; the crowd connects and does not join.
-        message_cap: of the settings; 0: none.
-        overload_factor: of the settings: how far over its capacity a warming endpoint may be loaded.
-        sends_changes: whether discovery answers a watch with changes only.
-        disturbances: the steps.
+        seed: the seed of everything drawn during the run.
+        proxies, endpoints: the numbers of proxies and of endpoints at the start.
+        bad_clients: the number of clients, at least 4, that connect at once without joining.
+        message_cap: the message cap in the settings; 0: none.
+        overload_factor: the setting that limits how far slow start may overload an endpoint.
+        sends_changes: whether service discovery answers a watch with the changed entries only.
+        disturbances: the disturbances, in order.
     """
 
     seed: int
     proxies: int
     endpoints: int
-    crowd: int
+    bad_clients: int
     message_cap: int
     overload_factor: float
     sends_changes: bool
@@ -90,33 +91,34 @@
 
 
 def draw_plan(seed: int) -> SoakPlan:
-    """The plan of a seed; small numbers are as likely as large ones."""
-    draw = random.Random(seed)
+    """Draws the plan of a seed; small numbers of proxies are as likely as large ones."""
+    generator = random.Random(seed)
     return SoakPlan(
         seed=seed,
-        proxies=round(5 * 40 ** draw.random()),
-        endpoints=draw.randint(5, 24),
-        crowd=draw.choice([0, 0, 0, 100, 300]),
-        message_cap=draw.choice([0, 0, 12, 40]),
-        overload_factor=draw.choice([1.5, 3.0]),
-        sends_changes=draw.random() < 0.5,
-        disturbances=tuple(draw.choices([*Disturbance, *OFTEN], k=STEPS)),
+        proxies=round(5 * 40 ** generator.random()),
+        endpoints=generator.randint(5, 24),
+        bad_clients=generator.choice([0, 0, 0, 100, 300]),
+        message_cap=generator.choice([0, 0, 12, 40]),
+        overload_factor=generator.choice([1.5, 3.0]),
+        sends_changes=generator.random() < 0.5,
+        disturbances=tuple(generator.choices([*Disturbance, *FREQUENT_DISTURBANCES], k=DISTURBANCES_PER_RUN)),
     )
 
 
 @dataclass
 class SoakController:
-    """A controller and the life of its process.
+    """A controller and its present process.
 
     Attributes:
-        name: in findings.
-        process: how to start it.
-        running: its process; None before the first start.
-        first_answer_at: when it first answered a heartbeat in this life; None: not yet.
-        started_at: when its process was last started.
-        is_ending: whether it has been sent a signal to end.
-        ready_times_s: how long each start took until the first answer.
-        logs: of all its lives.
+        name: its name in findings.
+        process: its command, configuration and ports.
+        folder: the directory of its log files.
+        running: its present process; None before the first start.
+        first_answer_at: when its present process first answered a heartbeat; None: not yet.
+        started_at: when its present process was started.
+        is_ending: whether its present process has been sent SIGTERM or SIGKILL.
+        ready_times_s: the time from each start to the first answer.
+        logs: the log files, one for each process.
     """
 
     name: str
@@ -131,12 +133,12 @@
 
     @property
     def port(self) -> int:
-        """Where it listens."""
+        """The port that it listens on."""
         return self.process.port
 
     @property
-    def takes_proxies(self) -> bool:
-        """Whether proxies connect to it."""
+    def accepts_proxies(self) -> bool:
+        """Whether proxies may connect to it."""
         return self.first_answer_at is not None and not self.is_ending
 
     async def start(self) -> None:
@@ -160,14 +162,14 @@
         return f"{self.name} at port {self.port} did not answer; exit code {self.running.poll()}, log:\n{log}"
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Sends its process a signal."""
+        """Sends a signal to its process."""
         assert self.running is not None
         if number in (signal.SIGTERM, signal.SIGKILL):
             self.is_ending = True
         self.running.send_signal(number)
 
     async def kill(self) -> int:
-        """Ends the process; the exit code is that of its own end, if it came before."""
+        """Kills the process and returns the exit code, which is the process's own if it had already ended."""
         assert self.running is not None
         self.is_ending = True
         self.running.kill()
@@ -175,10 +177,10 @@
 
 
 class SoakRun:
-    """One run of a plan; `findings` has what was wrong."""
+    """One run of a plan; `findings` lists the violations."""
 
     def __init__(self, plan: SoakPlan, folder: Path, arguments: Sequence[str] = ()) -> None:
-        """`arguments`: with which the interpreter runs instead of the controller."""
+        """Prepares a run; `arguments`, if any, replace the interpreter's arguments for a controller."""
         self.plan = plan
         self.findings: list[str] = []
         self.random = random.Random(plan.seed + 1)
@@ -190,29 +192,29 @@
                 SETTINGS["zones"][number % 2],
                 ROUTES,
                 random.Random(plan.seed + 3 + number),
-                self._pick,
+                self._pick_controller,
                 self.report_finding,
             )
             for number in range(plan.proxies)
         ]
-        self._without_endpoint_since: dict[tuple[int, str], float] = {}
+        self._empty_tables_since: dict[tuple[int, str], float] = {}
         self._had_endpoint: set[tuple[int, str]] = set()  # proxy and route
         self._findings_by_kind: Counter[str] = Counter()
-        self._next_name = 0
+        self._last_endpoint_number = 0
 
     def report_finding(self, text: str) -> None:
-        """Notes what is wrong; of findings that differ in numbers only, the first few."""
+        """Records a violation; of findings that differ only in numbers, only the first few are kept."""
         kind = re.sub(r"\d+(\.\d+)?", "N", text)
         self._findings_by_kind[kind] += 1
-        if self._findings_by_kind[kind] <= MAX_FINDINGS_OF_A_KIND:
+        if self._findings_by_kind[kind] <= MAX_FINDINGS_PER_KIND:
             self.findings.append(text)
 
     def run(self) -> list[str]:
-        """Plays the plan; returns the findings."""
+        """Executes the plan and returns the findings."""
         trio.run(self._main)
         return self.findings
 
-    # The course of a run.
+    # Phases of a run.
 
     async def _main(self) -> None:
         for _ in range(self.plan.endpoints):
@@ -222,12 +224,12 @@
                 for controller in self.controllers:
                     process = controller.process
                     await self._nursery.start(self.discovery.serve, controller.name, process.discovery_port)
-                    self._nursery.start_soon(self._collect, controller)
+                    self._nursery.start_soon(self._run_collector, controller)
                 await self._start_all()
                 for proxy in self.proxies:
                     self._nursery.start_soon(proxy.run)
                 self._nursery.start_soon(self._check_periodically)
-                await self._play()
+                await self._disturb_repeatedly()
                 await self._settle()
                 self._nursery.cancel_scope.cancel()
         finally:
@@ -243,11 +245,11 @@
             for controller in self.controllers:
                 nursery.start_soon(controller.start)
 
-    async def _play(self) -> None:
+    async def _disturb_repeatedly(self) -> None:
         await trio.sleep(1.0)
         for disturbance in self.plan.disturbances:
             for _ in range(self.random.randint(0, 3)):
-                self._change_list()
+                self._change_endpoint_list()
             await self._disturb(disturbance)
             await trio.sleep(self.random.uniform(0.1, 0.8))
 
@@ -260,28 +262,28 @@
             Disturbance.RELOAD_AND_TERMINATE: self._reload_and_terminate,
             Disturbance.CHANGE_MODE: self._change_mode,
             Disturbance.RECONNECT: self._reconnect,
-            Disturbance.CROWD: self._crowd,
+            Disturbance.BAD_CLIENTS: self._connect_bad_clients,
         }
         await methods[disturbance]()
 
     async def _settle(self) -> None:
-        """Lets everything come to rest, and checks what must hold then."""
+        """Waits until the fleet is stable, runs the final checks, and ends the controllers."""
         self.discovery.mode = AnswerMode.GOOD
-        self._change_list()
+        self._change_endpoint_list()
         await trio.sleep(SETTLING_S)
         for controller in self.controllers:
-            if self._told_at(controller, self.discovery.version) is None:
-                self.report_finding(f"{controller.name} did not ask for the last list in {SETTLING_S} s")
+            if self._sent_list_at(controller, self.discovery.version) is None:
+                self.report_finding(f"{controller.name} did not ask for the last list within {SETTLING_S} s")
             self._check_resources(controller, at_rest=True)
             controller.send_signal(signal.SIGTERM)
         await trio.sleep(KILL_AFTER_TERM_S)
         for controller in self.controllers:
             await self._check_end(controller)
 
-    # What disturbs.
+    # Disturbances.
 
     async def _terminate(self) -> None:
-        """SIGTERM, sometimes twice; proxies go on using their connections; SIGKILL at the earliest time."""
+        """Sends SIGTERM, sometimes twice; proxies stay connected; sends SIGKILL at the earliest time."""
         controller = self.random.choice(self.controllers)
         controller.send_signal(signal.SIGTERM)
         if self.random.random() < 0.4:
@@ -293,14 +295,14 @@
         await controller.start()
 
     async def _kill(self) -> None:
-        """A kill with no warning."""
+        """Sends SIGKILL without a SIGTERM before it, and starts the controller again."""
         controller = self.random.choice(self.controllers)
         await controller.kill()
         await trio.sleep(self.random.uniform(0.0, 0.5))
         await controller.start()
 
     async def _kill_without_discovery(self) -> None:
-        """A kill; discovery answers nothing while the controller starts and proxies join it again."""
+        """Kills a controller; service discovery is silent while it starts again and proxies rejoin it."""
         self.discovery.mode = AnswerMode.SILENT
         await self._kill()
         await self._reconnect()
@@ -308,23 +310,23 @@
         self.discovery.mode = AnswerMode.GOOD
 
     async def _reload(self) -> None:
-        """SIGHUP, twice or more, at a configuration that moves discovery and may be half written at first."""
+        """Sends SIGHUP once or more; the new configuration moves discovery and may be truncated at first."""
         controller = self.random.choice(self.controllers)
         process = controller.process
         port = reserve_port()
         await self._nursery.start(self.discovery.serve, controller.name, port)
         process.write_configuration(port)
-        whole = process.configuration_path.read_text()
+        complete_text = process.configuration_path.read_text()
         if self.random.random() < 0.5:
-            process.configuration_path.write_text(whole[: self.random.randrange(len(whole))])
+            process.configuration_path.write_text(complete_text[: self.random.randrange(len(complete_text))])
         for _ in range(self.random.randint(1, 4)):
             controller.send_signal(signal.SIGHUP)
             await trio.sleep(self.random.choice([0.0, 0.0, 0.01]))
         await trio.sleep(self.random.uniform(0.0, 0.5))
-        process.configuration_path.write_text(whole)
+        process.configuration_path.write_text(complete_text)
 
     async def _reload_and_terminate(self) -> None:
-        """SIGHUP, and SIGTERM while it is handled."""
+        """Sends SIGHUP, and SIGTERM while the reload may still be in progress."""
         controller = self.random.choice(self.controllers)
         controller.send_signal(signal.SIGHUP)
         await trio.sleep(self.random.choice([0.0, 0.001, 0.02]))
@@ -336,69 +338,71 @@
         await controller.start()
 
     async def _change_mode(self) -> None:
-        """Discovery answers otherwise, for a while."""
+        """Makes service discovery answer in another mode for a while."""
         self.discovery.mode = self.random.choice(list(AnswerMode))
-        self._change_list()
+        self._change_endpoint_list()
         await trio.sleep(self.random.uniform(0.3, 2.5))
         self.discovery.mode = AnswerMode.GOOD
 
     async def _reconnect(self) -> None:
-        """Proxies reconnect in a loop, some or all of them."""
+        """Makes some or all proxies reconnect in a loop."""
         share = self.random.choice([0.1, 1.0])
         for proxy in self.proxies:
             if self.random.random() < share:
-                proxy.restless_until = trio.current_time() + self.random.uniform(0.2, 1.0)
+                proxy.reconnects_until = trio.current_time() + self.random.uniform(0.2, 1.0)
 
-    async def _crowd(self) -> None:
-        """Connections that say nothing, or no message that can be used."""
+    async def _connect_bad_clients(self) -> None:
+        """Connects many clients that send nothing, or no message that lets them join."""
         controller = self.random.choice(self.controllers)
-        for _ in range(max(self.plan.crowd, 4)):
+        for _ in range(max(self.plan.bad_clients, 4)):
             kind = self.random.choice(list(BadClient))
-            self._nursery.start_soon(run_bad_client, kind, controller, self._report_of_life(controller))
+            self._nursery.start_soon(
+                run_bad_client, kind, controller, self._make_finding_reporter(controller)
+            )
 
-    def _report_of_life(self, controller: SoakController) -> Callable[[str], None]:
-        """Reports unless the controller's process has been told to end since."""
-        life = controller.running
+    def _make_finding_reporter(self, controller: SoakController) -> Callable[[str], None]:
+        """Returns a function that reports findings until the controller's process is told to end."""
+        process = controller.running
 
         def report(text: str) -> None:
-            if controller.running is life and not controller.is_ending:
+            if controller.running is process and not controller.is_ending:
                 self.report_finding(text)
 
         return report
 
-    def _change_list(self) -> None:
-        """One endpoint drains, leaves, returns, restarts or is new; at least four stay warm and active."""
+    def _change_endpoint_list(self) -> None:
+        """Makes one endpoint drain, leave, return, restart or appear; at least four stay warm and active."""
         endpoints = self.discovery.endpoints
         active = [each for each in endpoints.values() if each.health == "active"]
-        warm = [each for each in active if each.born_ms == 0]
-        away = [each for each in endpoints.values() if each.health != "active"]
+        warm = [each for each in active if each.started_at_ms == 0]
+        inactive = [each for each in endpoints.values() if each.health != "active"]
         action = self.random.randrange(5)
         now_ms = time.time() * 1000
         if action < 2 and len(warm) > 4:
-            endpoint = self.random.choice(warm[4:])  # the first four stay
+            endpoint = self.random.choice(warm[4:])  # the first four are never changed
             self.discovery.change(endpoint.name, ("leaving", "left")[action])
         elif action == 2 and len(warm) > 4:
             self.discovery.change(self.random.choice(warm[4:]).name, "active", now_ms)
-        elif action == 3 and away:
-            self.discovery.change(self.random.choice(away).name, "active", now_ms)
+        elif action == 3 and inactive:
+            self.discovery.change(self.random.choice(inactive).name, "active", now_ms)
         else:
             self._add_endpoint(now_ms)
 
-    def _add_endpoint(self, born_ms: float) -> None:
-        self._next_name += 1
-        self.discovery.change(f"h{self._next_name}", "active", born_ms)
+    def _add_endpoint(self, started_at_ms: float) -> None:
+        self._last_endpoint_number += 1
+        self.discovery.change(f"h{self._last_endpoint_number}", "active", started_at_ms)
 
     # Peers.
 
-    def _pick(self, proxy: SoakProxy) -> SoakController | None:
-        ready = [each for each in self.controllers if each.takes_proxies]
+    def _pick_controller(self, proxy: SoakProxy) -> SoakController | None:
+        ready = [each for each in self.controllers if each.accepts_proxies]
         return proxy.random.choice(ready) if ready else None
 
-    async def _collect(self, controller: SoakController) -> None:
+    async def _run_collector(self, controller: SoakController) -> None:
         def active() -> list[str]:
             return [each.name for each in self.discovery.endpoints.values() if each.health == "active"]
 
-        await run_collector(lambda: controller if controller.takes_proxies else None, active)
+        await run_collector(lambda: controller if controller.accepts_proxies else None, active)
 
     # Checks.
 
@@ -412,8 +416,8 @@
 
     def _check_proxy(self, proxy: SoakProxy) -> None:
         controller = proxy.controller
-        if not isinstance(controller, SoakController) or not controller.takes_proxies:
-            self._forget_emptiness(proxy)
+        if not isinstance(controller, SoakController) or not controller.accepts_proxies:
+            self._reset_empty_table_times(proxy)
             return
         assert controller.first_answer_at is not None
         self._check_kept_tables(proxy, controller)
@@ -425,82 +429,86 @@
 
     def _check_drains(self, proxy: SoakProxy, controller: SoakController, since: float) -> None:
         now = trio.current_time()
-        used = {host for route in ROUTES for host in proxy.usable(route)}
-        for host in used:
-            endpoint = self.discovery.endpoints[host]
+        used_endpoints = {name for route in ROUTES for name in proxy.usable_weights(route)}
+        for name in used_endpoints:
+            endpoint = self.discovery.endpoints[name]
             if endpoint.health == "active":
                 continue
-            told_at = self._told_at(controller, endpoint.changed_version)
-            if told_at is not None and now - max(told_at, since) > DRAIN_GRACE_S + SLACK_S:
+            sent_list_at = self._sent_list_at(controller, endpoint.changed_version)
+            if sent_list_at is not None and now - max(sent_list_at, since) > DRAIN_GRACE_S + SLACK_S:
                 self.report_finding(
-                    f"{controller.name}: proxy {proxy.number} may use {host} ({endpoint.health}) "
-                    f"{now - max(told_at, since):.1f} s after it was told"
+                    f"{controller.name}: proxy {proxy.number} may use {name} ({endpoint.health}) "
+                    f"{now - max(sent_list_at, since):.1f} s after the list was sent"
                 )
 
     def _check_empty_tables(self, proxy: SoakProxy, controller: SoakController, since: float) -> None:
         now = trio.current_time()
         for route in ROUTES:
             key = (proxy.number, route)
-            if proxy.usable(route) or not self._has_warm_endpoint(controller, route):
-                self._without_endpoint_since.pop(key, None)
+            if proxy.usable_weights(route) or not self._has_warm_endpoint(controller, route):
+                self._empty_tables_since.pop(key, None)
                 continue
-            began = max(self._without_endpoint_since.setdefault(key, now), since)
-            if now - began > EMPTY_TABLE_GRACE_S + SLACK_S:
+            empty_since = max(self._empty_tables_since.setdefault(key, now), since)
+            if now - empty_since > EMPTY_TABLE_GRACE_S + SLACK_S:
                 self.report_finding(
                     f"{controller.name}: proxy {proxy.number} has no endpoint for {route} "
-                    f"for {now - began:.1f} s"
+                    f"for {now - empty_since:.1f} s"
                 )
 
     def _check_kept_tables(self, proxy: SoakProxy, controller: SoakController) -> None:
-        """A controller that was told no list since it started takes no proxy's last endpoint away."""
-        is_without_list = not self.discovery.has_told_since(controller.name, controller.started_at)
+        """Checks that a controller without an endpoint list since its start empties no table of a proxy."""
+        has_no_list = not self.discovery.has_sent_list_since(controller.name, controller.started_at)
         for route in ROUTES:
             key = (proxy.number, route)
-            if proxy.usable(route):
+            if proxy.usable_weights(route):
                 self._had_endpoint.add(key)
-            elif is_without_list and key in self._had_endpoint:
+            elif has_no_list and key in self._had_endpoint:
                 self.report_finding(
-                    f"{controller.name}: told no list, left proxy {proxy.number} none for {route}"
+                    f"{controller.name}: told no list, left proxy {proxy.number} no endpoint for {route}"
                 )
 
-    def _forget_emptiness(self, proxy: SoakProxy) -> None:
+    def _reset_empty_table_times(self, proxy: SoakProxy) -> None:
         for route in ROUTES:
-            self._without_endpoint_since.pop((proxy.number, route), None)
+            self._empty_tables_since.pop((proxy.number, route), None)
 
-    def _told_at(self, controller: SoakController, version: int) -> float | None:
-        """When the present process of a controller was told of a version of the list."""
-        return self.discovery.told_at(controller.name, version, controller.started_at)
+    def _sent_list_at(self, controller: SoakController, version: int) -> float | None:
+        """Returns when a controller's present process was sent this version of the list; None: not yet."""
+        return self.discovery.sent_list_at(controller.name, version, controller.started_at)
 
     def _has_warm_endpoint(self, controller: SoakController, route: str) -> bool:
-        """Whether the controller was told of an endpoint that has warmed up and may serve a route."""
+        """Returns whether the controller was sent an endpoint that has warmed up and may serve a route."""
         return any(
             each.health == "active"
-            and time.time() - each.born_ms / 1000 > SLOW_START_S
+            and time.time() - each.started_at_ms / 1000 > SLOW_START_S
             and (route not in FAST_ONLY or each.endpoint_class == "fast")
-            and self._told_at(controller, each.changed_version) is not None
+            and self._sent_list_at(controller, each.changed_version) is not None
             for each in self.discovery.endpoints.values()
         )
 
     def _check_warming(self, proxy: SoakProxy, controller: SoakController, since: float) -> None:
-        """A warming endpoint has its share once its controller has known of its start for the drain grace.
+        """Checks that endpoints that are warming up get no more than the weight that their capacity allows.
 
-        It is compared with the warm ones: a mean over all falls with the number of those that warm up.
+        The check starts when the controller has known of an endpoint's start for the drain grace. Weights are
+        compared with the mean of the warm endpoints only, since a mean over all endpoints would fall with the
+        number of endpoints that are warming up.
         """
         now = trio.current_time()
         for route in ROUTES:
-            weights = proxy.usable(route)
-            age_s = {host: time.time() - self.discovery.endpoints[host].born_ms / 1000 for host in weights}
-            warm = [weight for host, weight in weights.items() if age_s[host] >= SLOW_START_S]
-            warm_mean = sum(warm) / max(len(warm), 1)
-            for host, weight in weights.items():
-                told_at = self._told_at(controller, self.discovery.endpoints[host].changed_version)
-                if age_s[host] >= SLOW_START_S or told_at is None or not warm:
+            weights = proxy.usable_weights(route)
+            ages_s = {
+                name: time.time() - self.discovery.endpoints[name].started_at_ms / 1000 for name in weights
+            }
+            warm_weights = [weight for name, weight in weights.items() if ages_s[name] >= SLOW_START_S]
+            warm_mean = sum(warm_weights) / max(len(warm_weights), 1)
+            for name, weight in weights.items():
+                sent_list_at = self._sent_list_at(controller, self.discovery.endpoints[name].changed_version)
+                if ages_s[name] >= SLOW_START_S or sent_list_at is None or not warm_weights:
                     continue
-                capacity = START_CAPACITY + (1 - START_CAPACITY) * age_s[host] / SLOW_START_S
-                is_known = now - max(told_at, since) > DRAIN_GRACE_S + SLACK_S
-                if is_known and weight > self.plan.overload_factor * capacity * warm_mean:
+                capacity = START_CAPACITY + (1 - START_CAPACITY) * ages_s[name] / SLOW_START_S
+                is_check_due = now - max(sent_list_at, since) > DRAIN_GRACE_S + SLACK_S
+                if is_check_due and weight > self.plan.overload_factor * capacity * warm_mean:
                     self.report_finding(
-                        f"{controller.name}: proxy {proxy.number} gives {host}, {age_s[host]:.1f} s old, "
+                        f"{controller.name}: proxy {proxy.number} gives {name}, {ages_s[name]:.1f} s old, "
                         f"{weight / warm_mean:.2f} of the weight of a warm one for {route}"
                     )
 
@@ -513,30 +521,32 @@
             )
 
     def _check_resources(self, controller: SoakController, *, at_rest: bool) -> None:
-        if controller.running is None or not controller.takes_proxies:
+        if controller.running is None or not controller.accepts_proxies:
             return
         pid = controller.running.pid
         try:
             status = Path(f"/proc/{pid}/status").read_text()
             descriptors = len(list(Path(f"/proc/{pid}/fd").iterdir()))
         except OSError:
-            return  # it has just ended
+            return  # the process has just ended
         resident = re.search(r"VmRSS:\s+(\d+) kB", status)
         if resident and int(resident[1]) / 1024 > MAX_RESIDENT_MB:
             self.report_finding(f"{controller.name} holds {int(resident[1]) / 1024:.0f} MB")
-        limit = controller.process.limits["sockets"]
+        descriptor_limit = controller.process.limits["sockets"]
         if at_rest:
             connected = sum(proxy.controller is controller for proxy in self.proxies)
-            limit = connected + 1 + SPARE_DESCRIPTORS  # a collector
-        if descriptors > limit:
-            self.report_finding(f"{controller.name} holds {descriptors} descriptors, {limit} are due")
+            descriptor_limit = connected + 1 + SPARE_DESCRIPTORS  # one collector of load reports
+        if descriptors > descriptor_limit:
+            self.report_finding(
+                f"{controller.name} holds {descriptors} descriptors, {descriptor_limit} are allowed"
+            )
 
     async def _check_end(self, controller: SoakController) -> None:
-        """After SIGTERM: the process has ended with code 0 by now, or is killed."""
+        """Checks after SIGTERM that the process has ended with code 0; kills it if it still runs."""
         assert controller.running is not None
         if controller.running.poll() is None:
             await controller.kill()
-            return  # the page allows that it has not ended by itself
+            return  # the protocol allows a process not to end by itself in this time
         if controller.running.returncode != 0:
             self.report_finding(f"{controller.name} ended with code {controller.running.returncode}")
 
@@ -551,12 +561,12 @@
     def _check_ready_times(self) -> None:
         times = [each for controller in self.controllers for each in controller.ready_times_s]
         slow = [each for each in times if each > READY_WITHIN_S]
-        if len(slow) > (1 - READY_SHARE) * len(times):
+        if len(slow) > (1 - READY_FRACTION) * len(times):
             self.report_finding(f"{len(slow)} of {len(times)} starts took over {READY_WITHIN_S} s")
 
     def _make_controller(self, folder: Path, number: int, arguments: Sequence[str]) -> SoakController:
-        home = folder / f"n{number}"
-        home.mkdir(parents=True)
+        directory = folder / f"n{number}"
+        directory.mkdir(parents=True)
         extra: Fields = {"proxies": self.plan.proxies, "update-cap": self.plan.message_cap}
         contract: Fields = {"fall-multiple": self.plan.overload_factor}
         settings = {
@@ -564,13 +574,15 @@
             "extra": {**SETTINGS["extra"], **extra},
             "contract": {**SETTINGS["contract"], **contract},
         }
-        process = ControllerProcess(home, settings, sockets=2 * (self.plan.proxies + self.plan.crowd) + 64)
+        process = ControllerProcess(
+            directory, settings, sockets=2 * (self.plan.proxies + self.plan.bad_clients) + 64
+        )
         process.arguments = list(arguments) or process.arguments
         process.write_configuration(process.discovery_port)
-        return SoakController(f"n{number}", process, home)
+        return SoakController(f"n{number}", process, directory)
 
 
-def allow_descriptors() -> None:
-    """Raises this process's limit of descriptors: it plays all peers."""
-    _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, 16384), hard))
+def raise_descriptor_limit() -> None:
+    """Raises the descriptor limit of the test process, which holds the connections of all stand-ins."""
+    _, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
+    resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard_limit, 16384), hard_limit))
--- a/tests/soak_discovery.py
+++ b/tests/soak_discovery.py
@@ -1,4 +1,4 @@
-"""Service discovery of the soak: its list changes, and it answers well, late, wrongly or not at all."""
+"""Service discovery of the soak test: its list changes, and its answers can be late, wrong or missing."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class AnswerMode(Enum):
-    """How discovery answers."""
+    """How service discovery answers a request."""
 
     GOOD = "good"
     LATE = "late"
@@ -32,20 +32,20 @@
 
 @dataclass
 class ListedEndpoint:
-    """An endpoint as it really is.
+    """An endpoint in its actual state, which the controllers may not have learned yet.
 
     Attributes:
-        name: in the list.
-        number: its zone and class follow from it.
-        health: active, leaving or left.
-        born_ms: its last start, in Unix time; 0: long ago.
-        changed_version: the version of the list that had its last change.
+        name: its name in the endpoint list.
+        number: determines its zone and endpoint class.
+        health: "active", "leaving" or "left".
+        started_at_ms: when its process last started, in Unix time; 0: long ago, so it is warm.
+        changed_version: the version of the list that contains its last change.
     """
 
     name: str
     number: int
     health: str = "active"
-    born_ms: float = 0.0
+    started_at_ms: float = 0.0
     changed_version: int = 1
 
     def entry(self) -> Fields:
@@ -57,7 +57,7 @@
             "block": self.number,
             "health": self.health,
             "share": 1.0,
-            "born_ms": self.born_ms,
+            "born_ms": self.started_at_ms,
         }
 
     @property
@@ -65,33 +65,33 @@
         return "fast" if self.number % 3 != 2 else "std"
 
 
-class WrittenList(NamedTuple):
-    """A list that was written to a controller.
+class SentList(NamedTuple):
+    """An endpoint list that was sent to a controller.
 
     Attributes:
-        version: of what it holds.
-        named_version: as it says; a list that names a lower one than the process holds is not believed.
-        asked_at: when the controller asked for it.
-        at: when it was written.
+        version: the version of its entries.
+        stated_version: the version that it states; a controller ignores one lower than its own.
+        requested_at: when the controller sent the request.
+        sent_at: when the answer had been sent.
     """
 
     version: int
-    named_version: int
-    asked_at: float
-    at: float
+    stated_version: int
+    requested_at: float
+    sent_at: float
 
 
 @dataclass
 class SoakDiscovery:
-    """One list for all controllers; what each was told of it is recorded.
+    """One endpoint list for all controllers, with a record of what each controller was sent.
 
     Attributes:
-        random: draws the delays.
-        sends_changes: whether a watch is answered with the entries that changed, not with all.
-        endpoints: by name, with those that have left.
-        version: of the list.
-        mode: how it answers.
-        told: by controller, the lists that were written to it.
+        random: the generator of the delays.
+        sends_changes: whether a watch is answered with the changed entries only.
+        endpoints: the endpoints by name, including those that have left.
+        version: the present version of the list.
+        mode: how requests are answered.
+        sent_lists: the lists sent to each controller.
     """
 
     random: random.Random
@@ -99,45 +99,45 @@
     endpoints: dict[str, ListedEndpoint] = field(default_factory=dict)
     version: int = 1
     mode: AnswerMode = AnswerMode.GOOD
-    told: dict[str, list[WrittenList]] = field(default_factory=dict)
+    sent_lists: dict[str, list[SentList]] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self._changed = trio.Event()
 
-    def change(self, name: str, health: str, born_ms: float | None = None) -> None:
-        """Changes an endpoint, or adds one."""
+    def change(self, name: str, health: str, started_at_ms: float | None = None) -> None:
+        """Changes the state of an endpoint, or adds the endpoint, and wakes all watches."""
         self.version += 1
         endpoint = self.endpoints.setdefault(name, ListedEndpoint(name, len(self.endpoints)))
         endpoint.health = health
         endpoint.changed_version = self.version
-        if born_ms is not None:
-            endpoint.born_ms = born_ms
+        if started_at_ms is not None:
+            endpoint.started_at_ms = started_at_ms
         self._changed.set()
         self._changed = trio.Event()
 
-    def told_at(self, controller: str, version: int, started_at: float = 0.0) -> float | None:
-        """When a controller was first written a believable list with this version or a later one.
+    def sent_list_at(self, controller: str, version: int, started_at: float = 0.0) -> float | None:
+        """Returns when a controller was first sent a valid list of at least this version; None: not yet.
 
-        What the process asked for that was killed before this one started is not known to this one, also if
-        it was written later.
+        Requests made before `started_at` came from an earlier process of the controller. Their answers are
+        skipped, even if they were sent after the restart, because the present process never received them.
         """
-        highest_named = 0
-        for each in self.told.get(controller, []):
-            if each.asked_at < started_at or each.named_version < highest_named:
+        highest_stated = 0
+        for sent in self.sent_lists.get(controller, []):
+            if sent.requested_at < started_at or sent.stated_version < highest_stated:
                 continue
-            if each.version >= version:
-                return each.at
-            highest_named = each.named_version
+            if sent.version >= version:
+                return sent.sent_at
+            highest_stated = sent.stated_version
         return None
 
-    def has_told_since(self, controller: str, time: float) -> bool:
-        """Whether a controller was written a list that it asked for after this time."""
-        return any(each.asked_at >= time for each in self.told.get(controller, []))
+    def has_sent_list_since(self, controller: str, time: float) -> bool:
+        """Returns whether a controller was sent a list that it requested at or after this time."""
+        return any(each.requested_at >= time for each in self.sent_lists.get(controller, []))
 
     async def serve(
         self, controller: str, port: int, task_status: trio.TaskStatus[Any] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Serves one controller at a port of its own."""
+        """Serves one controller on its own port."""
         handler = partial(self._answer_connection, controller)
         await trio.serve_tcp(handler, port, host="127.0.0.1", task_status=task_status)
 
@@ -159,11 +159,11 @@
             await trio.aclose_forcefully(stream)
 
     async def _answer(self, controller: str, stream: trio.SocketStream, request: bytes) -> bool:
-        """Answers one request; False if the connection is to be closed."""
+        """Answers one request; returns False if the connection must be closed."""
         match = WATCH.match(request)
         assert match, request
         after = int(match[1]) if match[1] else None
-        asked_at = trio.current_time()
+        requested_at = trio.current_time()
         if after == self.version and self.mode is not AnswerMode.BACKWARDS:
             with trio.move_on_after(int(match[2]) / 1000):
                 await self._changed.wait()
@@ -176,20 +176,20 @@
         if mode is AnswerMode.LATE:
             await trio.sleep(self.random.uniform(0.1, 0.9))
         version = self.version
-        answered = self._list(mode, after)
-        body = json.dumps(answered).encode()
+        sent_list = self._build_list(mode, after)
+        body = json.dumps(sent_list).encode()
         answer = b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n%s" % (len(body), body)
-        for piece in self._pieces(mode, answer):
+        for piece in self._split_answer(mode, answer):
             await stream.send_all(piece)
             if mode is AnswerMode.PIECES:
                 await trio.sleep(self.random.uniform(0.0, 0.04))
         if mode is not AnswerMode.EMPTY:
-            self.told.setdefault(controller, []).append(
-                WrittenList(version, answered["seq"], asked_at, trio.current_time())
+            self.sent_lists.setdefault(controller, []).append(
+                SentList(version, sent_list["seq"], requested_at, trio.current_time())
             )
         return True
 
-    def _list(self, mode: AnswerMode, after: int | None) -> Fields:
+    def _build_list(self, mode: AnswerMode, after: int | None) -> Fields:
         if mode is AnswerMode.EMPTY:
             return {"seq": self.version, "whole": True, "hosts": []}
         seq = self.version if mode is not AnswerMode.BACKWARDS else max(self.version - 3, 1)
@@ -199,7 +199,7 @@
         listed = [each for each in self.endpoints.values() if each.health != "left"]
         return {"seq": seq, "whole": True, "hosts": [each.entry() for each in listed]}
 
-    def _pieces(self, mode: AnswerMode, answer: bytes) -> Iterator[bytes]:
+    def _split_answer(self, mode: AnswerMode, answer: bytes) -> Iterator[bytes]:
         size = len(answer) if mode is not AnswerMode.PIECES else max(len(answer) // 12, 1)
         for start in range(0, len(answer), size):
             yield answer[start : start + size]
--- a/tests/soak_faults.py
+++ b/tests/soak_faults.py
@@ -1,4 +1,4 @@
-"""A controller process with one fault put in by hand, which the soak has to find: `soak_faults.py FAULT`."""
+"""Runs a controller with one injected fault that the soak test must detect: `soak_faults.py FAULT`."""
 
 from __future__ import annotations
 
@@ -21,38 +21,38 @@
 from willowhook.platform.process import run_process
 from willowhook.platform.proxy_updates import ProxyUpdates
 
-SLOW_START_SECONDS = 10.5
-WASTED_BYTES = 80 << 20
+STARTUP_DELAY_S = 10.5  # over READY_WITHIN_S of the soak test
+WASTED_BYTES = 80 << 20  # over MAX_RESIDENT_MB of the soak test
 
 Install = Callable[[], object]
 
 
 class Fault(NamedTuple):
-    """A fault, and what the soak has to find.
+    """A fault, and the finding that the soak test must report for it.
 
     Attributes:
-        install: puts it into this process.
-        finding: a part of the text of a finding.
+        install: injects the fault into this process.
+        finding: text that one of the findings must contain.
     """
 
     install: Install
     finding: str
 
 
-def replace(owner: type, name: str, function: Callable[..., Any]) -> Install:
-    """Replaces a method for the rest of the process."""
+def replace_method(owner: type, name: str, function: Callable[..., Any]) -> Install:
+    """Returns a function that replaces a method until the process ends."""
     return lambda: patch.object(owner, name, function).start()
 
 
 def _drop_updates_of_proxy_0() -> None:
-    """It is sent its first table and nothing after that."""
+    """Proxy 0 is sent the tables that it is bound to, and no update after that."""
     send_pending = ProxyUpdates._send_pending
 
-    def send(self: ProxyUpdates, proxy: int, session: Any, cache: Any) -> None:
+    def send_first_tables_only(self: ProxyUpdates, proxy: int, session: Any, cache: Any) -> None:
         if proxy != 0 or session.tables_to_replace:
             send_pending(self, proxy, session, cache)
 
-    patch.object(ProxyUpdates, "_send_pending", send).start()
+    patch.object(ProxyUpdates, "_send_pending", send_first_tables_only).start()
 
 
 def _never_bind_proxy_1() -> None:
@@ -68,35 +68,35 @@
 def _bind_without_endpoints() -> None:
     due = ProxyBinder.due
 
-    def due_at_once(self: ProxyBinder, now: int) -> list[int]:
+    def due_without_endpoints(self: ProxyBinder, now: int) -> list[int]:
         return (
             due(self, now) if self._fleet.endpoints else self._pending_binds.in_order(with_earlier_table=True)
         )
 
-    patch.object(ProxyBinder, "due", due_at_once).start()
+    patch.object(ProxyBinder, "due", due_without_endpoints).start()
 
 
 def _leak_descriptors() -> None:
-    kept: list[Any] = []
+    leaked_sockets: list[Any] = []
     close = Connection.close
 
-    def keep(self: Connection) -> None:
+    def close_and_leak(self: Connection) -> None:
         if self.is_open:
-            kept.append(self.socket.dup())
+            leaked_sockets.append(self.socket.dup())
         close(self)
 
-    patch.object(Connection, "close", keep).start()
+    patch.object(Connection, "close", close_and_leak).start()
 
 
 def _follow_discovery_once() -> None:
     exchange_once = DiscoveryWatch._exchange_once
 
-    async def exchange(self: DiscoveryWatch) -> None:
+    async def exchange_first_time_only(self: DiscoveryWatch) -> None:
         if self.version:
             await trio.sleep_forever()
         await exchange_once(self)
 
-    patch.object(DiscoveryWatch, "_exchange_once", exchange).start()
+    patch.object(DiscoveryWatch, "_exchange_once", exchange_first_time_only).start()
 
 
 def _ignore_message_cap() -> None:
@@ -114,18 +114,18 @@
 
 
 def _reject_nobody() -> None:
-    async def wait(_server: ConnectionServer) -> None:
+    async def wait_forever(_server: ConnectionServer) -> None:
         await trio.sleep_forever()
 
-    patch.object(ConnectionServer, "_reject_overdue_connections", wait).start()
+    patch.object(ConnectionServer, "_reject_overdue_connections", wait_forever).start()
 
 
 FAULTS = {
     "dropped notification": Fault(_drop_updates_of_proxy_0, "proxy 0 may use"),
-    "grace overrun": Fault(replace(EndpointExclusions, "_exclude", lambda *_: False), "may use"),
+    "grace overrun": Fault(replace_method(EndpointExclusions, "_exclude", lambda *_: False), "may use"),
     "proxy never bound": Fault(_never_bind_proxy_1, "proxy 1 has no endpoint"),
     "bound without a list": Fault(_bind_without_endpoints, "told no list, left proxy"),
-    "stuck restart": Fault(lambda: time.sleep(SLOW_START_SECONDS), "starts took over"),
+    "stuck restart": Fault(lambda: time.sleep(STARTUP_DELAY_S), "starts took over"),
     "leaked descriptors": Fault(_leak_descriptors, "descriptors"),
     "memory": Fault(_waste_memory, " MB"),
     "discovery followed once": Fault(_follow_discovery_once, "did not ask for the last list"),
--- a/tests/soak_peers.py
+++ b/tests/soak_peers.py
@@ -1,4 +1,4 @@
-"""Peers of the soak: proxies that use their connections until the end, collectors, and bad clients."""
+"""Peers in the soak test: proxies, collectors of load reports, and clients that never join."""
 
 from __future__ import annotations
 
@@ -18,63 +18,64 @@
 REPORT_INTERVAL_S = 1.0
 
 
-class Serving(Protocol):
-    """A controller, as its peers need it."""
+class ControllerAddress(Protocol):
+    """The part of a controller that its peers need."""
 
     name: str
 
     @property
     def port(self) -> int:
-        """Where it listens."""
+        """The port that it listens on."""
 
 
-Pick = Callable[["SoakProxy"], Serving | None]
-Report = Callable[[str], None]
+PickController = Callable[["SoakProxy"], ControllerAddress | None]
+ReportFinding = Callable[[str], None]
 
 
 @dataclass
 class SoakProxy:
-    """A proxy: it follows a controller until the connection ends, then the next one.
+    """A proxy that stays connected to a controller until the connection ends, and then connects again.
 
     Attributes:
-        number, zone: as it joins.
-        random: draws its pauses.
-        pick: the controller to connect to; None: none takes proxies now.
-        report_finding: is called with what is wrong in the updates it receives.
-        plain: the tables that it holds.
-        controller: the controller that it has joined; None: none.
-        joined_at: when it joined.
-        message_times: when it received the messages of this session.
-        restless_until: until then it reconnects in a loop.
+        number, zone: sent when it joins a controller.
+        routes: the names of all routes.
+        random: the generator of its pauses.
+        pick_controller: returns the controller to connect to; None: no controller accepts proxies now.
+        report_finding: called with each violation in the updates that it receives.
+        reference: the tables that it holds, as a reference implementation applies the updates.
+        controller: the controller of its session; None: not connected.
+        joined_at: when its session began.
+        message_times: when it received the messages of its session.
+        reconnects_until: the time until which it reconnects in a loop.
     """
 
     number: int
     zone: str
     routes: list[str]
     random: random.Random
-    pick: Pick
-    report_finding: Report
-    controller: Serving | None = None
+    pick_controller: PickController
+    report_finding: ReportFinding
+    controller: ControllerAddress | None = None
     joined_at: float = 0.0
     message_times: list[float] = field(default_factory=list)
-    restless_until: float = 0.0
+    reconnects_until: float = 0.0
     _last_marker: int = 0
 
     def __post_init__(self) -> None:
-        self.plain = ReferenceProxy(self.routes)
+        self.reference = ReferenceProxy(self.routes)
         self._is_fresh = True
         self._parts: list[Fields] = []
-        self._sending = trio.Lock()
+        self._send_lock = trio.Lock()
 
-    def usable(self, route: str) -> dict[str, float]:
-        """The weights of a route's endpoints that are not excluded."""
-        weights = self.plain.tables[route]
-        return {host: weight for host, weight in weights.items() if host not in self.plain.excluded}
+    def usable_weights(self, route: str) -> dict[str, float]:
+        """Returns the weights of a route's endpoints that are not excluded."""
+        weights = self.reference.tables[route]
+        return {name: weight for name, weight in weights.items() if name not in self.reference.excluded}
 
     async def run(self) -> None:
-        """Follows controllers until cancelled."""
+        """Keeps a session with one of the controllers until cancelled."""
         while True:
-            controller = self.pick(self)
+            controller = self.pick_controller(self)
             if controller is None:
                 await trio.sleep(0.05)
                 continue
@@ -83,10 +84,10 @@
             except OSError:
                 await trio.sleep(self.random.uniform(0.05, 0.2))
                 continue
-            await self._follow(controller, stream)
+            await self._run_session(controller, stream)
             await trio.sleep(self.random.uniform(0.0, 0.1))
 
-    async def _follow(self, controller: Serving, stream: trio.SocketStream) -> None:
+    async def _run_session(self, controller: ControllerAddress, stream: trio.SocketStream) -> None:
         fields = {"proxy": self.number, "zone": self.zone, "fresh": self._is_fresh}
         try:
             async with trio.open_nursery() as nursery:
@@ -98,7 +99,7 @@
                 self._last_marker = 0
                 nursery.start_soon(self._report_requests, stream)
                 with trio.CancelScope() as scope:
-                    if self.restless_until > trio.current_time():
+                    if self.reconnects_until > trio.current_time():
                         scope.deadline = trio.current_time() + self.random.uniform(0.02, 0.2)
                     await self._receive(stream)
                 nursery.cancel_scope.cancel()
@@ -118,17 +119,17 @@
                 if part.get("t") == "reject":
                     self.report_finding(f"proxy {self.number} was rejected")
                     return
-                await self._take_part(stream, part)
+                await self._handle_part(stream, part)
 
-    async def _take_part(self, stream: trio.SocketStream, part: Fields) -> None:
-        """Applies a message once its last part has come, in the order in which parts were sent."""
+    async def _handle_part(self, stream: trio.SocketStream, part: Fields) -> None:
+        """Applies and acknowledges a message, in the order of its parts, once the last has arrived."""
         self._parts.append(part)
         if part.get("part"):
             return
         if len(self._parts) > MAX_PARTS:
             self.report_finding(f"proxy {self.number}: a message of {len(self._parts)} parts")
-        for each in self._parts:
-            self.plain.apply_part(each)
+        for collected_part in self._parts:
+            self.reference.apply_part(collected_part)
         self._parts = []
         self._is_fresh = False
         self.message_times.append(trio.current_time())
@@ -137,8 +138,8 @@
             if marker <= self._last_marker:
                 self.report_finding(f"proxy {self.number}: marker {marker} after {self._last_marker}")
             self._last_marker = marker
-            done = {"t": "done", "proxy": self.number, "mark": marker, "took_ms": 1.0}
-            await self._send(stream, done)
+            acknowledgement = {"t": "done", "proxy": self.number, "mark": marker, "took_ms": 1.0}
+            await self._send(stream, acknowledgement)
 
     async def _report_requests(self, stream: trio.SocketStream) -> None:
         while True:
@@ -148,21 +149,23 @@
                 await self._send(stream, {**report, "span_ms": 1000.0 * REPORT_INTERVAL_S})
 
     async def _send(self, stream: trio.SocketStream, message: Fields) -> None:
-        async with self._sending:
+        async with self._send_lock:
             await stream.send_all(encode_frame(message))
 
 
-async def run_collector(pick: Callable[[], Serving | None], active: Callable[[], list[str]]) -> None:
-    """Passes on to one controller that all active endpoints answer, until cancelled."""
+async def run_collector(
+    pick_controller: Callable[[], ControllerAddress | None], active_endpoints: Callable[[], list[str]]
+) -> None:
+    """Reports to one controller at a time that all active endpoints serve requests, until cancelled."""
     while True:
-        controller = pick()
+        controller = pick_controller()
         try:
             if controller is not None:
                 stream = await trio.open_tcp_stream("127.0.0.1", controller.port)
                 async with stream:
                     await stream.send_all(encode_frame({"t": "telemetry", "zone": "north"}))
                     while True:
-                        reports = [_endpoint_report(host) for host in active()]
+                        reports = [_endpoint_report(endpoint) for endpoint in active_endpoints()]
                         await stream.send_all(b"".join(map(encode_frame, reports)))
                         await trio.sleep(REPORT_INTERVAL_S)
         except (OSError, trio.BrokenResourceError, trio.ClosedResourceError):
@@ -170,52 +173,54 @@
         await trio.sleep(0.1)
 
 
-def _endpoint_report(host: str) -> Fields:
+def _endpoint_report(endpoint: str) -> Fields:
     counts = {"tries": 20, "failed": 0, "mean_ms": 40.0, "span_ms": 1000.0 * REPORT_INTERVAL_S}
-    return {"t": "upstream_stats", "zone": "north", "server": host, **counts, "load": {"util": 0.5}}
+    return {"t": "upstream_stats", "zone": "north", "server": endpoint, **counts, "load": {"util": 0.5}}
 
 
 class BadClient(Enum):
-    """A peer that does not join."""
+    """A client that connects and never joins."""
 
     SILENT = "silent"
-    HALF_A_MESSAGE = "half a message"
+    INCOMPLETE_MESSAGE = "incomplete message"
     GARBAGE = "garbage"
-    GOES_ON = "goes on"
+    HEARTBEATS_ONLY = "heartbeats only"
 
 
-REJECTED_WITHIN_S = dict.fromkeys(BadClient, 3.0) | {BadClient.GOES_ON: 6.0}
+REJECTION_TIMEOUTS_S = dict.fromkeys(BadClient, 3.0) | {BadClient.HEARTBEATS_ONLY: 6.0}
 FIRST_BYTES = {
     BadClient.SILENT: b"",
-    BadClient.HALF_A_MESSAGE: encode_frame(ATTACH)[:-3],
+    BadClient.INCOMPLETE_MESSAGE: encode_frame(ATTACH)[:-3],
     BadClient.GARBAGE: b"GET / HTTP/1.1\r\n\r\n",
-    BadClient.GOES_ON: encode_frame({"t": "hb"}),
+    BadClient.HEARTBEATS_ONLY: encode_frame({"t": "hb"}),
 }
 
 
-async def run_bad_client(kind: BadClient, controller: Serving, report_finding: Report) -> None:
-    """Connects, and reports a finding if it is neither rejected nor closed in time."""
+async def run_bad_client(
+    kind: BadClient, controller: ControllerAddress, report_finding: ReportFinding
+) -> None:
+    """Connects, and reports a finding if it is neither rejected nor disconnected in time."""
     try:
         stream = await trio.open_tcp_stream("127.0.0.1", controller.port)
     except OSError:
         return
-    limit_s = REJECTED_WITHIN_S[kind]
-    with trio.move_on_after(limit_s) as scope:
+    timeout_s = REJECTION_TIMEOUTS_S[kind]
+    with trio.move_on_after(timeout_s) as scope:
         try:
             async with trio.open_nursery() as nursery:
                 await stream.send_all(FIRST_BYTES[kind])
-                if kind is BadClient.GOES_ON:
-                    nursery.start_soon(_go_on, stream)
+                if kind is BadClient.HEARTBEATS_ONLY:
+                    nursery.start_soon(_send_heartbeats, stream)
                 await _receive_until_rejected(stream)
                 nursery.cancel_scope.cancel()
         except* (trio.BrokenResourceError, trio.ClosedResourceError):
             pass
     await trio.aclose_forcefully(stream)
     if scope.cancelled_caught:
-        report_finding(f"bad client ({kind.value}) of {controller.name}: not rejected in {limit_s:.0f} s")
+        report_finding(f"bad client ({kind.value}) of {controller.name}: not rejected in {timeout_s:.0f} s")
 
 
-async def _go_on(stream: trio.SocketStream) -> None:
+async def _send_heartbeats(stream: trio.SocketStream) -> None:
     while True:
         await trio.sleep(0.2)
         await stream.send_all(encode_frame({"t": "hb"}))
