--- a/tests/decisions/test_channel.py
+++ b/tests/decisions/test_channel.py
@@ -23,10 +23,10 @@
         channel.flush(0)
     channel.acknowledge(70_000, 0, 1)
     channel.update_overdue(80_000, 20_000)
-    channel.drain(80_000)
+    channel.advance_queue_estimate(80_000)
     assert channel.queue_ceiling() == channel.unproven_entries() == 5 * 107
     channel.update_overdue(95_000, 20_000)  # no further acknowledgement arrives
-    channel.drain(95_000)
+    channel.advance_queue_estimate(95_000)
     assert channel.queue_ceiling() == channel.unproven_entries() == 0
 
 
@@ -35,13 +35,14 @@
     channel.charge([0, 1], 300)
     assert channel.queue_ceiling() == 614
     channel.flush(0)
-    channel.drain(3000)  # at the stated rate 480 have left; in a slow channel all may be queued
+    # at the stated rate 480 have left; in a slow channel all may be queued
+    channel.advance_queue_estimate(3000)
     assert channel.queue_estimate() == 134 and channel.queue_ceiling() == 614
     channel.charge([0], 10)
     assert channel.queue_ceiling() == 631
     channel.flush(3000)
     channel.acknowledge(3000, 0, 1)
-    channel.drain(3000)
+    channel.advance_queue_estimate(3000)
     assert channel.queue_ceiling() == 307 + 17
 
 
@@ -67,15 +68,15 @@
     channel = joined_channel(50)
     channel.charge([*range(50)], 33)
     channel.flush(0)
-    channel.drain(10_000)
+    channel.advance_queue_estimate(10_000)
     assert channel.queued == 400 and channel.queue_estimate() == 2000 - 640
-    channel.drain(20_000)
+    channel.advance_queue_estimate(20_000)
     assert channel.queued == 0 and channel.queue_estimate() == 2000 - 640
     channel.charge([0], 3)
     assert channel.queue_estimate() == 2010 - 640
     channel.flush(20_000)
     channel.acknowledge(20_000, 0, 2)
-    channel.drain(20_000)
+    channel.advance_queue_estimate(20_000)
     assert channel.queue_estimate() == 10
 
 
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -84,7 +84,7 @@
 ) -> None:
     context = make_context(settings_with(fleet__avoidance_failures=avoidance_failures))
     slow_start = SlowStart(context)
-    slow_start.hold_warming_endpoints(20 * SECOND)
+    slow_start.suspend_warming_weights(20 * SECOND)
     endpoint = add_endpoint(context, "h0", started_at=28 * SECOND)
     assert slow_start.weight_fraction(28 * SECOND - 1, endpoint) == held_fraction
     assert slow_start.weight_fraction(28 * SECOND, endpoint) == 0.25
--- a/tests/test_publisher.py
+++ b/tests/test_publisher.py
@@ -152,7 +152,7 @@
         harness.update_table(EVEN, marker=3)
         await harness.publish(TICKS_PER_SECOND)
         assert harness.sink.written == []
-        assert harness.session.held is not None and harness.session.held.until == until
+        assert harness.session.withheld is not None and harness.session.withheld.until == until
         validator.validate = judge  # type: ignore[method-assign]
         await harness.publish(TICKS_PER_SECOND)  # queues the message again
         await harness.publish(TICKS_PER_SECOND)
@@ -174,7 +174,7 @@
         validator.validate = judge  # type: ignore[method-assign]
         harness.update_table({"a": 2.0})
         await harness.publish(TICKS_PER_SECOND)
-        assert harness.session.held is None
+        assert harness.session.withheld is None
         assert [number for number, _ in harness.sink.written] == [2]
 
     run(scenario)
@@ -187,8 +187,8 @@
         validator.validate = verdict_of(Outcome.HELD)  # type: ignore[method-assign]
         harness.update_table(EVEN)
         await harness.publish(TICKS_PER_SECOND)
-        assert harness.session.held is not None
-        assert harness.session.held.until == 2 * TICKS_PER_SECOND > harness.listener.time + MIN_HOLD_TICKS
+        assert harness.session.withheld is not None
+        assert harness.session.withheld.until == 2 * TICKS_PER_SECOND > harness.listener.time + MIN_HOLD_TICKS
 
     run(scenario)
 
@@ -202,7 +202,7 @@
         await harness.publish(TICKS_PER_SECOND)
         await harness.publish(TICKS_PER_SECOND)
         assert harness.sink.written == []
-        assert harness.session.held is None
+        assert harness.session.withheld is None
         assert len(harness.publisher.channel) == 0
 
     run(scenario)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -220,7 +220,7 @@
         resource.setrlimit(resource.RLIMIT_FSIZE, (10, limits[1]))
         try:
             discovery.endpoints["b"], discovery.index = True, 2
-            await wait_until(lambda: "files cannot be swapped" in log.texts("warning"))
+            await wait_until(lambda: "files cannot be written" in log.texts("warning"))
             await trio.sleep(0.5)
             assert read_group(str(proxy.down))[1] == before
         finally:
@@ -228,8 +228,8 @@
         await wait_until(lambda: proxy.usable_endpoints() == {"a", "c"})
 
     log = serve(tmp_path, play)
-    assert log.texts("warning").count("files cannot be swapped") == 1
-    assert "files can be swapped again" in log.texts()
+    assert log.texts("warning").count("files cannot be written") == 1
+    assert "files can be written again" in log.texts()
 
 
 def test_second_controller_cannot_lock_the_folder(tmp_path: Path) -> None:
--- a/willowhook/cli/commands.py
+++ b/willowhook/cli/commands.py
@@ -1,7 +1,7 @@
 """The root command, and the commands of controllers, configurations, tables and versions.
 
-Exit codes: 0 success, 1 a trial or check failed, 2 wrong usage or configuration, 3 the controller's folder
-cannot be used, 4 the controller failed.
+Exit codes: 0 success, 1 a trial or check failed, 2 wrong usage or configuration, 3 the controller cannot
+start, as its folder, a port or its credentials cannot be used, 4 the controller failed.
 """
 
 from __future__ import annotations
--- a/willowhook/controlplane/acknowledgements.py
+++ b/willowhook/controlplane/acknowledgements.py
@@ -82,7 +82,7 @@
             self._rollout.record_resource_rejected(now, proxy, resource, cause)
 
     def handle_part_acknowledged(self, now: int, proxy: int, resources: ResourceSet) -> None:
-        """Records that a proxy that uses the discovery server has applied all resources of one type."""
+        """Records that a proxy that uses the xDS discovery server has applied all resources of one type."""
         if resources.kind != TABLES:
             for resource in resources.resources.values():
                 self._rollout.record_resource_acknowledged(now, proxy, resource)
--- a/willowhook/controlplane/controller_runtime.py
+++ b/willowhook/controlplane/controller_runtime.py
@@ -88,18 +88,18 @@
         self._record_exclusion(endpoint, False)
 
     def exclude_for_proxy(self, proxy: int, endpoints: Sequence[str]) -> None:
-        """Excludes endpoints at one proxy."""
+        """Does nothing: each message carries the complete state of its proxy, with all exclusions."""
         self._proxy_states.exclude_for_proxy(proxy, endpoints)
 
     def readmit_for_proxy(self, proxy: int, endpoints: Sequence[str]) -> None:
-        """Readmits endpoints at one proxy."""
+        """Does nothing: each message carries the complete state of its proxy, with all exclusions."""
         self._proxy_states.readmit_for_proxy(proxy, endpoints)
 
     def end_session(self, proxy: int) -> None:
         """Does nothing: silent sessions time out, and files are rewritten until they are acknowledged."""
 
     def forget_endpoint(self, endpoint: str) -> None:
-        """Drops the state of an endpoint."""
+        """Does nothing: a proxy's own files may still name the endpoint, so it stays excluded."""
         self._proxy_states.forget_endpoint(endpoint)
 
     def send_sync_marker(self, marker: int) -> None:
--- a/willowhook/controlplane/decider.py
+++ b/willowhook/controlplane/decider.py
@@ -23,7 +23,7 @@
         """Returns the estimated number of entries that wait in the channel."""
 
     def learnt_capacities(self) -> Mapping[str, float]:
-        """Returns the capacities learnt from load reports, by endpoint name."""
+        """Returns each endpoint's capacity relative to the mean, listed or learnt, by endpoint name."""
 
 
 class ControllerPort:
--- a/willowhook/controlplane/decision_loop.py
+++ b/willowhook/controlplane/decision_loop.py
@@ -69,7 +69,7 @@
         self._clock = clock
         self._decided_at = 0
         self._maintained_at = 0
-        self._has_budget_for_reports = False
+        self._has_unprocessed_reports = False
 
     async def run(self) -> None:
         """Runs the loop until cancelled."""
@@ -94,14 +94,14 @@
         if due is None:
             due = now + MAX_WAIT_TICKS
         if self._reports.has_waiting():
-            due = now if self._has_budget_for_reports else min(due, now + REPORT_POLL_TICKS)
+            due = now if self._has_unprocessed_reports else min(due, now + REPORT_POLL_TICKS)
         return max(due - now, 0)
 
     def _decide(self, batch: Sequence[InboundEvent]) -> None:
         now = self._decided_at = self._clock.now()
         for event in batch:
             self._dispatch(now, event)
-        self._has_budget_for_reports = self._reports.process_waiting()
+        self._has_unprocessed_reports = self._reports.process_waiting()
         self._reports.maintain(now, len(self._proxy_states.proxies))
         is_maintenance_due = now - self._maintained_at >= MAINTENANCE_INTERVAL_TICKS
         if is_maintenance_due:
--- a/willowhook/controlplane/discovery_feed.py
+++ b/willowhook/controlplane/discovery_feed.py
@@ -1,4 +1,4 @@
-"""Connects the discovery server, from which proxies request updates, to the control plane.
+"""Connects the xDS discovery server, from which proxies request updates, to the control plane.
 
 Events of the server go to the decision task in the order in which they happened. The tasks that serve
 requests keep the state of the server; they run in the same thread.
@@ -73,7 +73,7 @@
 
 
 class DiscoveryFeed:
-    """Runs the discovery server and sends its events to the decision task.
+    """Runs the xDS discovery server and sends its events to the decision task.
 
     Attributes:
         gate: the limits on connections and requests.
@@ -157,7 +157,7 @@
         return HttpUpdateSink(session, self._store, self.discovery_server.notify_session)
 
     def open_session(self, now: int, request: SessionRequested) -> None:
-        """Opens the session of a proxy that uses the discovery server, unless it is open already."""
+        """Opens the session of a proxy that uses the xDS discovery server, unless it is open already."""
         session = self._intake.sessions.get(request.name)
         has_session = session is not None and session.uses_discovery and session.term == request.term
         if not has_session and not self._intake.open_session(
@@ -177,10 +177,10 @@
         session = self._discovery_sessions.get(name)
         return session is not None and self.discovery_server.has_waiting_call(session)
 
-    # The interface that the discovery server calls, `DiscoveryBackend`.
+    # The interface that the xDS discovery server calls, `DiscoveryBackend`.
 
     def session_state(self, name: str) -> tuple[int, bool] | None:
-        """The term of a proxy's session, and whether it uses the discovery server; None if it has none."""
+        """The term of a proxy's session, and whether it uses the xDS discovery server; None without one."""
         session = self._intake.sessions.get(name)
         return (session.term, session.uses_discovery) if session is not None else None
 
--- a/willowhook/controlplane/inbound_dispatcher.py
+++ b/willowhook/controlplane/inbound_dispatcher.py
@@ -93,7 +93,7 @@
                 self._intake.reject_unreadable(event.name, event.file, event.cause)
 
     def _handle_discovery(self, now: int, event: DiscoveryEvent) -> None:
-        """Handles an event of the discovery server."""
+        """Handles an event of the xDS discovery server."""
         match event:
             case SessionRequested():
                 assert self._discovery is not None, "only the discovery server sends this event"
--- a/willowhook/controlplane/inbound_events.py
+++ b/willowhook/controlplane/inbound_events.py
@@ -77,7 +77,7 @@
     cause: str
 
 
-# From the discovery server.
+# From the xDS discovery server.
 
 
 @dataclass(slots=True)
@@ -95,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionRequested:
-    """A proxy requests a session from the discovery server.
+    """A proxy requests a session from the xDS discovery server.
 
     Attributes:
         name: the name of the proxy.
@@ -112,14 +112,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyCalled:
-    """A proxy has sent a request to the discovery server."""
+    """A proxy has sent a request to the xDS discovery server."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class ResourceRejected:
-    """A proxy that uses the discovery server has rejected a resource."""
+    """A proxy that uses the xDS discovery server has rejected a resource."""
 
     proxy: int
     resource: Resource
@@ -128,7 +128,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PartAcknowledged:
-    """A proxy that uses the discovery server has acknowledged a part of its resources."""
+    """A proxy that uses the xDS discovery server has acknowledged a part of its resources."""
 
     proxy: int
     part: ResourceSet
--- a/willowhook/controlplane/intake.py
+++ b/willowhook/controlplane/intake.py
@@ -59,7 +59,7 @@
         name: the name of the proxy, as in its folder or its requests.
         term: the number of its session, counted over all controllers.
         last_activity_at: the tick of the last activity of the proxy.
-        uses_discovery: whether it calls the discovery server; otherwise it reads files.
+        uses_discovery: whether it calls the xDS discovery server; otherwise it reads files.
         applied: the newest update message that it is known to have applied.
         rejected: by kind of file, the newest update message that it rejected.
     """
@@ -135,7 +135,7 @@
             name: the name of the proxy.
             files: the files that it has written so far, by file name.
             previous: the files that an earlier controller process wrote for it, if any.
-            uses_discovery: whether it calls the discovery server.
+            uses_discovery: whether it calls the xDS discovery server.
 
         Returns:
             False if the files are malformed or the status is still missing.
--- a/willowhook/controlplane/main.py
+++ b/willowhook/controlplane/main.py
@@ -16,7 +16,7 @@
 from ..signals import receive_signals
 from .service import Service
 
-EXIT_FOLDER_UNUSABLE = 3
+EXIT_CANNOT_START = 3
 EXIT_FAILED = 4
 
 
@@ -72,10 +72,10 @@
         trio.run(partial(_serve, terms, log))
     except* FolderInUseError as errors:
         log.error("controller folder is locked by another process", cause=str(errors.exceptions[0]))
-        exit_code = EXIT_FOLDER_UNUSABLE
+        exit_code = EXIT_CANNOT_START
     except* OSError as errors:
-        log.error("controller folder cannot be used", cause=str(errors.exceptions[0]))
-        exit_code = EXIT_FOLDER_UNUSABLE
+        log.error("controller cannot start", cause=str(errors.exceptions[0]))
+        exit_code = EXIT_CANNOT_START
     except* Exception as errors:
         log.error("controller failed", exc_info=errors)
         exit_code = EXIT_FAILED
--- a/willowhook/controlplane/proxy_events.py
+++ b/willowhook/controlplane/proxy_events.py
@@ -24,7 +24,7 @@
         is_fresh: whether no controller has sent it anything since it started.
         held: the resources that it holds.
         term: the number of the session, counted by the proxy over all controllers.
-        uses_discovery: whether it calls the discovery server; otherwise it reads files.
+        uses_discovery: whether it calls the xDS discovery server; otherwise it reads files.
     """
 
     proxy: int
--- a/willowhook/controlplane/proxy_folder_feed.py
+++ b/willowhook/controlplane/proxy_folder_feed.py
@@ -47,8 +47,8 @@
             intake: processes the files.
             reports: processes load reports.
         """
-        self._up = context.folder.inbound_path
-        self._down = context.folder.outbound_path
+        self._inbound_path = context.folder.inbound_path
+        self._outbound_path = context.folder.outbound_path
         self._ops = context.ops
         self._max_file_bytes = context.terms.files.largest_report_bytes
         self._queue = context.queue
@@ -65,8 +65,8 @@
 
     async def run(self) -> None:
         """Watches the folders of proxies until cancelled."""
-        self._watch.add(self._up, "")
-        for name in self._ops.listdir(self._up):
+        self._watch.add(self._inbound_path, "")
+        for name in self._ops.listdir(self._inbound_path):
             await self._folder_changed(name)
         while True:
             for name, file in await self._watch.changed():
@@ -75,7 +75,7 @@
                 elif file:
                     await self._folder_changed(file)
                 else:  # the watch has lost changes
-                    for proxy in dict.fromkeys([*self._ops.listdir(self._up), *self._folders]):
+                    for proxy in dict.fromkeys([*self._ops.listdir(self._inbound_path), *self._folders]):
                         await self._folder_changed(proxy)
 
     async def run_deferred_reads(self) -> None:
@@ -108,14 +108,14 @@
         try:
             identity = self._folder_identity(name)
             if identity:
-                self._watch.add(f"{self._up}/{name}", name)
+                self._watch.add(f"{self._inbound_path}/{name}", name)
         except OSError:
             return ()
         return identity
 
     def _folder_identity(self, name: str) -> FolderIdentity:
         """The identity includes the status file, because the file system reuses inode numbers of folders."""
-        path = f"{self._up}/{name}"
+        path = f"{self._inbound_path}/{name}"
         folder_stat = os.lstat(path)
         if not stat.S_ISDIR(folder_stat.st_mode):
             return ()
@@ -130,7 +130,7 @@
         files = {file: data for file, data in contents.items() if data is not None}
         previous: dict[str, bytes] | None = None
         with contextlib.suppress(OSError):  # no controller has written files for this proxy
-            previous = read_group(f"{self._down}/{name}")[1]
+            previous = read_group(f"{self._outbound_path}/{name}")[1]
         self._folders[name] = identity
         await self._queue.send(ProxyFolderFound(name, identity, files, previous))
 
@@ -144,7 +144,7 @@
     def has_unread_report(self, name: str) -> bool:
         """Whether a proxy has written a report that is not read yet; true once per report."""
         try:
-            identity = _file_identity(f"{self._up}/{name}/{LOAD_FILE}")
+            identity = _file_identity(f"{self._inbound_path}/{name}/{LOAD_FILE}")
         except OSError:
             return False
         if identity in (self._files_read.get((name, LOAD_FILE)), self._reports_seen.get(name)):
@@ -191,7 +191,7 @@
 
     async def _read(self, name: str, file: str) -> bytes | None:
         """Returns a file's bytes; None if it was read before, does not exist or cannot be read."""
-        path = f"{self._up}/{name}/{file}"
+        path = f"{self._inbound_path}/{name}/{file}"
         try:
             identity = _file_identity(path)
             if self._files_read.get((name, file)) == identity:
--- a/willowhook/controlplane/proxy_session.py
+++ b/willowhook/controlplane/proxy_session.py
@@ -34,7 +34,7 @@
     ordered_at: int
 
 
-class HeldMessage(NamedTuple):
+class WithheldMessage(NamedTuple):
     """A message that validation holds back until the tick `until`."""
 
     until: int
@@ -71,12 +71,12 @@
         term: the number of its session, counted over all controllers.
         initial: the resources that it held when it joined.
         sink: the destination of its updates.
-        uses_discovery: whether it calls the discovery server; otherwise it reads files.
+        uses_discovery: whether it calls the xDS discovery server; otherwise it reads files.
         pending: the messages that it has not acknowledged.
         written: the number of the last message that was written for it.
         acknowledged: the number of the newest message that it has applied.
         unwritten: the newest message, if writing it failed.
-        held: the message that validation holds back, if any.
+        held: the message that validation withholds for now, if any.
         refused: the message that validation refused last, if no message was sent since.
         rewrite: when its unacknowledged files are written again, if any.
         newest: the last message that left the channel, before the rollout or validation changed it.
@@ -94,7 +94,7 @@
     written: int = 0
     acknowledged: int = 0
     unwritten: UpdateMessage | None = None
-    held: HeldMessage | None = None
+    withheld: WithheldMessage | None = None
     refused: RefusedMessage | None = None
     rewrite: RewriteTimer | None = None
     newest: UpdateMessage | None = None
@@ -103,8 +103,8 @@
 
     @property
     def has_unfinished_work(self) -> bool:
-        """Whether a message is unwritten, held back or refused, or files may need a rewrite."""
-        waiting = (self.unwritten, self.held, self.refused, self.rewrite)
+        """Whether a message is unwritten, withheld or refused, or files may need a rewrite."""
+        waiting = (self.unwritten, self.withheld, self.refused, self.rewrite)
         return any(each is not None for each in waiting)
 
     @property
--- a/willowhook/controlplane/publisher.py
+++ b/willowhook/controlplane/publisher.py
@@ -158,7 +158,7 @@
         while (message := self._queue.take(now)) is not None:
             session = self.sessions.get(message.proxy)
             if session is not None:
-                session.held = session.refused = None  # superseded: a message holds the complete state
+                session.withheld = session.refused = None  # superseded: a message holds the complete state
                 session.newest = message
                 await self._publish(now, session, message)
             now = self._listener.now()
@@ -200,8 +200,8 @@
         if departure is not None:
             waits.append(departure - now)
         for session in self._registry.unfinished_sessions():
-            if session.held is not None:
-                waits.append(session.held.until - now)
+            if session.withheld is not None:
+                waits.append(session.withheld.until - now)
             if session.refused is not None:
                 waits.append(session.refused.revalidate_at - now)
             if session.unwritten is not None:
@@ -211,7 +211,7 @@
     # Answers of proxies.
 
     def handle_delivered(self, proxy: int) -> None:
-        """Records that a proxy has fetched its update from the discovery server."""
+        """Records that a proxy has fetched its update from the xDS discovery server."""
         self.channel.release_fetched(proxy)
 
     def handle_acknowledged(self, now: int, proxy: int, number: int) -> None:
--- a/willowhook/controlplane/report_interval.py
+++ b/willowhook/controlplane/report_interval.py
@@ -21,10 +21,10 @@
 
 
 class ReportIntervalPublisher:
-    """Publishes the report interval through the discovery server, and in one file for all other proxies."""
+    """Publishes the report interval on the xDS discovery server, and in a file for all other proxies."""
 
     def __init__(self, context: ServiceContext, discovery: DiscoveryFeed | None) -> None:
-        """Stores the shared context, and the discovery server if there is one."""
+        """Stores the shared context, and the xDS discovery server if there is one."""
         self._folder = context.folder
         self._ops = context.ops
         self._conditions = context.conditions
--- a/willowhook/controlplane/report_processor.py
+++ b/willowhook/controlplane/report_processor.py
@@ -156,7 +156,7 @@
         self._mean_rate_per_second += (rate_per_second - self._mean_rate_per_second) * MEAN_RATE_SMOOTHING
         self.queue.set_share(name, rate_per_second / max(self._mean_rate_per_second, 1e-9))
 
-    def maintain(self, now: int, proxies: int) -> None:
+    def maintain(self, now: int, proxy_count: int) -> None:
         """Flushes the sums to the controller and adapts the report interval, each when it is due."""
         if now - self._flushed_at >= self._flush_interval_ticks:
             self._flushed_at = now
@@ -164,15 +164,18 @@
         if now - self._interval_adapted_at >= INTERVAL_ADAPTATION_PERIOD_TICKS:
             elapsed_ticks = now - self._interval_adapted_at
             self._interval_adapted_at = now
-            self._adapt_interval(now, elapsed_ticks, proxies)
+            self._adapt_interval(now, elapsed_ticks, proxy_count)
 
-    def _adapt_interval(self, now: int, elapsed_ticks: int, proxies: int) -> None:
-        arrived = self.queue.arrived - self._previously_arrived
+    def _adapt_interval(self, now: int, elapsed_ticks: int, proxy_count: int) -> None:
+        """Adapts the report interval to the arrivals in the elapsed time, and records the total counts."""
+        newly_arrived = self.queue.arrived - self._previously_arrived
         self._previously_arrived = self.queue.arrived
         ticks_per_report = 0.0
         if self.processed:
             ticks_per_report = self.spent_nanoseconds / NANOSECONDS_PER_TICK / self.processed
-        self.budget.adapt_interval(now, arrived * TICKS_PER_SECOND / elapsed_ticks, proxies, ticks_per_report)
+        self.budget.adapt_interval(
+            now, newly_arrived * TICKS_PER_SECOND / elapsed_ticks, proxy_count, ticks_per_report
+        )
         self.quarantine.release_due(now)
         self._intake.windows.drop_expired(now)
         self._context.records.append(
--- a/willowhook/controlplane/service.py
+++ b/willowhook/controlplane/service.py
@@ -63,7 +63,7 @@
 
     Attributes:
         handoff_port: the port that serves handoff packets of peers; 0 if there is none.
-        discovery_port: the port of the discovery server; 0 if there is none.
+        discovery_port: the port of the xDS discovery server; 0 if there is none.
     """
 
     def __init__(
--- a/willowhook/controlplane/session_timeouts.py
+++ b/willowhook/controlplane/session_timeouts.py
@@ -1,4 +1,4 @@
-"""Closes the sessions of inactive proxies, whether they use files or the discovery server."""
+"""Closes the sessions of inactive proxies, whether they use files or the xDS discovery server."""
 
 from __future__ import annotations
 
--- a/willowhook/controlplane/update_queue.py
+++ b/willowhook/controlplane/update_queue.py
@@ -64,10 +64,10 @@
     def put_held_messages(self, now: int) -> None:
         """Queues messages that validation held until now, unless superseded by a later message."""
         for session in self._sessions.unfinished_sessions():
-            if session.held is None or now < session.held.until:
+            if session.withheld is None or now < session.withheld.until:
                 continue
-            message = session.held.message
-            session.held = None
+            message = session.withheld.message
+            session.withheld = None
             self.put_again_unless_superseded(now, message)
 
     def put_again_unless_superseded(self, now: int, message: UpdateMessage) -> None:
--- a/willowhook/controlplane/update_sink_factory.py
+++ b/willowhook/controlplane/update_sink_factory.py
@@ -11,7 +11,7 @@
 
 
 class UpdateSinkFactory:
-    """Creates file sinks and, for proxies that use the discovery server, sinks with a discovery session."""
+    """Creates file sinks, and sinks with a session for proxies that use the xDS discovery server."""
 
     def __init__(
         self,
@@ -20,7 +20,7 @@
         store: ResourceStore,
         discovery: DiscoveryFeed | None,
     ) -> None:
-        """Stores the class that writes files, the resource store, and the discovery server if any."""
+        """Stores the class that writes files, the resource store, and the xDS discovery server if any."""
         self._context = context
         self._file_writer_type = file_writer_type
         self._store = store
@@ -40,6 +40,6 @@
             file_writer.open()
         except OSError as error:
             self._context.conditions.report(
-                "disk", True, "files cannot be swapped", proxy=session.name, cause=str(error)
+                "disk", True, "files cannot be written", proxy=session.name, cause=str(error)
             )
         return FileUpdateSink(file_writer, self._store, session.term, epoch, durability != "none")
--- a/willowhook/controlplane/update_validator.py
+++ b/willowhook/controlplane/update_validator.py
@@ -11,7 +11,7 @@
 from ..ticks import TICKS_PER_SECOND
 from ..validation.model import UpdateVersion
 from ..validation.verdict import Outcome, Verdict
-from .proxy_session import FIRST_REFUSAL_BACKOFF_TICKS, HeldMessage, PublisherSession, RefusedMessage
+from .proxy_session import FIRST_REFUSAL_BACKOFF_TICKS, PublisherSession, RefusedMessage, WithheldMessage
 from .proxy_state import UpdateMessage
 from .publisher_context import PublisherContext
 from .publisher_listener import Condition
@@ -110,7 +110,7 @@
         if is_held:
             last_step = max((step.not_before for step in verdict.steps), default=now + DEFAULT_HOLD_TICKS)
             until = verdict.held_until() or last_step
-            session.held = HeldMessage(max(until, now + MIN_HOLD_TICKS), message)
+            session.withheld = WithheldMessage(max(until, now + MIN_HOLD_TICKS), message)
         else:
             revalidate_at = now + FIRST_REFUSAL_BACKOFF_TICKS
             session.refused = RefusedMessage(revalidate_at, 2 * FIRST_REFUSAL_BACKOFF_TICKS, message)
--- a/willowhook/controlplane/update_writer.py
+++ b/willowhook/controlplane/update_writer.py
@@ -56,13 +56,13 @@
             self._listener.report_condition(
                 Condition.FILES_UNWRITABLE,
                 True,
-                "files cannot be swapped",
+                "files cannot be written",
                 proxy=session.name,
                 cause=str(error),
             )
             return False
         self._listener.report_condition(
-            Condition.FILES_UNWRITABLE, False, "files can be swapped again", proxy=session.name
+            Condition.FILES_UNWRITABLE, False, "files can be written again", proxy=session.name
         )
         now = self._listener.now()
         self._records.record_written(now, session, message, self._channel.waiting_entries, has_changed)
--- a/willowhook/controlplane/validation_context.py
+++ b/willowhook/controlplane/validation_context.py
@@ -1,6 +1,6 @@
 """The state that update validation needs: endpoints, proxies, and the effect of each message.
 
-`ValidationContext` keeps the validator's world up to date and converts messages to candidates.
+`ValidationContext` keeps the state that validation uses up to date and converts messages to candidates.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 
     Args:
         settings: the settings of the deployment.
-        cold_budget_fraction: the fraction of an endpoint's slow-start budget that tables may use.
+        slow_start_budget_fraction: the fraction of an endpoint's slow-start budget that tables may use.
         max_share_factor: how many times its even share of all requests an endpoint may get.
         capacity_per_second: the request rate that an endpoint can serve, by endpoint class, if configured.
     """
@@ -92,7 +92,7 @@
         self._unacknowledged: dict[int, list[tuple[int, ProxyTables]]] = {}
         self.counts: dict[str, int] = {}  # verdicts, by kind
 
-    # The world.
+    # The state that validation uses.
 
     def update_endpoints(
         self, now: int, discovered: list[DiscoveredEndpoint], started_at: Callable[[DiscoveredEndpoint], int]
--- a/willowhook/decisions/admission.py
+++ b/willowhook/decisions/admission.py
@@ -14,7 +14,7 @@
 from .arithmetic import even_allowance
 from .context import ControllerContext
 from .demand import RequestDemand
-from .load import HIGH_UTILIZATION, IDLE_UTILIZATION, LATE_FRACTION, LoadSample
+from .load import HIGH_LATENCY_RATIO, HIGH_UTILIZATION, IDLE_UTILIZATION, LoadSample
 from .model import EndpointTable
 from .runtime import AdmissionLimit, RetryMode
 from .settings import AdmissionUnit, Route
@@ -75,13 +75,13 @@
             feedback_ticks: time from a command to the reports that show its effect, without request latency.
         """
         # failures do not indicate overload while responses are not late
-        is_late = sample.latency_fraction > LATE_FRACTION
+        is_late = sample.latency_fraction > HIGH_LATENCY_RATIO
         success_fraction = sample.median_success_fraction if is_late else 1.0
         self._conditions.pressure = sample.latency_fraction + 1 - success_fraction
         self._conditions.success_fraction = min(success_fraction, sample.overall_success_fraction)
         was_shedding = self.is_shedding
         previous_fraction = self.admitted_fraction
-        total_feedback_ticks = min(feedback_ticks + int(sample.mean_latency_ticks), MAX_FEEDBACK_TICKS)
+        total_feedback_ticks = min(feedback_ticks + int(sample.median_latency_ticks), MAX_FEEDBACK_TICKS)
         self._step(now, sample, success_fraction, total_feedback_ticks)
         if was_shedding != self.is_shedding:
             self._log_change(previous_fraction, sample, success_fraction)
@@ -151,7 +151,7 @@
         """Returns the factor, at most 1, by which latency and failures reduce the admitted fraction."""
         if self.is_shedding and sample.projected_utilization <= IDLE_UTILIZATION:
             return 1.0  # the late and failed requests date from before load was shed
-        return success_fraction * min(1.0, LATE_FRACTION / sample.latency_fraction)
+        return success_fraction * min(1.0, HIGH_LATENCY_RATIO / sample.latency_fraction)
 
     def _shed(self, now: int, sample: LoadSample, success_fraction: float, feedback_ticks: int) -> None:
         utilization_factor = min(1.0, TARGET_UTILIZATION / sample.projected_utilization)
--- a/willowhook/decisions/channel.py
+++ b/willowhook/decisions/channel.py
@@ -63,7 +63,7 @@
         self.overdue = 0.0
         self._possibly_waiting = 0.0  # entries not proven to have left the queue
         self._certainly_waiting = 0.0  # those of them that cannot be in transit at the stated rate
-        self._drained_at = now
+        self._estimate_advanced_at = now
         self._last_acknowledgement_at = now
         self._lost_before = now  # messages due by then are lost and no longer count
         self.last_marker = 0
@@ -109,10 +109,10 @@
         for proxy in proxies:
             self.pending[proxy] = self.pending.get(proxy, self.overhead_entries) + entries
 
-    def drain(self, now: int) -> None:
+    def advance_queue_estimate(self, now: int) -> None:
         """Subtracts the entries that have left the queue since the last call."""
-        self.queued = max(0.0, self.queued - self.entries_per_tick * (now - self._drained_at))
-        self._drained_at = now
+        self.queued = max(0.0, self.queued - self.entries_per_tick * (now - self._estimate_advanced_at))
+        self._estimate_advanced_at = now
         self._possibly_waiting = self.unproven_entries()
         # entries that left within the maximum message delay may not be acknowledged yet; the rest is queued
         in_transit = self.entries_per_tick * self._max_delay_ticks
--- a/willowhook/decisions/controller.py
+++ b/willowhook/decisions/controller.py
@@ -140,7 +140,7 @@
         return self.channel.queue_estimate()
 
     def learnt_capacities(self) -> dict[str, float]:
-        """Returns the capacity of each endpoint relative to the mean, as listed or learnt."""
+        """Returns each endpoint's capacity relative to the mean, listed or learnt, by endpoint name."""
         return {name: endpoint.capacity for name, endpoint in self.fleet.endpoints.items()}
 
     def status(self, now: int) -> ControllerStatus:
--- a/willowhook/decisions/health_checks.py
+++ b/willowhook/decisions/health_checks.py
@@ -9,7 +9,7 @@
 from ..ticks import TICKS_PER_SECOND
 from .context import ControllerContext
 from .events import HealthCheckCompleted, HealthCheckOutcome
-from .load import IDLE_UTILIZATION, LATE_FRACTION
+from .load import HIGH_LATENCY_RATIO, IDLE_UTILIZATION
 from .model import RECENT_BUCKETS, Endpoint
 from .partitions import PartitionDetector
 from .settings import LoadSource
@@ -67,5 +67,5 @@
         if endpoint.zone in self._partitions.unreachable_zones:
             return False
         sums = endpoint.attempts(now, RECENT_BUCKETS)
-        is_late = sums.latency_ticks > sums.successes * LATE_FRACTION * self._shortest_objective_ticks
+        is_late = sums.latency_ticks > sums.successes * HIGH_LATENCY_RATIO * self._shortest_objective_ticks
         return is_late or not self._conditions.pressure
--- a/willowhook/decisions/load.py
+++ b/willowhook/decisions/load.py
@@ -19,7 +19,7 @@
 from .windows import IntervalHistory, WindowedSums
 
 MAX_LOAD_AGE_TICKS = 5 * TICKS_PER_SECOND  # maximum age of a reported utilization
-LATE_FRACTION = 0.45  # share of the latency objective above which responses count as late
+HIGH_LATENCY_RATIO = 0.45  # latency as a share of the objective, above which responses count as late
 IDLE_UTILIZATION = 0.65  # up to it, late responses do not indicate overload
 HIGH_UTILIZATION = 0.88  # share of cores in use; also assumed where endpoints report no load
 CALM_UTILIZATION = 0.5  # below it, attempts count as successful before the first reports on them
@@ -46,7 +46,7 @@
 
     utilization: float
     projected_utilization: float
-    mean_latency_ticks: float
+    median_latency_ticks: float
     latency_fraction: float
     median_success_fraction: float
     overall_success_fraction: float
@@ -104,7 +104,7 @@
         if not successful or attempts == 0 or not total_rate:
             return None
         weighted_objectives = sum(rate * route.latency_objective_ticks for rate, route in rates)
-        mean_latency = weighted_median(
+        median_latency = weighted_median(
             [(endpoint_sums.mean_latency_ticks, endpoint_sums.attempts) for endpoint_sums in successful]
         )
         failure_fraction = weighted_median(
@@ -116,8 +116,8 @@
         return LoadSample(
             utilization=utilization,
             projected_utilization=projected,
-            mean_latency_ticks=mean_latency,
-            latency_fraction=mean_latency * total_rate / weighted_objectives,
+            median_latency_ticks=median_latency,
+            latency_fraction=median_latency * total_rate / weighted_objectives,
             median_success_fraction=1 - failure_fraction,
             overall_success_fraction=successes / attempts,
         )
--- a/willowhook/decisions/partitions.py
+++ b/willowhook/decisions/partitions.py
@@ -32,7 +32,7 @@
         if zones == self.unreachable_zones:
             return False
         self.unreachable_zones = zones
-        self._slow_start.hold_warming_endpoints(now)
+        self._slow_start.suspend_warming_weights(now)
         self._runtime.log(
             f"zones unreachable zones={','.join(zones) or 'none'} checked_endpoints={len(checked)}"
         )
--- a/willowhook/decisions/slow_start.py
+++ b/willowhook/decisions/slow_start.py
@@ -23,9 +23,9 @@
         self._rules = context.settings.rules
         self._proxies_avoid = context.settings.fleet.avoidance_failures > 0
         self._held_until = 0
-        self.hold_warming_endpoints(context.started_at)
+        self.suspend_warming_weights(context.started_at)
 
-    def hold_warming_endpoints(self, now: int) -> None:
+    def suspend_warming_weights(self, now: int) -> None:
         """Gives warming endpoints no weight for `HOLD_TICKS`, as proxies may be avoiding the others."""
         self._held_until = now + HOLD_TICKS if self._proxies_avoid else 0
 
--- a/willowhook/decisions/subsets.py
+++ b/willowhook/decisions/subsets.py
@@ -12,7 +12,7 @@
 
 from ..ticks import TICKS_PER_SECOND
 from .context import ControllerContext
-from .load import HIGH_UTILIZATION, LATE_FRACTION, LoadSample
+from .load import HIGH_LATENCY_RATIO, HIGH_UTILIZATION, LoadSample
 from .model import Endpoint, EndpointTable
 from .update_cost import BIND_ENTRIES
 from .weights import EndpointWeights
@@ -130,7 +130,7 @@
             self.mode is not SubsetMode.CONNECTION_LIMIT
             and sample.best_success_fraction < REFUSED_SUCCESS_FRACTION
             and sample.utilization < HIGH_UTILIZATION
-            and sample.latency_fraction < LATE_FRACTION
+            and sample.latency_fraction < HIGH_LATENCY_RATIO
         )
 
     def limit_connections(self, now: int, sample: LoadSample) -> None:
--- a/willowhook/decisions/update_sequence.py
+++ b/willowhook/decisions/update_sequence.py
@@ -49,7 +49,7 @@
 
     def send(self, now: int) -> None:
         """Issues the commands of a flush, and the sync marker of its messages."""
-        self._channel.drain(now)
+        self._channel.advance_queue_estimate(now)
         if self._may_send_to_all(now):
             self._send_updates(now)
             has_messaged_all = True
--- a/willowhook/front/__init__.py
+++ b/willowhook/front/__init__.py
@@ -1,1 +1,1 @@
-"""The discovery server: authentication, limits, response order and response bodies of proxies' requests."""
+"""The xDS discovery server: authentication, limits, response order and bodies for proxies' requests."""
--- a/willowhook/front/discovery.py
+++ b/willowhook/front/discovery.py
@@ -45,7 +45,7 @@
 
 
 class DiscoveryBackend(Protocol):
-    """The control plane, as the discovery server uses it."""
+    """The control plane, as the xDS discovery server uses it."""
 
     def session_state(self, name: str) -> tuple[int, bool] | None:
         """Returns the term of a proxy's session and whether it uses this server; None without a session."""
--- a/willowhook/platform/configuration.py
+++ b/willowhook/platform/configuration.py
@@ -41,7 +41,7 @@
     Attributes:
         name: the name of the controller.
         listen: the address at which it listens for proxies and collectors.
-        discovery: the address of the discovery server, which serves the endpoint list.
+        discovery: the address of service discovery, which serves the endpoint list.
         seed: the seed of the controller's random numbers.
         max_descriptors: the number of file descriptors that the process may have open.
         endpoint_list: the last endpoint list of this controller, in the format of a discovery answer.
--- a/willowhook/platform/discovery_events.py
+++ b/willowhook/platform/discovery_events.py
@@ -1,4 +1,4 @@
-"""Converts answers from the discovery server, and losses of it, into events."""
+"""Converts answers from service discovery, and losses of it, into events."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
         return self._decoder.version
 
     def handle_answer(self, answer: Fields) -> int | None:
-        """Handles an answer from the discovery server and returns the list version that it results in.
+        """Handles an answer from service discovery and returns the list version that it results in.
 
         Raises MalformedFieldError.
         """
--- a/willowhook/platform/discovery_watch.py
+++ b/willowhook/platform/discovery_watch.py
@@ -1,4 +1,4 @@
-"""Follows the endpoint list by long polling: the discovery server holds a request until the next change."""
+"""Follows the endpoint list by long polling: service discovery holds a request until the next change."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from .fields import Fields, MalformedFieldError
 from .framing import FramingError, decode_object
 
-# How long a request waits for a change, and how much later its answer may arrive. A discovery server that
+# How long a request waits for a change, and how much later its answer may arrive. Service discovery that
 # does not answer is detected within the sum of both. The platform's rules allow for that delay, and for one
 # more connection and request.
 CHANGE_WAIT_MS = 2000
@@ -31,7 +31,7 @@
     """Requests the endpoint list from `resume` until cancelled; a loss of discovery pauses the requests.
 
     Args:
-        address: the address of the discovery server.
+        address: the address of service discovery.
         handle_answer: handles an answer and returns the resulting version of the list. Raises
             MalformedFieldError.
         handle_loss: handles the reason why there was no valid answer.
@@ -48,7 +48,7 @@
         self._resumed = trio.Event()
         self._exchange_scope = trio.CancelScope()  # the request in flight, and the handling of its answer
         self._wants_complete_list = False
-        self._caller: ClientConnection | None = None
+        self._connection: ClientConnection | None = None
         self._connected_to = address
 
     def resume(self) -> None:
@@ -119,7 +119,7 @@
         return answer
 
     async def _request(self, is_complete: bool) -> Fields:
-        """Raises Broken, TooSlowError or FramingError if no answer arrives or it is not a JSON object."""
+        """Raises ConnectionLostError, TooSlowError or FramingError if no JSON object is received."""
         if is_complete or self.version is None:
             target = list_request_target()
             timeout_s = ANSWER_TIMEOUT_S
@@ -133,30 +133,30 @@
         return decode_object(reply.body)
 
     async def _call(self, target: bytes) -> Reply:
-        """Sends the request on the existing connection if it is usable, else on a new one. Raises Broken."""
-        caller = self._caller
-        if caller is not None and caller.usable and self._connected_to == self._address:
+        """Requests on the existing connection if usable, else on a new one. Raises ConnectionLostError."""
+        connection = self._connection
+        if connection is not None and connection.usable and self._connected_to == self._address:
             started_at = trio.current_time()
             try:
-                return await caller.request(b"GET", target, max_body_bytes=MAX_ANSWER_BYTES)
+                return await connection.request(b"GET", target, max_body_bytes=MAX_ANSWER_BYTES)
             except ConnectionLostError:
                 if trio.current_time() - started_at > IDLE_CLOSE_S:
                     raise
                 # the peer closed the idle connection while the request was being sent: retry on a new one
-        caller = await self._connect()
-        return await caller.request(b"GET", target, max_body_bytes=MAX_ANSWER_BYTES)
+        connection = await self._connect()
+        return await connection.request(b"GET", target, max_body_bytes=MAX_ANSWER_BYTES)
 
     async def _connect(self) -> ClientConnection:
         await self._disconnect()
         self._connected_to = self._address
-        self._caller = await open_connection(*self._connected_to, CONNECT_TIMEOUT_S)
-        return self._caller
+        self._connection = await open_connection(*self._connected_to, CONNECT_TIMEOUT_S)
+        return self._connection
 
     async def _disconnect(self) -> None:
-        if self._caller is not None:
-            caller = self._caller
-            self._caller = None
-            await caller.close()
+        if self._connection is not None:
+            connection = self._connection
+            self._connection = None
+            await connection.close()
 
 
 def _describe_loss(error: Exception) -> str:
--- a/willowhook/platform/endpoint_list.py
+++ b/willowhook/platform/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The platform's endpoint list: request targets, and decoding of the discovery server's answers.
+"""The platform's endpoint list: request targets, and decoding of the answers of service discovery.
 
 A controller's configuration contains a copy of the list, in the format of an answer.
 """
@@ -41,7 +41,7 @@
 
 
 class EndpointListDecoder:
-    """Decodes successive answers of the discovery server, and refuses implausible ones.
+    """Decodes successive answers of service discovery, and refuses implausible ones.
 
     A malformed entry is replaced by the last valid entry of its endpoint, because a malformed field is no
     reason to remove an endpoint. A complete list is refused if it is older than the last one or has entries
--- a/willowhook/platform/messages.py
+++ b/willowhook/platform/messages.py
@@ -1,6 +1,7 @@
 """Decodes the messages of proxies and collectors into typed events, and defines the replies to them.
 
-The field names of the protocol are used only here, in `endpoint_list` and in `update_encoder`.
+The field names of the protocol are used only here, in `endpoint_list` and in `update_encoder`. One exception:
+`proxy_sessions` reads the message type `t` to log it for malformed messages.
 """
 
 from __future__ import annotations
--- a/willowhook/platform/proxy_updates.py
+++ b/willowhook/platform/proxy_updates.py
@@ -179,8 +179,8 @@
         self._excluded[endpoint] = None
         holding_tables = [table for table in self._tables.values() if table.holds(endpoint)]
         for proxy, session in self._sessions.items():
-            has_default_table = not session.table_by_route  # the content of that table is unknown
-            if has_default_table or any(proxy in table.routes_by_proxy for table in holding_tables):
+            is_unbound = not session.table_by_route  # it uses a default table of unknown content
+            if is_unbound or any(proxy in table.routes_by_proxy for table in holding_tables):
                 session.pending_exclusions[endpoint] = True
                 self._pending[proxy] = None
 
--- a/willowhook/settings_codec.py
+++ b/willowhook/settings_codec.py
@@ -72,7 +72,7 @@
 
 
 def load_source(word: str) -> LoadSource:
-    """Returns the load source with this name in a settings document or a configuration."""
+    """Returns the load source with this name in settings or a configuration; RESPONSES if unknown."""
     return LOAD_SOURCES.get(word, LoadSource.RESPONSES)
 
 
@@ -82,13 +82,13 @@
 
 
 def admission_unit(word: str) -> AdmissionUnit:
-    """Returns the admission unit with this name in a settings document or a configuration."""
+    """Returns the admission unit with this name in settings or a configuration; NONE if unknown."""
     return ADMISSION_UNITS.get(word, AdmissionUnit.NONE)
 
 
 def _decode(document: Document) -> DeploymentSettings:
     extra = read_object(document, "extra")
-    _check_unread_settings(document, extra)
+    _check_unused_settings(document, extra)
     routes = read_objects(document, "request-classes")
     same_zone_flags = read_booleans(extra, "class-own-zone")
     return DeploymentSettings(
@@ -159,7 +159,7 @@
     )
 
 
-def _check_unread_settings(document: Document, extra: Document) -> None:
+def _check_unused_settings(document: Document, extra: Document) -> None:
     """Validates settings that are not used yet, so that a malformed document is always rejected."""
     for key in ("partitions-n", "try-factor", "reports-per-s", "settle"):
         read_number(extra, key, 0)
--- a/willowhook/simulator/commands.py
+++ b/willowhook/simulator/commands.py
@@ -45,7 +45,10 @@
         self._reply = reply
 
     def schedule_evaluation(self, delay_ticks: int) -> None:
-        """Requests a REMINDER, at once if the delay is negative."""
+        """Requests a REMINDER, the simulator's timer event, at once if the delay is negative.
+
+        It is unrelated to the reminders of the decisions, which repeat exclusions.
+        """
         self._add("AFTER", format_seconds(max(delay_ticks, 0)), TIMER_KEY)
 
     def log(self, text: str) -> None:
--- a/willowhook/simulator/event_codec.py
+++ b/willowhook/simulator/event_codec.py
@@ -2,6 +2,9 @@
 
 A parser gets all fields of a line: the message name, the number of the instance, and the values. It also
 validates values that the decisions do not use, so that no malformed line goes unnoticed.
+
+The messages HEAT, LEASED and STANDING_LINE concern slices, which the simulator can give tables of their own.
+The adapter does not support such tables: these messages are only validated.
 """
 
 from __future__ import annotations
