--- a/tests/test_export.py
+++ b/tests/test_export.py
@@ -174,8 +174,12 @@
         return " ".join(export(files).remarks)
 
     assert remarks("wheel", {"a": (1, False, 0)}) == ""
-    assert "neither chance nor a ring" in remarks("lottery", {"a": (1, False, 0), "b": (1, False, 1)})
-    assert "of one rank" in remarks("wheel", {"a": (1, False, 0), "b": (1, False, 1), "c": (1, False, 2)})
+    assert "backup servers exclude random and hash balancing" in remarks(
+        "lottery", {"a": (1, False, 0), "b": (1, False, 1)}
+    )
+    assert "a single backup tier" in remarks(
+        "wheel", {"a": (1, False, 0), "b": (1, False, 1), "c": (1, False, 2)}
+    )
     assert "is empty" in remarks("wheel", {})
     assert "after proof" in remarks("wheel", {"a": (1, False, 0)}, 1)
     with pytest.raises(MessageFormatError, match="eds.json is missing"):
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -197,7 +197,7 @@
         await wait_until(lambda: server.gate.open == 0)
 
     server = run_server(scenario)
-    assert server.late_requests >= 2 and server.malformed_requests >= 6
+    assert server.late_requests >= 2 and server.rejected_requests >= 6
 
 
 def test_connections_over_the_limit_are_rejected_and_later_ones_served() -> None:
--- a/tests/test_nginx.py
+++ b/tests/test_nginx.py
@@ -241,10 +241,10 @@
 
     text = explain_output("/load-task/7")
     assert "location / " in text and "75.0% a:80" in text and "backup spare:80" in text
-    assert "at most 3 tries; one more after error, timeout, http_503" in text
+    assert "at most 3 attempts; retry conditions: error, timeout, http_503" in text
     text = explain_output("/submit-task/9?x=1", "--method", "POST")
-    assert "as /v2/submit/9?x=1" in text and "at most 1 tries; one more after nothing" in text
-    assert "at most 2 tries" in explain_output("/submit-task/9")
+    assert "as /v2/submit/9?x=1" in text and "at most 1 attempts; retry conditions: none" in text
+    assert "at most 2 attempts" in explain_output("/submit-task/9")
     assert "answers 204" in explain_output("/ping")
     assert "no location fits" in explain_output("/x", "--host", "y.example")
     assert "upstream 10.0.0.9:81" in explain_output("/only", "--host", "y.example")
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -101,7 +101,7 @@
 
 def test_safeguards_are_read_from_their_names() -> None:
     assert safeguards_in("") == frozenset()
-    assert safeguards_in("folder+name") == {Safeguard.FOLDER, Safeguard.NAME}
+    assert safeguards_in("folder+name") == {Safeguard.FOLDER, Safeguard.WRITTEN_TERM}
 
 
 class ManySessions(RuleBasedStateMachine):
--- a/tests/test_resource_store.py
+++ b/tests/test_resource_store.py
@@ -12,11 +12,11 @@
     first = store.make_set(TABLES, [("a", b"1"), ("b", b"2")])
     assert store.make_set(TABLES, [("a", b"1"), ("b", b"2")]) is first
     second = store.make_set(TABLES, [("a", b"1"), ("b", b"3")], first)
-    assert second.resources["a"] is first.resources["a"] and second.order > first.order
+    assert second.resources["a"] is first.resources["a"] and second.resource_version > first.resource_version
     returned = store.make_set(TABLES, [("a", b"1"), ("b", b"2")], second)
     assert (
-        returned.order > second.order
-        and returned.resources["b"].order > second.resources["b"].order
+        returned.resource_version > second.resource_version
+        and returned.resources["b"].resource_version > second.resources["b"].resource_version
         and returned.resources["a"] is first.resources["a"]
     )
     assert (
--- a/willowhook/cli/store.py
+++ b/willowhook/cli/store.py
@@ -76,7 +76,7 @@
     help="Acknowledge the loss: from now on, requests without a record count as never sent.",
 )
 def repair(folder: str, seen: bool) -> None:
-    """Keep all readable data, set damaged files aside and print what is lost; no data is made up."""
+    """Keep all readable data, copy damaged files and print what is lost; no data is made up."""
     from ..store import tool
 
     for line in _run_or_exit(lambda: tool.repair(folder, seen)):
--- a/willowhook/cli/trial.py
+++ b/willowhook/cli/trial.py
@@ -13,7 +13,11 @@
 
 @main.group()
 def trial() -> None:
-    """Run scenarios with injected faults on a test fleet on loopback, and check the five rules."""
+    """Run scenarios with injected faults on a test fleet on loopback, and check the five invariants.
+
+    These are: a table entry for every route, no request executed twice, the drain grace, no endpoint
+    overloaded during slow start, and a limited queue.
+    """
 
 
 @trial.command()
@@ -92,7 +96,7 @@
 ) -> None:  # fmt: skip
     """Inject faults of these KINDS into a fleet with real controllers, one after the other.
 
-    The names that the bench has for them are accepted, too.
+    The names of the simulator's faults are accepted, too.
     """
     import tempfile
 
@@ -425,7 +429,8 @@
     click.echo(f"{uri_count} URIs, matcher compared with the rules: {len(mismatches)} differ")
     lists = checks.check_lists(uris, seed)
     summary = (
-        f"{lists.differ} differ, {len(lists.unreported)} of them unreported, in {lists.configs} configurations"
+        f"{lists.differ} differ, {len(lists.unreported)} of them unreported,"
+        f" in {lists.configs} configurations"
     )
     click.echo(f"{lists.uris} URIs, lists compared with the search: {summary}")
     fuzz = checks.check_mutated_samples(inputs, seed)
--- a/willowhook/config/check.py
+++ b/willowhook/config/check.py
@@ -12,8 +12,9 @@
 
 from .terms import PathTerms, RouteTerms, Terms
 
-# A channel is at times slower than configured by this factor; an exclusion must still fit in the drain grace.
-WORST_CASE_FACTOR = 4
+# The overload limit of a new endpoint, `start_capacity` x `fall_multiple` of its usual load, must exceed
+# the usual load divided by this.
+START_LOAD_DIVISOR = 4
 
 
 class ConfigError(Exception):
@@ -165,7 +166,7 @@
             f" {channel.late_most_ms:g} ms to arrive: {needed_ms:.0f} ms;"
             f" the drain grace is {rules.drain_grace_ms:g}",
         )
-    if rules.cold_ms and rules.start_capacity * rules.fall_multiple <= 1 / WORST_CASE_FACTOR:
+    if rules.cold_ms and rules.start_capacity * rules.fall_multiple <= 1 / START_LOAD_DIVISOR:
         yield "$.rules.fall_multiple", "a new endpoint would be overloaded by a quarter of its usual load"
     if files.proxy_lost_after_ms < 2 * fleet.report_every_ms:
         yield (
--- a/willowhook/files/layout.py
+++ b/willowhook/files/layout.py
@@ -4,6 +4,7 @@
 FOLDER/epoch                    the number of starts of controllers here
 FOLDER/pace.json                the report interval of proxies, if it is not their own
 FOLDER/list                     the last endpoint list from service discovery
+FOLDER/drain                    present while the controller is asked to drain
 FOLDER/down/PROXY/current/      cds.json eds.json rds.json: from the controller to the proxy
 FOLDER/up/PROXY/                cds.json eds.json rds.json load.json status.json: from the proxy
 """
--- a/willowhook/files/swap.py
+++ b/willowhook/files/swap.py
@@ -20,7 +20,12 @@
 
 
 def swap_file(ops: FileOps, folder: str, name: str, data: bytes, durability: str = "none") -> None:
-    """Atomically replaces the file `folder/name`. Raises OSError, and then the old file is still in place."""
+    """Atomically replaces the file `folder/name`.
+
+    Raises:
+        OSError: the old file is still in place, unless only the sync of the folder failed: then the new file
+            is in place, but may be lost in a power failure.
+    """
     temp = f"{folder}/{TEMP_PREFIX}{name}"
     try:
         try:
--- a/willowhook/front/serve.py
+++ b/willowhook/front/serve.py
@@ -92,7 +92,7 @@
         on_closed: called when a connection has ended.
         slow_readers: the connections closed because the client did not read a response in time.
         late_requests: the requests that did not arrive completely in time.
-        malformed_requests: the requests rejected as malformed, too long or late.
+        rejected_requests: the requests rejected as malformed, too long or late.
     """
 
     def __init__(
@@ -105,7 +105,7 @@
     ) -> None:
         self.gate, self.timeouts, self.max_body_bytes = gate, timeouts, max_body_bytes
         self.handler, self.on_closed = handler, on_closed
-        self.slow_readers = self.late_requests = self.malformed_requests = 0
+        self.slow_readers = self.late_requests = self.rejected_requests = 0
 
     async def serve(self, stream: trio.abc.Stream) -> None:
         """Serves one connection until it ends, and closes it."""
@@ -138,7 +138,7 @@
         if request is None:
             return False
         if isinstance(request, Reply):
-            self.malformed_requests += 1
+            self.rejected_requests += 1
             await self._send(stream, protocol, request)
             return False
         connection.calls += 1
--- a/willowhook/membership/reconnect.py
+++ b/willowhook/membership/reconnect.py
@@ -1,4 +1,4 @@
-"""When a proxy reconnects and when it fails back: spread without coordination, at a rate that binds allow.
+"""When a proxy reconnects and when it fails back: spread without coordination, at the configured join rate.
 
 Every proxy draws its own delay from the same settings, so that together they reconnect at about the
 configured pace, which prevents a thundering herd. Busy proxies draw from the early part of the window. No
--- a/willowhook/membership/takeover_model.py
+++ b/willowhook/membership/takeover_model.py
@@ -27,7 +27,7 @@
 
     TERM = "term"  # the term of an update is checked
     ORDER = "order"  # updates are applied forward only
-    NAME = "name"  # a controller writes only the term that it read from the proxy's file
+    WRITTEN_TERM = "name"  # a controller writes only the term that it read from the proxy's file
     FOLDER = "folder"  # a proxy reads only the folder of the controller that it follows
 
 
@@ -36,8 +36,8 @@
 NEEDED_SAFEGUARDS: tuple[Safeguards, ...] = (
     frozenset((Safeguard.TERM,)),
     frozenset((Safeguard.ORDER,)),
-    frozenset((Safeguard.NAME,)),
-    frozenset((Safeguard.FOLDER, Safeguard.NAME)),
+    frozenset((Safeguard.WRITTEN_TERM,)),
+    frozenset((Safeguard.FOLDER, Safeguard.WRITTEN_TERM)),
 )
 
 
@@ -288,7 +288,7 @@
     believed = controller.believed_terms[proxy]
     if believed == NO_TERM or controller.update_count >= bounds.updates:
         return
-    term = believed if Safeguard.NAME not in without else max(believed, world.proxies[proxy].term)
+    term = believed if Safeguard.WRITTEN_TERM not in without else max(believed, world.proxies[proxy].term)
     version = Version(term, controller.epoch, controller.update_count + 1)
     rename = PendingRename(proxy, Update(index, version, believed))
     after = replace(
--- a/willowhook/nginx/after.py
+++ b/willowhook/nginx/after.py
@@ -114,7 +114,9 @@
 
 
 def left_after(pattern: str, prefix: str, nocase: bool) -> str | None:
-    """A regex for the rest of a path after `prefix`, such that `pattern` is found in the path as a whole.
+    """The regex derivative of `pattern` by `prefix`: a regex for the rest of a path after `prefix`.
+
+    The rest matches it if and only if `pattern` is found in the complete path.
 
     Empty if `pattern` is found in every path that begins with `prefix`; None if this cannot be expressed.
     """
--- a/willowhook/nginx/explain.py
+++ b/willowhook/nginx/explain.py
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class Explanation:
-    """What a request meets."""
+    """How a request is handled."""
 
     server_block: ServerBlock | None = None
     location: Location | None = None
@@ -39,8 +39,8 @@
         lines = [f"{self.location} ({position}) -> upstream {self.upstream}, as {self.uri}"]
         lines += [f"  {share:6.1%} {name}" for name, share in self.shares.items()]
         lines += [f"  backup {name}, when no primary is open" for name in self.backups]
-        conditions = ", ".join(self.retry_conditions) or "nothing"
-        return [*lines, f"  at most {self.max_attempts} tries; one more after {conditions}"]
+        conditions = ", ".join(self.retry_conditions) or "none"
+        return [*lines, f"  at most {self.max_attempts} attempts; retry conditions: {conditions}"]
 
     def observable_outcome(self) -> tuple[object, ...]:
         """Everything a client can observe; equal for configurations that serve the request alike."""
--- a/willowhook/nginx/export.py
+++ b/willowhook/nginx/export.py
@@ -95,7 +95,9 @@
             return ""
         tiers = tables.priorities(table)
         if max(tiers.values()) > 1:
-            self._remark(f"table {name}: backups are of one rank here, in {max(tiers.values()) + 1} there")
+            self._remark(
+                f"table {name}: nginx has a single backup tier, the table has {max(tiers.values()) + 1} tiers"
+            )
         weights = [round(entry[4] * tables.SCALE) for entry in entries]
         divisor = reduce(math.gcd, weights)
         taken_names = [*self._upstream_names.values()]
@@ -131,7 +133,9 @@
             key = HASH_VARIABLES.get(hash_by) or f"${variable}_{name_in_request.replace('-', '_')}"
             return [f"hash {key} consistent;"]
         if policy in ("RANDOM", "RING_HASH") and backups:
-            self._remark(f"table {name}: a backup goes with neither chance nor a ring: hosts in turn")
+            self._remark(
+                f"table {name}: backup servers exclude random and hash balancing: round robin is used"
+            )
         return []
 
     # Locations.
@@ -151,20 +155,22 @@
         return _split_path(kind, path, first, below)
 
     def _location_directives(self, route: forms.Route) -> list[str]:
-        max_attempts = tables.tries_of(route.route.retry_policy)
+        retry_mode = tables.tries_of(route.route.retry_policy)
         cluster = self._clusters[route.route.cluster]
         timeout_ms = round(parse_duration(route.route.timeout) * 1000)
         connect_ms = round(parse_duration(cluster.connect_timeout) * 1000)
         directives = [f"proxy_read_timeout {timeout_ms}ms;", f"proxy_connect_timeout {connect_ms}ms;"]
-        if max_attempts > 1:
+        if retry_mode > 1:
             directives += [
                 f"proxy_next_upstream {RETRY_CONDITIONS};",
-                f"proxy_next_upstream_tries {max_attempts};",
+                f"proxy_next_upstream_tries {retry_mode};",
             ]
         else:
             directives.append("proxy_next_upstream off;")
-        if max_attempts == 1:
-            self._remark("one more try after proof that none ran cannot be said: there is none")
+        if retry_mode == 1:
+            self._remark(
+                "a retry after proof that no attempt was executed is not expressible: retries are off"
+            )
         admitted, requests_per_s = tables.level_of(route.typed_per_filter_config)
         if not math.isinf(requests_per_s):
             directives += self._rate_limit_directives(route.name, requests_per_s)
--- a/willowhook/nginx/plan.py
+++ b/willowhook/nginx/plan.py
@@ -216,7 +216,7 @@
                 "it passes nothing on: its calls get 404, and no other location's hosts",
             )
         elif location_config.target is not None and location_config.target.unknown_reason:
-            self._drop_location(location_config, "where they go cannot be said")
+            self._drop_location(location_config, "target unknown")
             self.record(location_config.proxy_pass, NOT_CARRIED, location_config.target.unknown_reason)
         elif location_config.target is not None:
             parts = location_config.target.parts
@@ -288,7 +288,7 @@
         flattener = Flattener(server_block, self.options.declared_paths())
         entries = flattener.entries()
         for location_config, reason in flattener.inexpressible:
-            text = f"the published expressions cannot say it: it {reason}; its calls would go elsewhere"
+            text = f"regex unsupported: it {reason}; its calls would go elsewhere"
             self.record(location_config.location.directive, REFUSED, text)
             self.dropped_locations.add(id(location_config.location.directive))
         self._record_nested_in_regexes(server_block.locations)
@@ -321,7 +321,7 @@
                 )
                 if not same:
                     self.dropped_locations.add(id(directive))
-                text = f"it stands within {enclosing.location}: its calls go as those of that"
+                text = f"its calls are handled by the enclosing location, {enclosing.location}"
                 self.record(directive, DIFFERS if same else REFUSED, text)
             nested_in = location_config if location_config.location.regex is not None else enclosing
             self._record_nested_in_regexes(location_config.nested, nested_in)
@@ -389,7 +389,7 @@
             )
         rewrite = self._prefix_rewrite(location_config, entry, target)
         if rewrite is None:
-            self._drop_location(location_config, "what hosts would be asked for cannot be said")
+            self._drop_location(location_config, "rewrite not expressible")
             return UNAVAILABLE_STATUS
         group = self._build_group(
             [(entry.mapped_upstream, 1.0)] if entry.mapped_upstream else target.parts, location_config
@@ -430,7 +430,7 @@
                 self.record(
                     rewrite,
                     REFUSED,
-                    f"it changes what hosts are asked for in a way that cannot be said: {UNAVAILABLE_STATUS}",
+                    f"rewrite not expressible: its calls get {UNAVAILABLE_STATUS}",
                 )
                 return None
             self.record(rewrite, CARRIED, "")
@@ -657,9 +657,7 @@
         if server.max_fails != 1 or server.fail_timeout_ms != 10_000:
             if server.max_fails > 1:
                 self.max_failures = min(self.max_failures or server.max_fails, server.max_fails)
-            differences.append(
-                "max_fails, fail_timeout: the fewest are fleet.strikes; how long is the proxies' own"
-            )
+            differences.append("the lowest max_fails becomes fleet.strikes; fail_timeout is not carried over")
         self.record(directive, DIFFERS if differences else CARRIED, "; ".join(differences))
 
     def _finish_endpoints(self) -> None:
--- a/willowhook/nginx/upstreams.py
+++ b/willowhook/nginx/upstreams.py
@@ -30,7 +30,7 @@
 
 
 def parse_integer(word: Word, text: str, minimum: int = 0) -> int:
-    """Parses an integer of at least `least`; raises ConfigSyntaxError."""
+    """Parses an integer of at least `minimum`; raises ConfigSyntaxError."""
     if not text.isascii() or not text.isdigit() or int(text) < minimum:
         raise ConfigSyntaxError(word.position, f"{text!r} is not an integer of {minimum} or more")
     return int(text)
--- a/willowhook/nginx/verdicts.py
+++ b/willowhook/nginx/verdicts.py
@@ -43,12 +43,12 @@
     "server": (CARRIED, ""),
     "upstream": (CARRIED, ""),
     "location": (CARRIED, ""),
-    "proxy_next_upstream": (DIFFERS, "what may run twice is only tried again after proof that it never ran"),
+    "proxy_next_upstream": (DIFFERS, "non-idempotent requests are retried only if provably not executed"),
     "random": (DIFFERS, "the less loaded of two drawn hosts, by each proxy's own calls"),
     "hash": (NOT_CARRIED, "no ring"),
     "include": (CARRIED, ""),
     "least_conn": (DIFFERS, "the less loaded of two drawn hosts, by each proxy's own calls"),
-    "ip_hash": (DIFFERS, "a ring by the caller's address: the same spread, other places"),
+    "ip_hash": (DIFFERS, "ring hash by client address; same distribution, different endpoints"),
     "keepalive": (NOT_CARRIED, "connections are the proxies' own"),
     "keepalive_requests": (NOT_CARRIED, "connections are the proxies' own"),
     "keepalive_timeout": (NOT_CARRIED, "connections are the proxies' own"),
@@ -66,7 +66,7 @@
     "limit_req_status": (NOT_CARRIED, "what is throttled gets 429"),
     "limit_conn": (NOT_CARRIED, "levels are rates or shares of calls, not of connections"),
     "limit_conn_zone": (NOT_CARRIED, "levels are rates or shares of calls, not of connections"),
-    "events": (NOT_CARRIED, "how that program itself runs"),
+    "events": (NOT_CARRIED, "nginx process setting"),
     "rewrite": (NOT_CARRIED, "no carried route has it"),
     "if": (NOT_CARRIED, "routes go by path alone"),
     "break": (NOT_CARRIED, "no rewriting goes on"),
@@ -81,7 +81,7 @@
     ("proxy_", "how a call is passed on is the proxies' own"), ("ssl", "proxies end TLS themselves"),
     ("gzip", "bodies pass as they come"), ("access_", "records are the director's own"),
     ("log_", "records are the director's own"), ("error_", "answers pass as they come"),
-    ("worker_", "how that program itself runs"), ("client_", "limits on callers are the proxies' own"),
+    ("worker_", "nginx process setting"), ("client_", "limits on callers are the proxies' own"),
     ("add_header", "headers pass as they come"), ("set", "no variables"), ("fastcgi_", "hosts speak HTTP"),
     ("grpc_", "hosts speak HTTP/1.1"), ("uwsgi_", "hosts speak HTTP"),
 )  # fmt: skip
@@ -134,7 +134,7 @@
         if directive.name == "return":
             if len(directive.args) == 1 and directive.arg(0).isdigit():
                 return CARRIED, ""
-            return DIFFERS, "the path is closed, without a text; what is moved gets 404"
+            return DIFFERS, "the path is closed, without a body; redirects become 404"
         if directive.name == "random" and directive.arg(0) != "two":
             return CARRIED, ""
         if directive.name in DIRECTIVE_OUTCOMES:
@@ -142,7 +142,7 @@
         for prefix, reason in PREFIX_REASONS:
             if directive.name.startswith(prefix):
                 return NOT_CARRIED, reason
-        return NOT_CARRIED, "nothing here has a word for it"
+        return NOT_CARRIED, "not supported"
 
 
 def diagnose(
--- a/willowhook/reports/quarantine.py
+++ b/willowhook/reports/quarantine.py
@@ -1,9 +1,10 @@
 """Quarantine of proxies that repeatedly send malformed reports; the start of a malformed report is kept.
 
 Only the reports of such a proxy are skipped: it is still served, and its acknowledgements count. A quarantine
-begins after three malformed reports in a row or five within a minute. Its duration doubles each time, from
-five seconds up to a minute. The first well-formed report after a minute without malformed ones drops the
-proxy's record. Times are ticks.
+begins after three malformed reports in a row or five within a minute. After it, the next report decides: a
+malformed one begins another quarantine of twice the duration, from five seconds up to a minute; a well-formed
+one drops the proxy's record, so that the duration starts at five seconds again. Without a quarantine, the
+first well-formed report after a minute without malformed ones drops the record. Times are ticks.
 """
 
 from __future__ import annotations
--- a/willowhook/store/ledger.py
+++ b/willowhook/store/ledger.py
@@ -33,7 +33,12 @@
 
 
 class RequestLedger:
-    """The stored requests. Raises StoreError if a record cannot be stored: then nothing may be sent."""
+    """The stored requests.
+
+    Raises StoreError if the store is read-only: then nothing may be sent. A write that the store drops
+    because the disk is full and the rank of `SPACE` is too low raises nothing, so the store must give
+    `SPACE` the highest rank.
+    """
 
     def __init__(self, store: Store, committer: Committer) -> None:
         self._store, self._committer = store, committer
--- a/willowhook/validation/endpoint_checks.py
+++ b/willowhook/validation/endpoint_checks.py
@@ -25,7 +25,9 @@
         endpoint = endpoints.by_name[name]
         elapsed = case.now - endpoint.since
         if elapsed >= grace:
-            text = f"it has been {endpoint.mode.value} for {elapsed} ticks, the drain grace is {grace}"
+            text = (
+                f"it has been {endpoint.mode.value} for {elapsed} ticks of 0.1 ms, the drain grace is {grace}"
+            )
             verdict.add(
                 Finding(
                     check="drained",
@@ -130,7 +132,7 @@
         )
         return
     until = max(_capacity_reached_at(case, endpoint, min(needed_fraction, 1.0)), case.now)
-    remedy = f"send it {fraction:.0%} of its share now, or all of it from tick {until}"
+    remedy = f"send it {fraction:.0%} of its share now, or all of it from tick {until} on (1 tick = 0.1 ms)"
     verdict.add(
         Finding(
             check="cold",
--- a/willowhook/validation/load_checks.py
+++ b/willowhook/validation/load_checks.py
@@ -140,7 +140,7 @@
 
 
 def _held(text: str, *, until: int, figure: float, limit: float) -> Finding:
-    remedy = f"send it from tick {until}"
+    remedy = f"send it from tick {until} on (1 tick = 0.1 ms)"
     return Finding(
         check="queue",
         outcome=Outcome.HELD,
--- a/willowhook/versions/held_resources.py
+++ b/willowhook/versions/held_resources.py
@@ -73,7 +73,7 @@
             table: None for cluster in clusters if cluster is not None for table in self._references(cluster)
         }
 
-    def is_reachable(self, routes: Resource) -> bool:
+    def are_references_held(self, routes: Resource) -> bool:
         """Whether the proxy certainly holds all clusters and tables that routes refer to."""
         for name in self._references(routes):
             cluster = self.find_certain(CLUSTERS, name)
--- a/willowhook/versions/offers.py
+++ b/willowhook/versions/offers.py
@@ -72,7 +72,9 @@
         tracker = self._held.trackers[kind]
         newest = self.current.get(kind)
         for resources in (self.wanted.get(kind), *tracker.in_flight.values(), tracker.known):
-            if resources is not None and (newest is None or resources.order > newest.order):
+            if resources is not None and (
+                newest is None or resources.resource_version > newest.resource_version
+            ):
                 newest = resources
         return newest
 
@@ -93,8 +95,10 @@
             resources = {name: each for name, each in resources.items() if name in names}
         newest = self.newest(kind)
         wanted = self.wanted.get(kind)
-        above = max(newest.order if newest is not None else NO_VERSION, self.reported_versions[kind])
-        if wanted is not None and resources == wanted.resources and wanted.order >= above:
+        above = max(
+            newest.resource_version if newest is not None else NO_VERSION, self.reported_versions[kind]
+        )
+        if wanted is not None and resources == wanted.resources and wanted.resource_version >= above:
             self.current[kind] = wanted
         else:
             self.current[kind] = self._store.assemble(kind, resources, newest, self.reported_versions[kind])
@@ -132,7 +136,7 @@
         wanted = self.wanted.get(ROUTES)
         if wanted is None:
             return None
-        if all(self._held.is_reachable(routes) for routes in wanted.resources.values()):
+        if all(self._held.are_references_held(routes) for routes in wanted.resources.values()):
             return wanted.resources
         known = self._held.trackers[ROUTES].known
         return known.resources if known is not None else None
--- a/willowhook/versions/rejections.py
+++ b/willowhook/versions/rejections.py
@@ -118,6 +118,6 @@
         if held is not halted:
             return held
         previous = tracker.previous.get(name)
-        if previous is None or (kind == ROUTES and not self._held.is_reachable(previous)):
+        if previous is None or (kind == ROUTES and not self._held.are_references_held(previous)):
             return held
         return self._store.resource(kind, name, previous.body, halted)
--- a/willowhook/versions/resources.py
+++ b/willowhook/versions/resources.py
@@ -67,25 +67,25 @@
     Attributes:
         kind: its type, one of `KINDS`.
         name: the name of the resource.
-        order: its version.
+        resource_version: its version.
         body: its content as JSON.
         references: names of the resources that it refers to; None: not computed yet.
     """
 
-    __slots__ = ("__weakref__", "body", "kind", "name", "order", "references")
+    __slots__ = ("__weakref__", "body", "kind", "name", "references", "resource_version")
 
-    def __init__(self, kind: str, name: str, order: ResourceVersion, body: bytes) -> None:
+    def __init__(self, kind: str, name: str, resource_version: ResourceVersion, body: bytes) -> None:
         """Must only be called by a `ResourceStore`."""
         self.kind = kind
         self.name = name
-        self.order = order
+        self.resource_version = resource_version
         self.body = body
         self.references: tuple[str, ...] | None = None
 
     @property
     def version(self) -> str:
         """Its version, as on the wire."""
-        return str(self.order)
+        return str(self.resource_version)
 
 
 class ResourceSet:
@@ -93,22 +93,24 @@
 
     Attributes:
         kind: their type, one of `KINDS`.
-        order: the version of the set.
+        resource_version: the version of the set.
         resources: the resources by name.
     """
 
-    __slots__ = ("__weakref__", "kind", "order", "resources")
+    __slots__ = ("__weakref__", "kind", "resource_version", "resources")
 
-    def __init__(self, kind: str, order: ResourceVersion, resources: Mapping[str, Resource]) -> None:
+    def __init__(
+        self, kind: str, resource_version: ResourceVersion, resources: Mapping[str, Resource]
+    ) -> None:
         """Must only be called by a `ResourceStore`."""
         self.kind = kind
-        self.order = order
+        self.resource_version = resource_version
         self.resources = resources
 
     @property
     def version(self) -> str:
         """Its version, as on the wire."""
-        return str(self.order)
+        return str(self.resource_version)
 
     def versions(self) -> dict[str, str]:
         """Returns the versions of the resources by name."""
@@ -154,13 +156,13 @@
 
         Content that returns after other content gets a new version, so that versions only increase.
         """
-        if above is not None and above.body == body and above.order.era == self.era:
+        if above is not None and above.body == body and above.resource_version.era == self.era:
             return above
         existing = self._resources.get((kind, name, body))
         if (
             existing is not None
-            and existing.order.era == self.era
-            and (above is None or existing.order > above.order)
+            and existing.resource_version.era == self.era
+            and (above is None or existing.resource_version > above.resource_version)
         ):
             return existing
         created = Resource(kind, name, self._next_version(), body)
@@ -183,12 +185,16 @@
         floor: ResourceVersion = NO_VERSION,
     ) -> ResourceSet:
         """Returns the set of these resources: `last` if it is the same, else one above `floor` and `last`."""
-        if last is not None and last.order.era == self.era and last.resources == resources:
+        if last is not None and last.resource_version.era == self.era and last.resources == resources:
             return last
-        content = tuple(resource.order.number for resource in resources.values())
+        content = tuple(resource.resource_version.number for resource in resources.values())
         existing = self._sets.get((kind, content))
-        above = max(last.order, floor) if last is not None else floor
-        if existing is not None and existing.order.era == self.era and existing.order > above:
+        above = max(last.resource_version, floor) if last is not None else floor
+        if (
+            existing is not None
+            and existing.resource_version.era == self.era
+            and existing.resource_version > above
+        ):
             return existing
         created = ResourceSet(kind, self._next_version(), resources)
         self._sets[kind, content] = created
--- a/willowhook/versions/rollout.py
+++ b/willowhook/versions/rollout.py
@@ -2,10 +2,10 @@
 
 While nothing is rejected, every content is sent without delay: a table whose weights change twice a second,
 or that excludes a dead endpoint, must not wait. When more than a configured fraction of the proxies reject a
-content, it is halted, the proxies that run it are rolled back to the last content that was good everywhere,
-and the unit becomes staged: the next content goes to canaries first, some of which rejected before. The
-others get it once the canaries have applied it and their requests fail no more often than those of other
-proxies. The configuration may also require every content to be staged.
+content, it is halted, the proxies that run it are rolled back to the last good content, which all but a
+permitted few of the proxies applied, and the unit becomes staged: the next content goes to canaries first,
+some of which rejected before. The others get it once the canaries have applied it and their requests fail no
+more often than those of other proxies. The configuration may also require every content to be staged.
 """
 
 from __future__ import annotations
--- a/willowhook/versions/rollout_track.py
+++ b/willowhook/versions/rollout_track.py
@@ -45,7 +45,7 @@
     Attributes:
         contents: the contents that are remembered.
         current: by proxy, the content that it was offered last.
-        good: the newest content that is good everywhere; None: there is none yet.
+        good: the newest content that all but a permitted few of the proxies applied; None: there is none yet.
         halted: contents that are not offered any more, with the cause.
         is_staged: whether new contents go to canaries only.
         canaries: the proxies that get new contents first, in this stage.
--- a/willowhook/versions/version_tracker.py
+++ b/willowhook/versions/version_tracker.py
@@ -82,13 +82,19 @@
     def record_acknowledged(self, nonce: str) -> ResourceSet | None:
         """Records an acknowledgement. Returns the set that it proves to be applied; None if none newly is."""
         applied = self.in_flight.get(nonce)
-        if applied is None or (self.known is not None and applied.order < self.known.order):
+        if applied is None or (
+            self.known is not None and applied.resource_version < self.known.resource_version
+        ):
             return None
         if self.known is not None:
             self._remember_previous(self.known, applied)
         self.known = applied
         # responses that were sent later may still be applied; earlier ones can no longer be
-        self.in_flight = {key: each for key, each in self.in_flight.items() if each.order > applied.order}
+        self.in_flight = {
+            key: each
+            for key, each in self.in_flight.items()
+            if each.resource_version > applied.resource_version
+        }
         self.is_connection_lost = self.is_connection_lost and bool(self.in_flight)
         self.reported = {}
         return applied
