--- a/willowhook/cli/trial.py
+++ b/willowhook/cli/trial.py
@@ -13,7 +13,11 @@
 
 @main.group()
 def trial() -> None:
-    """Run scenarios with injected faults on a test fleet on loopback, and check the five rules."""
+    """Run scenarios with injected faults on a test fleet on loopback, and check the five invariants.
+
+    These are: a table entry for every route, no request executed twice, the drain grace, no endpoint
+    overloaded during slow start, and a limited queue.
+    """
 
 
 @trial.command()
@@ -92,7 +96,7 @@
 ) -> None:  # fmt: skip
     """Inject faults of these KINDS into a fleet with real controllers, one after the other.
 
-    The names that the bench has for them are accepted, too.
+    The names of the simulator's faults are accepted, too.
     """
     import tempfile
 
